--- a/crates/cli/src/site/route.rs
+++ b/crates/cli/src/site/route.rs
@@ -120,7 +120,7 @@
     let kind = backend.kind.as_ref().and_then(|k| model.kinds.get(k));
     let held = backend.held;
     let is_ready = backend.state == BackendState::Ready;
-    let layers = held.map_or(0, |held| held.layers());
+    let layers = held.map_or(0, |held| held.layer_count());
     PartHolder {
         data_centre,
         first_layer: held.map_or(0, |held| held.first_layer),
--- a/crates/direct/src/known/engine.rs
+++ b/crates/direct/src/known/engine.rs
@@ -124,7 +124,7 @@
     pub(crate) fn lasting_layers(&self) -> Option<LayerRange> {
         let held = self.row.held?;
         match self.moving {
-            Some(to) => held.shared(to),
+            Some(to) => held.intersection(to),
             None => Some(held),
         }
     }
--- a/crates/direct/src/orders/lease.rs
+++ b/crates/direct/src/orders/lease.rs
@@ -10,8 +10,8 @@
 use chestnutreach_membership::duty;
 use chestnutreach_site::tables::{LEASE, LEASE_KEY};
 use chestnutreach_state::{
-    FencingNumber, LeaseCommand, LeaseHolder, LeaseOptions, LeaseRow,
-    LeaseState, StoreAnswer,
+    FencingNumber, LeaseCommand, LeaseOptions, LeaseParticipant, LeaseRow,
+    LeaseState, StoreResponse,
 };
 use chestnutreach_telemetry::{Event, emit};
 
@@ -40,7 +40,7 @@
 
 /// The lease as one entry holds or seeks it.
 pub(crate) struct Lease {
-    holder: Mutex<LeaseHolder>,
+    holder: Mutex<LeaseParticipant>,
     store: StoreClient,
     /// The row as last read or written, with its version at the store.
     known: Mutex<Option<(LeaseRow, u64)>>,
@@ -52,19 +52,19 @@
             LeaseOptions::new(DURATION_MS, RENEW_BEFORE_MS, MARGIN_MS)
                 .expect("the constants make a lease");
         Lease {
-            holder: Mutex::new(LeaseHolder::new(core.boot_id, options)),
+            holder: Mutex::new(LeaseParticipant::new(core.boot_id, options)),
             store: StoreClient::new(core.settings.store_address),
             known: Mutex::default(),
         }
     }
 
-    fn holder(&self) -> MutexGuard<'_, LeaseHolder> {
+    fn holder(&self) -> MutexGuard<'_, LeaseParticipant> {
         self.holder.lock().expect("no holder panics")
     }
 
     /// The number under which this entry may plan at this moment.
     pub(crate) fn may_act(&self) -> Option<FencingNumber> {
-        self.holder().may_act(now_ms())
+        self.holder().active_fencing_number(now_ms())
     }
 
     /// Holds or seeks the lease until the process ends.
@@ -74,7 +74,7 @@
             self.resign_if_cut(&core);
             if let Some(command) = self.next_command(&core) {
                 let answer = self.carry_out(command).await;
-                self.holder().answer(answer, now_ms());
+                self.holder().handle_response(answer, now_ms());
             }
             let state = self.holder().state();
             note_change(last, state);
@@ -121,7 +121,7 @@
         }
     }
 
-    async fn carry_out(&self, command: LeaseCommand) -> StoreAnswer {
+    async fn carry_out(&self, command: LeaseCommand) -> StoreResponse {
         match command {
             LeaseCommand::Read => self.read().await,
             LeaseCommand::Write { expected, row } => {
@@ -130,14 +130,14 @@
         }
     }
 
-    async fn read(&self) -> StoreAnswer {
+    async fn read(&self) -> StoreResponse {
         match self.store.read_row(LEASE, LEASE_KEY, TIMEOUT).await {
             Ok(row) => {
                 let known = row.as_ref().and_then(decode);
                 *self.known.lock().expect("no holder panics") = known;
-                StoreAnswer::Row(known.map(|(row, _)| row))
+                StoreResponse::Row(known.map(|(row, _)| row))
             }
-            Err(_) => StoreAnswer::Unavailable,
+            Err(_) => StoreResponse::Unavailable,
         }
     }
 
@@ -145,10 +145,10 @@
         &self,
         expected: Option<LeaseRow>,
         row: LeaseRow,
-    ) -> StoreAnswer {
+    ) -> StoreResponse {
         let known = *self.known.lock().expect("no holder panics");
         if known.map(|(row, _)| row) != expected {
-            return StoreAnswer::Conflict;
+            return StoreResponse::Conflict;
         }
         let version = known.map_or(0, |(_, version)| version);
         let value =
@@ -164,11 +164,11 @@
             Ok(version) => {
                 let mut known = self.known.lock().expect("no holder panics");
                 *known = Some((row, version));
-                StoreAnswer::Written
+                StoreResponse::Written
             }
-            Err(StoreError::Conflict) => StoreAnswer::Conflict,
-            Err(StoreError::Refused { .. }) => StoreAnswer::Unavailable,
-            Err(_) => StoreAnswer::Ambiguous,
+            Err(StoreError::Conflict) => StoreResponse::Conflict,
+            Err(StoreError::Refused { .. }) => StoreResponse::Unavailable,
+            Err(_) => StoreResponse::Ambiguous,
         }
     }
 }
--- a/crates/direct/src/orders/mandate.rs
+++ b/crates/direct/src/orders/mandate.rs
@@ -1,6 +1,6 @@
 //! By what right an entry gives orders to engines.
 
-use chestnutreach_planner::Scope;
+use chestnutreach_planner::OrderScope;
 use chestnutreach_state::FencingNumber;
 use chestnutreach_telemetry::{Event, emit};
 
@@ -24,10 +24,10 @@
         held.or_else(|| core.stands_in().then_some(Mandate::StandIn))
     }
 
-    pub(crate) fn scope(self) -> Scope {
+    pub(crate) fn scope(self) -> OrderScope {
         match self {
-            Mandate::Lease(_) => Scope::All,
-            Mandate::StandIn => Scope::NothingGivenUp,
+            Mandate::Lease(_) => OrderScope::All,
+            Mandate::StandIn => OrderScope::AdditiveOnly,
         }
     }
 
--- a/crates/direct/src/orders/place.rs
+++ b/crates/direct/src/orders/place.rs
@@ -1,7 +1,7 @@
 //! Orders to engines to hold layers, given by whoever holds the lease, or
 //! stands in for it.
 //!
-//! What is ordered, and again, is decided by [`OrderBook`] from what is known
+//! What is ordered, and again, is decided by [`OrderTracker`] from what is known
 //! of the engines; here are the turns, the calls and the lines of the logs.
 
 use std::{
@@ -13,8 +13,8 @@
 use async_io::Timer;
 use chestnutreach_adapter::engine::place_body;
 use chestnutreach_planner::{
-    DueOrder, KnownEngine, LayerRange, LayoutEngine, LayoutModel, OpenMove,
-    OrderBook, Scope, cover, order_book::FORGOTTEN_MS,
+    DueOrder, LayerRange, LayoutEngine, LayoutModel, ObservedEngine, OpenMove,
+    OrderScope, OrderTracker, order_tracker::ORDER_EXPIRY_MS, replica_counts,
 };
 use chestnutreach_protocol::peers;
 use chestnutreach_site::{BackendState, Model, Passing};
@@ -56,7 +56,7 @@
         }
         if let Some(mandate) = mandate {
             planner.round(&core, &lease, mandate);
-            if mandate.scope() == Scope::All {
+            if mandate.scope() == OrderScope::All {
                 core.set_open_moves(planner.open_moves(&core));
             }
         }
@@ -67,7 +67,7 @@
 #[derive(Default)]
 struct Planner {
     /// Orders, by service.
-    books: BTreeMap<String, OrderBook>,
+    books: BTreeMap<String, OrderTracker>,
     engine_count: usize,
     grown_ms: u64,
     /// What was last told of each service's cover.
@@ -81,7 +81,7 @@
 
 impl Planner {
     fn open_count(&self) -> usize {
-        self.books.values().map(OrderBook::open_count).sum()
+        self.books.values().map(OrderTracker::pending_count).sum()
     }
 
     /// What others are told, for the next planner.
@@ -100,7 +100,7 @@
                 orders_begun: open.orders_begun,
                 age_ms: 0,
             };
-            Some((open.given_ms, told))
+            Some((open.issued_ms, told))
         };
         moves.filter_map(told).collect()
     }
@@ -124,7 +124,7 @@
         let mut accepted = self.accepted.lock().expect("no holder panics");
         for (engine, orders_begun) in accepted.drain(..) {
             for book in self.books.values_mut() {
-                book.accept(&engine, orders_begun);
+                book.mark_accepted(&engine, orders_begun);
             }
         }
     }
@@ -153,22 +153,23 @@
         model: &Model,
     ) {
         let engines = core.fleet.of_service(service);
-        let known: Vec<KnownEngine<'_>> =
+        let known: Vec<ObservedEngine<'_>> =
             engines.all.iter().map(|e| known_engine(model, e)).collect();
         let layout_model = LayoutModel {
             layer_count: model.layer_count,
             layer_mb: model.layer_mb,
             token_layer_bytes: model.token_layer_bytes,
-            first_tokens: first_tokens(model, &engines.all),
+            first_stage_tokens: first_tokens(model, &engines.all),
         };
         self.note_cover(core, service, &layout_model, &known);
         if !self.books.contains_key(service) {
-            let book = OrderBook::new(told_moves(core, service, &engines.all));
+            let book =
+                OrderTracker::new(told_moves(core, service, &engines.all));
             self.books.insert(service.to_owned(), book);
         }
         let book = self.books.get_mut(service).expect("it was just added");
         let scope = mandate.scope();
-        for due in book.due(&layout_model, &known, scope, now_ms()) {
+        for due in book.due_orders(&layout_model, &known, scope, now_ms()) {
             // Deciding took time; another one may plan by now.
             if Mandate::of(core, lease) != Some(mandate) {
                 return;
@@ -191,12 +192,12 @@
         core: &Core,
         service: &str,
         model: &LayoutModel,
-        engines: &[KnownEngine<'_>],
+        engines: &[ObservedEngine<'_>],
     ) {
         let layout: Vec<LayoutEngine> =
             engines.iter().map(|engine| engine.layout).collect();
         let names = &core.settings.data_centres;
-        let mut here = cover(model, &layout);
+        let mut here = replica_counts(model, &layout);
         // One without any engine is told as well.
         let none = vec![0; model.layer_count as usize];
         here.resize(here.len().max(names.len()), none);
@@ -229,7 +230,7 @@
             engine: engine.incarnation.clone(),
             range: LayerRange::new(told.first_layer, told.end_layer),
             orders_begun: told.orders_begun,
-            given_ms,
+            issued_ms: given_ms,
         })
     };
     let now_ms = now_ms();
@@ -237,7 +238,7 @@
     let own = core.own_moves(service).into_iter();
     let recent = told
         .chain(own)
-        .filter(|(given_ms, _)| now_ms - given_ms < FORGOTTEN_MS);
+        .filter(|(given_ms, _)| now_ms - given_ms < ORDER_EXPIRY_MS);
     recent.filter_map(known).collect()
 }
 
@@ -251,7 +252,7 @@
     }
 }
 
-fn known_engine<'a>(model: &Model, engine: &'a Engine) -> KnownEngine<'a> {
+fn known_engine<'a>(model: &Model, engine: &'a Engine) -> ObservedEngine<'a> {
     let state = engine.lock();
     let kind = state.row.kind.as_ref();
     let kind = kind.and_then(|kind| model.kinds.get(kind));
@@ -263,7 +264,7 @@
     let may_return = state.row.state == BackendState::Ready
         && !state.is_gone
         && state.suspicion.is_some_and(|s| s.evidence != Evidence::Refused);
-    KnownEngine {
+    ObservedEngine {
         id: &engine.incarnation,
         may_return,
         layout: LayoutEngine {
@@ -271,8 +272,8 @@
             memory_mb: kind.map_or(0.0, |kind| kind.memory_mb),
             layer_ms: kind.map_or(0.0, |kind| model.step_part_ms(kind, 1)),
             held: state.row.held,
-            is_sound,
-            is_free: is_sound && kind.is_some(),
+            is_available: is_sound,
+            accepts_orders: is_sound && kind.is_some(),
         },
         orders_begun: state.orders_begun,
     }
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -293,7 +293,7 @@
     else {
         return unusable(engine.data_centre);
     };
-    let total = need.model.token_layers_beside(kind, held.layers());
+    let total = need.model.token_layers_beside(kind, held.layer_count());
     PartHolder {
         data_centre: engine.data_centre,
         first_layer: lasting.first_layer,
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -74,7 +74,7 @@
     match (ending.outcome, ending.cause) {
         (Outcome::NotRun { reason, .. }, _) => match reason {
             NotRunReason::BadRequest => StatusCode::BadRequest,
-            NotRunReason::Share => StatusCode::TooManyRequests,
+            NotRunReason::ShareUsed => StatusCode::TooManyRequests,
             NotRunReason::KeyReused => StatusCode::UnprocessableEntity,
             NotRunReason::InProgress => StatusCode::Conflict,
             NotRunReason::Full
--- a/crates/entry/src/session/events.rs
+++ b/crates/entry/src/session/events.rs
@@ -276,7 +276,7 @@
 fn to_ending(m: &wire::Refused, come_back_ms: u64) -> Ending {
     let reason = match m.reason() {
         RefusalReason::Full | RefusalReason::TableFull => NotRunReason::Full,
-        RefusalReason::Share => NotRunReason::Share,
+        RefusalReason::Share => NotRunReason::ShareUsed,
         RefusalReason::TooLate => NotRunReason::TooLate,
         _ => NotRunReason::NoChain,
     };
--- a/crates/planner/src/capacity.rs
+++ b/crates/planner/src/capacity.rs
@@ -11,7 +11,7 @@
 
 /// What a server of a kind carries through a range.
 pub fn of_server(kind: &Kind, range: LayerRange, layer_count: u32) -> u64 {
-    let layers = u64::from(range.layers().max(1));
+    let layers = u64::from(range.layer_count().max(1));
     kind.tokens_per_s.saturating_mul(layer_count.into()) / layers
 }
 
--- a/crates/planner/src/cover.rs
+++ b/crates/planner/src/cover.rs
@@ -31,7 +31,7 @@
             here: vec![vec![0; count]; data_centres],
             all: vec![0; count],
         };
-        for engine in engines.iter().filter(|e| e.is_sound) {
+        for engine in engines.iter().filter(|e| e.is_available) {
             if let Some(range) = engine.held {
                 cover.add(engine.data_centre, range);
             }
--- a/crates/planner/src/draft.rs
+++ b/crates/planner/src/draft.rs
@@ -57,7 +57,7 @@
 
     /// Whether a range fits into a server's memory.
     pub(crate) fn fits(&self, at: usize, range: LayerRange) -> bool {
-        range.layers() <= self.service.kinds[at].max_layers
+        range.layer_count() <= self.service.kinds[at].max_layers
     }
 
     /// Orders a server to hold a range.
--- a/crates/planner/src/fast_beside.rs
+++ b/crates/planner/src/fast_beside.rs
@@ -45,7 +45,7 @@
     // Where there is room for fewer requests than one engine takes as their
     // first, room binds before time.
     let least_tokens =
-        model.first_tokens.max(LEAST_EVEN_ROOM * even.room_tokens);
+        model.first_stage_tokens.max(LEAST_EVEN_ROOM * even.room_tokens);
     let is_better = beside.room_tokens >= least_tokens
         && beside.token_ms(model) <= MOST_EVEN_TIME * even.token_ms(model);
     is_better.then_some(beside)
--- a/crates/planner/src/layout.rs
+++ b/crates/planner/src/layout.rs
@@ -40,7 +40,7 @@
     pub token_layer_bytes: f64,
     /// Tokens of the requests that an engine takes as their first one, as
     /// many as it has places; infinite where nothing bounds them.
-    pub first_tokens: f64,
+    pub first_stage_tokens: f64,
 }
 
 /// An engine as far as memory goes.
@@ -55,9 +55,9 @@
     /// Layers that it holds or was ordered to hold.
     pub held: Option<LayerRange>,
     /// Whether what it holds can be counted on.
-    pub is_sound: bool,
+    pub is_available: bool,
     /// Whether it may be given an order.
-    pub is_free: bool,
+    pub accepts_orders: bool,
 }
 
 /// What an engine is to hold.
@@ -78,7 +78,7 @@
     let mut placements = Vec::new();
     for data_centre in 0..cover.here.len() {
         let here = |e: &LayoutEngine| e.data_centre == data_centre;
-        let is_empty = |e: &LayoutEngine| e.is_free && e.held.is_none();
+        let is_empty = |e: &LayoutEngine| e.accepts_orders && e.held.is_none();
         let mut free: Vec<usize> = (0..engines.len())
             .filter(|at| here(&engines[*at]) && is_empty(&engines[*at]))
             .collect();
@@ -86,7 +86,7 @@
             continue;
         }
         let shape = shape(model, engines, data_centre);
-        let mut sound = engines.iter().filter(|e| here(e) && e.is_sound);
+        let mut sound = engines.iter().filter(|e| here(e) && e.is_available);
         if shape.is_whole && sound.all(is_empty) {
             for placement in tiled(model, &shape) {
                 cover.add(data_centre, placement.range);
@@ -123,7 +123,7 @@
         let layers = group.layers(model, shape.room_tokens);
         let end = (first + layers).min(model.layer_count);
         let range = LayerRange::new(first, end);
-        let held = group.engines.iter().filter(|_| range.layers() > 0);
+        let held = group.engines.iter().filter(|_| range.layer_count() > 0);
         placements.extend(held.map(|at| Placement { engine: *at, range }));
         first = end;
     }
@@ -166,7 +166,7 @@
         layers_beside(model, engine, tokens)
     };
     let gaps = cover.gaps(data_centre);
-    if let Some(gap) = gaps.iter().map(|gap| gap.layers()).max() {
+    if let Some(gap) = gaps.iter().map(|gap| gap.layer_count()).max() {
         let layers = gap.clamp(with_room(1.0), with_room(LEAST_ROOM));
         let is_any = layers > 0;
         return is_any.then(|| cover.best_window(data_centre, layers));
@@ -188,7 +188,10 @@
 }
 
 /// How many engines hold each layer in each data centre.
-pub fn cover(model: &LayoutModel, engines: &[LayoutEngine]) -> Vec<Vec<u32>> {
+pub fn replica_counts(
+    model: &LayoutModel,
+    engines: &[LayoutEngine],
+) -> Vec<Vec<u32>> {
     Cover::new(model, engines).here
 }
 
@@ -201,7 +204,7 @@
     let here = engines
         .iter()
         .enumerate()
-        .filter(|(_, e)| e.data_centre == data_centre && e.is_sound);
+        .filter(|(_, e)| e.data_centre == data_centre && e.is_available);
     let member = |(engine, e): (usize, &LayoutEngine)| Member {
         engine,
         memory_mb: e.memory_mb,
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -19,7 +19,7 @@
 //! | `room` | room for requests on each layer |
 //! | `shape` | which engines of a data centre hold the same layers |
 //! | `fast_beside` | fast engines beside slower ones that hold the same |
-//! | [`order_book`] | orders that do not show yet |
+//! | [`order_tracker`] | orders that do not show yet |
 //!
 //! # Example
 //!
@@ -51,17 +51,21 @@
 pub mod layout;
 pub mod mend;
 pub mod order;
-pub mod order_book;
+pub mod order_tracker;
 pub mod plan;
 mod room;
 pub mod service;
 mod shape;
 mod tiling;
 
-pub use layout::{LayoutEngine, LayoutModel, Placement, cover, place_empty};
+pub use layout::{
+    LayoutEngine, LayoutModel, Placement, place_empty, replica_counts,
+};
 pub use mend::{grow_into_gaps, grow_to_free, move_one};
 pub use order::{Order, Reason};
-pub use order_book::{DueOrder, KnownEngine, OpenMove, OrderBook, Scope};
+pub use order_tracker::{
+    DueOrder, ObservedEngine, OpenMove, OrderScope, OrderTracker,
+};
 pub use plan::{Plan, plan};
 pub use service::{
     CheckedService, Kind, LayerRange, Server, Service, ServiceError,
--- a/crates/planner/src/mend.rs
+++ b/crates/planner/src/mend.rs
@@ -62,12 +62,13 @@
     let mut grown = BTreeMap::new();
     for data_centre in 0..cover.here.len() {
         let gaps = cover.gaps(data_centre);
-        let Some(gap) = gaps.into_iter().max_by_key(|gap| gap.layers()) else {
+        let Some(gap) = gaps.into_iter().max_by_key(|gap| gap.layer_count())
+        else {
             continue;
         };
         let growth = Growth::new(model, engines, data_centre);
         let free = growth.members().filter_map(|(at, held)| {
-            let is_enough = held.layers() >= gap.layers();
+            let is_enough = held.layer_count() >= gap.layer_count();
             let free = is_enough.then(|| growth.without(at, &cover))??;
             let taken_on = |(at, range): (&usize, &LayerRange)| {
                 range.layers_beyond(engines[*at].held)
@@ -105,7 +106,7 @@
     let sure_cover = Cover::new(model, &surely);
     let mut best: Option<((bool, u64), Placement)> = None;
     for (at, engine) in engines.iter().enumerate() {
-        let Some(held) = engine.held.filter(|_| engine.is_free) else {
+        let Some(held) = engine.held.filter(|_| engine.accepts_orders) else {
             continue;
         };
         let data_centre = engine.data_centre;
@@ -114,7 +115,7 @@
         }
         let mut without = cover.clone();
         without.take(data_centre, held);
-        let window = without.best_window(data_centre, held.layers());
+        let window = without.best_window(data_centre, held.layer_count());
         let mut sure_without = sure_cover.clone();
         if let Some(sure) = sure[at] {
             sure_without.take(data_centre, sure);
@@ -157,11 +158,12 @@
             continue;
         }
         for (at, engine) in engines.iter().enumerate() {
-            let is_here = engine.data_centre == data_centre && engine.is_free;
+            let is_here =
+                engine.data_centre == data_centre && engine.accepts_orders;
             let Some(held) = engine.held.filter(|_| is_here) else {
                 continue;
             };
-            let own = room_beside(model, engine, held.layers());
+            let own = room_beside(model, engine, held.layer_count());
             let is_spare = sure[at] == Some(held)
                 && held.first_layer > 0
                 && rooms.least(held) - own >= SPARE_ROOM * wanted;
@@ -169,9 +171,9 @@
                 continue;
             }
             let (range, made_up) =
-                rooms.scarcest_window(held.layers(), wanted, own);
+                rooms.scarcest_window(held.layer_count(), wanted, own);
             let is_enough =
-                made_up >= LEAST_GAIN * own * f64::from(held.layers());
+                made_up >= LEAST_GAIN * own * f64::from(held.layer_count());
             if is_enough && best.is_none_or(|(most, _)| made_up > most) {
                 best = Some((made_up, Placement { engine: at, range }));
             }
@@ -206,8 +208,9 @@
 
     fn members(&self) -> impl Iterator<Item = (usize, LayerRange)> {
         let engines = self.engines.iter().enumerate();
-        let here = engines
-            .filter(|(_, e)| e.data_centre == self.data_centre && e.is_free);
+        let here = engines.filter(|(_, e)| {
+            e.data_centre == self.data_centre && e.accepts_orders
+        });
         here.filter_map(|(at, engine)| Some((at, engine.held?)))
     }
 
@@ -251,7 +254,7 @@
         ranges: &mut BTreeMap<usize, LayerRange>,
         mut gap: LayerRange,
     ) -> Option<()> {
-        while gap.layers() > 0 {
+        while gap.layer_count() > 0 {
             let beside = |(at, range): (&usize, &LayerRange)| {
                 let is_before = range.end_layer == gap.first_layer;
                 let is_after = range.first_layer == gap.end_layer;
@@ -261,9 +264,10 @@
                     self.least_tokens,
                 );
                 let may_grow =
-                    (is_before || is_after) && range.layers() < most;
+                    (is_before || is_after) && range.layer_count() < most;
                 let engine = &self.engines[*at];
-                let room = room_beside(self.model, engine, range.layers() + 1);
+                let room =
+                    room_beside(self.model, engine, range.layer_count() + 1);
                 may_grow.then_some((room, *at, is_before))
             };
             let roomiest = ranges
--- a/crates/planner/src/order_book.rs
+++ b/crates/planner/src/order_tracker.rs
@@ -11,7 +11,7 @@
 //! before it told of: they may still come, and rely on the same
 //! copies as a new one. So that the others know of it, a move stands in the
 //! book for [`TOLD_FIRST_MS`] before it is sent. In the play of
-//! `tests/order_book.rs` a layer is lost in one of 2,200 runs otherwise. No
+//! `tests/order_tracker.rs` a layer is lost in one of 2,200 runs otherwise. No
 //! moves for a while after taking over would do as well, and leave gaps open
 //! that long.
 
@@ -39,7 +39,7 @@
 pub const GAP_LASTS_MS: u64 = 1_000;
 /// After so long an order that had no effect is forgotten; late ones are
 /// carried out within 12 s.
-pub const FORGOTTEN_MS: u64 = 15_000;
+pub const ORDER_EXPIRY_MS: u64 = 15_000;
 
 /// How long a move stands in the book before it is sent; other entries are
 /// told of the book every 0.2 s.
@@ -47,17 +47,17 @@
 
 /// What a planner may order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Scope {
+pub enum OrderScope {
     /// Anything.
     All,
     /// Only what gives no layer up. Any number of planners may do so at
     /// once: of two orders to an engine one takes effect.
-    NothingGivenUp,
+    AdditiveOnly,
 }
 
 /// An engine as its planner knows it.
 #[derive(Clone, Copy, Debug)]
-pub struct KnownEngine<'a> {
+pub struct ObservedEngine<'a> {
     /// New for each start of the engine.
     pub id: &'a str,
     /// Its memory and what it shows to hold.
@@ -90,12 +90,12 @@
     /// The count of orders begun that the engine must have.
     pub orders_begun: u64,
     /// When it was given.
-    pub given_ms: u64,
+    pub issued_ms: u64,
 }
 
 /// The orders of one planner for one service.
 #[derive(Clone, Debug, Default)]
-pub struct OrderBook {
+pub struct OrderTracker {
     given: BTreeMap<String, Given>,
     /// Since when there are gaps that no order closes.
     gap_since_ms: Option<u64>,
@@ -122,24 +122,24 @@
     is_accepted: bool,
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// The book of a planner that takes over, with the moves that the one
     /// before it told of.
-    pub fn new(told: impl IntoIterator<Item = OpenMove>) -> OrderBook {
+    pub fn new(told: impl IntoIterator<Item = OpenMove>) -> OrderTracker {
         let given = told.into_iter().map(|open| {
             let given = Given {
                 range: open.range,
                 orders_begun: open.orders_begun,
-                first_ms: open.given_ms,
+                first_ms: open.issued_ms,
                 is_move: true,
-                send_from_ms: open.given_ms,
-                last_ms: Some(open.given_ms),
+                send_from_ms: open.issued_ms,
+                last_ms: Some(open.issued_ms),
                 sent: 1,
                 is_accepted: false,
             };
             (open.engine, given)
         });
-        OrderBook { given: given.collect(), ..OrderBook::default() }
+        OrderTracker { given: given.collect(), ..OrderTracker::default() }
     }
 
     /// Moves that were given and do not show yet.
@@ -149,12 +149,12 @@
             engine: engine.clone(),
             range: given.range,
             orders_begun: given.orders_begun,
-            given_ms: given.first_ms,
+            issued_ms: given.first_ms,
         })
     }
 
     /// An engine has accepted the order on this count: it is not sent again.
-    pub fn accept(&mut self, engine: &str, orders_begun: u64) {
+    pub fn mark_accepted(&mut self, engine: &str, orders_begun: u64) {
         let given = self.given.get_mut(engine);
         if let Some(given) = given.filter(|g| g.orders_begun == orders_begun) {
             given.is_accepted = true;
@@ -162,17 +162,17 @@
     }
 
     /// How many orders were given and do not show yet.
-    pub fn open_count(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.given.len()
     }
 
     /// Plans; the orders that are to be sent now, for the first time or
     /// again.
-    pub fn due(
+    pub fn due_orders(
         &mut self,
         model: &LayoutModel,
-        engines: &[KnownEngine<'_>],
-        scope: Scope,
+        engines: &[ObservedEngine<'_>],
+        scope: OrderScope,
         now_ms: u64,
     ) -> Vec<DueOrder> {
         self.forget_done(engines, now_ms);
@@ -189,7 +189,7 @@
 
     fn give(
         &mut self,
-        engines: &[KnownEngine<'_>],
+        engines: &[ObservedEngine<'_>],
         layout: &mut [LayoutEngine],
         placement: Placement,
         now_ms: u64,
@@ -202,29 +202,29 @@
 
     /// What an engine holds once its open order is carried out. Until then
     /// it gets no other.
-    fn as_ordered(&self, engine: &KnownEngine<'_>) -> LayoutEngine {
+    fn as_ordered(&self, engine: &ObservedEngine<'_>) -> LayoutEngine {
         let Some(given) = self.given.get(engine.id) else {
             return engine.layout;
         };
         LayoutEngine {
             held: Some(given.range),
-            is_free: false,
+            accepts_orders: false,
             ..engine.layout
         }
     }
 
     /// What an engine holds whether its open order is carried out or not.
-    fn surely_held(&self, engine: &KnownEngine<'_>) -> Option<LayerRange> {
+    fn surely_held(&self, engine: &ObservedEngine<'_>) -> Option<LayerRange> {
         let held = engine.layout.held?;
         match self.given.get(engine.id) {
-            Some(given) => held.shared(given.range),
+            Some(given) => held.intersection(given.range),
             None => Some(held),
         }
     }
 
     fn all_surely_held(
         &self,
-        engines: &[KnownEngine<'_>],
+        engines: &[ObservedEngine<'_>],
     ) -> Vec<Option<LayerRange>> {
         engines.iter().map(|engine| self.surely_held(engine)).collect()
     }
@@ -233,9 +233,9 @@
     fn mend(
         &mut self,
         model: &LayoutModel,
-        engines: &[KnownEngine<'_>],
+        engines: &[ObservedEngine<'_>],
         layout: &[LayoutEngine],
-        scope: Scope,
+        scope: OrderScope,
         now_ms: u64,
     ) -> Vec<Placement> {
         let cover = Cover::new(model, layout);
@@ -255,8 +255,8 @@
         }
         let sure = self.all_surely_held(engines);
         let moved = match scope {
-            Scope::All => move_sure(model, layout, &sure),
-            Scope::NothingGivenUp => None,
+            OrderScope::All => move_sure(model, layout, &sure),
+            OrderScope::AdditiveOnly => None,
         };
         match moved {
             Some(moved) => vec![moved],
@@ -271,12 +271,12 @@
     fn even_out(
         &mut self,
         model: &LayoutModel,
-        engines: &[KnownEngine<'_>],
+        engines: &[ObservedEngine<'_>],
         layout: &[LayoutEngine],
-        scope: Scope,
+        scope: OrderScope,
         now_ms: u64,
     ) -> Vec<Placement> {
-        if scope != Scope::All || !self.given.is_empty() {
+        if scope != OrderScope::All || !self.given.is_empty() {
             return Vec::new();
         }
         let is_known = self
@@ -301,7 +301,7 @@
 
     fn take_due(
         &mut self,
-        engines: &[KnownEngine<'_>],
+        engines: &[ObservedEngine<'_>],
         now_ms: u64,
     ) -> Vec<DueOrder> {
         let mut due = Vec::new();
@@ -328,11 +328,11 @@
     }
 
     /// Forgets orders that the list shows, or that had no effect.
-    fn forget_done(&mut self, engines: &[KnownEngine<'_>], now_ms: u64) {
+    fn forget_done(&mut self, engines: &[ObservedEngine<'_>], now_ms: u64) {
         if self.given.is_empty() {
             return;
         }
-        let by_id: BTreeMap<&str, &KnownEngine<'_>> =
+        let by_id: BTreeMap<&str, &ObservedEngine<'_>> =
             engines.iter().map(|engine| (engine.id, engine)).collect();
         self.given.retain(|id, given| {
             let Some(engine) = by_id.get(id.as_str()) else {
@@ -344,7 +344,7 @@
             let is_outdated = given.sent <= 1
                 && !given.is_accepted
                 && engine.orders_begun > given.orders_begun;
-            !shows && !is_outdated && now_ms - given.first_ms < FORGOTTEN_MS
+            !shows && !is_outdated && now_ms - given.first_ms < ORDER_EXPIRY_MS
         });
     }
 }
@@ -352,13 +352,14 @@
 /// Whether there are gaps also if all engines that may return do.
 fn has_sure_gap(
     model: &LayoutModel,
-    engines: &[KnownEngine<'_>],
+    engines: &[ObservedEngine<'_>],
     layout: &[LayoutEngine],
 ) -> bool {
-    let returned = |(engine, ordered): (&KnownEngine<'_>, &LayoutEngine)| {
-        let is_sound = ordered.is_sound || engine.may_return;
-        LayoutEngine { is_sound, ..*ordered }
-    };
+    let returned =
+        |(engine, ordered): (&ObservedEngine<'_>, &LayoutEngine)| {
+            let is_available = ordered.is_available || engine.may_return;
+            LayoutEngine { is_available, ..*ordered }
+        };
     let layout: Vec<LayoutEngine> =
         engines.iter().zip(layout).map(returned).collect();
     let cover = Cover::new(model, &layout);
@@ -366,7 +367,11 @@
 }
 
 impl Given {
-    fn new(engine: &KnownEngine<'_>, range: LayerRange, now_ms: u64) -> Given {
+    fn new(
+        engine: &ObservedEngine<'_>,
+        range: LayerRange,
+        now_ms: u64,
+    ) -> Given {
         let held = engine.layout.held;
         let is_move = held.is_some_and(|held| !range.contains(held));
         let told_first_ms = if is_move { TOLD_FIRST_MS } else { 0 };
--- a/crates/planner/src/room.rs
+++ b/crates/planner/src/room.rs
@@ -21,9 +21,9 @@
         let tokens = vec![0.0; model.layer_count as usize];
         let mut rooms = Rooms { tokens };
         let here = |e: &&LayoutEngine| e.data_centre == data_centre;
-        for engine in engines.iter().filter(here).filter(|e| e.is_sound) {
+        for engine in engines.iter().filter(here).filter(|e| e.is_available) {
             if let Some(held) = engine.held {
-                let room = room_beside(model, engine, held.layers());
+                let room = room_beside(model, engine, held.layer_count());
                 rooms.add(held, room);
             }
         }
--- a/crates/planner/src/service.rs
+++ b/crates/planner/src/service.rs
@@ -18,7 +18,7 @@
     }
 
     /// How many layers.
-    pub fn layers(self) -> u32 {
+    pub fn layer_count(self) -> u32 {
         self.end_layer.saturating_sub(self.first_layer)
     }
 
@@ -31,18 +31,19 @@
     /// How many of its layers another range lacks.
     pub fn layers_beyond(self, other: Option<LayerRange>) -> u32 {
         let Some(other) = other else {
-            return self.layers();
+            return self.layer_count();
         };
-        self.layers() - self.shared(other).map_or(0, LayerRange::layers)
+        self.layer_count()
+            - self.intersection(other).map_or(0, LayerRange::layer_count)
     }
 
     /// The layers that another range has as well, if there are any.
-    pub fn shared(self, other: LayerRange) -> Option<LayerRange> {
+    pub fn intersection(self, other: LayerRange) -> Option<LayerRange> {
         let shared = LayerRange {
             first_layer: self.first_layer.max(other.first_layer),
             end_layer: self.end_layer.min(other.end_layer),
         };
-        (shared.layers() > 0).then_some(shared)
+        (shared.layer_count() > 0).then_some(shared)
     }
 }
 
@@ -178,7 +179,8 @@
                 findings.push(format!("server {name}: no kind {kind:?}"));
             }
             if let Some(range) = server.held
-                && (range.layers() == 0 || range.end_layer > self.layer_count)
+                && (range.layer_count() == 0
+                    || range.end_layer > self.layer_count)
             {
                 findings.push(format!(
                     "server {name}: layers {range} are no range within \
--- a/crates/planner/src/shape.rs
+++ b/crates/planner/src/shape.rs
@@ -203,7 +203,7 @@
     /// Tokens of requests that can run at the same time.
     fn runs_tokens(&self, model: &LayoutModel) -> f64 {
         let first = self.groups.first().map_or(0, |g| g.engines.len());
-        self.room_tokens.min(first as f64 * model.first_tokens)
+        self.room_tokens.min(first as f64 * model.first_stage_tokens)
     }
 
     /// Room that two engines of a group bring to a layer, in tokens; all of
--- a/crates/planner/tests/fast_beside.rs
+++ b/crates/planner/tests/fast_beside.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use chestnutreach_planner::{
-    LayerRange, LayoutEngine, LayoutModel, cover, place_empty,
+    LayerRange, LayoutEngine, LayoutModel, place_empty, replica_counts,
 };
 use chestnutreach_routing::{PartHolder, PathRequest, find_path};
 use rstest::rstest;
@@ -17,7 +17,7 @@
     layer_count: LAYERS,
     layer_mb: 1_750.0,
     token_layer_bytes: 4_100.0,
-    first_tokens: 192.0 * TOKENS as f64,
+    first_stage_tokens: 192.0 * TOKENS as f64,
 };
 /// Memory in megabytes and time of a token through a layer in milliseconds of
 /// each kind.
@@ -46,8 +46,8 @@
             memory_mb,
             layer_ms: if is_pace_known { layer_ms } else { 1.0 },
             held: None,
-            is_sound: true,
-            is_free: true,
+            is_available: true,
+            accepts_orders: true,
         })
         .collect()
 }
@@ -59,7 +59,7 @@
 }
 
 fn room(model: &LayoutModel, engine: &LayoutEngine) -> f64 {
-    let layers = f64::from(engine.held.map_or(0, LayerRange::layers));
+    let layers = f64::from(engine.held.map_or(0, LayerRange::layer_count));
     let free_mb = engine.memory_mb - layers * model.layer_mb;
     free_mb * 1e6 / (layers.max(1.0) * model.token_layer_bytes)
 }
@@ -78,7 +78,7 @@
 
 /// Layers that one engine holds alone.
 fn alone(model: &LayoutModel, engines: &[LayoutEngine]) -> usize {
-    let counts = &cover(model, engines)[0];
+    let counts = &replica_counts(model, engines)[0];
     counts.iter().filter(|count| **count == 1).count()
 }
 
@@ -88,7 +88,7 @@
 ) -> Vec<PartHolder> {
     let holder = |(e, kind): (&LayoutEngine, &LayoutEngine)| {
         let held = e.held.unwrap_or(LayerRange::new(0, 0));
-        let tokens = room(&MODEL, e) * f64::from(held.layers());
+        let tokens = room(&MODEL, e) * f64::from(held.layer_count());
         PartHolder {
             data_centre: 0,
             first_layer: held.first_layer,
@@ -97,7 +97,7 @@
             busy: 0.0,
             used_token_layers: 0,
             total_token_layers: tokens as u64,
-            is_usable: e.is_sound,
+            is_usable: e.is_available,
             may_be_first: true,
         }
     };
@@ -214,10 +214,10 @@
         engines.iter().map(|e| e.held).collect()
     };
     assert_eq!(held(&known) != held(&even), case.is_beside);
-    assert!(cover(&model, &known)[0].iter().all(|count| *count > 0));
+    assert!(replica_counts(&model, &known)[0].iter().all(|count| *count > 0));
     if case.is_beside {
         assert_eq!(alone(&model, &known), 0);
-        assert!(least_room(&model, &known) >= model.first_tokens);
+        assert!(least_room(&model, &known) >= model.first_stage_tokens);
     }
     let fits = |e: &LayoutEngine| room(&model, e) > 0.0;
     assert!(known.iter().all(fits));
@@ -264,8 +264,8 @@
     let kinds = engines(counts, true);
     let mut known = kinds.clone();
     laid_out(&MODEL, &mut known);
-    known[0].is_sound = false;
-    assert!(cover(&MODEL, &known)[0].iter().all(|count| *count > 0));
+    known[0].is_available = false;
+    assert!(replica_counts(&MODEL, &known)[0].iter().all(|count| *count > 0));
     for seed in 0..3 {
         let figures = play(holders(&known, &kinds), 2.0, seed);
         assert_eq!(figures.refused, 0, "{figures:?}");
@@ -279,7 +279,8 @@
     laid_out(&MODEL, &mut known);
     let held = known[0].held.take();
     laid_out(&MODEL, &mut known);
-    let layers = |range: Option<LayerRange>| range.map(LayerRange::layers);
+    let layers =
+        |range: Option<LayerRange>| range.map(LayerRange::layer_count);
     assert_eq!(layers(known[0].held), layers(held));
-    assert!(cover(&MODEL, &known)[0].iter().all(|count| *count > 1));
+    assert!(replica_counts(&MODEL, &known)[0].iter().all(|count| *count > 1));
 }
--- a/crates/planner/tests/fleet_sizes.rs
+++ b/crates/planner/tests/fleet_sizes.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 
 use chestnutreach_planner::{
-    LayerRange, LayoutEngine, LayoutModel, Placement, cover, place_empty,
+    LayerRange, LayoutEngine, LayoutModel, Placement, place_empty,
+    replica_counts,
 };
 use rstest::rstest;
 
@@ -11,7 +12,7 @@
     layer_count: 80,
     layer_mb: 1_750.0,
     token_layer_bytes: 7_375.0,
-    first_tokens: f64::INFINITY,
+    first_stage_tokens: f64::INFINITY,
 };
 /// Memory of each kind of accelerator, in megabytes, and how many of 130
 /// engines are of it.
@@ -36,8 +37,8 @@
         memory_mb,
         layer_ms: 1.0,
         held: None,
-        is_sound: true,
-        is_free: true,
+        is_available: true,
+        accepts_orders: true,
     };
     kinds.enumerate().map(engine).collect()
 }
@@ -70,7 +71,7 @@
                 })
         };
         let tokens = |e: &LayoutEngine| {
-            let layers = f64::from(e.held.expect("it holds").layers());
+            let layers = f64::from(e.held.expect("it holds").layer_count());
             let free_mb = e.memory_mb - layers * MODEL.layer_mb;
             free_mb * 1e6 / (layers * MODEL.token_layer_bytes)
         };
@@ -85,7 +86,7 @@
     let here = engines.iter().filter(|e| e.data_centre == data_centre);
     let free_mb: f64 = here
         .map(|e| {
-            let layers = e.held.map_or(0, LayerRange::layers);
+            let layers = e.held.map_or(0, LayerRange::layer_count);
             e.memory_mb - f64::from(layers) * MODEL.layer_mb
         })
         .sum();
@@ -102,7 +103,7 @@
     let mut engines = engines(case.engines);
     let placed = place_empty(&MODEL, &engines);
     apply(&mut engines, &placed);
-    let covers = cover(&MODEL, &engines);
+    let covers = replica_counts(&MODEL, &engines);
     for (data_centre, here) in covers.iter().enumerate() {
         let least = here.iter().min().copied().unwrap_or(0);
         assert!(least >= case.least_cover, "{data_centre}: {here:?}");
@@ -136,7 +137,7 @@
         engines[at].held = None;
         let placed = place_empty(&MODEL, &engines);
         apply(&mut engines, &placed);
-        let here = cover(&MODEL, &engines);
+        let here = replica_counts(&MODEL, &engines);
         assert!(here.iter().flatten().all(|held| *held > 0));
     }
     for data_centre in 0..DATA_CENTRES {
@@ -166,13 +167,15 @@
 #[case::of_1000(1_000)]
 #[case::of_3000(3_000)]
 fn the_first_layer_has_places_for_what_fits(#[case] count: usize) {
-    let first_tokens = 192.0 * 930.0;
-    let model = LayoutModel { first_tokens, ..MODEL };
+    let first_stage_tokens = 192.0 * 930.0;
+    let model = LayoutModel { first_stage_tokens, ..MODEL };
     let mut engines = engines(count);
     let placed = place_empty(&model, &engines);
     apply(&mut engines, &placed);
-    for (data_centre, here) in cover(&model, &engines).iter().enumerate() {
-        let places = f64::from(here[0]) * first_tokens;
+    for (data_centre, here) in
+        replica_counts(&model, &engines).iter().enumerate()
+    {
+        let places = f64::from(here[0]) * first_stage_tokens;
         let room = room(&engines, data_centre);
         assert!(places >= 0.9 * room, "{places:.0} for {room:.0}");
     }
--- a/crates/planner/tests/layout.rs
+++ b/crates/planner/tests/layout.rs
@@ -1,8 +1,8 @@
 //! Which layers an engine is to load.
 
 use chestnutreach_planner::{
-    LayerRange, LayoutEngine, LayoutModel, Placement, cover, move_one,
-    place_empty,
+    LayerRange, LayoutEngine, LayoutModel, Placement, move_one, place_empty,
+    replica_counts,
 };
 use proptest::prelude::*;
 
@@ -10,7 +10,7 @@
     layer_count: 80,
     layer_mb: 1_750.0,
     token_layer_bytes: 7_375.0,
-    first_tokens: f64::INFINITY,
+    first_stage_tokens: f64::INFINITY,
 };
 /// Memory of four kinds of accelerators, in megabytes.
 const KINDS_MB: [f64; 4] = [72_000.0, 36_000.0, 21_600.0, 14_400.0];
@@ -21,8 +21,8 @@
         memory_mb,
         layer_ms: 1.0,
         held: None,
-        is_sound: true,
-        is_free: true,
+        is_available: true,
+        accepts_orders: true,
     }
 }
 
@@ -47,7 +47,7 @@
     engines.extend(mixed(1));
     let placements = place_empty(&MODEL, &engines);
     apply(&mut engines, &placements);
-    for counts in cover(&MODEL, &engines) {
+    for counts in replica_counts(&MODEL, &engines) {
         assert!(counts.iter().all(|count| *count >= 1), "{counts:?}");
         assert!(counts.iter().any(|count| *count >= 2), "{counts:?}");
     }
@@ -58,7 +58,7 @@
     let mut engines = mixed(0);
     let placements = place_empty(&MODEL, &engines);
     apply(&mut engines, &placements);
-    let counts = cover(&MODEL, &engines)[0].clone();
+    let counts = replica_counts(&MODEL, &engines)[0].clone();
     let single = (0..engines.len()).find(|at| {
         let held = engines[*at].held.unwrap();
         (held.first_layer..held.end_layer)
@@ -110,9 +110,9 @@
 
 fn any_engines() -> impl Strategy<Value = Vec<LayoutEngine>> {
     let one = (0_usize..3, 0_usize..4, any::<bool>(), any::<bool>()).prop_map(
-        |(data_centre, kind, is_sound, is_free)| LayoutEngine {
-            is_sound,
-            is_free: is_free && is_sound,
+        |(data_centre, kind, is_available, accepts_orders)| LayoutEngine {
+            is_available,
+            accepts_orders: accepts_orders && is_available,
             ..engine(data_centre, KINDS_MB[kind])
         },
     );
@@ -127,11 +127,11 @@
             placements.extend(move_one(&MODEL, &engines));
             for placement in &placements {
                 let engine = &engines[placement.engine];
-                let layers = f64::from(placement.range.layers());
+                let layers = f64::from(placement.range.layer_count());
                 prop_assert!(layers >= 1.0);
                 prop_assert!(placement.range.end_layer <= MODEL.layer_count);
                 prop_assert!(layers * MODEL.layer_mb <= engine.memory_mb);
-                prop_assert!(engine.is_free);
+                prop_assert!(engine.accepts_orders);
             }
             apply(&mut engines, &placements);
         }
@@ -143,13 +143,13 @@
         apply(&mut engines, &placements);
         // Some engines are lost at once.
         for engine in engines.iter_mut().step_by(3) {
-            engine.is_sound = false;
-            engine.is_free = false;
+            engine.is_available = false;
+            engine.accepts_orders = false;
         }
-        let before = cover(&MODEL, &engines);
+        let before = replica_counts(&MODEL, &engines);
         if let Some(placement) = move_one(&MODEL, &engines) {
             apply(&mut engines, &[placement]);
-            for (old, new) in before.iter().zip(cover(&MODEL, &engines)) {
+            for (old, new) in before.iter().zip(replica_counts(&MODEL, &engines)) {
                 for (old, new) in old.iter().zip(new) {
                     prop_assert!(*old == 0 || new > 0);
                 }
--- a/crates/planner/tests/layout_baselines.rs
+++ b/crates/planner/tests/layout_baselines.rs
@@ -17,7 +17,7 @@
     layer_count: 80,
     layer_mb: 1_750.0,
     token_layer_bytes: 7_375.0,
-    first_tokens: f64::INFINITY,
+    first_stage_tokens: f64::INFINITY,
 };
 /// Memory in megabytes and rate of each kind of accelerator.
 const KINDS: [(f64, f64); 4] =
@@ -58,8 +58,8 @@
                 memory_mb,
                 layer_ms: 1.0,
                 held: None,
-                is_sound: true,
-                is_free: true,
+                is_available: true,
+                accepts_orders: true,
             };
             (engine, rate)
         })
@@ -85,7 +85,7 @@
         }
         Method::Anywhere => {
             for placement in placed {
-                let layers = placement.range.layers();
+                let layers = placement.range.layer_count();
                 let first = rng.u32(0..=MODEL.layer_count - layers);
                 let range = LayerRange::new(first, first + layers);
                 ranges[placement.engine] = Some(range);
@@ -124,13 +124,13 @@
         })
     };
     let placed = || {
-        ranges
-            .iter()
-            .enumerate()
-            .filter_map(|(at, range)| Some((at, range.as_ref()?.layers())))
+        ranges.iter().enumerate().filter_map(|(at, range)| {
+            Some((at, range.as_ref()?.layer_count()))
+        })
     };
     let room = |at: usize| {
-        let layers = ranges[at].map_or(1.0, |range| range.layers().into());
+        let layers =
+            ranges[at].map_or(1.0, |range| range.layer_count().into());
         let free_mb = engines[at].memory_mb - layers * MODEL.layer_mb;
         free_mb * 1e6 / (MODEL.token_layer_bytes * layers)
     };
--- a/crates/planner/tests/load_ladder.rs
+++ b/crates/planner/tests/load_ladder.rs
@@ -4,7 +4,9 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use chestnutreach_planner::{LayoutEngine, LayoutModel, cover, place_empty};
+use chestnutreach_planner::{
+    LayoutEngine, LayoutModel, place_empty, replica_counts,
+};
 use rstest::rstest;
 
 /// Requests that an engine takes as their first one.
@@ -15,7 +17,7 @@
     layer_count: 80,
     layer_mb: 1_750.0,
     token_layer_bytes: 4_100.0,
-    first_tokens: PLACES_EACH as f64 * USUAL_TOKENS,
+    first_stage_tokens: PLACES_EACH as f64 * USUAL_TOKENS,
 };
 /// Memory of the engines of a data centre, in megabytes, with how many there
 /// are of each.
@@ -196,14 +198,14 @@
         memory_mb,
         layer_ms: 1.0,
         held: None,
-        is_sound: true,
-        is_free: true,
+        is_available: true,
+        accepts_orders: true,
     };
     let mut engines: Vec<LayoutEngine> = memories.map(engine).collect();
     for placement in place_empty(model, &engines) {
         engines[placement.engine].held = Some(placement.range);
     }
-    PLACES_EACH * cover(model, &engines)[0][0] as usize
+    PLACES_EACH * replica_counts(model, &engines)[0][0] as usize
 }
 
 struct Case {
@@ -233,7 +235,7 @@
 /// were counted, a third of three times the load does not begin in time.
 #[test]
 fn two_first_engines_are_too_few() {
-    let pairs = LayoutModel { first_tokens: f64::INFINITY, ..MODEL };
+    let pairs = LayoutModel { first_stage_tokens: f64::INFINITY, ..MODEL };
     let places = places(&pairs);
     assert_eq!(places, 2 * PLACES_EACH);
     let figures = World::new(places, 70, 1).play(3.0);
--- a/crates/planner/tests/mend.rs
+++ b/crates/planner/tests/mend.rs
@@ -1,8 +1,8 @@
 //! Gaps that engines which hold layers close.
 
 use chestnutreach_planner::{
-    LayerRange, LayoutEngine, LayoutModel, Placement, cover, grow_into_gaps,
-    grow_to_free, move_one, place_empty,
+    LayerRange, LayoutEngine, LayoutModel, Placement, grow_into_gaps,
+    grow_to_free, move_one, place_empty, replica_counts,
 };
 use proptest::prelude::*;
 
@@ -10,7 +10,7 @@
     layer_count: 80,
     layer_mb: 1_750.0,
     token_layer_bytes: 4_100.0,
-    first_tokens: f64::INFINITY,
+    first_stage_tokens: f64::INFINITY,
 };
 /// Memory of four kinds of accelerators, in megabytes.
 const KINDS_MB: [f64; 4] = [72_000.0, 36_000.0, 21_600.0, 14_400.0];
@@ -21,8 +21,8 @@
         memory_mb,
         layer_ms: 1.0,
         held: held.map(|(first, end)| LayerRange::new(first, end)),
-        is_sound: true,
-        is_free: true,
+        is_available: true,
+        accepts_orders: true,
     }
 }
 
@@ -116,9 +116,9 @@
     assert_eq!(freed, [Placement { engine: 0, range }]);
     apply(&mut engines, &freed);
     let moved = move_one(&MODEL, &engines).expect("one is free now");
-    assert_eq!(moved.range.layers(), 30);
+    assert_eq!(moved.range.layer_count(), 30);
     apply(&mut engines, &[moved]);
-    assert!(!cover(&MODEL, &engines)[0].contains(&0), "{engines:?}");
+    assert!(!replica_counts(&MODEL, &engines)[0].contains(&0), "{engines:?}");
 }
 
 /// A data centre as the layout leaves it, without some of its engines.
@@ -131,8 +131,8 @@
         let placements = place_empty(&MODEL, &engines);
         apply(&mut engines, &placements);
         for (engine, (_, luck)) in engines.iter_mut().zip(&kinds) {
-            engine.is_sound = *luck > 0;
-            engine.is_free = engine.is_sound;
+            engine.is_available = *luck > 0;
+            engine.accepts_orders = engine.is_available;
         }
         engines
     })
@@ -145,10 +145,10 @@
             for placement in grown(&MODEL, &engines) {
                 let engine = &engines[placement.engine];
                 let range = placement.range;
-                prop_assert!(engine.is_free);
+                prop_assert!(engine.accepts_orders);
                 prop_assert!(range.contains(engine.held.unwrap()));
                 prop_assert!(range.end_layer <= MODEL.layer_count);
-                let layers_mb = f64::from(range.layers()) * MODEL.layer_mb;
+                let layers_mb = f64::from(range.layer_count()) * MODEL.layer_mb;
                 prop_assert!(layers_mb < engine.memory_mb);
             }
         }
@@ -156,10 +156,10 @@
 
     #[test]
     fn growth_closes_gaps_as_a_whole(mut engines in after_a_loss()) {
-        let before = cover(&MODEL, &engines);
+        let before = replica_counts(&MODEL, &engines);
         let grown = grow_into_gaps(&MODEL, &engines);
         apply(&mut engines, &grown);
-        let after = cover(&MODEL, &engines);
+        let after = replica_counts(&MODEL, &engines);
         let gaps = |counts: &[u32]| {
             counts.iter().filter(|count| **count == 0).count()
         };
--- a/crates/planner/tests/order_book.rs
+++ b/crates/planner/tests/order_tracker.rs
@@ -6,9 +6,10 @@
 //! knows of the moves of the one before it what that one last told.
 
 use chestnutreach_planner::{
-    DueOrder, KnownEngine, LayerRange, LayoutEngine, LayoutModel, OpenMove,
-    OrderBook, Scope, cover,
-    order_book::{GAP_LASTS_MS, GROW_AFTER_MS, TOLD_FIRST_MS},
+    DueOrder, LayerRange, LayoutEngine, LayoutModel, ObservedEngine, OpenMove,
+    OrderScope, OrderTracker,
+    order_tracker::{GAP_LASTS_MS, GROW_AFTER_MS, TOLD_FIRST_MS},
+    replica_counts,
 };
 use rstest::rstest;
 
@@ -16,7 +17,7 @@
     layer_count: 12,
     layer_mb: 1_000.0,
     token_layer_bytes: 10_000.0,
-    first_tokens: f64::INFINITY,
+    first_stage_tokens: f64::INFINITY,
 };
 const ENGINES: usize = 7;
 const TICK_MS: u64 = 150;
@@ -61,7 +62,7 @@
     rng: fastrand::Rng,
     engines: Vec<Engine>,
     late: Vec<Late>,
-    book: OrderBook,
+    book: OrderTracker,
     /// What the planner last told of its moves.
     told: Vec<OpenMove>,
     /// Engine that the planner does not count on.
@@ -94,7 +95,7 @@
             engines: (0..ENGINES).map(|_| engine(&mut rng)).collect(),
             rng,
             late: Vec::new(),
-            book: OrderBook::default(),
+            book: OrderTracker::default(),
             told: Vec::new(),
             suspect: ENGINES,
             moves: 0,
@@ -104,7 +105,7 @@
     fn cover(&self) -> Vec<u32> {
         let layout: Vec<LayoutEngine> =
             self.engines.iter().map(|e| layout_engine(e, e.held)).collect();
-        cover(&MODEL, &layout).remove(0)
+        replica_counts(&MODEL, &layout).remove(0)
     }
 
     fn begin(&mut self, order: DueOrder, now_ms: u64) {
@@ -128,23 +129,25 @@
             .enumerate()
             .map(|(at, engine)| format!("{at}-{}", engine.starts))
             .collect();
-        let known: Vec<KnownEngine<'_>> = self
+        let known: Vec<ObservedEngine<'_>> = self
             .engines
             .iter()
             .zip(&ids)
             .enumerate()
-            .map(|(at, (engine, id))| KnownEngine {
+            .map(|(at, (engine, id))| ObservedEngine {
                 id,
                 layout: LayoutEngine {
-                    is_sound: at != self.suspect,
-                    is_free: at != self.suspect,
+                    is_available: at != self.suspect,
+                    accepts_orders: at != self.suspect,
                     ..layout_engine(engine, engine.listed.0)
                 },
                 may_return: at == self.suspect,
                 orders_begun: engine.listed.1,
             })
             .collect();
-        for order in self.book.due(&MODEL, &known, Scope::All, now_ms) {
+        for order in
+            self.book.due_orders(&MODEL, &known, OrderScope::All, now_ms)
+        {
             match self.rng.u8(..4) {
                 // It is lost.
                 0 => {}
@@ -162,7 +165,7 @@
             Variant::TellsNothing => Vec::new(),
             _ => self.told.clone(),
         };
-        self.book = OrderBook::new(told);
+        self.book = OrderTracker::new(told);
         self.suspect = self.rng.usize(..2 * ENGINES);
     }
 
@@ -197,7 +200,8 @@
             if self.rng.u8(..60) == 0 {
                 self.take_over();
             }
-            let is_quiet = self.late.is_empty() && self.book.open_count() == 0;
+            let is_quiet =
+                self.late.is_empty() && self.book.pending_count() == 0;
             if is_quiet && self.rng.u8(..20) == 0 {
                 self.restart_one();
                 before = self.cover();
@@ -226,8 +230,8 @@
         memory_mb,
         layer_ms: 1.0,
         held: Some(LayerRange::new(first, end)),
-        is_sound: true,
-        is_free: true,
+        is_available: true,
+        accepts_orders: true,
     };
     vec![
         engine(9_000.0, 0, 3),
@@ -240,11 +244,11 @@
 fn known<'a>(
     ids: &'a [String],
     layout: &[LayoutEngine],
-) -> Vec<KnownEngine<'a>> {
-    let known = |(id, layout): (&'a String, &LayoutEngine)| KnownEngine {
+) -> Vec<ObservedEngine<'a>> {
+    let known = |(id, layout): (&'a String, &LayoutEngine)| ObservedEngine {
         id,
         layout: *layout,
-        may_return: !layout.is_sound,
+        may_return: !layout.is_available,
         orders_begun: 1,
     };
     ids.iter().zip(layout).map(known).collect()
@@ -256,26 +260,29 @@
     let mut layout = with_a_gap();
     let silent = LayoutEngine {
         held: Some(LayerRange::new(6, 9)),
-        is_sound: false,
-        is_free: false,
+        is_available: false,
+        accepts_orders: false,
         ..layout[0]
     };
     layout.push(silent);
     let ids: Vec<String> =
         (0..layout.len()).map(|at| at.to_string()).collect();
-    let mut book = OrderBook::default();
+    let mut book = OrderTracker::default();
     let mut orders = Vec::new();
     for now_ms in (0..3_000).step_by(TICK_MS as usize) {
-        for order in
-            book.due(&MODEL, &known(&ids, &layout), Scope::All, now_ms)
-        {
+        for order in book.due_orders(
+            &MODEL,
+            &known(&ids, &layout),
+            OrderScope::All,
+            now_ms,
+        ) {
             let before = layout[order.engine].held.unwrap();
             assert!(order.range.contains(before), "{order:?}");
             layout[order.engine].held = Some(order.range);
             orders.push(now_ms);
         }
     }
-    assert!(!cover(&MODEL, &layout)[0].contains(&0), "{layout:?}");
+    assert!(!replica_counts(&MODEL, &layout)[0].contains(&0), "{layout:?}");
     assert!(orders[0] >= GROW_AFTER_MS);
     assert!(orders.iter().all(|at| *at < GAP_LASTS_MS), "{orders:?}");
     assert_eq!(book.open_moves().count(), 0);
@@ -321,18 +328,18 @@
     let range = Some(LayerRange::new(6, 9));
     layout.push(LayoutEngine {
         held: range,
-        is_sound: false,
-        is_free: false,
+        is_available: false,
+        accepts_orders: false,
         ..layout[0]
     });
     let ids: Vec<String> =
         (0..layout.len()).map(|at| at.to_string()).collect();
-    let mut book = OrderBook::default();
+    let mut book = OrderTracker::default();
     let mut first_ms = None;
     for now_ms in (0..3_000).step_by(TICK_MS as usize) {
         let mut engines = known(&ids, &layout);
         engines.last_mut().unwrap().may_return = closing.may_return;
-        let due = book.due(&MODEL, &engines, Scope::All, now_ms);
+        let due = book.due_orders(&MODEL, &engines, OrderScope::All, now_ms);
         first_ms = first_ms.or((!due.is_empty()).then_some(now_ms));
     }
     let first_ms = first_ms.expect("the gap is closed");
@@ -349,8 +356,8 @@
         memory_mb: 12_000.0,
         layer_ms: 1.0,
         held: Some(LayerRange::new(first, end)),
-        is_sound: true,
-        is_free: true,
+        is_available: true,
+        accepts_orders: true,
     };
     vec![engine(0, 6), engine(0, 6), engine(1, 6), engine(6, 12)]
 }
@@ -360,13 +367,18 @@
     let layout = with_a_spare();
     let ids: Vec<String> =
         (0..layout.len()).map(|at| at.to_string()).collect();
-    let mut book = OrderBook::default();
+    let mut book = OrderTracker::default();
     let mut sent = Vec::new();
     for now_ms in (0..3_000).step_by(TICK_MS as usize) {
-        let due = book.due(&MODEL, &known(&ids, &layout), Scope::All, now_ms);
+        let due = book.due_orders(
+            &MODEL,
+            &known(&ids, &layout),
+            OrderScope::All,
+            now_ms,
+        );
         sent.extend(due.iter().map(|order| (order.engine, now_ms)));
         for order in due {
-            book.accept(&ids[order.engine], order.orders_begun);
+            book.mark_accepted(&ids[order.engine], order.orders_begun);
             assert!(order.range.first_layer >= 6, "{order:?}");
         }
     }
@@ -375,10 +387,11 @@
     assert_eq!(sent[0].0, 2);
     assert!(sent[0].1 >= GAP_LASTS_MS, "{sent:?}");
     // A planner that may give nothing up does not.
-    let mut book = OrderBook::default();
+    let mut book = OrderTracker::default();
     for now_ms in (0..3_000).step_by(TICK_MS as usize) {
-        let scope = Scope::NothingGivenUp;
-        let due = book.due(&MODEL, &known(&ids, &layout), scope, now_ms);
+        let scope = OrderScope::AdditiveOnly;
+        let due =
+            book.due_orders(&MODEL, &known(&ids, &layout), scope, now_ms);
         assert!(due.is_empty(), "{due:?}");
     }
 }
@@ -390,16 +403,17 @@
     let ids: Vec<String> =
         (0..layout.len()).map(|at| at.to_string()).collect();
     for (is_accepted, wish) in [(true, 1), (false, 6)] {
-        let mut book = OrderBook::default();
+        let mut book = OrderTracker::default();
         let mut sent = 0;
         for now_ms in (0..4_000).step_by(TICK_MS as usize) {
             let mut engines = known(&ids, &layout);
             engines[0].orders_begun = 0;
-            let due = book.due(&MODEL, &engines, Scope::All, now_ms);
+            let due =
+                book.due_orders(&MODEL, &engines, OrderScope::All, now_ms);
             for order in due.iter().filter(|order| order.engine == 0) {
                 sent += 1;
                 if is_accepted {
-                    book.accept(&ids[0], order.orders_begun);
+                    book.mark_accepted(&ids[0], order.orders_begun);
                 }
             }
         }
@@ -417,10 +431,15 @@
     layout.push(LayoutEngine { data_centre: 1, held: None, ..layout[0] });
     let ids: Vec<String> =
         (0..layout.len()).map(|at| at.to_string()).collect();
-    let mut book = OrderBook::default();
+    let mut book = OrderTracker::default();
     let mut moved = None;
     for now_ms in (0..3_000).step_by(TICK_MS as usize) {
-        let due = book.due(&MODEL, &known(&ids, &layout), Scope::All, now_ms);
+        let due = book.due_orders(
+            &MODEL,
+            &known(&ids, &layout),
+            OrderScope::All,
+            now_ms,
+        );
         moved = moved.or(due.into_iter().find(|o| o.engine < 4));
     }
     let moved = moved.expect("one of the doubled engines moves");
@@ -434,8 +453,8 @@
         memory_mb: engine.memory_mb,
         layer_ms: 1.0,
         held,
-        is_sound: true,
-        is_free: true,
+        is_available: true,
+        accepts_orders: true,
     }
 }
 
--- a/crates/planner/tests/properties.rs
+++ b/crates/planner/tests/properties.rs
@@ -128,9 +128,9 @@
             let member = &members[at.unwrap()];
             prop_assert!(member.is_present);
             prop_assert_ne!(member.held, Some(order.range));
-            prop_assert!(order.range.layers() <= member.kind.max_layers);
+            prop_assert!(order.range.layer_count() <= member.kind.max_layers);
             prop_assert!(order.range.end_layer <= LAYERS);
-            prop_assert!(order.loaded_layers <= order.range.layers());
+            prop_assert!(order.loaded_layers <= order.range.layer_count());
         }
         let before = capacity_of(&members);
         prop_assert!(made.capacity_tokens_per_s >= before);
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -22,7 +22,7 @@
 
 pub use self::{
     gate::{FencingGate, GateAnswer},
-    message::{FencingNumber, LeaseCommand, LeaseRow, StoreAnswer},
+    message::{FencingNumber, LeaseCommand, LeaseRow, StoreResponse},
     options::{LeaseOptions, LeaseOptionsError},
 };
 
@@ -70,7 +70,7 @@
 
 /// One process's side of the lease.
 #[derive(Debug)]
-pub struct LeaseHolder {
+pub struct LeaseParticipant {
     id: u64,
     options: LeaseOptions,
     state: LeaseState,
@@ -85,11 +85,11 @@
     resigned: Option<FencingNumber>,
 }
 
-impl LeaseHolder {
+impl LeaseParticipant {
     /// A process without the lease; `id` is its boot id, never 0.
-    pub fn new(id: u64, options: LeaseOptions) -> LeaseHolder {
+    pub fn new(id: u64, options: LeaseOptions) -> LeaseParticipant {
         debug_assert_ne!(id, NOBODY);
-        LeaseHolder {
+        LeaseParticipant {
             id,
             options,
             state: LeaseState::Idle,
@@ -104,14 +104,14 @@
     }
 
     /// Where the process stood at the last event; to act, ask
-    /// [`LeaseHolder::may_act`].
+    /// [`LeaseParticipant::active_fencing_number`].
     pub fn state(&self) -> LeaseState {
         self.state
     }
 
     /// The number to act under at this moment. Ask again before each order
     /// and after anything that may have paused the process.
-    pub fn may_act(&self, now_ms: u64) -> Option<FencingNumber> {
+    pub fn active_fencing_number(&self, now_ms: u64) -> Option<FencingNumber> {
         match self.state {
             LeaseState::Held { until_ms, fencing_number }
                 if now_ms < until_ms && !self.is_doubtful =>
@@ -134,23 +134,23 @@
     }
 
     /// Takes the answer to the command that is out.
-    pub fn answer(&mut self, answer: StoreAnswer, now_ms: u64) {
+    pub fn handle_response(&mut self, answer: StoreResponse, now_ms: u64) {
         self.is_command_out = false;
         match answer {
-            StoreAnswer::Row(row) => self.saw_row(row, now_ms),
-            StoreAnswer::Written => {
+            StoreResponse::Row(row) => self.saw_row(row, now_ms),
+            StoreResponse::Written => {
                 if let Some(pending) = self.pending {
                     self.commit(pending, now_ms);
                 }
             }
-            StoreAnswer::Conflict => {
+            StoreResponse::Conflict => {
                 self.must_read = true;
                 self.is_doubtful = true;
             }
-            StoreAnswer::Unavailable => {
+            StoreResponse::Unavailable => {
                 self.pending = self.pending.filter(|p| p.is_ambiguous);
             }
-            StoreAnswer::Ambiguous => {
+            StoreResponse::Ambiguous => {
                 self.must_read = true;
                 if let Some(pending) = &mut self.pending {
                     pending.is_ambiguous = true;
@@ -169,7 +169,7 @@
     /// Stops at once and keeps the number of its turn, to tell others; the
     /// row stays as it is. None if it does not hold the lease.
     pub fn resign(&mut self, now_ms: u64) -> Option<FencingNumber> {
-        let number = self.may_act(now_ms)?;
+        let number = self.active_fencing_number(now_ms)?;
         self.state = LeaseState::Lost;
         self.pending = None;
         self.must_read = true;
@@ -179,7 +179,7 @@
     /// Stops at once, for good, and gives the lease back if that can be
     /// told; otherwise it lapses.
     pub fn release(&mut self, now_ms: u64) -> Option<LeaseCommand> {
-        let is_held = self.may_act(now_ms).is_some();
+        let is_held = self.active_fencing_number(now_ms).is_some();
         self.state = LeaseState::Idle;
         self.is_released = true;
         let row = self.seen.and_then(|seen| seen.row);
--- a/crates/state/src/lease/message.rs
+++ b/crates/state/src/lease/message.rs
@@ -58,7 +58,7 @@
 
 /// How the table service answered a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     /// The row as read; none where there is none.
     Row(Option<LeaseRow>),
     /// The write took effect.
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -33,8 +33,8 @@
 
 pub use generation::{Applying, GenerationGate, StartOutcome, StartPoll};
 pub use lease::{
-    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseHolder,
-    LeaseOptions, LeaseRow, LeaseState, StoreAnswer,
+    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseOptions,
+    LeaseParticipant, LeaseRow, LeaseState, StoreResponse,
 };
 pub use outcome::{NotRunReason, Outcome};
 pub use run_once::{Admission, RunOnceTable, RunState};
--- a/crates/state/src/outcome.rs
+++ b/crates/state/src/outcome.rs
@@ -40,7 +40,7 @@
     /// No backend server has room for it.
     Full,
     /// Its account has used its share while others wait.
-    Share,
+    ShareUsed,
     /// It could not finish within its time.
     TooLate,
     /// No complete chain of backend servers is reachable.
@@ -61,7 +61,7 @@
         match self {
             NotRunReason::BadRequest => "bad_request",
             NotRunReason::Full => "full",
-            NotRunReason::Share => "share_used",
+            NotRunReason::ShareUsed => "share_used",
             NotRunReason::TooLate => "too_late",
             NotRunReason::NoChain => "no_chain",
             NotRunReason::StoreDown => "store_down",
--- a/crates/state/tests/lease.rs
+++ b/crates/state/tests/lease.rs
@@ -1,8 +1,8 @@
 //! Single paths of a lease, with a table service that answers at once.
 
 use chestnutreach_state::{
-    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseHolder,
-    LeaseOptions, LeaseRow, LeaseState, StoreAnswer,
+    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseOptions,
+    LeaseParticipant, LeaseRow, LeaseState, StoreResponse,
 };
 use rstest::rstest;
 
@@ -12,9 +12,9 @@
 /// From when on a holder renews a write of time 0.
 const RENEW_MS: u64 = DURATION_MS - MARGIN_MS - RENEW_BEFORE_MS;
 
-fn holder(id: u64) -> LeaseHolder {
+fn holder(id: u64) -> LeaseParticipant {
     let options = LeaseOptions::new(DURATION_MS, RENEW_BEFORE_MS, MARGIN_MS);
-    LeaseHolder::new(id, options.unwrap())
+    LeaseParticipant::new(id, options.unwrap())
 }
 
 fn number(number: u64) -> Option<FencingNumber> {
@@ -30,33 +30,33 @@
 }
 
 impl Store {
-    fn execute(&mut self, command: LeaseCommand) -> StoreAnswer {
+    fn execute(&mut self, command: LeaseCommand) -> StoreResponse {
         if self.is_down {
-            return StoreAnswer::Unavailable;
+            return StoreResponse::Unavailable;
         }
         match command {
-            LeaseCommand::Read => StoreAnswer::Row(self.row),
+            LeaseCommand::Read => StoreResponse::Row(self.row),
             LeaseCommand::Write { expected, .. } if expected != self.row => {
-                StoreAnswer::Conflict
+                StoreResponse::Conflict
             }
             LeaseCommand::Write { row, .. } => {
                 self.row = Some(row);
                 match self.loses_answers {
-                    true => StoreAnswer::Ambiguous,
-                    false => StoreAnswer::Written,
+                    true => StoreResponse::Ambiguous,
+                    false => StoreResponse::Written,
                 }
             }
         }
     }
 
     /// Ticks until the holder has nothing to send; the count of commands.
-    fn run(&mut self, holder: &mut LeaseHolder, now_ms: u64) -> usize {
+    fn run(&mut self, holder: &mut LeaseParticipant, now_ms: u64) -> usize {
         let mut count = 0;
         while let Some(command) = holder.tick(now_ms) {
             let answer = self.execute(command);
-            holder.answer(answer, now_ms);
+            holder.handle_response(answer, now_ms);
             count += 1;
-            if answer == StoreAnswer::Unavailable {
+            if answer == StoreResponse::Unavailable {
                 break;
             }
         }
@@ -70,11 +70,11 @@
     let mut holder = holder(1);
     assert_eq!(holder.state(), LeaseState::Idle);
     assert_eq!(store.run(&mut holder, 0), 2);
-    assert_eq!(holder.may_act(0), number(1));
+    assert_eq!(holder.active_fencing_number(0), number(1));
     assert_eq!(store.run(&mut holder, RENEW_MS - 1), 0);
     for round in 1..20 {
         assert_eq!(store.run(&mut holder, round * RENEW_MS), 1);
-        assert_eq!(holder.may_act(round * RENEW_MS), number(1));
+        assert_eq!(holder.active_fencing_number(round * RENEW_MS), number(1));
     }
     assert_eq!(store.row.unwrap().renewal, 19);
 }
@@ -85,15 +85,15 @@
     let mut holder = holder(1);
     store.run(&mut holder, 0);
     let until_ms = DURATION_MS - MARGIN_MS;
-    assert_eq!(holder.may_act(until_ms - 1), number(1));
-    assert_eq!(holder.may_act(until_ms), None);
+    assert_eq!(holder.active_fencing_number(until_ms - 1), number(1));
+    assert_eq!(holder.active_fencing_number(until_ms), None);
     store.is_down = true;
     store.run(&mut holder, until_ms);
     assert_eq!(holder.state(), LeaseState::Lost);
     // Its own row is free to it, under a new number.
     store.is_down = false;
     store.run(&mut holder, until_ms + 1);
-    assert_eq!(holder.may_act(until_ms + 1), number(2));
+    assert_eq!(holder.active_fencing_number(until_ms + 1), number(2));
 }
 
 #[test]
@@ -101,12 +101,12 @@
     let mut store = Store::default();
     let mut holder = holder(1);
     let read = holder.tick(0).unwrap();
-    holder.answer(store.execute(read), 0);
+    holder.handle_response(store.execute(read), 0);
     let write = holder.tick(0).unwrap();
     let answer = store.execute(write);
     assert_eq!(holder.state(), LeaseState::Acquiring);
-    holder.answer(answer, DURATION_MS - MARGIN_MS);
-    assert_eq!(holder.may_act(DURATION_MS - MARGIN_MS), None);
+    holder.handle_response(answer, DURATION_MS - MARGIN_MS);
+    assert_eq!(holder.active_fencing_number(DURATION_MS - MARGIN_MS), None);
 }
 
 /// One that was paused and unaware finds out at its next question.
@@ -118,14 +118,14 @@
     let mut took_over_ms = None;
     for now_ms in (0..3 * DURATION_MS).step_by(50) {
         store.run(&mut other, now_ms);
-        if other.may_act(now_ms).is_some() {
+        if other.active_fencing_number(now_ms).is_some() {
             took_over_ms = Some(now_ms);
             break;
         }
     }
     assert_eq!(took_over_ms, Some(DURATION_MS));
-    assert_eq!(other.may_act(DURATION_MS), number(2));
-    assert_eq!(paused.may_act(DURATION_MS), None);
+    assert_eq!(other.active_fencing_number(DURATION_MS), number(2));
+    assert_eq!(paused.active_fencing_number(DURATION_MS), None);
     store.run(&mut paused, DURATION_MS);
     assert_eq!(paused.state(), LeaseState::Lost);
 }
@@ -136,7 +136,7 @@
     let mut holder = holder(1);
     // Read, write with a lost answer, read back.
     assert_eq!(store.run(&mut holder, 0), 3);
-    assert_eq!(holder.may_act(0), number(1));
+    assert_eq!(holder.active_fencing_number(0), number(1));
     assert_eq!(store.run(&mut holder, RENEW_MS), 2);
     let state = holder.state();
     let until_ms = RENEW_MS + DURATION_MS - MARGIN_MS;
@@ -153,19 +153,19 @@
     let mut store = Store::default();
     let mut holder = holder(1);
     let read = holder.tick(0).unwrap();
-    holder.answer(store.execute(read), 0);
+    holder.handle_response(store.execute(read), 0);
     let late = holder.tick(0).unwrap();
-    holder.answer(StoreAnswer::Ambiguous, 10);
+    holder.handle_response(StoreResponse::Ambiguous, 10);
     let read = holder.tick(20).unwrap();
-    holder.answer(store.execute(read), 20);
+    holder.handle_response(store.execute(read), 20);
     store.execute(late);
     let again = holder.tick(30).unwrap();
-    assert_eq!(store.execute(again), StoreAnswer::Conflict);
-    holder.answer(StoreAnswer::Conflict, 30);
+    assert_eq!(store.execute(again), StoreResponse::Conflict);
+    holder.handle_response(StoreResponse::Conflict, 30);
     store.run(&mut holder, 40);
     let end_ms = DURATION_MS - MARGIN_MS;
-    assert_eq!(holder.may_act(end_ms - 1), number(1));
-    assert_eq!(holder.may_act(end_ms), None);
+    assert_eq!(holder.active_fencing_number(end_ms - 1), number(1));
+    assert_eq!(holder.active_fencing_number(end_ms), None);
 }
 
 #[test]
@@ -175,11 +175,11 @@
     store.run(&mut first, 0);
     store.run(&mut second, 10);
     let release = first.release(20).unwrap();
-    assert_eq!(first.may_act(20), None);
-    first.answer(store.execute(release), 20);
+    assert_eq!(first.active_fencing_number(20), None);
+    first.handle_response(store.execute(release), 20);
     assert_eq!(store.run(&mut first, 2 * DURATION_MS), 0);
     store.run(&mut second, 20 + DURATION_MS / 4);
-    assert_eq!(second.may_act(20 + DURATION_MS / 4), number(2));
+    assert_eq!(second.active_fencing_number(20 + DURATION_MS / 4), number(2));
 }
 
 #[test]
@@ -191,7 +191,7 @@
         store.run(&mut first, now_ms);
         reads += store.run(&mut second, now_ms);
     }
-    assert!(second.may_act(10 * DURATION_MS).is_none());
+    assert!(second.active_fencing_number(10 * DURATION_MS).is_none());
     assert!(reads <= 41, "{reads} reads in ten durations");
 }
 
@@ -255,12 +255,16 @@
     let (mut old, mut new) = (holder(1), holder(2));
     store.run(&mut old, 0);
     store.run(&mut new, 0);
-    assert_eq!(new.may_act(1), None);
+    assert_eq!(new.active_fencing_number(1), None);
     let resigned = old.resign(10).unwrap();
-    assert_eq!(old.may_act(10), None, "it stops before anyone is told");
+    assert_eq!(
+        old.active_fencing_number(10),
+        None,
+        "it stops before anyone is told"
+    );
     new.holder_resigned(resigned);
     store.run(&mut new, 11);
-    assert_eq!(new.may_act(11), number(2));
+    assert_eq!(new.active_fencing_number(11), number(2));
 }
 
 #[test]
@@ -271,10 +275,10 @@
     let first = old.resign(10).unwrap();
     // It takes the lease again, in a turn of its own.
     store.run(&mut old, 20);
-    assert_eq!(old.may_act(20), number(2));
+    assert_eq!(old.active_fencing_number(20), number(2));
     new.holder_resigned(first);
     store.run(&mut new, 21);
-    assert_eq!(new.may_act(21), None);
+    assert_eq!(new.active_fencing_number(21), None);
 }
 
 #[test]
@@ -284,5 +288,5 @@
     store.run(&mut old, 0);
     store.run(&mut new, 0);
     assert_eq!(new.resign(5), None);
-    assert_eq!(old.may_act(5), number(1));
+    assert_eq!(old.active_fencing_number(5), number(1));
 }
--- a/crates/state/tests/lease_promise.rs
+++ b/crates/state/tests/lease_promise.rs
@@ -7,8 +7,8 @@
 use std::marker::PhantomData;
 
 use chestnutreach_state::{
-    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseHolder,
-    LeaseOptions, LeaseRow, StoreAnswer,
+    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseOptions,
+    LeaseParticipant, LeaseRow, StoreResponse,
 };
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -144,12 +144,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Request {
     command: LeaseCommand,
-    result: Option<StoreAnswer>,
+    result: Option<StoreResponse>,
 }
 
 struct World<V> {
     true_ms: u64,
-    holders: Vec<LeaseHolder>,
+    holders: Vec<LeaseParticipant>,
     is_leaving: [bool; HOLDERS],
     next_id: u64,
     requests: [Option<Request>; HOLDERS],
@@ -169,7 +169,7 @@
         World {
             true_ms: 0,
             holders: (1..=HOLDERS as u64)
-                .map(|id| LeaseHolder::new(id, options))
+                .map(|id| LeaseParticipant::new(id, options))
                 .collect(),
             is_leaving: [false; HOLDERS],
             next_id: HOLDERS as u64 + 1,
@@ -201,20 +201,20 @@
         }
     }
 
-    fn execute(&mut self, command: LeaseCommand) -> StoreAnswer {
+    fn execute(&mut self, command: LeaseCommand) -> StoreResponse {
         match command {
-            LeaseCommand::Read => StoreAnswer::Row(self.row),
+            LeaseCommand::Read => StoreResponse::Row(self.row),
             LeaseCommand::Write { expected, row } => {
                 if self.row != expected {
-                    return StoreAnswer::Conflict;
+                    return StoreResponse::Conflict;
                 }
                 self.row = Some(row);
-                StoreAnswer::Written
+                StoreResponse::Written
             }
         }
     }
 
-    fn take_effect(&mut self, holder: usize) -> Option<StoreAnswer> {
+    fn take_effect(&mut self, holder: usize) -> Option<StoreResponse> {
         let mut request = self.requests[holder]?;
         if request.result.is_none() {
             request.result = Some(self.execute(request.command));
@@ -223,10 +223,10 @@
         request.result
     }
 
-    fn answer(&mut self, holder: usize, answer: StoreAnswer) {
+    fn answer(&mut self, holder: usize, answer: StoreResponse) {
         self.requests[holder] = None;
         let now_ms = self.clock_ms(holder);
-        self.holders[holder].answer(answer, now_ms);
+        self.holders[holder].handle_response(answer, now_ms);
         if self.is_leaving[holder] {
             self.replace(holder);
         }
@@ -234,7 +234,7 @@
 
     fn replace(&mut self, holder: usize) {
         self.holders[holder] =
-            LeaseHolder::new(self.next_id, World::<V>::options());
+            LeaseParticipant::new(self.next_id, World::<V>::options());
         self.is_leaving[holder] = false;
         self.next_id += 1;
     }
@@ -266,7 +266,7 @@
         if request.result.is_none() {
             self.late_writes.push(request.command);
         }
-        self.answer(holder, StoreAnswer::Ambiguous);
+        self.answer(holder, StoreResponse::Ambiguous);
     }
 
     fn arrive(&mut self, number: FencingNumber) {
@@ -286,7 +286,9 @@
 
     fn check_acting(&self) {
         let acting: Vec<FencingNumber> = (0..HOLDERS)
-            .filter_map(|h| self.holders[h].may_act(self.clock_ms(h)))
+            .filter_map(|h| {
+                self.holders[h].active_fencing_number(self.clock_ms(h))
+            })
             .collect();
         assert!(acting.len() <= 1, "two may act: {acting:?}");
         if let (Some(number), Some(row)) = (acting.first(), self.row) {
@@ -320,7 +322,7 @@
             Event::Refuse { holder } => {
                 let request = world.requests[holder];
                 if request.is_some_and(|r| r.result.is_none()) {
-                    world.answer(holder, StoreAnswer::Unavailable);
+                    world.answer(holder, StoreResponse::Unavailable);
                 }
             }
             Event::LoseAnswer { holder } => world.lose_answer(holder),
@@ -332,7 +334,8 @@
             Event::Release { holder } => world.release(holder),
             Event::Order { holder } => {
                 let now_ms = world.clock_ms(holder);
-                let number = world.holders[holder].may_act(now_ms);
+                let number =
+                    world.holders[holder].active_fencing_number(now_ms);
                 world.orders.extend(number);
             }
             Event::Arrive { index, is_doubled } => {
