--- a/crates/planner/src/shape.rs
+++ b/crates/planner/src/engine_groups.rs
@@ -26,7 +26,7 @@
 //! as raise what the data centre can run, the least of room and of places.
 //!
 //! Engines that are much faster than the others may stand beside them
-//! instead: see [`crate::fast_beside`].
+//! instead: see [`crate::fast_engines`].
 
 use crate::layout::{LayoutModel, MIN_TOKENS};
 
--- a/crates/planner/src/fast_beside.rs
+++ b/crates/planner/src/fast_engines.rs
@@ -10,8 +10,8 @@
 //! by one less of the slower ones, which pays for it.
 
 use crate::{
+    engine_groups::{Group, MOST_GROUPS, Member, Shape, Way},
     layout::LayoutModel,
-    shape::{Group, MOST_GROUPS, Member, Shape, Way},
 };
 
 /// An engine is fast whose layers take at most this share of the time that
--- a/crates/planner/src/layout.rs
+++ b/crates/planner/src/layout.rs
@@ -6,19 +6,19 @@
 //! centre is laid out at once. Later an empty engine takes a gap of its data
 //! centre, or else what lacks most room, or else what is held least.
 //!
-//! What is done where no empty engine is left for a gap is in [`mend`].
+//! What is done where no empty engine is left for a gap is in [`repair`].
 //!
-//! [`mend`]: crate::mend
+//! [`repair`]: crate::repair
 //!
 //! A pure function: no clock, no I/O, no randomness; its time grows with
 //! engines times layers.
 
 use crate::{
-    cover::Cover,
-    fast_beside,
-    room::{Rooms, room_beside},
+    engine_groups::{Member, Shape},
+    fast_engines,
+    kv_capacity::{Rooms, room_beside},
+    replicas::Cover,
     service::LayerRange,
-    shape::{Member, Shape},
 };
 
 /// Least room for requests beside the layers, in tokens.
@@ -213,7 +213,7 @@
     let mut members: Vec<Member> = here.map(member).collect();
     members.sort_by(|a, b| a.memory_mb.total_cmp(&b.memory_mb));
     let even = Shape::even(model, &members);
-    fast_beside::better_than(model, &members, &even).unwrap_or(even)
+    fast_engines::better_than(model, &members, &even).unwrap_or(even)
 }
 
 /// Layers that fit beside so many tokens of requests.
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -9,16 +9,16 @@
 //! | [`service`] | what is planned for, checked |
 //! | [`capacity`] | tokens a second of all chains together |
 //! | `draft` | a plan while it is made |
-//! | `tiling` | making a chain possible again |
-//! | `growth` | adding capacity where it is least |
+//! | `chain_repair` | making a chain possible again |
+//! | `scale_up` | adding capacity where it is least |
 //! | [`plan`] | the orders that bring a service there |
 //! | [`order`] | an order and its reason |
 //! | [`layout`] | layers for engines that hold none, by memory |
-//! | [`mend`] | what engines that hold layers do where some are lacking |
-//! | `cover` | how many engines hold each layer |
-//! | `room` | room for requests on each layer |
-//! | `shape` | which engines of a data centre hold the same layers |
-//! | `fast_beside` | fast engines beside slower ones that hold the same |
+//! | [`repair`] | what engines that hold layers do where some are lacking |
+//! | `replicas` | how many engines hold each layer |
+//! | `kv_capacity` | room for requests on each layer |
+//! | `engine_groups` | which engines of a data centre hold the same layers |
+//! | `fast_engines` | fast engines beside slower ones that hold the same |
 //! | [`order_tracker`] | orders that do not show yet |
 //!
 //! # Example
@@ -44,29 +44,29 @@
 //! ```
 
 pub mod capacity;
-mod cover;
+mod chain_repair;
 mod draft;
-mod fast_beside;
-mod growth;
+mod engine_groups;
+mod fast_engines;
+mod kv_capacity;
 pub mod layout;
-pub mod mend;
 pub mod order;
 pub mod order_tracker;
 pub mod plan;
-mod room;
+pub mod repair;
+mod replicas;
+mod scale_up;
 pub mod service;
-mod shape;
-mod tiling;
 
 pub use layout::{
     LayoutEngine, LayoutModel, Placement, place_empty, replica_counts,
 };
-pub use mend::{grow_into_gaps, grow_to_free, move_one};
 pub use order::{Order, Reason};
 pub use order_tracker::{
     DueOrder, ObservedEngine, OpenMove, OrderScope, OrderTracker,
 };
 pub use plan::{Plan, plan};
+pub use repair::{grow_into_gaps, grow_to_free, move_one};
 pub use service::{
     CheckedService, Kind, LayerRange, Server, Service, ServiceError,
 };
--- a/crates/planner/src/order_tracker.rs
+++ b/crates/planner/src/order_tracker.rs
@@ -18,9 +18,9 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    cover::Cover,
     layout::{LayoutEngine, LayoutModel, Placement, place_empty},
-    mend::{grow_into_gaps, grow_to_free, move_spare, move_sure},
+    repair::{grow_into_gaps, grow_to_free, move_spare, move_sure},
+    replicas::Cover,
     service::LayerRange,
 };
 
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -1,8 +1,8 @@
 //! A plan: orders for a service.
 
 use crate::{
-    draft::Draft, growth::meet_demand, order::Order, service::CheckedService,
-    tiling::fill_gaps,
+    chain_repair::fill_gaps, draft::Draft, order::Order,
+    scale_up::meet_demand, service::CheckedService,
 };
 
 /// Orders in the order in which they are to be given.
--- a/crates/planner/src/mend.rs
+++ b/crates/planner/src/repair.rs
@@ -13,12 +13,12 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    cover::{Cover, WORTH_UNHELD_HERE},
+    kv_capacity::{Rooms, room_beside},
     layout::{
         LEAST_ROOM, LayoutEngine, LayoutModel, MIN_TOKENS, Placement,
         layers_beside, shape,
     },
-    room::{Rooms, room_beside},
+    replicas::{Cover, WORTH_UNHELD_HERE},
     service::LayerRange,
 };
 
