--- a/crates/direct/src/known/alerts.rs
+++ b/crates/direct/src/cluster/alerts.rs
@@ -9,7 +9,7 @@
 use chestnutreach_protocol::peers::{EngineNotice, EngineUse, RequestTrial};
 use chestnutreach_routing::Fingerprint;
 
-use crate::{clock::now_ms, core::Core, known::permits};
+use crate::{clock::now_ms, cluster::permits, core::Core};
 
 /// What is told with the next alert.
 #[derive(Debug, Default)]
--- a/crates/direct/src/known/listed_rows.rs
+++ b/crates/direct/src/cluster/backend_rows.rs
@@ -16,8 +16,8 @@
 
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, fleet::Applied},
     core::{Core, NEEDS_BACKENDS},
-    known::{engine::Engine, fleet::Applied},
 };
 
 /// Longest text of what is wrong with a row: it may quote the row.
--- a/crates/direct/src/known/engine.rs
+++ b/crates/direct/src/cluster/engine.rs
@@ -15,7 +15,7 @@
 use chestnutreach_routing::{Health, KnownUse};
 use chestnutreach_site::{Backend, BackendState, LayerRange};
 
-use crate::{clock::now_ms, known::notices::Notices, rate::Rate};
+use crate::{clock::now_ms, cluster::notices::Notices, rate::Rate};
 
 /// Progress so recent shows that an engine lives.
 pub(crate) const FLOWING_MS: u64 = 60;
--- a/crates/direct/src/known/engine_watch.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -17,8 +17,8 @@
 
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, probe},
     core::Core,
-    known::{engine::Engine, probe},
 };
 
 /// Entries that watch an engine: one may be busy, cut off or about to end.
--- a/crates/direct/src/known/follow.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -22,13 +22,13 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
+        backend_rows,
         feed_health::Health,
-        feed_port::Asker,
+        feed_server::Asker,
         feeds::{Feed, STALE_MS, rows_of},
-        listed_rows,
     },
+    core::Core,
 };
 
 /// Wait of a call of the configuration's feed. Two calls that fail must fit
@@ -256,7 +256,7 @@
                     apply_configuration(&self.core, row);
                 }
             }
-            Kind::Backends => listed_rows::apply_all(&self.core, rows),
+            Kind::Backends => backend_rows::apply_all(&self.core, rows),
         }
     }
 
@@ -265,7 +265,7 @@
         for row in &rows.rows {
             match self.kind {
                 Kind::Configuration => apply_configuration(&self.core, row),
-                Kind::Backends => listed_rows::apply(&self.core, row),
+                Kind::Backends => backend_rows::apply(&self.core, row),
             }
         }
     }
--- a/crates/direct/src/known/feed_health.rs
+++ b/crates/direct/src/cluster/feed_health.rs
@@ -5,7 +5,7 @@
 use chestnutreach_adapter::store::StoreError;
 use chestnutreach_telemetry::{Event, emit};
 
-use crate::{clock::now_ms, core::Core, known::feeds::Feed};
+use crate::{clock::now_ms, cluster::feeds::Feed, core::Core};
 
 /// Wait of a call while the store is away: its return should show at once.
 const WAIT_WHILE_DOWN: Duration = Duration::from_millis(50);
--- a/crates/direct/src/known/feed_port.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -19,7 +19,7 @@
 use futures_lite::FutureExt as _;
 use prost::Message as _;
 
-use crate::{clock::now_ms, core::Core, known::feeds::Feed};
+use crate::{clock::now_ms, cluster::feeds::Feed, core::Core};
 
 /// Longest wait that another entry is given.
 const MOST_WAIT: Duration = Duration::from_millis(2_000);
--- a/crates/direct/src/known/fleet.rs
+++ b/crates/direct/src/cluster/fleet.rs
@@ -14,7 +14,7 @@
 use chestnutreach_site::{Backend, BackendState, LayerRange};
 use chestnutreach_telemetry::{Event, emit};
 
-use crate::known::engine::{Engine, EngineState, Told};
+use crate::cluster::engine::{Engine, EngineState, Told};
 
 /// All backend servers by id.
 #[derive(Debug, Default)]
--- a/crates/direct/src/known/notices.rs
+++ b/crates/direct/src/cluster/notices.rs
@@ -3,7 +3,7 @@
 //! Each entry tells what it read itself of answers without a limit, and
 //! repeats a limit that holds whoever read it: a time that is told grows by
 //! the way of its message, and may only do so where that keeps the limit up.
-//! `take` is what changes it.
+//! `apply` is what changes it.
 
 use std::{
     collections::VecDeque,
@@ -18,9 +18,9 @@
     Ask, Grant, NamedLimit, PermitStock, ServerLimit, Want,
 };
 
-mod take;
+mod apply;
 
-pub(crate) use take::{Answered, hear, take};
+pub(crate) use apply::{Answered, hear, take};
 
 /// Time over which requests of this entry are counted for the logs.
 const SENT_WINDOW_MS: u64 = 4_000;
--- a/crates/direct/src/known/notices/take.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -13,7 +13,7 @@
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Change;
-use crate::{clock::now_ms, core::Core, known::engine::Engine};
+use crate::{clock::now_ms, cluster::engine::Engine, core::Core};
 
 /// Status of a server that is not the one that was asked, or lacks what was
 /// asked for: another one may have its address.
--- a/crates/direct/src/known/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -26,13 +26,13 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         alerts::percent,
         engine::{Engine, Use},
         peer_table::{Heard, Silent},
         permits, probe, suspects,
     },
+    core::Core,
 };
 
 /// Time between messages.
--- a/crates/direct/src/known/permits.rs
+++ b/crates/direct/src/cluster/permits.rs
@@ -25,8 +25,8 @@
 
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, notices},
     core::Core,
-    known::{engine::Engine, notices},
 };
 
 mod messages;
--- a/crates/direct/src/known/permits/round.rs
+++ b/crates/direct/src/cluster/permits/round.rs
@@ -10,7 +10,7 @@
 use chestnutreach_routing::{Ask, Grant};
 
 use super::{State, messages::grant_message, news_of};
-use crate::{clock::now_ms, core::Core, known::engine::Engine};
+use crate::{clock::now_ms, cluster::engine::Engine, core::Core};
 
 /// Pause of an entry that was granted nothing, for each entry there is: all
 /// together ask some sixty times a second for each server.
--- a/crates/direct/src/known/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -21,11 +21,11 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         alerts::percent,
         engine::{Engine, Evidence, FLOWING_MS, Suspicion, Told},
     },
+    core::Core,
     request::{exchange, path::Path},
 };
 
--- a/crates/direct/src/known/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -25,8 +25,8 @@
 
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, probe},
     core::Core,
-    known::{engine::Engine, probe},
 };
 
 /// Pauses before looks at whether an engine has crashed.
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -19,9 +19,9 @@
 use crate::{
     by_service::ByService,
     clock::now_ms,
-    known::{
+    cluster::{
         alerts::Alerts, feeds::Feeds, fleet::Fleet, peer_table::PeerTable,
-        permits::PermitTable, suspects::SuspectTable, told_use::ToldUse,
+        peer_usage::ToldUse, permits::PermitTable, suspects::SuspectTable,
         unusable_rows::UnusableRows,
     },
     nudges::Nudges,
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -20,9 +20,11 @@
 
 use crate::{
     clock::now_ms,
+    cluster::{
+        engine_watcher, feed_follower, feed_server, peers, probe, suspects,
+    },
     core::{Core, IS_STOPPING},
-    known::{engine_watch, feed_port, follow, peers, probe, suspects},
-    orders::{lease::Lease, place},
+    placement::{lease::Lease, orders},
     request::callers,
 };
 
@@ -99,7 +101,7 @@
             let listener = listen("metrics", address);
             listener.map_err(|e| note_port_taken(port, &e)).ok()
         });
-        let feeds = feed_port::open(&core).map_err(|source| StartError {
+        let feeds = feed_server::open(&core).map_err(|source| StartError {
             what: "feeds for other entries",
             address: inner,
             source,
@@ -115,13 +117,15 @@
             let serve = serve_ops(ops, executor.clone(), state.clone());
             executor.spawn(serve).detach();
         }
-        executor.spawn(follow::follow_configuration(core.clone())).detach();
-        executor.spawn(follow::follow_backends(core.clone())).detach();
-        executor.spawn(feed_port::serve(core.clone(), feeds)).detach();
+        executor
+            .spawn(feed_follower::follow_configuration(core.clone()))
+            .detach();
+        executor.spawn(feed_follower::follow_backends(core.clone())).detach();
+        executor.spawn(feed_server::serve(core.clone(), feeds)).detach();
         executor.spawn(peers::run(core.clone(), socket)).detach();
-        executor.spawn(engine_watch::run(core.clone())).detach();
+        executor.spawn(engine_watcher::run(core.clone())).detach();
         executor.spawn(probe::recheck(core.clone())).detach();
-        executor.spawn(place::run(core.clone(), lease.clone())).detach();
+        executor.spawn(orders::run(core.clone(), lease.clone())).detach();
         let seek = {
             let (core, lease) = (core.clone(), lease.clone());
             async move { lease.run(core).await }
@@ -275,7 +279,7 @@
 
 /// What the entry knows, for operators.
 fn status(core: &Core) -> serde_json::Value {
-    let engine = |engine: Arc<crate::known::engine::Engine>| {
+    let engine = |engine: Arc<crate::cluster::engine::Engine>| {
         let state = engine.lock();
         serde_json::json!({
             "id": engine.id,
@@ -295,7 +299,7 @@
         })
     };
     let is_watched =
-        |e: &Arc<crate::known::engine::Engine>| e.is_watched.load(Relaxed);
+        |e: &Arc<crate::cluster::engine::Engine>| e.is_watched.load(Relaxed);
     let watched = core.fleet.all().iter().filter(|e| is_watched(e)).count();
     let engines: Vec<_> = core.fleet.all().into_iter().map(engine).collect();
     let left = |(service, left): (String, f64)| serde_json::json!({"service": service, "left": left.floor()});
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -11,8 +11,8 @@
 //! |---|---|
 //! | [`entry`] | starting and stopping an entry |
 //! | `request` | the way of a request |
-//! | `known` | what an entry knows, and from whom |
-//! | `orders` | who plans, and the orders |
+//! | `cluster` | what an entry knows, and from whom |
+//! | `placement` | who plans, and the orders |
 //! | `core` | what the tasks of an entry share |
 //! | `by_service`, `nudges`, `rate`, `clock` | small parts of these |
 //!
@@ -30,11 +30,11 @@
 
 mod by_service;
 mod clock;
+mod cluster;
 mod core;
 pub mod entry;
-mod known;
 mod nudges;
-mod orders;
+mod placement;
 mod rate;
 mod request;
 
--- a/crates/direct/src/orders.rs
+++ b/crates/direct/src/placement.rs
@@ -3,9 +3,9 @@
 //! | module | what it holds |
 //! |---|---|
 //! | `lease` | the lease of the planner |
-//! | `mandate` | by what right this entry orders now |
-//! | `place` | the orders |
+//! | `authority` | by what right this entry orders now |
+//! | `orders` | the orders |
 
+pub(crate) mod authority;
 pub(crate) mod lease;
-pub(crate) mod mandate;
-pub(crate) mod place;
+pub(crate) mod orders;
--- a/crates/direct/src/orders/mandate.rs
+++ b/crates/direct/src/placement/authority.rs
@@ -4,7 +4,7 @@
 use chestnutreach_state::FencingNumber;
 use chestnutreach_telemetry::{Event, emit};
 
-use crate::{core::Core, orders::lease::Lease};
+use crate::{core::Core, placement::lease::Lease};
 
 /// By what right this entry gives orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/crates/direct/src/orders/place.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -22,14 +22,14 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         engine::{Engine, Evidence},
         probe,
     },
-    orders::{
+    core::Core,
+    placement::{
+        authority::{Mandate, note_mandate},
         lease::Lease,
-        mandate::{Mandate, note_mandate},
     },
     request::exchange::{self, within},
 };
--- a/crates/direct/src/request/crossing.rs
+++ b/crates/direct/src/request/crossing.rs
@@ -4,7 +4,7 @@
 
 use chestnutreach_routing::{CrossingBounds, CrossingPart};
 
-use crate::{clock::now_ms, known::peer_table::PeerTable, rate::Rate};
+use crate::{clock::now_ms, cluster::peer_table::PeerTable, rate::Rate};
 
 /// What was sent of late, and what is left of this entry's part.
 #[derive(Debug, Default)]
--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -16,7 +16,7 @@
 };
 use futures_lite::FutureExt as _;
 
-use crate::known::engine::Engine;
+use crate::cluster::engine::Engine;
 
 /// Time for dialling; a machine without power does not answer at all.
 pub(crate) const DIAL: Duration = Duration::from_millis(150);
--- a/crates/direct/src/request/isolation.rs
+++ b/crates/direct/src/request/isolation.rs
@@ -16,11 +16,11 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         engine::Engine,
         suspects::{self, BrokenRun, TrialHold},
     },
+    core::Core,
     request::{admit::Admitted, answer::Reason, fingerprint},
 };
 
--- a/crates/direct/src/request/path.rs
+++ b/crates/direct/src/request/path.rs
@@ -5,7 +5,7 @@
 use chestnutreach_adapter::engine::path_value;
 use chestnutreach_site::{LayerRange, Model};
 
-use crate::known::engine::{Engine, Hold};
+use crate::cluster::engine::{Engine, Hold};
 
 /// One engine of a path and the layers that it runs.
 #[derive(Clone, Debug)]
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -21,11 +21,11 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         engine::{Engine, Hold},
         notices::{self, Answered},
     },
+    core::Core,
     request::{
         admit::Admitted,
         answer::{
--- a/crates/direct/src/request/plain/seek.rs
+++ b/crates/direct/src/request/plain/seek.rs
@@ -13,8 +13,8 @@
 use super::Run;
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, fleet::may_be_asked, permits},
     core::Core,
-    known::{engine::Engine, fleet::may_be_asked, permits},
     request::{
         admit::Admitted,
         answer::{Reason, rest_come_back_ms},
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -14,11 +14,11 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         engine::{Engine, EngineState},
         fleet::{Fleet, OfService, may_be_asked, takes_work},
     },
+    core::Core,
     request::path::{Path, Stage},
 };
 
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -20,11 +20,11 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         engine::{Engine, Hold},
         probe,
     },
+    core::Core,
     nudges::Listed,
     request::{
         admit::Admitted,
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     clock::now_ms,
-    known::{
+    cluster::{
         notices::{self, Answered},
         probe,
     },
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -14,7 +14,7 @@
 use super::{FIRST, Stream};
 use crate::{
     clock::now_ms,
-    known::permits,
+    cluster::permits,
     request::{
         answer::rest_come_back_ms,
         path::Path,
--- a/crates/direct/src/request/stream/told.rs
+++ b/crates/direct/src/request/stream/told.rs
@@ -5,7 +5,7 @@
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Stream;
-use crate::{clock::now_ms, known::engine::Engine, request::path::Path};
+use crate::{clock::now_ms, cluster::engine::Engine, request::path::Path};
 
 impl Stream<'_> {
     pub(super) fn note_sent(&self) {
--- a/crates/direct/src/request/stream/watch.rs
+++ b/crates/direct/src/request/stream/watch.rs
@@ -15,7 +15,7 @@
 use super::Stream;
 use crate::{
     clock::now_ms,
-    known::probe,
+    cluster::probe,
     request::{
         exchange::{self, within},
         path::{Path, Stage},
