--- a/crates/direct/src/cluster/alerts.rs
+++ b/crates/direct/src/cluster/alerts.rs
@@ -37,7 +37,7 @@
 
     /// What engines said, as it is told.
     pub(crate) fn notices(&self, core: &Core) -> Vec<EngineNotice> {
-        let (listed, now_ms) = (core.fleet.listed(), now_ms());
+        let (listed, now_ms) = (core.fleet.index(), now_ms());
         let news = |hash| permits::news_of(listed.by_hash.get(hash)?, now_ms);
         self.notices.iter().filter_map(news).collect()
     }
@@ -69,25 +69,25 @@
     }
 
     /// Tells of an engine with the next alert.
-    pub(crate) fn tell(&self, news: EngineUse) {
+    pub(crate) fn queue_engine(&self, news: EngineUse) {
         self.lock().engines.insert(news.engine, news);
         self.wake();
     }
 
     /// Tells of a request under which engines crashed.
-    pub(crate) fn tell_suspect(&self, request: Fingerprint) {
+    pub(crate) fn queue_suspect(&self, request: Fingerprint) {
         self.lock().suspects.insert(request);
         self.wake();
     }
 
     /// Tells that a request is on trial at an engine, or no longer.
-    pub(crate) fn tell_trial(&self, of: Fingerprint, engine: Option<u32>) {
+    pub(crate) fn queue_trial(&self, of: Fingerprint, engine: Option<u32>) {
         self.lock().trials.insert(of, engine);
         self.wake();
     }
 
     /// Tells of what an engine said of itself.
-    pub(crate) fn tell_notice(&self, engine: u32) {
+    pub(crate) fn queue_notice(&self, engine: u32) {
         self.lock().notices.insert(engine);
         self.wake();
     }
--- a/crates/direct/src/cluster/engine.rs
+++ b/crates/direct/src/cluster/engine.rs
@@ -58,7 +58,7 @@
     pub(crate) is_watched: AtomicBool,
     /// How streams that were sent to it first were answered. An engine that
     /// fails at once looks idle, and would be chosen ever more often.
-    pub(crate) answers: Health,
+    pub(crate) circuit: Health,
     /// What it said of itself in answers.
     pub(crate) notices: Notices,
     state: Mutex<EngineState>,
@@ -70,7 +70,7 @@
     pub(crate) row: Backend,
     pub(crate) row_version: u64,
     /// It has left the list, or another one has its address.
-    pub(crate) is_gone: bool,
+    pub(crate) is_removed: bool,
     /// A later start has its id: its process has ended.
     pub(crate) is_replaced: bool,
     /// What the list has under its id is no row of an engine, so that it gets
@@ -80,10 +80,10 @@
     /// Above 1 for one that is slow.
     pub(crate) slowness: f64,
     /// It refused for lack of room, or failed; no work until then.
-    pub(crate) avoided_until_ms: u64,
+    pub(crate) backoff_until_ms: u64,
     /// It asked this entry to send it nothing until then. It is still used
     /// for later parts of paths: those do not reach it from this entry.
-    pub(crate) rest_until_ms: u64,
+    pub(crate) cooldown_until_ms: u64,
     /// When a connection was last made.
     pub(crate) reached_ms: u64,
     /// Dials that reached it since work last flowed through it.
@@ -98,13 +98,13 @@
     pub(crate) failures: u32,
     /// Orders that it had begun when it last reported.
     pub(crate) orders_begun: u64,
-    others: BTreeMap<u64, Use>,
+    others: BTreeMap<u64, EngineUsage>,
     /// When it was first seen leaving.
     pub(crate) leaving_since_ms: Option<u64>,
     /// It said so itself in an answer, which holds as long as this start.
     pub(crate) has_said_leaving: bool,
     /// Layers to which the planner is moving it.
-    pub(crate) moving: Option<LayerRange>,
+    pub(crate) planned_layers: Option<LayerRange>,
 }
 
 impl EngineState {
@@ -115,15 +115,15 @@
     }
 
     /// Whether some of these layers are about to be given up.
-    pub(crate) fn gives_up(&self, layers: LayerRange) -> bool {
-        self.moving.is_some_and(|to| !to.contains(layers))
+    pub(crate) fn will_release(&self, layers: LayerRange) -> bool {
+        self.planned_layers.is_some_and(|to| !to.contains(layers))
     }
 
     /// Layers that new requests may use: not those that an order is about to
     /// take away.
-    pub(crate) fn lasting_layers(&self) -> Option<LayerRange> {
+    pub(crate) fn retained_layers(&self) -> Option<LayerRange> {
         let held = self.row.held?;
-        match self.moving {
+        match self.planned_layers {
             Some(to) => held.shared(to),
             None => Some(held),
         }
@@ -132,8 +132,8 @@
     /// Takes what the planner tells of its moves; true if that is new.
     pub(crate) fn take_move(&mut self, to: Option<LayerRange>) -> bool {
         let to = to.filter(|to| self.row.held != Some(*to));
-        let is_new = to.is_some() && self.moving != to;
-        self.moving = to;
+        let is_new = to.is_some() && self.planned_layers != to;
+        self.planned_layers = to;
         is_new
     }
 
@@ -158,21 +158,21 @@
     }
 
     /// Whether it asked this entry to send it nothing now.
-    pub(crate) fn is_at_rest(&self, now_ms: u64) -> bool {
-        now_ms < self.rest_until_ms
+    pub(crate) fn is_in_cooldown(&self, now_ms: u64) -> bool {
+        now_ms < self.cooldown_until_ms
     }
 
     /// Takes that it asked for rest; of several, the latest end counts.
-    pub(crate) fn take_rest(&mut self, rest_ms: u64, now_ms: u64) {
-        self.rest_until_ms = self.rest_until_ms.max(now_ms + rest_ms);
+    pub(crate) fn enter_cooldown(&mut self, rest_ms: u64, now_ms: u64) {
+        self.cooldown_until_ms = self.cooldown_until_ms.max(now_ms + rest_ms);
     }
 
     /// Keeps work away, for longer with each refusal in a row: what the list
     /// says of it may be outdated for as long as the store is away.
-    pub(crate) fn avoid_longer(&mut self, now_ms: u64, least_ms: u64) {
+    pub(crate) fn back_off(&mut self, now_ms: u64, least_ms: u64) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        self.avoided_until_ms = now_ms + (least_ms << doublings);
+        self.backoff_until_ms = now_ms + (least_ms << doublings);
     }
 
     /// Takes what the list says.
@@ -186,19 +186,19 @@
         };
         if self.row.held != row.held {
             self.failures = 0;
-            self.avoided_until_ms = 0;
-            self.moving = None;
+            self.backoff_until_ms = 0;
+            self.planned_layers = None;
         }
         self.row = row;
         self.row_version = version;
-        self.is_gone = false;
+        self.is_removed = false;
         self.is_row_unusable = false;
     }
 }
 
 /// Of which start of a backend server something tells.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Told {
+pub(crate) enum StartOrder {
     /// Of one before, or of none where the start is known: it holds no more.
     Earlier,
     Same,
@@ -206,20 +206,20 @@
     Later,
 }
 
-impl Told {
+impl StartOrder {
     /// Compares the start that is told with the one that is known.
-    pub(crate) fn of(told: Option<u64>, known: Option<u64>) -> Told {
+    pub(crate) fn of(told: Option<u64>, known: Option<u64>) -> StartOrder {
         match told.cmp(&known) {
-            Ordering::Less => Told::Earlier,
-            Ordering::Equal => Told::Same,
-            Ordering::Greater => Told::Later,
+            Ordering::Less => StartOrder::Earlier,
+            Ordering::Equal => StartOrder::Same,
+            Ordering::Greater => StartOrder::Later,
         }
     }
 }
 
 /// What an entry uses of a backend server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Use {
+pub(crate) struct EngineUsage {
     pub(crate) kilo_token_layers: u32,
     pub(crate) first_count: u32,
     pub(crate) work_ms_per_s: u32,
@@ -260,18 +260,18 @@
             progress_ms: AtomicU64::new(0),
             is_probing: AtomicBool::new(false),
             is_watched: AtomicBool::new(false),
-            answers: Health::new(),
+            circuit: Health::new(),
             notices: Notices::default(),
             state: Mutex::new(EngineState {
                 row,
                 row_version,
-                is_gone: false,
+                is_removed: false,
                 is_replaced: false,
                 is_row_unusable: false,
                 suspicion: None,
                 slowness: 1.0,
-                avoided_until_ms: 0,
-                rest_until_ms: 0,
+                backoff_until_ms: 0,
+                cooldown_until_ms: 0,
                 reached_ms: 0,
                 dials_in_vain: 0,
                 alerted_ms: 0,
@@ -282,7 +282,7 @@
                 others: BTreeMap::new(),
                 leaving_since_ms: None,
                 has_said_leaving: false,
-                moving: None,
+                planned_layers: None,
             }),
         }
     }
@@ -297,7 +297,7 @@
     }
 
     /// Memory that requests use, where so many entries have not told.
-    pub(crate) fn planned_token_layers(&self, untold_entries: u64) -> u64 {
+    pub(crate) fn estimated_token_layers(&self, untold_entries: u64) -> u64 {
         let own = self.own_token_layers.load(Relaxed);
         let told = self.others_token_layers.load(Relaxed);
         KnownUse { own, told, untold_entries }.planned()
@@ -308,9 +308,9 @@
     }
 
     /// What this entry uses, as it tells the others.
-    pub(crate) fn own_use(&self, now_ms: u64) -> Use {
+    pub(crate) fn own_usage(&self, now_ms: u64) -> EngineUsage {
         let used = self.own_token_layers.load(Relaxed).div_ceil(TOLD_UNIT);
-        Use {
+        EngineUsage {
             kilo_token_layers: used as u32,
             first_count: self.own_first.load(Relaxed) as u32,
             work_ms_per_s: self.own_work.per_s(now_ms) as u32,
@@ -318,18 +318,22 @@
     }
 
     /// Counts reading that a request brings, at the engine's usual pace.
-    pub(crate) fn note_work(&self, work_ms: f64, now_ms: u64) {
+    pub(crate) fn record_prefill(&self, work_ms: f64, now_ms: u64) {
         self.own_work.note(work_ms, now_ms);
     }
 
     /// Share of its time that reading takes at its usual pace.
-    pub(crate) fn reading_share(&self, now_ms: u64) -> f64 {
+    pub(crate) fn prefill_utilisation(&self, now_ms: u64) -> f64 {
         let others = self.others_work_ms_per_s.load(Relaxed) as f64;
         (self.own_work.per_s(now_ms) + others) / 1e3
     }
 
     /// Takes what another entry uses; none once it has gone.
-    pub(crate) fn set_other(&self, boot_id: u64, told: Option<Use>) {
+    pub(crate) fn set_peer_usage(
+        &self,
+        boot_id: u64,
+        told: Option<EngineUsage>,
+    ) {
         let mut state = self.lock();
         let old = match told {
             Some(told) => state.others.insert(boot_id, told),
@@ -337,23 +341,24 @@
         };
         let (old, new) = (old.unwrap_or_default(), told.unwrap_or_default());
         // Under the lock: the sums are those of the map.
-        let change = |sum: &AtomicU64, of: fn(&Use) -> u32, unit: u64| {
-            let (old, new) = (u64::from(of(&old)), u64::from(of(&new)));
-            let others = sum.load(Relaxed) - old * unit;
-            sum.store(others + new * unit, Relaxed);
-        };
-        let memory = |told: &Use| told.kilo_token_layers;
+        let change =
+            |sum: &AtomicU64, of: fn(&EngineUsage) -> u32, unit: u64| {
+                let (old, new) = (u64::from(of(&old)), u64::from(of(&new)));
+                let others = sum.load(Relaxed) - old * unit;
+                sum.store(others + new * unit, Relaxed);
+            };
+        let memory = |told: &EngineUsage| told.kilo_token_layers;
         change(&self.others_token_layers, memory, TOLD_UNIT);
         change(&self.others_first, |told| told.first_count, 1);
         change(&self.others_work_ms_per_s, |told| told.work_ms_per_s, 1);
     }
 
-    pub(crate) fn note_progress(&self, now_ms: u64) {
+    pub(crate) fn record_progress(&self, now_ms: u64) {
         self.progress_ms.store(now_ms, Relaxed);
     }
 
     /// Whether work flowed through it or a dial reached it of late.
-    pub(crate) fn lives(&self, now_ms: u64, within_ms: u64) -> bool {
+    pub(crate) fn is_alive(&self, now_ms: u64, within_ms: u64) -> bool {
         let reached_ms = self.lock().reached_ms;
         self.quiet_ms(now_ms) < within_ms
             || now_ms.saturating_sub(reached_ms) < within_ms
@@ -366,38 +371,38 @@
 
     /// Takes the permit for a request that is sent to it now, where it needs
     /// one; false if there is none, or if it is at rest.
-    pub(crate) fn try_begin(&self, request: u64, now_ms: u64) -> bool {
-        !self.lock().is_at_rest(now_ms)
+    pub(crate) fn try_admit(&self, request: u64, now_ms: u64) -> bool {
+        !self.lock().is_in_cooldown(now_ms)
             && self.notices.try_take(request, now_ms)
     }
 
     pub(crate) fn is_suspect(&self) -> bool {
         let state = self.lock();
-        state.is_gone || state.suspicion.is_some()
+        state.is_removed || state.suspicion.is_some()
     }
 }
 
 /// Memory and a place that a request uses until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Hold {
+pub(crate) struct Reservation {
     engine: Arc<Engine>,
     token_layers: u64,
     is_first: bool,
 }
 
-impl Hold {
+impl Reservation {
     pub(crate) fn new(
         engine: &Arc<Engine>,
         token_layers: u64,
         is_first: bool,
-    ) -> Hold {
+    ) -> Reservation {
         engine.own_token_layers.fetch_add(token_layers, Relaxed);
         engine.own_first.fetch_add(is_first.into(), Relaxed);
-        Hold { engine: engine.clone(), token_layers, is_first }
+        Reservation { engine: engine.clone(), token_layers, is_first }
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let engine = &self.engine;
         engine.own_token_layers.fetch_sub(self.token_layers, Relaxed);
--- a/crates/direct/src/cluster/engine_watcher.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -94,7 +94,7 @@
 fn is_watchable(core: &Core, engine: &Engine) -> bool {
     let state = engine.lock();
     let is_model_engine = state.row.kind.is_some();
-    is_model_engine && !state.is_gone && core.has_service(&engine.service)
+    is_model_engine && !state.is_removed && core.has_service(&engine.service)
 }
 
 async fn watch(core: Arc<Core>, engine: Arc<Engine>) {
@@ -110,7 +110,7 @@
                 // Idle for long, or its process has ended: the next dial
                 // shows.
             }
-            Err(e) => probe::note_unreached(&core, &engine, &e),
+            Err(e) => probe::record_unreachable(&core, &engine, &e),
         }
         if now_ms() - since_ms >= LIVES_MS {
             short_lived = 0;
--- a/crates/direct/src/cluster/feed_follower.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -132,7 +132,7 @@
                 Source::Store => self.ask_store(is_shared).await,
                 Source::Entry(entry) => self.ask_entry(entry).await,
             };
-            self.feed().note(source, outcome);
+            self.feed().record_outcome(source, outcome);
             self.pause(source, outcome).await;
         }
     }
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -85,7 +85,7 @@
 }
 
 async fn wait_for_news(feed: &Feed, after: u64, wait: Duration) {
-    let listed = feed.news.list();
+    let listed = feed.changed.list();
     if feed.version().is_some() && feed.has_news(after) {
         return;
     }
--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -66,7 +66,7 @@
     /// Boot id of the entry that is asked; 0 for the store.
     asks: AtomicU64,
     /// Those who wait for a change.
-    pub(crate) news: Nudges,
+    pub(crate) changed: Nudges,
 }
 
 impl Feed {
@@ -79,7 +79,7 @@
             confirmed_ms: AtomicU64::new(0),
             back_ms: AtomicU64::new(0),
             asks: AtomicU64::new(0),
-            news: Nudges::default(),
+            changed: Nudges::default(),
         }
     }
 
@@ -114,7 +114,7 @@
         self.sources().note_asked(now_ms());
     }
 
-    pub(crate) fn note(&self, source: Source, outcome: Outcome) {
+    pub(crate) fn record_outcome(&self, source: Source, outcome: Outcome) {
         self.sources().note(source, outcome, now_ms());
     }
 
@@ -144,7 +144,7 @@
     pub(crate) fn replace(&self, rows: &Rows) -> bool {
         let changes = rows.rows.iter().map(change_of).collect();
         let is_taken = self.copy().replace(changes, rows.version);
-        self.news.nudge_all();
+        self.changed.nudge_all();
         is_taken
     }
 
@@ -153,7 +153,7 @@
         let changes = rows.rows.iter().map(change_of).collect();
         self.copy().extend(changes, rows.version);
         if !rows.rows.is_empty() {
-            self.news.nudge_all();
+            self.changed.nudge_all();
         }
     }
 
--- a/crates/direct/src/cluster/fleet.rs
+++ b/crates/direct/src/cluster/fleet.rs
@@ -14,7 +14,7 @@
 use chestnutreach_site::{Backend, BackendState, LayerRange};
 use chestnutreach_telemetry::{Event, emit};
 
-use crate::cluster::engine::{Engine, EngineState, Told};
+use crate::cluster::engine::{Engine, EngineState, StartOrder};
 
 /// All backend servers by id.
 #[derive(Debug, Default)]
@@ -22,33 +22,33 @@
     engines: Mutex<BTreeMap<String, Arc<Engine>>>,
     /// The same as the path of a request reads them; none once they changed,
     /// until they are next read.
-    listed: ArcSwapOption<Listed>,
+    listed: ArcSwapOption<FleetIndex>,
     /// Latest end of a rest that any of them asked for.
     rest_until_ms: AtomicU64,
 }
 
 /// Backend servers by what they are sought by.
 #[derive(Debug, Default)]
-pub(crate) struct Listed {
-    services: BTreeMap<String, Arc<OfService>>,
+pub(crate) struct FleetIndex {
+    services: BTreeMap<String, Arc<ServiceEngines>>,
     /// By the short form of the incarnation.
     pub(crate) by_hash: BTreeMap<u32, Arc<Engine>>,
 }
 
 /// The backend servers of a service.
 #[derive(Debug, Default)]
-pub(crate) struct OfService {
+pub(crate) struct ServiceEngines {
     pub(crate) all: Vec<Arc<Engine>>,
     /// By data centre.
-    pub(crate) here: Vec<Vec<Arc<Engine>>>,
+    pub(crate) by_data_centre: Vec<Vec<Arc<Engine>>>,
 }
 
-impl OfService {
+impl ServiceEngines {
     fn add(&mut self, engine: &Arc<Engine>) {
         let data_centre = engine.data_centre;
-        let count = self.here.len().max(data_centre + 1);
-        self.here.resize_with(count, Vec::new);
-        self.here[data_centre].push(engine.clone());
+        let count = self.by_data_centre.len().max(data_centre + 1);
+        self.by_data_centre.resize_with(count, Vec::new);
+        self.by_data_centre[data_centre].push(engine.clone());
         self.all.push(engine.clone());
     }
 }
@@ -77,28 +77,30 @@
     }
 
     /// The backend servers of a service.
-    pub(crate) fn of_service(&self, service: &str) -> Arc<OfService> {
-        self.listed().services.get(service).cloned().unwrap_or_default()
+    pub(crate) fn of_service(&self, service: &str) -> Arc<ServiceEngines> {
+        self.index().services.get(service).cloned().unwrap_or_default()
     }
 
     /// All backend servers, for look-ups.
-    pub(crate) fn listed(&self) -> Arc<Listed> {
+    pub(crate) fn index(&self) -> Arc<FleetIndex> {
         match &*self.listed.load() {
             Some(listed) => listed.clone(),
             None => self.list(),
         }
     }
 
-    fn list(&self) -> Arc<Listed> {
+    fn list(&self) -> Arc<FleetIndex> {
         let engines = self.lock();
-        let mut of_services: BTreeMap<String, OfService> = BTreeMap::new();
+        let mut of_services: BTreeMap<String, ServiceEngines> =
+            BTreeMap::new();
         for engine in engines.values() {
             let service = engine.service.clone();
             of_services.entry(service).or_default().add(engine);
         }
-        let shared = |(name, of): (String, OfService)| (name, Arc::new(of));
+        let shared =
+            |(name, of): (String, ServiceEngines)| (name, Arc::new(of));
         let by_hash = engines.values().map(|e| (e.hash, e.clone()));
-        let listed = Arc::new(Listed {
+        let listed = Arc::new(FleetIndex {
             services: of_services.into_iter().map(shared).collect(),
             by_hash: by_hash.collect(),
         });
@@ -107,16 +109,19 @@
         listed
     }
 
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<Arc<Engine>> {
+    pub(crate) fn by_address(
+        &self,
+        address: SocketAddr,
+    ) -> Option<Arc<Engine>> {
         let engines = self.lock();
         let mut here = engines
             .values()
-            .filter(|e| e.address == address && !e.lock().is_gone);
+            .filter(|e| e.address == address && !e.lock().is_removed);
         here.next().cloned()
     }
 
     /// The engine of this start.
-    pub(crate) fn incarnation(&self, name: &str) -> Option<Arc<Engine>> {
+    pub(crate) fn by_incarnation(&self, name: &str) -> Option<Arc<Engine>> {
         let engines = self.lock();
         engines.values().find(|e| e.incarnation == name).cloned()
     }
@@ -131,17 +136,17 @@
         is_whole: bool,
     ) -> Applied {
         let known = self.get(&row.id);
-        let told = known.as_ref().map_or(Told::Later, |known| {
-            Told::of(row.started_unix_ms, known.started_unix_ms)
+        let told = known.as_ref().map_or(StartOrder::Later, |known| {
+            StartOrder::of(row.started_unix_ms, known.started_unix_ms)
         });
-        if told == Told::Earlier {
+        if told == StartOrder::Earlier {
             return Applied::OfEarlierStart;
         }
         if known.is_some() || !is_whole {
             note_listed(&row, row_version, known.as_deref());
         }
         if let Some(engine) = &known
-            && told == Told::Same
+            && told == StartOrder::Same
         {
             let mut state = engine.lock();
             if row_version >= state.row_version {
@@ -153,8 +158,8 @@
             old.lock().is_replaced = true;
         }
         // Another one at the same address: the old one has ended.
-        for old in known.into_iter().chain(self.at(row.address)) {
-            old.lock().is_gone = true;
+        for old in known.into_iter().chain(self.by_address(row.address)) {
+            old.lock().is_removed = true;
         }
         let engine = Arc::new(Engine::new(row, row_version, data_centre));
         let mut engines = self.lock();
@@ -174,7 +179,7 @@
 
     /// Takes the moves of engines of which the planner tells, by their short
     /// ids; true if one of them is new.
-    pub(crate) fn take_moves(&self, moves: &[OpenMove]) -> bool {
+    pub(crate) fn apply_moves(&self, moves: &[OpenMove]) -> bool {
         let mut is_any_new = false;
         for engine in self.all() {
             let told = moves.iter().find(|told| told.engine == engine.hash);
@@ -186,7 +191,7 @@
     }
 
     /// A backend server asked for rest until then.
-    pub(crate) fn note_rest(&self, until_ms: u64) {
+    pub(crate) fn record_cooldown(&self, until_ms: u64) {
         self.rest_until_ms.fetch_max(until_ms, Relaxed);
     }
 
@@ -194,7 +199,7 @@
     /// asked but for their rest; none where one can be asked now, or there is
     /// none. Requests that wait look often, so nothing is looked through while
     /// none rests.
-    pub(crate) fn ready_in_ms<'a>(
+    pub(crate) fn cooldown_left_ms<'a>(
         &self,
         engines: impl Iterator<Item = &'a Arc<Engine>>,
         now_ms: u64,
@@ -204,8 +209,8 @@
         }
         let left_ms = |engine: &Arc<Engine>| {
             let state = engine.lock();
-            takes_work(&state, now_ms)
-                .then(|| state.rest_until_ms.saturating_sub(now_ms))
+            accepts_work(&state, now_ms)
+                .then(|| state.cooldown_until_ms.saturating_sub(now_ms))
         };
         engines.filter_map(left_ms).min().filter(|left_ms| *left_ms > 0)
     }
@@ -217,25 +222,25 @@
             self.listed.store(None);
             engines.remove(id)?
         };
-        engine.lock().is_gone = true;
+        engine.lock().is_removed = true;
         Some(engine)
     }
 }
 
 /// Whether a backend server may get new work.
-pub(crate) fn takes_work(state: &EngineState, now_ms: u64) -> bool {
+pub(crate) fn accepts_work(state: &EngineState, now_ms: u64) -> bool {
     state.row.state == BackendState::Ready
         && !state.has_said_leaving
-        && !state.is_gone
+        && !state.is_removed
         && !state.is_row_unusable
         && state.suspicion.is_none()
-        && state.avoided_until_ms <= now_ms
+        && state.backoff_until_ms <= now_ms
 }
 
 /// Whether a backend server may get new work of this entry itself, rather
 /// than of another server.
-pub(crate) fn may_be_asked(state: &EngineState, now_ms: u64) -> bool {
-    takes_work(state, now_ms) && !state.is_at_rest(now_ms)
+pub(crate) fn accepts_requests(state: &EngineState, now_ms: u64) -> bool {
+    accepts_work(state, now_ms) && !state.is_in_cooldown(now_ms)
 }
 
 fn note_listed(row: &Backend, row_version: u64, known: Option<&Engine>) {
--- a/crates/direct/src/cluster/notices.rs
+++ b/crates/direct/src/cluster/notices.rs
@@ -20,7 +20,7 @@
 
 mod apply;
 
-pub(crate) use apply::{Answered, hear, take};
+pub(crate) use apply::{ResponseContext, apply_peer_notice, apply_response};
 
 /// Time over which requests of this entry are counted for the logs.
 const SENT_WINDOW_MS: u64 = 4_000;
@@ -82,7 +82,7 @@
     }
 
     /// A request of this entry goes to the server.
-    pub(crate) fn note_sent(&self, now_ms: u64) {
+    pub(crate) fn record_sent(&self, now_ms: u64) {
         self.lock().sent_of_late(now_ms).push_back(now_ms);
     }
 
@@ -108,7 +108,7 @@
 
     /// Notes a request that would be sent if there were a permit; whether one
     /// may come in a moment.
-    pub(crate) fn want(&self, want: Want, now_ms: u64) -> bool {
+    pub(crate) fn request_permit(&self, want: Want, now_ms: u64) -> bool {
         self.is_limited.load(Relaxed) && self.lock().permits.want(want, now_ms)
     }
 
@@ -162,7 +162,7 @@
 
     /// What other entries are told: a limit that holds, or that ended of
     /// late.
-    pub(crate) fn news(&self, now_ms: u64) -> Option<EngineNotice> {
+    pub(crate) fn peer_notice(&self, now_ms: u64) -> Option<EngineNotice> {
         let state = self.lock();
         let in_force = state.limit.in_force();
         let is_ended_of_late = state
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -27,7 +27,7 @@
 
 /// The head of an answer, with what it answers.
 #[derive(Clone, Copy)]
-pub(crate) struct Answered<'a> {
+pub(crate) struct ResponseContext<'a> {
     pub(crate) request: &'a str,
     /// When the request was sent.
     pub(crate) sent_ms: u64,
@@ -35,7 +35,11 @@
 }
 
 /// Takes what an answer says of its server.
-pub(crate) fn take(core: &Core, engine: &Engine, answered: &Answered<'_>) {
+pub(crate) fn apply_response(
+    core: &Core,
+    engine: &Engine,
+    answered: &ResponseContext<'_>,
+) {
     if answered.head.status == MISDIRECTED {
         return;
     }
@@ -69,7 +73,7 @@
 }
 
 /// Takes a rest that a server wants.
-fn take_rest(core: &Core, engine: &Engine, answered: &Answered<'_>) {
+fn take_rest(core: &Core, engine: &Engine, answered: &ResponseContext<'_>) {
     let head = answered.head;
     let rest = match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
         RestNotice::None => return,
@@ -80,10 +84,10 @@
     let rest_ms = rest.as_millis() as u64;
     let until_ms = {
         let mut state = engine.lock();
-        state.take_rest(rest_ms, now_ms);
-        state.rest_until_ms
+        state.enter_cooldown(rest_ms, now_ms);
+        state.cooldown_until_ms
     };
-    core.fleet.note_rest(until_ms);
+    core.fleet.record_cooldown(until_ms);
     core.metrics.rests_asked.inc();
     emit(
         Event::RestAsked,
@@ -118,7 +122,7 @@
     core.permits.note_change(engine.hash);
     core.streams.nudge_all();
     if source == OWN {
-        core.alerts.tell_notice(engine.hash);
+        core.alerts.queue_notice(engine.hash);
     }
     let listed_ms = listed_ms.map_or_else(String::new, |ms| ms.to_string());
     emit(
@@ -133,7 +137,11 @@
 }
 
 /// Takes what another entry tells of what a server said.
-pub(crate) fn hear(core: &Core, engine: &Engine, told: &EngineNotice) {
+pub(crate) fn apply_peer_notice(
+    core: &Core,
+    engine: &Engine,
+    told: &EngineNotice,
+) {
     if told.is_leaving {
         take_leaving(core, engine, "", TOLD);
     }
@@ -183,7 +191,7 @@
         return;
     }
     if source.name == OWN {
-        core.alerts.tell_notice(engine.hash);
+        core.alerts.queue_notice(engine.hash);
     }
     match change {
         Change::Ended(named_ms) => {
--- a/crates/direct/src/cluster/peer_table.rs
+++ b/crates/direct/src/cluster/peer_table.rs
@@ -152,13 +152,13 @@
 
     /// Entries that are listed and have not told anything; none where no
     /// other is listed.
-    pub(crate) fn untold_count(&self) -> usize {
+    pub(crate) fn without_report_count(&self) -> usize {
         self.lock().values().filter(|p| p.boot_id == 0).count()
     }
 
     /// What others sent to a service within the window, as they told.
     /// Empty where an entry that is listed has not told.
-    pub(crate) fn others_sent(&self, service: &str) -> Vec<Sent> {
+    pub(crate) fn sent_by_peers(&self, service: &str) -> Vec<Sent> {
         if self.lock().values().any(|peer| peer.boot_id == 0) {
             return Vec::new();
         }
@@ -187,7 +187,11 @@
     /// Whether a process has the lowest number of those that are heard and
     /// go on. Not one that hears fewer than half of them: it is rather cut
     /// off itself.
-    pub(crate) fn comes_first(&self, boot_id: u64, now_ms: u64) -> bool {
+    pub(crate) fn has_lowest_boot_id(
+        &self,
+        boot_id: u64,
+        now_ms: u64,
+    ) -> bool {
         let peers = self.lock();
         let counts = Counts::of(&peers, &self.data_centre);
         let is_heard =
@@ -250,7 +254,7 @@
     }
 
     /// Other entries that told of late that they send between data centres.
-    pub(crate) fn crossing_count(&self, now_ms: u64) -> usize {
+    pub(crate) fn interconnect_user_count(&self, now_ms: u64) -> usize {
         let crosses = |peer: &&Peer| {
             let at_ms = peer.crossed_ms;
             at_ms > 0 && now_ms.saturating_sub(at_ms) < CROSSES_MS
--- a/crates/direct/src/cluster/peer_usage.rs
+++ b/crates/direct/src/cluster/peer_usage.rs
@@ -7,11 +7,11 @@
 
 /// Short hashes of engines, by the boot id of who told.
 #[derive(Debug, Default)]
-pub(crate) struct ToldUse {
+pub(crate) struct PeerUsage {
     engines: Mutex<BTreeMap<u64, BTreeSet<u32>>>,
 }
 
-impl ToldUse {
+impl PeerUsage {
     /// Takes the engines that an entry uses now; those that it no longer
     /// does.
     pub(crate) fn replace(
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -28,7 +28,7 @@
     clock::now_ms,
     cluster::{
         alerts::percent,
-        engine::{Engine, Use},
+        engine::{Engine, EngineUsage},
         peer_table::{Heard, Silent},
         permits, probe, suspects,
     },
@@ -137,14 +137,15 @@
 
 fn own_state(core: &Core, sequence: u64) -> PeerState {
     let engine_use = |engine: Arc<Engine>| {
-        let used = engine.own_use(now_ms());
+        let used = engine.own_usage(now_ms());
         let (is_suspect, slowness) = {
             let state = engine.lock();
             (state.suspicion.is_some(), state.slowness)
         };
         // Who watches it repeats how slow it is, for those who missed it.
         let is_told_slow = slowness > 1.0 && engine.is_watched.load(Relaxed);
-        let is_told = used != Use::default() || is_suspect || is_told_slow;
+        let is_told =
+            used != EngineUsage::default() || is_suspect || is_told_slow;
         is_told.then_some(EngineUse {
             engine: engine.hash,
             used_kilo_token_layers: used.kilo_token_layers,
@@ -230,27 +231,27 @@
 }
 
 fn take_use(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     let told: BTreeSet<u32> = state.engines.iter().map(|u| u.engine).collect();
-    for hash in core.told_use.replace(state.boot_id, told) {
+    for hash in core.peer_usage.replace(state.boot_id, told) {
         if let Some(engine) = listed.by_hash.get(&hash) {
-            engine.set_other(state.boot_id, None);
+            engine.set_peer_usage(state.boot_id, None);
         }
     }
     for used in &state.engines {
         let Some(engine) = listed.by_hash.get(&used.engine) else { continue };
-        let told_use = Use {
+        let told_use = EngineUsage {
             kilo_token_layers: used.used_kilo_token_layers,
             first_count: used.first_count,
             work_ms_per_s: used.work_ms_per_s,
         };
-        engine.set_other(state.boot_id, Some(told_use));
+        engine.set_peer_usage(state.boot_id, Some(told_use));
         take_news(core, engine, used);
     }
 }
 
 fn take_alert(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     for told in &state.engines {
         let Some(engine) = listed.by_hash.get(&told.engine) else { continue };
         engine.lock().alerted_ms = now_ms();
@@ -312,10 +313,10 @@
 }
 
 fn forget_use(core: &Core, boot_id: u64) {
-    let listed = core.fleet.listed();
-    for hash in core.told_use.replace(boot_id, BTreeSet::new()) {
+    let listed = core.fleet.index();
+    for hash in core.peer_usage.replace(boot_id, BTreeSet::new()) {
         if let Some(engine) = listed.by_hash.get(&hash) {
-            engine.set_other(boot_id, None);
+            engine.set_peer_usage(boot_id, None);
         }
     }
 }
--- a/crates/direct/src/cluster/permits.rs
+++ b/crates/direct/src/cluster/permits.rs
@@ -138,20 +138,20 @@
 
 /// What is told of what a server said.
 pub(crate) fn news_of(engine: &Engine, now_ms: u64) -> Option<EngineNotice> {
-    let news = engine.notices.news(now_ms)?;
+    let news = engine.notices.peer_notice(now_ms)?;
     Some(EngineNotice { engine: engine.hash, ..news })
 }
 
 /// Waits a moment for a permit for a request that has another server as
 /// well; whether there is one.
-pub(crate) async fn passing(
+pub(crate) async fn await_permit(
     core: &Core,
     engine: &Engine,
     id: &str,
     want: Want,
 ) -> bool {
     let asked_ms = now_ms();
-    let has_permit = engine.notices.want(want, asked_ms)
+    let has_permit = engine.notices.request_permit(want, asked_ms)
         && comes_soon(core, engine, want, asked_ms).await;
     note_sought(engine, id, asked_ms, has_permit);
     has_permit
@@ -251,10 +251,10 @@
     if is_silent && core.permits.is_idle() {
         return;
     }
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     for notice in &told.notices {
         if let Some(engine) = listed.by_hash.get(&notice.engine) {
-            notices::hear(core, engine, notice);
+            notices::apply_peer_notice(core, engine, notice);
         }
     }
     let round = Round::new(core);
@@ -284,7 +284,7 @@
     /// Takes servers that said something new, and forgets those of which
     /// nothing is told any more.
     fn take_changes(&mut self, core: &Core, now_ms: u64) {
-        let listed = core.fleet.listed();
+        let listed = core.fleet.index();
         for hash in std::mem::take(&mut self.changed) {
             if let Some(engine) = listed.by_hash.get(&hash) {
                 self.told.insert(hash, engine.clone());
@@ -292,7 +292,7 @@
         }
         self.told.retain(|hash, engine| {
             listed.by_hash.contains_key(hash)
-                && engine.notices.news(now_ms).is_some()
+                && engine.notices.peer_notice(now_ms).is_some()
         });
         let limited: BTreeSet<u32> =
             self.limited().iter().map(|engine| engine.hash).collect();
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -23,7 +23,7 @@
     clock::now_ms,
     cluster::{
         alerts::percent,
-        engine::{Engine, Evidence, FLOWING_MS, Suspicion, Told},
+        engine::{Engine, Evidence, FLOWING_MS, StartOrder, Suspicion},
     },
     core::Core,
     request::{exchange, path::Path},
@@ -52,7 +52,11 @@
 /// Slowness below it is told as none.
 const SLOW_FROM: f64 = 1.2;
 
-pub(crate) fn note_unreached(core: &Core, engine: &Engine, error: &io::Error) {
+pub(crate) fn record_unreachable(
+    core: &Core,
+    engine: &Engine,
+    error: &io::Error,
+) {
     let evidence = match error.kind() {
         io::ErrorKind::TimedOut => Evidence::Silent,
         _ => Evidence::Refused,
@@ -85,7 +89,7 @@
     };
     {
         let mut state = engine.lock();
-        if state.is_gone || state.suspicion.is_some() {
+        if state.is_removed || state.suspicion.is_some() {
             return;
         }
         state.suspicion = Some(Suspicion {
@@ -118,7 +122,7 @@
 fn alert(core: &Core, engine: &Engine, news: EngineUse) {
     let alerted_ms = engine.lock().alerted_ms;
     if now_ms().saturating_sub(alerted_ms) >= ALERTED_MS {
-        core.alerts.tell(news);
+        core.alerts.queue_engine(news);
     }
 }
 
@@ -169,7 +173,7 @@
     engine.is_probing.store(false, Relaxed);
     match dialled {
         Ok(()) => clear(&core, &engine),
-        Err(e) => note_unreached(&core, &engine, &e),
+        Err(e) => record_unreachable(&core, &engine, &e),
     }
 }
 
@@ -182,12 +186,12 @@
     engine: &Arc<Engine>,
     is_patient: bool,
 ) -> bool {
-    if !engine.lock().is_gone {
+    if !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
     let (is_gone, is_replaced, suspicion) = {
         let state = engine.lock();
-        (state.is_gone, state.is_replaced, state.suspicion)
+        (state.is_removed, state.is_replaced, state.suspicion)
     };
     let lasted_ms = suspicion.map_or(0, |s| now_ms() - s.since_ms);
     match end_proof(suspicion.map(|s| s.evidence), lasted_ms) {
@@ -203,11 +207,11 @@
 }
 
 /// Whether an engine has crashed, as a dial shows if it is not known.
-pub(crate) async fn dial_shows_crash(
+pub(crate) async fn confirm_crash(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
 ) -> bool {
-    if !has_crashed(engine) && !engine.lock().is_gone {
+    if !has_crashed(engine) && !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
     has_crashed(engine)
@@ -249,7 +253,7 @@
 }
 
 /// Asks the engines of a path for reports, where that was not done of late.
-pub(crate) fn ask_path(core: &Arc<Core>, path: &Path) {
+pub(crate) fn request_path_reports(core: &Arc<Core>, path: &Path) {
     for stage in &path.stages {
         ask_one(core, &stage.engine);
     }
@@ -260,16 +264,16 @@
     let mut state = engine.lock();
     let is_asked_of_late =
         now_ms.saturating_sub(state.asked_ms) < REPORT_EVERY_MS;
-    if is_asked_of_late || state.is_at_rest(now_ms) {
+    if is_asked_of_late || state.is_in_cooldown(now_ms) {
         return;
     }
     state.asked_ms = now_ms;
     drop(state);
-    let task = ask(core.clone(), engine.clone());
+    let task = request_report(core.clone(), engine.clone());
     core.executor.spawn(task).detach();
 }
 
-pub(crate) async fn ask(core: Arc<Core>, engine: Arc<Engine>) {
+pub(crate) async fn request_report(core: Arc<Core>, engine: Arc<Engine>) {
     let body = exchange::report(&engine);
     let Ok(Ok((200, body))) = exchange::within(REPORT, body).await else {
         return;
@@ -285,11 +289,11 @@
 
 fn take_report(core: &Core, engine: &Engine, report: &Report) {
     match told_by(engine, report) {
-        Told::Same => {}
+        StartOrder::Same => {}
         // It came late, or is of another writer.
-        Told::Earlier => return,
+        StartOrder::Earlier => return,
         // What runs there now has a row of its own, or soon will.
-        Told::Later => return suspect(core, engine, Evidence::Refused),
+        StartOrder::Later => return suspect(core, engine, Evidence::Refused),
     }
     let slowness = match report.slowness {
         slowness if slowness < SLOW_FROM => 1.0,
@@ -297,11 +301,12 @@
     };
     if take_slowness(engine, slowness, now_ms()) {
         let slowness_percent = percent(slowness);
-        core.alerts.tell(EngineUse { slowness_percent, ..news(engine) });
+        core.alerts
+            .queue_engine(EngineUse { slowness_percent, ..news(engine) });
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
-        let Some(dead) = core.fleet.at(stalled.at) else { continue };
+        let Some(dead) = core.fleet.by_address(stalled.at) else { continue };
         // It may be back, while the report is of before.
         let is_flowing = dead.quiet_ms(now_ms()) < FLOWING_MS;
         if !is_flowing && dead.incarnation != engine.incarnation {
@@ -311,10 +316,10 @@
 }
 
 /// Of which start a report tells.
-fn told_by(engine: &Engine, report: &Report) -> Told {
+fn told_by(engine: &Engine, report: &Report) -> StartOrder {
     match engine.started_unix_ms {
-        Some(known) => Told::of(report.started_unix_ms, Some(known)),
-        None => Told::Same,
+        Some(known) => StartOrder::of(report.started_unix_ms, Some(known)),
+        None => StartOrder::Same,
     }
 }
 
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -58,7 +58,7 @@
 
 /// A run that broke off when it had just begun.
 #[derive(Clone, Debug)]
-pub(crate) struct BrokenRun {
+pub(crate) struct FailedRun {
     /// Id of the request.
     pub(crate) request: String,
     pub(crate) fingerprint: Fingerprint,
@@ -68,17 +68,17 @@
 }
 
 /// A trial of a request of this entry, until it is dropped.
-pub(crate) struct TrialHold {
+pub(crate) struct TrialGuard {
     core: Arc<Core>,
     fingerprint: Fingerprint,
     /// Short hash of the engine.
     engine: u32,
 }
 
-impl TrialHold {
+impl TrialGuard {
     /// Tells the other entries of it.
-    pub(crate) fn tell(&self) {
-        self.core.alerts.tell_trial(self.fingerprint, Some(self.engine));
+    pub(crate) fn announce(&self) {
+        self.core.alerts.queue_trial(self.fingerprint, Some(self.engine));
     }
 
     /// Whether no trial of another entry goes before it.
@@ -89,13 +89,13 @@
     }
 }
 
-impl Drop for TrialHold {
+impl Drop for TrialGuard {
     fn drop(&mut self) {
         let core = &self.core;
         let mut state = core.suspects.lock();
         state.trials.end(self.fingerprint, core.boot_id);
         drop(state);
-        core.alerts.tell_trial(self.fingerprint, None);
+        core.alerts.queue_trial(self.fingerprint, None);
     }
 }
 
@@ -224,10 +224,10 @@
 /// has. The connection may end before the port is closed, so that is looked
 /// at again, the last time without the request waiting for it. One that is
 /// silent is not waited for.
-pub(crate) async fn note_broken(core: &Arc<Core>, run: BrokenRun) -> bool {
+pub(crate) async fn check_crash(core: &Arc<Core>, run: FailedRun) -> bool {
     for pause in CRASH_LOOKS {
         Timer::after(pause).await;
-        if probe::dial_shows_crash(core, &run.engine).await {
+        if probe::confirm_crash(core, &run.engine).await {
             note_crash(core, &run);
             return true;
         }
@@ -235,17 +235,17 @@
             break;
         }
     }
-    look_later(core, run);
+    check_crash_later(core, run);
     false
 }
 
 /// Finds a moment later whether the engine of a run has crashed that broke
 /// off, or was left.
-pub(crate) fn look_later(core: &Arc<Core>, run: BrokenRun) {
+pub(crate) fn check_crash_later(core: &Arc<Core>, run: FailedRun) {
     let core_here = core.clone();
     let look = async move {
         Timer::after(LAST_CRASH_LOOK).await;
-        if probe::dial_shows_crash(&core_here, &run.engine).await {
+        if probe::confirm_crash(&core_here, &run.engine).await {
             note_crash(&core_here, &run);
         }
     };
@@ -253,7 +253,7 @@
 }
 
 /// Takes that an engine crashed under a run that had only just begun.
-fn note_crash(core: &Core, run: &BrokenRun) {
+fn note_crash(core: &Core, run: &FailedRun) {
     let fingerprint = run.fingerprint;
     let changed = core.suspects.change(fingerprint, |suspects, now_ms| {
         let server = run.engine.hash;
@@ -274,13 +274,17 @@
         ],
     );
     if changed.is_news {
-        core.alerts.tell_suspect(fingerprint);
+        core.alerts.queue_suspect(fingerprint);
         note_change(core, fingerprint, &changed, "own");
     }
 }
 
 /// Takes that a run of a request has lasted: it crashes nothing.
-pub(crate) fn note_lasted(core: &Core, fingerprint: Fingerprint, id: &str) {
+pub(crate) fn record_survived(
+    core: &Core,
+    fingerprint: Fingerprint,
+    id: &str,
+) {
     if core.suspects.verdict(fingerprint) != Verdict::Free {
         clear(core, fingerprint, id, "lasted");
     }
@@ -308,7 +312,7 @@
             ("cause", &cause),
         ],
     );
-    core.alerts.tell_suspect(fingerprint);
+    core.alerts.queue_suspect(fingerprint);
     true
 }
 
@@ -343,15 +347,15 @@
     core: &Arc<Core>,
     fingerprint: Fingerprint,
     engine: &Engine,
-) -> Option<TrialHold> {
+) -> Option<TrialGuard> {
     let mut state = core.suspects.lock();
     let (server, holder) = (engine.hash, core.boot_id);
     if !state.trials.try_begin(fingerprint, server, holder, now_ms()) {
         return None;
     }
     drop(state);
-    let hold = TrialHold { core: core.clone(), fingerprint, engine: server };
-    hold.tell();
+    let hold = TrialGuard { core: core.clone(), fingerprint, engine: server };
+    hold.announce();
     Some(hold)
 }
 
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -21,7 +21,7 @@
     clock::now_ms,
     cluster::{
         alerts::Alerts, feeds::Feeds, fleet::Fleet, peer_table::PeerTable,
-        peer_usage::ToldUse, permits::PermitTable, suspects::SuspectTable,
+        peer_usage::PeerUsage, permits::PermitTable, suspects::SuspectTable,
         unusable_rows::UnusableRows,
     },
     nudges::Nudges,
@@ -74,7 +74,7 @@
     /// Permits for backend servers that named a limit.
     pub(crate) permits: PermitTable,
     /// Engines that others told that they use.
-    pub(crate) told_use: ToldUse,
+    pub(crate) peer_usage: PeerUsage,
     /// What own requests send between data centres.
     pub(crate) crossing: Crossing,
     retries: ByService<RetryWindow>,
@@ -125,7 +125,7 @@
             alerts: Alerts::default(),
             suspects: SuspectTable::default(),
             permits: PermitTable::default(),
-            told_use: ToldUse::default(),
+            peer_usage: PeerUsage::default(),
             crossing: Crossing::default(),
             retries: ByService::default(),
             first_waits: ByService::default(),
@@ -278,7 +278,7 @@
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         let bounds = self.retry_bounds();
         let entries = self.peers.entry_count();
-        let others = self.peers.others_sent(service);
+        let others = self.peers.sent_by_peers(service);
         let take = |window: &mut RetryWindow| {
             window.take(&bounds, entries, &others, now_ms())
         };
@@ -327,7 +327,7 @@
     /// Takes that engines are about to give layers up: requests leave those
     /// before the order comes, so that it need not wait for them to end.
     pub(crate) fn take_moves(&self, moves: &[OpenMove]) {
-        if self.fleet.take_moves(moves) {
+        if self.fleet.apply_moves(moves) {
             self.streams.nudge_all();
         }
     }
@@ -357,7 +357,7 @@
         now_ms.saturating_sub(self.started_ms) >= MIN_STAND_IN_AGE_MS
             && self.stopping_for_ms().is_none()
             && !self.peers.has_planner(now_ms)
-            && self.peers.comes_first(self.boot_id, now_ms)
+            && self.peers.has_lowest_boot_id(self.boot_id, now_ms)
     }
 
     /// Other entries of this data centre that are heard and go on.
@@ -371,8 +371,8 @@
     }
 
     /// Other entries whose use of engines is not known yet.
-    pub(crate) fn untold_entries(&self) -> u64 {
-        self.peers.untold_count() as u64
+    pub(crate) fn entries_without_report(&self) -> u64 {
+        self.peers.without_report_count() as u64
     }
 
     /// Index of a data centre; a name that the settings lack is the last.
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -292,7 +292,7 @@
             "is_suspect": state.suspicion.is_some(),
             "slowness": state.slowness,
             "limit": engine.notices.status(now_ms()),
-            "rest_left_ms": state.rest_until_ms.saturating_sub(now_ms()),
+            "rest_left_ms": state.cooldown_until_ms.saturating_sub(now_ms()),
             "has_said_leaving": state.has_said_leaving,
             "leaving_ms": state.leaving_ms(now_ms()),
             "used_token_layers": engine.used_token_layers(),
--- a/crates/direct/src/placement/authority.rs
+++ b/crates/direct/src/placement/authority.rs
@@ -8,7 +8,7 @@
 
 /// By what right this entry gives orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Mandate {
+pub(crate) enum Authority {
     /// It holds the lease with this number.
     Lease(FencingNumber),
     /// No holder is heard of, and this entry stands in: it orders only what
@@ -18,31 +18,36 @@
     StandIn,
 }
 
-impl Mandate {
-    pub(crate) fn of(core: &Core, lease: &Lease) -> Option<Mandate> {
-        let held = lease.may_act().map(Mandate::Lease);
-        held.or_else(|| core.stands_in().then_some(Mandate::StandIn))
+impl Authority {
+    pub(crate) fn of(core: &Core, lease: &Lease) -> Option<Authority> {
+        let held = lease.may_act().map(Authority::Lease);
+        held.or_else(|| core.stands_in().then_some(Authority::StandIn))
     }
 
     pub(crate) fn scope(self) -> Scope {
         match self {
-            Mandate::Lease(_) => Scope::All,
-            Mandate::StandIn => Scope::NothingGivenUp,
+            Authority::Lease(_) => Scope::All,
+            Authority::StandIn => Scope::NothingGivenUp,
         }
     }
 
     /// The number that its orders carry.
     pub(crate) fn fence(self) -> Option<u64> {
         match self {
-            Mandate::Lease(number) => Some(number.as_u64()),
-            Mandate::StandIn => None,
+            Authority::Lease(number) => Some(number.as_u64()),
+            Authority::StandIn => None,
         }
     }
 }
 
-pub(crate) fn note_mandate(last: Option<Mandate>, mandate: Option<Mandate>) {
-    let (before, now) =
-        (last == Some(Mandate::StandIn), mandate == Some(Mandate::StandIn));
+pub(crate) fn note_mandate(
+    last: Option<Authority>,
+    mandate: Option<Authority>,
+) {
+    let (before, now) = (
+        last == Some(Authority::StandIn),
+        mandate == Some(Authority::StandIn),
+    );
     if before != now {
         emit(Event::StandIn, &[("stands_in", &now)]);
     }
--- a/crates/direct/src/placement/orders.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -17,7 +17,7 @@
     OrderBook, Scope, cover, order_book::FORGOTTEN_MS,
 };
 use chestnutreach_protocol::peers;
-use chestnutreach_site::{BackendState, Model, Passing};
+use chestnutreach_site::{BackendState, Model, StreamPolicy};
 use chestnutreach_telemetry::{Event, emit};
 
 use crate::{
@@ -28,7 +28,7 @@
     },
     core::Core,
     placement::{
-        authority::{Mandate, note_mandate},
+        authority::{Authority, note_mandate},
         lease::Lease,
     },
     request::exchange::{self, within},
@@ -48,7 +48,7 @@
     let mut last = None;
     loop {
         Timer::after(PLAN_EVERY).await;
-        let mandate = Mandate::of(&core, &lease);
+        let mandate = Authority::of(&core, &lease);
         if mandate != last {
             planner = Planner::default();
             note_mandate(last, mandate);
@@ -91,7 +91,7 @@
             book.open_moves().map(move |open| (service, open))
         });
         let told = |(service, open): (&String, OpenMove)| {
-            let engine = core.fleet.incarnation(&open.engine)?;
+            let engine = core.fleet.by_incarnation(&open.engine)?;
             let told = peers::OpenMove {
                 service: service.clone(),
                 engine: engine.hash,
@@ -105,7 +105,7 @@
         moves.filter_map(told).collect()
     }
 
-    fn round(&mut self, core: &Arc<Core>, lease: &Lease, mandate: Mandate) {
+    fn round(&mut self, core: &Arc<Core>, lease: &Lease, mandate: Authority) {
         let Some(configuration) = core.configuration() else {
             return;
         };
@@ -148,7 +148,7 @@
         &mut self,
         core: &Arc<Core>,
         lease: &Lease,
-        mandate: Mandate,
+        mandate: Authority,
         service: &str,
         model: &Model,
     ) {
@@ -170,7 +170,7 @@
         let scope = mandate.scope();
         for due in book.due(&layout_model, &known, scope, now_ms()) {
             // Deciding took time; another one may plan by now.
-            if Mandate::of(core, lease) != Some(mandate) {
+            if Authority::of(core, lease) != Some(mandate) {
                 return;
             }
             let engine = engines.all[due.engine].clone();
@@ -256,12 +256,12 @@
     let kind = state.row.kind.as_ref();
     let kind = kind.and_then(|kind| model.kinds.get(kind));
     let is_sound = state.row.state == BackendState::Ready
-        && !state.is_gone
+        && !state.is_removed
         && !state.is_row_unusable
         && state.suspicion.is_none();
     // Its process may go on: nothing but silence speaks against it.
     let may_return = state.row.state == BackendState::Ready
-        && !state.is_gone
+        && !state.is_removed
         && state.suspicion.is_some_and(|s| s.evidence != Evidence::Refused);
     KnownEngine {
         id: &engine.incarnation,
@@ -303,15 +303,15 @@
     service: &str,
     engine: &Engine,
     range: LayerRange,
-) -> Passing {
+) -> StreamPolicy {
     let configuration = core.configuration();
     let may_go_on =
         configuration.is_some_and(|c| c.streams_may_go_on(service));
     let held = engine.lock().row.held;
     let is_first = held.is_some_and(|held| held.first_layer == 0);
     match may_go_on && (!is_first || range.first_layer == 0) {
-        true => Passing::IsCut,
-        false => Passing::Ends,
+        true => StreamPolicy::Abort,
+        false => StreamPolicy::Finish,
     }
 }
 
@@ -319,7 +319,7 @@
 struct GivenOrder {
     engine: Arc<Engine>,
     due: DueOrder,
-    mandate: Mandate,
+    mandate: Authority,
     service: String,
     accepted: Accepted,
 }
@@ -349,7 +349,7 @@
         }
         Ok(Ok((409, body))) => {
             // It has begun orders that the list does not count.
-            probe::ask(core, engine.clone()).await;
+            probe::request_report(core, engine.clone()).await;
             String::from_utf8_lossy(&body).into_owned()
         }
         Ok(Ok((status, body))) => {
--- a/crates/direct/src/request/crossing.rs
+++ b/crates/direct/src/request/crossing.rs
@@ -46,6 +46,6 @@
     CrossingBounds {
         bytes_per_s: pipe_mbps.max(1.0) * 1e6 / 8.0,
         entries: peers.entry_count(),
-        crossing: peers.crossing_count(now_ms()) + 1,
+        crossing: peers.interconnect_user_count(now_ms()) + 1,
     }
 }
--- a/crates/direct/src/request/isolation.rs
+++ b/crates/direct/src/request/isolation.rs
@@ -18,7 +18,7 @@
     clock::now_ms,
     cluster::{
         engine::Engine,
-        suspects::{self, BrokenRun, TrialHold},
+        suspects::{self, FailedRun, TrialGuard},
     },
     core::Core,
     request::{admit::Admitted, answer::Reason, fingerprint},
@@ -33,7 +33,7 @@
 /// A trial that may be made now. Others are kept from it until it is dropped.
 pub(crate) struct Trial {
     pub(crate) engine: Arc<Engine>,
-    hold: TrialHold,
+    hold: TrialGuard,
 }
 
 /// How a request may run.
@@ -142,7 +142,7 @@
         let trial = Trial { engine, hold };
         Timer::after(SETTLE / 2).await;
         // A claim that is lost is not made up for.
-        trial.hold.tell();
+        trial.hold.announce();
         Timer::after(SETTLE / 2).await;
         trial.hold.is_held().then_some(trial)
     }
@@ -152,7 +152,7 @@
         self.has_lasted = true;
         if !self.core.suspects.is_empty() {
             let id = self.admitted.id_text();
-            suspects::note_lasted(self.core, self.fingerprint(), id);
+            suspects::record_survived(self.core, self.fingerprint(), id);
         }
     }
 
@@ -168,7 +168,7 @@
             return;
         }
         let run = self.broken_run(engine, start, is_in_trial);
-        self.has_just_crashed = suspects::note_broken(self.core, run).await;
+        self.has_just_crashed = suspects::check_crash(self.core, run).await;
     }
 
     /// Takes that a run that had just begun was left, which may go on for a
@@ -181,7 +181,7 @@
     ) {
         if !self.has_lasted {
             let run = self.broken_run(engine, start, is_in_trial);
-            suspects::look_later(self.core, run);
+            suspects::check_crash_later(self.core, run);
         }
     }
 
@@ -190,8 +190,8 @@
         engine: &Arc<Engine>,
         start: RunStart,
         is_in_trial: bool,
-    ) -> BrokenRun {
-        BrokenRun {
+    ) -> FailedRun {
+        FailedRun {
             request: self.admitted.id_text().to_owned(),
             fingerprint: self.fingerprint(),
             engine: engine.clone(),
--- a/crates/direct/src/request/path.rs
+++ b/crates/direct/src/request/path.rs
@@ -5,7 +5,7 @@
 use chestnutreach_adapter::engine::path_value;
 use chestnutreach_site::{LayerRange, Model};
 
-use crate::cluster::engine::{Engine, Hold};
+use crate::cluster::engine::{Engine, Reservation};
 
 /// One engine of a path and the layers that it runs.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
 
     /// Whether its layers there are about to be given up.
     pub(crate) fn is_given_up(&self) -> bool {
-        self.engine.lock().gives_up(self.layers())
+        self.engine.lock().will_release(self.layers())
     }
 }
 
@@ -86,15 +86,15 @@
             let layers = stage.end_layer - stage.first_layer;
             if let Some(kind) = kind {
                 let each_ms = model.read_part_ms(kind, layers);
-                stage.engine.note_work(tokens as f64 * each_ms, now_ms);
+                stage.engine.record_prefill(tokens as f64 * each_ms, now_ms);
             }
         }
     }
 
-    pub(crate) fn hold(&self, tokens: u64) -> Vec<Hold> {
+    pub(crate) fn reserve(&self, tokens: u64) -> Vec<Reservation> {
         let hold = |(index, stage): (usize, &Stage)| {
             let layers = u64::from(stage.end_layer - stage.first_layer);
-            Hold::new(&stage.engine, layers * tokens, index == 0)
+            Reservation::new(&stage.engine, layers * tokens, index == 0)
         };
         self.stages.iter().enumerate().map(hold).collect()
     }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -22,8 +22,8 @@
 use crate::{
     clock::now_ms,
     cluster::{
-        engine::{Engine, Hold},
-        notices::{self, Answered},
+        engine::{Engine, Reservation},
+        notices::{self, ResponseContext},
     },
     core::Core,
     request::{
@@ -174,7 +174,7 @@
         let result = work.or(gone).await;
         note_result(engine, &result);
         let asked_for_rest = matches!(result, Attempt::NotRun)
-            && engine.lock().is_at_rest(now_ms());
+            && engine.lock().is_in_cooldown(now_ms());
         if asked_for_rest {
             self.tried.remove(&engine.incarnation);
         }
@@ -301,7 +301,7 @@
     sent: &Sent<'_>,
 ) -> Attempt {
     let engine = sent.engine;
-    let _hold = Hold::new(engine, 0, true);
+    let _hold = Reservation::new(engine, 0, true);
     let started_ms = now_ms();
     let mut connection =
         match Outbound::connect(engine.address, exchange::DIAL).await {
@@ -325,15 +325,18 @@
     );
     note_sent(core, admitted, sent, left_ms);
     let sent_ms = now_ms();
-    engine.notices.note_sent(sent_ms);
+    engine.notices.record_sent(sent_ms);
     let exchange = async {
         connection.send(&bytes).await?;
         let id = admitted.id.as_deref();
         let head =
             exchange::own_head(&mut connection, id, &request.method).await?;
-        let answered =
-            Answered { request: admitted.id_text(), sent_ms, head: &head };
-        notices::take(core, engine, &answered);
+        let answered = ResponseContext {
+            request: admitted.id_text(),
+            sent_ms,
+            head: &head,
+        };
+        notices::apply_response(core, engine, &answered);
         let body = head.body(&request.method);
         let body = connection.read_body(body, MAX_ANSWER_BYTES).await?;
         Ok((head, body))
@@ -389,7 +392,7 @@
     let is_failure = match result {
         Attempt::Answered(head, _) => head.status >= 500,
         Attempt::CallerGone => return,
-        Attempt::NotRun if state.is_at_rest(now_ms()) => return,
+        Attempt::NotRun if state.is_in_cooldown(now_ms()) => return,
         Attempt::NotRun | Attempt::Lost | Attempt::TimeOver => true,
     };
     if !is_failure {
@@ -398,7 +401,7 @@
     }
     state.failures += 1;
     let avoid_ms = AVOID_MS * u64::from(state.failures.saturating_sub(1));
-    state.avoided_until_ms = now_ms() + avoid_ms.min(MAX_AVOID_MS);
+    state.backoff_until_ms = now_ms() + avoid_ms.min(MAX_AVOID_MS);
 }
 
 async fn pass_on(
--- a/crates/direct/src/request/plain/seek.rs
+++ b/crates/direct/src/request/plain/seek.rs
@@ -13,7 +13,7 @@
 use super::Run;
 use crate::{
     clock::now_ms,
-    cluster::{engine::Engine, fleet::may_be_asked, permits},
+    cluster::{engine::Engine, fleet::accepts_requests, permits},
     core::Core,
     request::{
         admit::Admitted,
@@ -68,7 +68,7 @@
         match self.suspicion.turn(until_ms, choose).await {
             Turn::Free => Some((self.wait_for_engine(until_ms).await?, None)),
             Turn::Trial(trial) => {
-                let may_begin = trial.engine.try_begin(self.key, now_ms());
+                let may_begin = trial.engine.try_admit(self.key, now_ms());
                 may_begin.then(|| (trial.engine.clone(), Some(trial)))
             }
             Turn::None => None,
@@ -113,19 +113,19 @@
         let Some(engine) = look(false).apart_from_trials() else {
             return Looked::None;
         };
-        if engine.try_begin(self.key, now_ms()) {
+        if engine.try_admit(self.key, now_ms()) {
             return Looked::Found(engine);
         }
         let (id, want) = (self.admitted.id_text(), self.want(false));
         if is_first_look
-            && permits::passing(self.core, &engine, id, want).await
-            && engine.try_begin(self.key, now_ms())
+            && permits::await_permit(self.core, &engine, id, want).await
+            && engine.try_admit(self.key, now_ms())
         {
             return Looked::Found(engine);
         }
         let other = look(true).apart_from_trials();
         match other {
-            Some(other) if other.try_begin(self.key, now_ms()) => {
+            Some(other) if other.try_admit(self.key, now_ms()) => {
                 Looked::Found(other)
             }
             _ => {
@@ -141,7 +141,7 @@
         let engines = self.core.fleet.of_service(&self.admitted.service.name);
         let is_fresh = |e: &&Arc<Engine>| !self.tried.contains(&e.incarnation);
         let engines = engines.all.iter().filter(is_fresh);
-        let ready_in_ms = self.core.fleet.ready_in_ms(engines, now_ms);
+        let ready_in_ms = self.core.fleet.cooldown_left_ms(engines, now_ms);
         let may_wait_ms = until_ms.saturating_sub(now_ms);
         let come_back_ms = rest_come_back_ms(ready_in_ms, may_wait_ms);
         let refusal = come_back_ms.map(|ms| (Reason::ServersRest, ms));
@@ -158,7 +158,7 @@
     fn want_any(&self, look: &Look<'_>) {
         let now_ms = now_ms();
         for engine in look.takers(&BTreeSet::new()) {
-            engine.notices.want(self.want(true), now_ms);
+            engine.notices.request_permit(self.want(true), now_ms);
         }
         self.core.permits.wake();
     }
@@ -250,7 +250,7 @@
         let takes = |e: &&Arc<Engine>| {
             !self.tried.contains(&e.incarnation)
                 && !outside.contains(&e.hash)
-                && may_be_asked(&e.lock(), now_ms)
+                && accepts_requests(&e.lock(), now_ms)
                 && (!self.is_permit_needed || e.notices.may_send(now_ms))
         };
         engines.all.iter().filter(takes).cloned().collect()
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -16,7 +16,7 @@
     clock::now_ms,
     cluster::{
         engine::{Engine, EngineState},
-        fleet::{Fleet, OfService, may_be_asked, takes_work},
+        fleet::{Fleet, ServiceEngines, accepts_requests, accepts_work},
     },
     core::Core,
     request::path::{Path, Stage},
@@ -48,7 +48,7 @@
     /// Use of what joins data centres; 1 is full.
     pub(crate) crossing_use: f64,
     /// Other entries that have not told yet what they use.
-    pub(crate) untold_entries: u64,
+    pub(crate) entries_without_report: u64,
     /// The only engine that may be first, where there is one.
     pub(crate) only_first: Option<&'a Arc<Engine>>,
     /// Whether engines that named a limit may be first without a permit.
@@ -92,7 +92,7 @@
     fn has_failing(&self, need: &PathNeed<'_>) -> bool {
         let engines = self.of_service(need.service);
         let mut engines = engines.all.iter();
-        engines.any(|e| !e.answers.is_open_to_requests(need.now_ms))
+        engines.any(|e| !e.circuit.is_open_to_requests(need.now_ms))
     }
 
     /// A path without its bad engines, with the same first one; none where
@@ -179,7 +179,7 @@
             return path;
         }
         // The next look draws another one.
-        let other = fastrand::usize(..engines.here.len());
+        let other = fastrand::usize(..engines.by_data_centre.len());
         if other != request.data_centre {
             near.extend(sample(&engines, other));
         }
@@ -201,7 +201,7 @@
         !outside.contains(&engine.hash)
             && !without.contains(&engine.incarnation)
             && holds_first(&state)
-            && may_be_asked(&state, now_ms)
+            && accepts_requests(&state, now_ms)
             && engine.first_count() < u64::from(state.row.slots)
     };
     let rank = |engine: &&Arc<Engine>| {
@@ -224,7 +224,7 @@
             && !need.without.contains(&engine.incarnation)
             && need.only_first.is_none_or(|only| Arc::ptr_eq(only, engine))
             && holds_first(&engine.lock())
-            && may_be_asked(&engine.lock(), need.now_ms)
+            && accepts_requests(&engine.lock(), need.now_ms)
     };
     engines.all.iter().filter(is_limited).cloned().collect()
 }
@@ -242,17 +242,17 @@
             && holds_first(&engine.lock())
     };
     let firsts = engines.all.iter().filter(could_be_first);
-    core.fleet.ready_in_ms(firsts, need.now_ms)
+    core.fleet.cooldown_left_ms(firsts, need.now_ms)
 }
 
 fn holds_first(state: &EngineState) -> bool {
-    let layers = state.lasting_layers();
+    let layers = state.retained_layers();
     layers.is_some_and(|layers| layers.first_layer == 0)
 }
 
 /// Engines of a data centre, evenly from all of them.
-fn sample(engines: &OfService, data_centre: usize) -> Vec<Arc<Engine>> {
-    let Some(here) = engines.here.get(data_centre) else {
+fn sample(engines: &ServiceEngines, data_centre: usize) -> Vec<Arc<Engine>> {
+    let Some(here) = engines.by_data_centre.get(data_centre) else {
         return Vec::new();
     };
     let step = here.len().div_ceil(SAMPLE).max(1);
@@ -289,7 +289,7 @@
     let name = &engine.incarnation;
     let is_named = need.without.contains(name) || used.contains(name);
     let (Some(kind), Some(held), Some(lasting)) =
-        (kind, state.row.held, state.lasting_layers())
+        (kind, state.row.held, state.retained_layers())
     else {
         return unusable(engine.data_centre);
     };
@@ -299,20 +299,21 @@
         first_layer: lasting.first_layer,
         end_layer: lasting.end_layer,
         layer_ms: need.model.step_part_ms(kind, 1) * state.slowness,
-        used_token_layers: engine.planned_token_layers(need.untold_entries),
-        busy: engine.reading_share(need.now_ms) * state.slowness,
+        used_token_layers: engine
+            .estimated_token_layers(need.entries_without_report),
+        busy: engine.prefill_utilisation(need.now_ms) * state.slowness,
         total_token_layers: (total as f64 * PLANNED_SHARE) as u64,
-        is_usable: !is_named && takes_work(&state, need.now_ms),
+        is_usable: !is_named && accepts_work(&state, need.now_ms),
         may_be_first: need
             .only_first
             .is_none_or(|first| first.incarnation == engine.incarnation)
             && !need.not_first.contains(&engine.hash)
-            && !state.is_at_rest(need.now_ms)
+            && !state.is_in_cooldown(need.now_ms)
             && engine.first_count() < u64::from(state.row.slots)
             && (!need.is_permit_needed
                 || engine.notices.may_send(need.now_ms))
             && (!need.is_choosy
-                || engine.answers.is_open_to_requests(need.now_ms)),
+                || engine.circuit.is_open_to_requests(need.now_ms)),
     }
 }
 
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -21,7 +21,7 @@
 use crate::{
     clock::now_ms,
     cluster::{
-        engine::{Engine, Hold},
+        engine::{Engine, Reservation},
         probe,
     },
     core::Core,
@@ -91,7 +91,7 @@
     /// First engines that it left and that may live.
     left: Vec<Arc<Engine>>,
     path: Path,
-    holds: Vec<Hold>,
+    reservations: Vec<Reservation>,
     running: Option<RunningTokens>,
     suspicion: Suspicion<'a>,
     /// Its trial, if this attempt is one.
@@ -145,7 +145,7 @@
         malformed: 0,
         left: Vec::new(),
         path: Path::default(),
-        holds: Vec::new(),
+        reservations: Vec::new(),
         running: None,
         suspicion: Suspicion::new(core, request, admitted),
         trial: None,
@@ -242,15 +242,15 @@
         let first = self.path.first();
         match end {
             AttemptEnd::Failed(head, _) if head.status >= 500 => {
-                first.answers.note_failure(now_ms());
+                first.circuit.note_failure(now_ms());
             }
             // One further on that died speaks against no first engine.
             AttemptEnd::Broken
                 if !self.pace.has_begun && !self.has_dead_stage() =>
             {
-                first.answers.note_failure(now_ms());
+                first.circuit.note_failure(now_ms());
             }
-            _ => first.answers.note_neutral(),
+            _ => first.circuit.note_neutral(),
         }
     }
 
@@ -303,14 +303,14 @@
     fn avoid(&mut self, at: Option<SocketAddr>) {
         self.cause = "refused";
         let first = self.path.first();
-        let named = at.and_then(|at| self.core.fleet.at(at));
+        let named = at.and_then(|at| self.core.fleet.by_address(at));
         let engine = named.unwrap_or_else(|| first.clone());
         let now_ms = now_ms();
         let mut state = engine.lock();
-        if state.is_at_rest(now_ms) {
+        if state.is_in_cooldown(now_ms) {
             return;
         }
-        state.avoid_longer(now_ms, AVOID_MS);
+        state.back_off(now_ms, AVOID_MS);
         drop(state);
         self.without.insert(engine.incarnation.clone());
     }
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -16,7 +16,7 @@
 use crate::{
     clock::now_ms,
     cluster::{
-        notices::{self, Answered},
+        notices::{self, ResponseContext},
         probe,
     },
     request::{
@@ -53,8 +53,8 @@
         self.note_sent();
         self.attempts.begin(&first.incarnation);
         let sent_ms = now_ms();
-        first.answers.note_sent(sent_ms);
-        first.notices.note_sent(sent_ms);
+        first.circuit.note_sent(sent_ms);
+        first.notices.record_sent(sent_ms);
         let id = self.admitted.id.clone();
         let method = self.request.method.clone();
         let work = async {
@@ -68,8 +68,8 @@
             Err(end) => return end,
         };
         let request = self.admitted.id_text();
-        let answered = Answered { request, sent_ms, head: &head };
-        notices::take(self.core, &first, &answered);
+        let answered = ResponseContext { request, sent_ms, head: &head };
+        notices::apply_response(self.core, &first, &answered);
         if head.status != 200 {
             if exchange::is_not_run(&head) {
                 self.attempts.did_not_run();
@@ -233,7 +233,7 @@
             }
         }
         if !had_begun {
-            self.path.first().answers.note_success(now_ms);
+            self.path.first().circuit.note_success(now_ms);
         }
         if !self.suspicion.has_lasted() && self.pace.run.has_lasted(now_ms) {
             self.suspicion.note_lasted();
@@ -241,7 +241,7 @@
         }
         let is_first = self.ended.events == 1;
         for stage in &self.path.stages {
-            stage.engine.note_progress(now_ms);
+            stage.engine.record_progress(now_ms);
             if is_first {
                 stage.engine.lock().failures = 0;
             }
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -163,10 +163,10 @@
     /// Uses a path; false if its first engine no longer takes a request: it is
     /// at rest, or another one took the permit.
     fn use_path(&mut self, path: Path) -> bool {
-        if !path.first().try_begin(self.key, now_ms()) {
+        if !path.first().try_admit(self.key, now_ms()) {
             return false;
         }
-        self.holds = path.hold(self.tokens);
+        self.reservations = path.reserve(self.tokens);
         self.path = path;
         self.note_running();
         true
@@ -174,7 +174,7 @@
 
     /// Gives up a path that was not used.
     pub(super) fn release_path(&mut self) {
-        self.holds.clear();
+        self.reservations.clear();
         self.running = None;
     }
 
@@ -189,7 +189,8 @@
         let is_first_look = !std::mem::replace(&mut self.has_passed, true);
         let want = self.want(false);
         let id = self.admitted.id_text();
-        if is_first_look && permits::passing(self.core, first, id, want).await
+        if is_first_look
+            && permits::await_permit(self.core, first, id, want).await
         {
             return Some(path);
         }
@@ -209,7 +210,7 @@
     fn want_any(&self) {
         let now_ms = now_ms();
         for engine in limited_firsts(self.core, &self.need(true)) {
-            engine.notices.want(self.want(true), now_ms);
+            engine.notices.request_permit(self.want(true), now_ms);
         }
         self.core.permits.wake();
     }
@@ -224,7 +225,7 @@
             && !self.path.stages.is_empty()
             && (!is_permit_needed
                 || self.path.first().notices.may_send(need.now_ms))
-            && !self.path.first().lock().is_at_rest(need.now_ms)
+            && !self.path.first().lock().is_in_cooldown(need.now_ms)
             && !self.without.contains(&self.path.first().incarnation)
             && !self.path.first().is_suspect()
             && let Some(path) = self.core.fleet.detour(&need, &self.path)
@@ -248,7 +249,7 @@
                 .core
                 .crossing
                 .share(&self.core.peers, self.model.pipe_mbps),
-            untold_entries: self.core.untold_entries(),
+            entries_without_report: self.core.entries_without_report(),
             not_first: &self.not_first,
             only_first: self.trial.as_ref().map(|trial| &trial.engine),
         }
--- a/crates/direct/src/request/stream/watch.rs
+++ b/crates/direct/src/request/stream/watch.rs
@@ -187,7 +187,7 @@
                 self.note_stalled(quiet_ms);
             }
             self.pace.is_told = true;
-            probe::ask_path(self.core, &self.path);
+            probe::request_path_reports(self.core, &self.path);
         }
         self.left_because = match self.pace.has_begun {
             true => "the connection is silent",
@@ -204,7 +204,7 @@
         let now_ms = now_ms();
         let target_ms = self.admitted.route.target_ms as f64;
         let least_ms = (OVERDUE_SHARE * target_ms) as u64;
-        let lives = |stage: &Stage| stage.engine.lives(now_ms, LIVES_MS);
+        let lives = |stage: &Stage| stage.engine.is_alive(now_ms, LIVES_MS);
         !self.pace.has_begun
             && self.core.is_overdue(
                 &self.admitted.service.name,
@@ -297,7 +297,7 @@
                 }
                 Ok(Ok((_, body))) => {
                     let named = engine::refused_address(&body)
-                        .and_then(|at| self.core.fleet.at(at));
+                        .and_then(|at| self.core.fleet.by_address(at));
                     self.note_path_refused(&path, named.as_deref(), &result);
                     let Some(named) = named else { return true };
                     if Arc::ptr_eq(&named, &first) {
@@ -323,7 +323,7 @@
         let more = path.crossings().saturating_sub(self.path.crossings());
         self.note_crossing(more);
         path.note_work(self.model, self.tokens, &self.path, now_ms());
-        self.holds = path.hold(self.tokens);
+        self.reservations = path.reserve(self.tokens);
         self.path = path;
         self.pace.note_order_taken(now_ms());
         self.ended.path_changes += 1;
--- a/crates/site/src/backend.rs
+++ b/crates/site/src/backend.rs
@@ -50,11 +50,11 @@
 /// What becomes of requests that pass through layers which an engine is
 /// ordered to give up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Passing {
+pub enum StreamPolicy {
     /// The engine lets them end before it takes other layers.
-    Ends,
+    Finish,
     /// They are cut there.
-    IsCut,
+    Abort,
 }
 
 /// A kind of accelerator.
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod tables;
 
 pub use backend::{
-    Backend, BackendState, LayerRange, Model, ModelKind, Passing,
+    Backend, BackendState, LayerRange, Model, ModelKind, StreamPolicy,
 };
 pub use configuration::{
     Configuration, Finding, Limits, Reuse, Route, Service, Share,
