--- a/crates/direct/src/request/crossing.rs
+++ b/crates/direct/src/request/crossing.rs
@@ -4,7 +4,7 @@
 
 use chestnutreach_routing::{CrossingBounds, CrossingPart};
 
-use crate::{clock::now_ms, known::peer_table::PeerTable, rate::Rate};
+use crate::{clock::now_ms, cluster::peer_table::PeerTable, rate::Rate};
 
 /// What was sent of late, and what is left of this entry's part.
 #[derive(Debug, Default)]
@@ -46,6 +46,6 @@
     CrossingBounds {
         bytes_per_s: pipe_mbps.max(1.0) * 1e6 / 8.0,
         entries: peers.entry_count(),
-        crossing: peers.crossing_count(now_ms()) + 1,
+        crossing: peers.interconnect_user_count(now_ms()) + 1,
     }
 }
