--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -24,8 +24,8 @@
         permits::PermitTable, suspects::SuspectTable, told_use::ToldUse,
         unusable_rows::UnusableRows,
     },
-    nudges::Nudges,
-    request::{crossing::Crossing, queue::PathQueues},
+    request::{interconnect::InterconnectTraffic, queue::PathQueues},
+    subscribers::Subscribers,
 };
 
 /// Time left of the bound on withdrawn keys when they are refused: a request
@@ -58,9 +58,9 @@
     were_keys_stale: AtomicBool,
     pub(crate) fleet: Fleet,
     pub(crate) unusable_rows: UnusableRows,
-    pub(crate) streams: Nudges,
+    pub(crate) stream_subscribers: Subscribers,
     /// Those that wait for a configuration.
-    pub(crate) configured: Nudges,
+    pub(crate) configuration_subscribers: Subscribers,
     pub(crate) path_queues: PathQueues,
     pub(crate) peers: PeerTable,
     /// What the store holds.
@@ -76,7 +76,7 @@
     /// Engines that others told that they use.
     pub(crate) told_use: ToldUse,
     /// What own requests send between data centres.
-    pub(crate) crossing: Crossing,
+    pub(crate) interconnect: InterconnectTraffic,
     retries: ByService<RetryWindow>,
     first_waits: ByService<FirstWaits>,
     /// What finds room, and what waits for it.
@@ -90,13 +90,13 @@
     pub(crate) closing: async_channel::Receiver<()>,
     pub(crate) is_planner: AtomicBool,
     /// Orders that were given and do not show yet.
-    pub(crate) orders_waiting: AtomicUsize,
+    pub(crate) pending_orders: AtomicUsize,
     /// The moves among them that this entry gave last, with their times.
     moves: Mutex<Vec<(u64, OpenMove)>>,
     /// Number of the last lease that this entry gave up.
-    pub(crate) resigned: AtomicU64,
+    pub(crate) released_lease_number: AtomicU64,
     /// Since when the feed of the configuration fails; 0 if it doesn't.
-    pub(crate) store_lost_ms: AtomicU64,
+    pub(crate) store_failing_since_ms: AtomicU64,
 }
 
 impl Core {
@@ -116,8 +116,8 @@
             were_keys_stale: AtomicBool::new(false),
             fleet: Fleet::default(),
             unusable_rows: UnusableRows::default(),
-            streams: Nudges::default(),
-            configured: Nudges::default(),
+            stream_subscribers: Subscribers::default(),
+            configuration_subscribers: Subscribers::default(),
             path_queues: PathQueues::default(),
             peers: PeerTable::new(&settings.data_centre),
             feeds: Feeds::new(),
@@ -126,7 +126,7 @@
             suspects: SuspectTable::default(),
             permits: PermitTable::default(),
             told_use: ToldUse::default(),
-            crossing: Crossing::default(),
+            interconnect: InterconnectTraffic::default(),
             retries: ByService::default(),
             first_waits: ByService::default(),
             room_waits: Arc::default(),
@@ -136,10 +136,10 @@
             in_flight: AtomicUsize::new(0),
             closing,
             is_planner: AtomicBool::new(false),
-            orders_waiting: AtomicUsize::new(0),
+            pending_orders: AtomicUsize::new(0),
             moves: Mutex::default(),
-            resigned: AtomicU64::new(0),
-            store_lost_ms: AtomicU64::new(0),
+            released_lease_number: AtomicU64::new(0),
+            store_failing_since_ms: AtomicU64::new(0),
             settings,
         }
     }
@@ -162,7 +162,11 @@
 
     /// Puts a configuration in force, unless a newer one is; true if it is
     /// new here.
-    pub(crate) fn apply(&self, new: Configuration, row_version: u64) -> bool {
+    pub(crate) fn apply_configuration(
+        &self,
+        new: Configuration,
+        row_version: u64,
+    ) -> bool {
         let current = self.configuration();
         if current.is_some_and(|current| current.version >= new.version) {
             return false;
@@ -171,12 +175,12 @@
         self.metrics.generation.set(new.version as i64);
         self.configuration.store(Some(Arc::new(new)));
         self.readiness.clear(NEEDS_CONFIGURATION);
-        self.configured.nudge_all();
+        self.configuration_subscribers.notify_all();
         true
     }
 
     /// The store has confirmed that the configuration was the newest then.
-    pub(crate) fn confirm(&self, then_ms: u64) {
+    pub(crate) fn record_configuration_confirmed(&self, then_ms: u64) {
         self.confirmed_ms.fetch_max(then_ms, Relaxed);
         if self.were_keys_stale.swap(false, Relaxed) {
             self.readiness.clear(KEYS_STALE);
@@ -184,10 +188,10 @@
     }
 
     /// The store did not answer; it counts from the first failure in a row.
-    pub(crate) fn note_store_lost(&self) {
-        if self.store_lost_ms.load(Relaxed) == 0 {
-            self.store_lost_ms.store(now_ms(), Relaxed);
-            self.configured.nudge_all();
+    pub(crate) fn record_store_failure(&self) {
+        if self.store_failing_since_ms.load(Relaxed) == 0 {
+            self.store_failing_since_ms.store(now_ms(), Relaxed);
+            self.configuration_subscribers.notify_all();
         }
     }
 
@@ -254,7 +258,7 @@
     }
 
     /// What this entry sent to each service within the window.
-    pub(crate) fn sent_to_services(&self) -> Vec<(String, Sent)> {
+    pub(crate) fn sent_by_service(&self) -> Vec<(String, Sent)> {
         let bounds = self.retry_bounds();
         self.retries.of_each(|window| window.sent(&bounds, now_ms()))
     }
@@ -268,7 +272,7 @@
 
     /// How long the store has not answered; 0 if it does.
     pub(crate) fn store_lost_for_ms(&self) -> u64 {
-        match self.store_lost_ms.load(Relaxed) {
+        match self.store_failing_since_ms.load(Relaxed) {
             0 => 0,
             since_ms => now_ms().saturating_sub(since_ms),
         }
@@ -321,19 +325,19 @@
     /// with the times at which they were given.
     pub(crate) fn set_open_moves(&self, moves: Vec<(u64, OpenMove)>) {
         *self.moves.lock().expect("no holder panics") = moves;
-        self.take_moves(&self.open_moves());
+        self.apply_moves(&self.open_moves());
     }
 
     /// Takes that engines are about to give layers up: requests leave those
     /// before the order comes, so that it need not wait for them to end.
-    pub(crate) fn take_moves(&self, moves: &[OpenMove]) {
+    pub(crate) fn apply_moves(&self, moves: &[OpenMove]) {
         if self.fleet.take_moves(moves) {
-            self.streams.nudge_all();
+            self.stream_subscribers.notify_all();
         }
     }
 
     /// Moves of engines of a service that this entry last gave.
-    pub(crate) fn own_moves(&self, service: &str) -> Vec<(u64, OpenMove)> {
+    pub(crate) fn issued_moves(&self, service: &str) -> Vec<(u64, OpenMove)> {
         let moves = self.moves.lock().expect("no holder panics");
         let of_service = moves.iter().filter(|m| m.1.service == service);
         of_service.cloned().collect()
@@ -352,7 +356,7 @@
 
     /// Whether this entry gives the orders that need no lease: no holder is
     /// heard of, and it comes first among the entries that are heard.
-    pub(crate) fn stands_in(&self) -> bool {
+    pub(crate) fn is_deputy_planner(&self) -> bool {
         let now_ms = now_ms();
         now_ms.saturating_sub(self.started_ms) >= MIN_STAND_IN_AGE_MS
             && self.stopping_for_ms().is_none()
@@ -361,7 +365,7 @@
     }
 
     /// Other entries of this data centre that are heard and go on.
-    pub(crate) fn entries_here(&self) -> Vec<u64> {
+    pub(crate) fn live_peers_in_data_centre(&self) -> Vec<u64> {
         self.peers.live_in(&self.settings.data_centre, now_ms())
     }
 
@@ -376,13 +380,13 @@
     }
 
     /// Index of a data centre; a name that the settings lack is the last.
-    pub(crate) fn data_centre(&self, name: &str) -> usize {
+    pub(crate) fn data_centre_index(&self, name: &str) -> usize {
         let names = &self.settings.data_centres;
         names.iter().position(|n| n == name).unwrap_or(names.len())
     }
 
-    pub(crate) fn own_data_centre(&self) -> usize {
-        self.data_centre(&self.settings.data_centre)
+    pub(crate) fn own_data_centre_index(&self) -> usize {
+        self.data_centre_index(&self.settings.data_centre)
     }
 }
 
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -305,7 +305,7 @@
         "data_centre": core.settings.data_centre,
         "is_stopping": core.stopping_for_ms().is_some(),
         "store_lost_ms": core.store_lost_for_ms(),
-        "orders_waiting": core.orders_waiting.load(Relaxed),
+        "orders_waiting": core.pending_orders.load(Relaxed),
         "retries": retries,
         "boot_id": core.boot_id.to_string(),
         "configuration": core.configuration().map(|c| c.version),
--- a/crates/direct/src/known/engine.rs
+++ b/crates/direct/src/known/engine.rs
@@ -319,7 +319,7 @@
 
     /// Counts reading that a request brings, at the engine's usual pace.
     pub(crate) fn note_work(&self, work_ms: f64, now_ms: u64) {
-        self.own_work.note(work_ms, now_ms);
+        self.own_work.record(work_ms, now_ms);
     }
 
     /// Share of its time that reading takes at its usual pace.
--- a/crates/direct/src/known/engine_watch.rs
+++ b/crates/direct/src/known/engine_watch.rs
@@ -50,7 +50,9 @@
         let mut here: BTreeMap<usize, Vec<u64>> = names
             .map(|(at, name)| (at, core.peers.live_in(name, now_ms)))
             .collect();
-        here.entry(core.own_data_centre()).or_default().push(core.boot_id);
+        here.entry(core.own_data_centre_index())
+            .or_default()
+            .push(core.boot_id);
         let all = here.values().flatten().copied().collect();
         Around { here, all }
     }
--- a/crates/direct/src/known/feed_port.rs
+++ b/crates/direct/src/known/feed_port.rs
@@ -85,14 +85,14 @@
 }
 
 async fn wait_for_news(feed: &Feed, after: u64, wait: Duration) {
-    let listed = feed.news.list();
+    let listed = feed.news.subscribe();
     if feed.version().is_some() && feed.has_news(after) {
         return;
     }
     let end = async {
         Timer::after(wait).await;
     };
-    listed.nudged().or(end).await;
+    listed.notified().or(end).await;
 }
 
 /// What another entry answered.
--- a/crates/direct/src/known/feeds.rs
+++ b/crates/direct/src/known/feeds.rs
@@ -18,7 +18,7 @@
 };
 use chestnutreach_protocol::peers::{FeedAnswer, FeedRow};
 
-use crate::{clock::now_ms, nudges::Nudges};
+use crate::{clock::now_ms, subscribers::Subscribers};
 
 /// What an entry tells is old once the store has not confirmed it for so
 /// long: longer than a reader's call waits, with its way.
@@ -66,7 +66,7 @@
     /// Boot id of the entry that is asked; 0 for the store.
     asks: AtomicU64,
     /// Those who wait for a change.
-    pub(crate) news: Nudges,
+    pub(crate) news: Subscribers,
 }
 
 impl Feed {
@@ -79,7 +79,7 @@
             confirmed_ms: AtomicU64::new(0),
             back_ms: AtomicU64::new(0),
             asks: AtomicU64::new(0),
-            news: Nudges::default(),
+            news: Subscribers::default(),
         }
     }
 
@@ -144,7 +144,7 @@
     pub(crate) fn replace(&self, rows: &Rows) -> bool {
         let changes = rows.rows.iter().map(change_of).collect();
         let is_taken = self.copy().replace(changes, rows.version);
-        self.news.nudge_all();
+        self.news.notify_all();
         is_taken
     }
 
@@ -153,7 +153,7 @@
         let changes = rows.rows.iter().map(change_of).collect();
         self.copy().extend(changes, rows.version);
         if !rows.rows.is_empty() {
-            self.news.nudge_all();
+            self.news.notify_all();
         }
     }
 
--- a/crates/direct/src/known/follow.rs
+++ b/crates/direct/src/known/follow.rs
@@ -119,7 +119,7 @@
 
     async fn run(mut self) {
         loop {
-            let others = self.core.entries_here();
+            let others = self.core.live_peers_in_data_centre();
             let around = Around {
                 own: self.core.boot_id,
                 others: &others,
@@ -273,19 +273,19 @@
     fn confirm(&self, then_ms: u64) {
         self.feed().confirm(then_ms);
         if self.kind == Kind::Configuration {
-            self.core.confirm(then_ms);
+            self.core.record_configuration_confirmed(then_ms);
         }
     }
 
     fn note_reached(&self) {
         if self.kind == Kind::Configuration {
-            self.core.store_lost_ms.store(0, Relaxed);
+            self.core.store_failing_since_ms.store(0, Relaxed);
         }
     }
 
     fn note_lost(&self) {
         if self.kind == Kind::Configuration {
-            self.core.note_store_lost();
+            self.core.record_store_failure();
             // What the key check says may have changed by time alone.
             self.core.are_keys_fresh();
         }
@@ -343,7 +343,7 @@
     }
     match configuration::try_parse(&row.value) {
         Ok(new) => {
-            core.apply(new, row.version);
+            core.apply_configuration(new, row.version);
         }
         Err(error) => {
             emit(
--- a/crates/direct/src/known/listed_rows.rs
+++ b/crates/direct/src/known/listed_rows.rs
@@ -81,13 +81,13 @@
         Ok(backend) => backend,
         Err(error) => return disown(core, row, &error),
     };
-    let data_centre = core.data_centre(&backend.data_centre);
+    let data_centre = core.data_centre_index(&backend.data_centre);
     let is_leaving = backend.state == BackendState::Draining;
     match core.fleet.apply(backend, row.version, data_centre, is_whole) {
-        Applied::Known if is_leaving => core.streams.nudge_all(),
+        Applied::Known if is_leaving => core.stream_subscribers.notify_all(),
         Applied::Known => {}
         // What ran on the start before it, if there was one, has ended.
-        Applied::New => core.streams.nudge_all(),
+        Applied::New => core.stream_subscribers.notify_all(),
         Applied::OfEarlierStart => {
             let error = "it tells of no start, or of an earlier one";
             return note_unusable(core, row, error);
@@ -100,7 +100,7 @@
 /// an engine of that name may serve on.
 fn disown(core: &Core, row: &Row, error: &str) {
     if core.fleet.disown(&row.key) {
-        core.streams.nudge_all();
+        core.stream_subscribers.notify_all();
     }
     note_unusable(core, row, error);
 }
@@ -147,7 +147,7 @@
     let Some(engine) = core.fleet.remove(id) else {
         return;
     };
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     emit(
         Event::BackendGone,
         &[
--- a/crates/direct/src/known/notices/take.rs
+++ b/crates/direct/src/known/notices/take.rs
@@ -116,7 +116,7 @@
     };
     engine.notices.lock().has_said_leaving = true;
     core.permits.note_change(engine.hash);
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     if source == OWN {
         core.alerts.tell_notice(engine.hash);
     }
--- a/crates/direct/src/known/peers.rs
+++ b/crates/direct/src/known/peers.rs
@@ -159,7 +159,7 @@
         })
     };
     let engines = core.fleet.all().into_iter().filter_map(engine_use);
-    let sent = core.sent_to_services().into_iter();
+    let sent = core.sent_by_service().into_iter();
     let services = sent.map(|(service, sent)| ServiceUse {
         service,
         requests: sent.requests,
@@ -173,9 +173,9 @@
         engines: engines.collect(),
         services: services.collect(),
         is_planner: core.is_planner.load(Relaxed),
-        crossing_kilobytes_per_s: (core.crossing.own_bytes_per_s() / 1e3)
+        crossing_kilobytes_per_s: (core.interconnect.own_bytes_per_s() / 1e3)
             as u32,
-        resigned: core.resigned.load(Relaxed),
+        resigned: core.released_lease_number.load(Relaxed),
         is_stopping: core.stopping_for_ms().is_some(),
         open_moves: core.open_moves(),
         data_centre: core.settings.data_centre.clone(),
@@ -224,7 +224,7 @@
     }
     core.peers.take_sent(state, core.settings.bounds.retry_window_ms);
     if state.is_planner {
-        core.take_moves(&state.open_moves);
+        core.apply_moves(&state.open_moves);
     }
     take_use(core, state);
 }
--- a/crates/direct/src/known/probe.rs
+++ b/crates/direct/src/known/probe.rs
@@ -103,7 +103,7 @@
             ("quiet_ms", &engine.quiet_ms(now_ms)),
         ],
     );
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     // Others that wait for an engine may not reach those that they need.
     if evidence != Evidence::Stalled {
         alert(core, engine, EngineUse { is_suspect: true, ..news(engine) });
@@ -270,8 +270,9 @@
 }
 
 pub(crate) async fn ask(core: Arc<Core>, engine: Arc<Engine>) {
-    let body = exchange::report(&engine);
-    let Ok(Ok((200, body))) = exchange::within(REPORT, body).await else {
+    let body = exchange::fetch_report(&engine);
+    let Ok(Ok((200, body))) = exchange::with_timeout(REPORT, body).await
+    else {
         return;
     };
     match try_report(&body) {
--- a/crates/direct/src/known/suspects.rs
+++ b/crates/direct/src/known/suspects.rs
@@ -335,7 +335,7 @@
             ("source", &source),
         ],
     );
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
 }
 
 /// Begins a trial of a request at an engine, unless one of them is on trial.
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -14,7 +14,7 @@
 //! | `known` | what an entry knows, and from whom |
 //! | `orders` | who plans, and the orders |
 //! | `core` | what the tasks of an entry share |
-//! | `by_service`, `nudges`, `rate`, `clock` | small parts of these |
+//! | `by_service`, `subscribers`, `rate`, `clock` | small parts of these |
 //!
 //! # Example
 //!
@@ -33,10 +33,10 @@
 mod core;
 pub mod entry;
 mod known;
-mod nudges;
 mod orders;
 mod rate;
 mod request;
+mod subscribers;
 
 pub use entry::{DirectEntry, StartError};
 pub use request::events;
--- a/crates/direct/src/orders/lease.rs
+++ b/crates/direct/src/orders/lease.rs
@@ -105,7 +105,7 @@
             return;
         }
         if let Some(number) = self.holder().resign(now_ms()) {
-            core.resigned.store(number.as_u64(), Relaxed);
+            core.released_lease_number.store(number.as_u64(), Relaxed);
         }
     }
 
@@ -113,7 +113,7 @@
     /// hear of it even if the store does not answer.
     pub(crate) async fn release(&self, core: &Core) {
         if let Some(number) = self.may_act() {
-            core.resigned.store(number.as_u64(), Relaxed);
+            core.released_lease_number.store(number.as_u64(), Relaxed);
         }
         let command = self.holder().release(now_ms());
         if let Some(command) = command {
@@ -190,7 +190,7 @@
 /// Whether the store has been out of reach for so long that another entry
 /// should plan.
 fn is_cut(core: &Core) -> bool {
-    let since_ms = core.store_lost_ms.load(Relaxed);
+    let since_ms = core.store_failing_since_ms.load(Relaxed);
     since_ms > 0 && now_ms().saturating_sub(since_ms) > CUT_MS
 }
 
--- a/crates/direct/src/orders/mandate.rs
+++ b/crates/direct/src/orders/mandate.rs
@@ -21,7 +21,7 @@
 impl Mandate {
     pub(crate) fn of(core: &Core, lease: &Lease) -> Option<Mandate> {
         let held = lease.may_act().map(Mandate::Lease);
-        held.or_else(|| core.stands_in().then_some(Mandate::StandIn))
+        held.or_else(|| core.is_deputy_planner().then_some(Mandate::StandIn))
     }
 
     pub(crate) fn scope(self) -> Scope {
--- a/crates/direct/src/orders/place.rs
+++ b/crates/direct/src/orders/place.rs
@@ -31,7 +31,7 @@
         lease::Lease,
         mandate::{Mandate, note_mandate},
     },
-    request::exchange::{self, within},
+    request::exchange::{self, with_timeout},
 };
 
 /// Time between plans.
@@ -60,7 +60,7 @@
                 core.set_open_moves(planner.open_moves(&core));
             }
         }
-        core.orders_waiting.store(planner.open_count(), Relaxed);
+        core.pending_orders.store(planner.open_count(), Relaxed);
     }
 }
 
@@ -234,7 +234,7 @@
     };
     let now_ms = now_ms();
     let told = core.peers.told_moves(service).into_iter();
-    let own = core.own_moves(service).into_iter();
+    let own = core.issued_moves(service).into_iter();
     let recent = told
         .chain(own)
         .filter(|(given_ms, _)| now_ms - given_ms < FORGOTTEN_MS);
@@ -340,8 +340,8 @@
     let passing = passing(&core, &service, &engine, due.range);
     let body =
         place_body(due.range, mandate.fence(), due.orders_begun, passing);
-    let call = exchange::order(&engine, &body);
-    let reason = match within(ORDER, call).await {
+    let call = exchange::send_order(&engine, &body);
+    let reason = match with_timeout(ORDER, call).await {
         Ok(Ok((200..=299, _))) => {
             let order = (engine.incarnation.clone(), due.orders_begun);
             accepted.lock().expect("no holder panics").push(order);
--- a/crates/direct/src/rate.rs
+++ b/crates/direct/src/rate.rs
@@ -19,7 +19,7 @@
 }
 
 impl Rate {
-    pub(crate) fn note(&self, amount: f64, now_ms: u64) {
+    pub(crate) fn record(&self, amount: f64, now_ms: u64) {
         if amount > 0.0 {
             self.fresh(now_ms).push_back((now_ms, amount));
         }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -10,7 +10,7 @@
 //! | `room` | what requests that run take of a service's room |
 //! | `route` | seeking a path |
 //! | `path` | the engines that a request passes through |
-//! | `crossing` | what goes between data centres |
+//! | `interconnect` | what goes between data centres |
 //! | `exchange` | one request to one backend server |
 //! | `fingerprint` | what tells that two requests are the same |
 //! | `isolation` | where and when a request may run that crashes servers |
@@ -19,11 +19,11 @@
 pub(crate) mod admit;
 pub(crate) mod answer;
 pub(crate) mod callers;
-pub(crate) mod crossing;
 pub(crate) mod ended;
 pub mod events;
 pub(crate) mod exchange;
 pub(crate) mod fingerprint;
+pub(crate) mod interconnect;
 pub(crate) mod isolation;
 pub(crate) mod path;
 pub(crate) mod plain;
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -146,7 +146,7 @@
     let came_ms = crate::clock::now_ms();
     let client_ms = admit::client_time_ms(request);
     loop {
-        let configured = core.configured.list();
+        let configured = core.configuration_subscribers.subscribe();
         if core.configuration().is_some() {
             return;
         }
@@ -160,7 +160,7 @@
         let limit = async {
             Timer::after(Duration::from_millis(wait_ms)).await;
         };
-        configured.nudged().or(limit).await;
+        configured.notified().or(limit).await;
     }
 }
 
--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -110,7 +110,7 @@
 }
 
 /// Asks an engine for its report.
-pub(crate) async fn report(
+pub(crate) async fn fetch_report(
     to: &Engine,
 ) -> Result<(u16, Vec<u8>), OutboundError> {
     let target = engine::REPORT_TARGET;
@@ -121,7 +121,7 @@
 
 /// Gives an engine an order. It names the engine's start: an order that was
 /// meant for the one before it at this address must not take effect.
-pub(crate) async fn order(
+pub(crate) async fn send_order(
     to: &Engine,
     body: &[u8],
 ) -> Result<(u16, Vec<u8>), OutboundError> {
@@ -151,7 +151,7 @@
 }
 
 /// Bounds a wait.
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = T>,
 ) -> io::Result<T> {
--- a/crates/direct/src/request/crossing.rs
+++ b/crates/direct/src/request/interconnect.rs
@@ -8,12 +8,12 @@
 
 /// What was sent of late, and what is left of this entry's part.
 #[derive(Debug, Default)]
-pub(crate) struct Crossing {
+pub(crate) struct InterconnectTraffic {
     sent: Rate,
     part: Mutex<CrossingPart>,
 }
 
-impl Crossing {
+impl InterconnectTraffic {
     /// Bytes a second that this entry sends.
     pub(crate) fn own_bytes_per_s(&self) -> f64 {
         self.sent.per_s(now_ms())
@@ -38,7 +38,7 @@
         let mut part = self.part.lock().expect("no holder panics");
         part.take(&bounds, bytes, now_ms());
         drop(part);
-        self.sent.note(bytes, now_ms());
+        self.sent.record(bytes, now_ms());
     }
 }
 
--- a/crates/direct/src/request/plain/seek.rs
+++ b/crates/direct/src/request/plain/seek.rs
@@ -234,7 +234,7 @@
 
     /// The least busy outside of a set of short hashes.
     fn least_busy(&self, outside: &BTreeSet<u32>) -> Option<Arc<Engine>> {
-        let own = self.core.own_data_centre();
+        let own = self.core.own_data_centre_index();
         let rank = |e: &Arc<Engine>| {
             let slots = u64::from(e.lock().row.slots.max(1));
             let load = e.first_count() * 100 / slots;
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -195,7 +195,7 @@
     without: &BTreeSet<String>,
     outside: &BTreeSet<u32>,
 ) -> Option<Arc<Engine>> {
-    let (now_ms, own) = (now_ms(), core.own_data_centre());
+    let (now_ms, own) = (now_ms(), core.own_data_centre_index());
     let may_be_first = |engine: &&Arc<Engine>| {
         let state = engine.lock();
         !outside.contains(&engine.hash)
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -25,7 +25,6 @@
         engine::{Engine, Hold},
         probe,
     },
-    nudges::Listed,
     request::{
         admit::Admitted,
         answer::{Framing, Reason, passed_head, promises_not_run},
@@ -34,6 +33,7 @@
         path::Path,
         room::RunningTokens,
     },
+    subscribers::Subscription,
 };
 
 mod attempt;
@@ -80,7 +80,7 @@
     is_last: bool,
     /// Tokens of the prompt and of what the client has already.
     tokens: u64,
-    listed: Listed,
+    listed: Subscription,
     /// Engines that may not be used for this request, by incarnation.
     without: BTreeSet<String>,
     /// Engines at which others are on trial, by their short hashes.
@@ -138,7 +138,7 @@
         model,
         is_last,
         tokens: needed_tokens(request, model),
-        listed: core.streams.list(),
+        listed: core.stream_subscribers.subscribe(),
         without: BTreeSet::new(),
         not_first: BTreeSet::new(),
         attempts: admitted.attempts(Counted::MayHaveRun),
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -22,7 +22,7 @@
     request::{
         answer::{Framing, passed_head},
         events::EventSplitter,
-        exchange::{self, Addressed, within},
+        exchange::{self, Addressed, with_timeout},
     },
 };
 
@@ -142,7 +142,7 @@
         }
         let body = head.body(&self.request.method);
         let body = connection.read_body(body, 1 << 20);
-        match within(ORDER, body).await {
+        match with_timeout(ORDER, body).await {
             Ok(Ok(body)) => AttemptEnd::Failed(head, body),
             _ => AttemptEnd::Broken,
         }
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -238,7 +238,7 @@
         PathNeed {
             service: &self.admitted.service.name,
             model: self.model,
-            data_centre: self.core.own_data_centre(),
+            data_centre: self.core.own_data_centre_index(),
             tokens: self.tokens,
             without: &self.without,
             now_ms: now_ms(),
@@ -246,7 +246,7 @@
             is_permit_needed,
             crossing_use: self
                 .core
-                .crossing
+                .interconnect
                 .share(&self.core.peers, self.model.pipe_mbps),
             untold_entries: self.core.untold_entries(),
             not_first: &self.not_first,
@@ -259,7 +259,7 @@
         let each = self.tokens as f64 * self.model.activation_bytes;
         let bytes = crossings as f64 * each;
         let core = self.core;
-        core.crossing.note(&core.peers, self.model.pipe_mbps, bytes);
+        core.interconnect.note(&core.peers, self.model.pipe_mbps, bytes);
     }
 
     /// Shows how many wait.
--- a/crates/direct/src/request/stream/watch.rs
+++ b/crates/direct/src/request/stream/watch.rs
@@ -17,7 +17,7 @@
     clock::now_ms,
     known::probe,
     request::{
-        exchange::{self, within},
+        exchange::{self, with_timeout},
         path::{Path, Stage},
         route::PathNeed,
     },
@@ -111,7 +111,7 @@
                     Woken::CallerGone
                 };
                 let nudged = async {
-                    self.listed.nudged().await;
+                    self.listed.notified().await;
                     Woken::Nudged
                 };
                 let look = async {
@@ -276,8 +276,8 @@
             let first = self.path.first().clone();
             let body =
                 engine::repath_body(self.admitted.id_text(), &path.value());
-            let call = exchange::order(&first, &body);
-            let answer = within(ORDER, call).await;
+            let call = exchange::send_order(&first, &body);
+            let answer = with_timeout(ORDER, call).await;
             let result = match &answer {
                 Ok(Ok((status, body))) => {
                     format!("{status} {}", String::from_utf8_lossy(body))
--- a/crates/direct/src/nudges.rs
+++ b/crates/direct/src/subscribers.rs
@@ -12,7 +12,7 @@
 
 /// Those that wait, such as the streams of an entry.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Nudges {
+pub(crate) struct Subscribers {
     shared: Arc<Shared>,
 }
 
@@ -24,22 +24,22 @@
 
 /// One among them, until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Listed {
+pub(crate) struct Subscription {
     key: u64,
     shared: Arc<Shared>,
     nudged: Receiver<()>,
 }
 
-impl Nudges {
-    pub(crate) fn list(&self) -> Listed {
+impl Subscribers {
+    pub(crate) fn subscribe(&self) -> Subscription {
         let (sender, nudged) = async_channel::bounded(1);
         let key = self.shared.next.fetch_add(1, Relaxed);
         self.nudges().insert(key, sender);
-        Listed { key, shared: self.shared.clone(), nudged }
+        Subscription { key, shared: self.shared.clone(), nudged }
     }
 
     /// Has all of them look again.
-    pub(crate) fn nudge_all(&self) {
+    pub(crate) fn notify_all(&self) {
         for sender in self.nudges().values() {
             // One that is full has been nudged and not looked yet.
             let _ = sender.try_send(());
@@ -51,14 +51,14 @@
     }
 }
 
-impl Listed {
-    pub(crate) async fn nudged(&self) {
+impl Subscription {
+    pub(crate) async fn notified(&self) {
         // The sender lives in the list as long as this does.
         let _ = self.nudged.recv().await;
     }
 }
 
-impl Drop for Listed {
+impl Drop for Subscription {
     fn drop(&mut self) {
         let mut nudges = self.shared.nudges.lock().expect("no holder panics");
         nudges.remove(&self.key);
