--- a/crates/direct/src/placement/authority.rs
+++ b/crates/direct/src/placement/authority.rs
@@ -21,7 +21,7 @@
 impl Authority {
     pub(crate) fn of(core: &Core, lease: &Lease) -> Option<Authority> {
         let held = lease.may_act().map(Authority::Lease);
-        held.or_else(|| core.stands_in().then_some(Authority::StandIn))
+        held.or_else(|| core.is_deputy_planner().then_some(Authority::StandIn))
     }
 
     pub(crate) fn scope(self) -> OrderScope {
