--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -7,8 +7,8 @@
 use std::{hint::black_box, time::Instant};
 
 use chestnutreach_routing::{
-    BackendSpec, ChainNeed, Chooser, Fleet, Live, LoadReport, Network, Policy,
-    Presence, Shape,
+    BackendSpec, ChainRequest, Chooser, Fleet, LiveState, LoadReport, Network,
+    Policy, Presence, RequestShape,
 };
 use serde::Serialize;
 
@@ -51,7 +51,7 @@
 struct Case {
     servers: usize,
     fleet: Fleet,
-    live: Live,
+    live: LiveState,
     times_ns: Vec<u64>,
 }
 
@@ -61,10 +61,10 @@
         let network = Network::new(DATA_CENTRES);
         let fleet = Fleet::try_new(LAYER_COUNT, specs, network)
             .expect("both stages are held");
-        let live = Live::new(fleet.len());
+        let live = LiveState::new(fleet.len());
         for index in fleet.indices() {
             live.set_presence(index, Presence::Serving);
-            live.report(index, &report(index.0), NOW_MS);
+            live.record_report(index, &report(index.0), NOW_MS);
         }
         Case { servers, fleet, live, times_ns: Vec::new() }
     }
@@ -72,11 +72,12 @@
     fn round(&mut self, chooser: &mut Chooser, rng: &mut fastrand::Rng) {
         let policy = Policy::default();
         for _ in 0..CHOICES_PER_ROUND {
-            let shape = Shape::new(rng.u32(50..2_000), rng.u32(20..400))
-                .deadline_ms(600_000)
-                .prefix(rng.u64(..));
+            let shape =
+                RequestShape::new(rng.u32(50..2_000), rng.u32(20..400))
+                    .deadline_ms(600_000)
+                    .prefix(rng.u64(..));
             let (fleet, live) = (&self.fleet, &self.live);
-            let need = ChainNeed::new(fleet, live, &shape, &policy, NOW_MS);
+            let need = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS);
             let start = Instant::now();
             let choice = chooser.choose(&need, rng);
             let elapsed_ns = start.elapsed().as_nanos() as u64;
--- a/crates/cli/src/site/route.rs
+++ b/crates/cli/src/site/route.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use chestnutreach_adapter::engine::MOST_PARTS;
-use chestnutreach_routing::{PartHolder, PathRequest, find_path};
+use chestnutreach_routing::{LayerHolder, PathRequest, find_path};
 use chestnutreach_site::{Backend, BackendState, Model};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use serde_json::json;
@@ -68,7 +68,7 @@
     places.sort_unstable();
     places.dedup();
     let place = |name: &str| places.binary_search(&name).unwrap_or(0);
-    let holders: Vec<PartHolder> = engines
+    let holders: Vec<LayerHolder> = engines
         .iter()
         .map(|b| holder(model, b, place(&b.data_centre)))
         .collect();
@@ -78,9 +78,9 @@
         tokens,
         data_centre: place(data_centre),
         is_start: true,
-        crossing_use: 0.0,
-        crossing_takes_ms: model.crossing_takes_ms(tokens),
-        most_parts: MOST_PARTS,
+        interconnect_utilisation: 0.0,
+        interconnect_prefill_ms: model.crossing_takes_ms(tokens),
+        max_stages: MOST_PARTS,
     };
     let mut rng = fastrand::Rng::with_seed(0);
     let Some(parts) = find_path(&holders, &request, &mut rng) else {
@@ -116,27 +116,31 @@
     Ok(Exit::Done)
 }
 
-fn holder(model: &Model, backend: &Backend, data_centre: usize) -> PartHolder {
+fn holder(
+    model: &Model,
+    backend: &Backend,
+    data_centre: usize,
+) -> LayerHolder {
     let kind = backend.kind.as_ref().and_then(|k| model.kinds.get(k));
     let held = backend.held;
     let is_ready = backend.state == BackendState::Ready;
     let layers = held.map_or(0, |held| held.layers());
-    PartHolder {
+    LayerHolder {
         data_centre,
         first_layer: held.map_or(0, |held| held.first_layer),
         end_layer: held.map_or(0, |held| held.end_layer),
         layer_ms: kind.map_or(0.0, |kind| model.step_part_ms(kind, 1)),
         used_token_layers: 0,
-        busy: 0.0,
+        prefill_share: 0.0,
         total_token_layers: kind
             .map_or(0, |kind| model.token_layers_beside(kind, layers)),
         is_usable: is_ready && kind.is_some() && held.is_some(),
-        may_be_first: true,
+        can_be_first: true,
     }
 }
 
 /// Layers that no ready engine holds, or that room is lacking.
-fn lacking(model: &Model, holders: &[PartHolder]) -> String {
+fn lacking(model: &Model, holders: &[LayerHolder]) -> String {
     let is_held = |layer: &u32| {
         holders.iter().any(|h| {
             h.is_usable && h.first_layer <= *layer && *layer < h.end_layer
--- a/crates/cli/tests/cli/control.rs
+++ b/crates/cli/tests/cli/control.rs
@@ -14,7 +14,7 @@
     serve_control,
 };
 use chestnutreach_routing::{
-    BackendIndex, Candidate, CostParts, Explanation, LeftOut,
+    BackendIndex, Candidate, CostBreakdown, ExclusionReason, Explanation,
 };
 use rstest::rstest;
 
@@ -125,7 +125,7 @@
         cost: None,
         is_chosen: false,
     };
-    let cost = CostParts {
+    let cost = CostBreakdown {
         wait_ms: 1.5,
         prompt_ms: 20.0,
         step_ms: 2.0,
@@ -141,7 +141,7 @@
         ..candidate(0, "desk-0a")
     };
     let left_out = Candidate {
-        left_out: Some(LeftOut::NotPresent),
+        left_out: Some(ExclusionReason::NotPresent),
         ..candidate(1, "desk-0b")
     };
     Explanation {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -14,7 +14,7 @@
 use chestnutreach_entry::Entry;
 use chestnutreach_node::InForce;
 use chestnutreach_protocol::{Link, Links, RequestId};
-use chestnutreach_routing::{Priority, Shape};
+use chestnutreach_routing::{Priority, RequestShape};
 use chestnutreach_side::Side;
 use chestnutreach_telemetry::{Event, Metrics, Readiness, emit};
 
@@ -285,13 +285,13 @@
     ControlRefusal::NotForRole { call: "explain".to_owned() }
 }
 
-fn to_shape(described: &DescribedRequest) -> Shape {
+fn to_shape(described: &DescribedRequest) -> RequestShape {
     let priority = match described.priority {
         RequestPriority::Low => Priority::Low,
         RequestPriority::Normal => Priority::Normal,
         RequestPriority::High => Priority::High,
     };
-    Shape::new(described.prompt_tokens, described.output_tokens)
+    RequestShape::new(described.prompt_tokens, described.output_tokens)
         .deadline_ms(described.deadline_ms.into())
         .priority(priority)
 }
--- a/crates/decisions/src/entry.rs
+++ b/crates/decisions/src/entry.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use chestnutreach_routing::{
-    BackendIndex, ChainNeed, Choice, Chooser, Ended, Fleet, Live, NoChain,
-    Policy, Presence, RetryBudget, Shape,
+    BackendIndex, ChainRequest, Choice, Chooser, Fleet, LiveState, NoChain,
+    Policy, Presence, RequestOutcome, RequestShape, RetryBudget,
 };
 
 use crate::{
@@ -20,7 +20,7 @@
 /// One entry.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub(crate) live: Live,
+    pub(crate) live: LiveState,
     pub(crate) budget: RetryBudget,
     pub(crate) data_centre: u32,
     chooser: Chooser,
@@ -45,7 +45,7 @@
         data_centre: u32,
         seed: u64,
     ) -> Entry {
-        let live = Live::new(fleet.len());
+        let live = LiveState::new(fleet.len());
         for index in fleet.indices() {
             live.set_presence(index, Presence::Serving);
         }
@@ -65,7 +65,7 @@
         &mut self,
         fleet: &Fleet,
         common: &Common,
-        shape: &Shape,
+        shape: &RequestShape,
         avoid: &[BackendIndex],
         now_ms: u64,
     ) -> Result<Vec<BackendIndex>, u64> {
@@ -94,12 +94,12 @@
         &mut self,
         choose: ChooseFn,
         fleet: &Fleet,
-        shape: &Shape,
+        shape: &RequestShape,
         avoid: &[BackendIndex],
         now_ms: u64,
     ) -> Result<Vec<BackendIndex>, u64> {
         let need =
-            ChainNeed::new(fleet, &self.live, shape, &self.policy, now_ms)
+            ChainRequest::new(fleet, &self.live, shape, &self.policy, now_ms)
                 .avoid(avoid)
                 .entry_data_centre(self.data_centre);
         let choice = choose(&mut self.chooser, &need, &mut self.rng);
@@ -116,7 +116,7 @@
         now_ms: u64,
     ) {
         for index in stages {
-            self.live.dispatched(*index, tokens, now_ms);
+            self.live.record_dispatch(*index, tokens, now_ms);
         }
     }
 
@@ -125,21 +125,22 @@
         &self,
         stages: &[BackendIndex],
         tokens: u32,
-        ended: &Ended,
+        ended: &RequestOutcome,
         at_fault: Option<BackendIndex>,
         now_ms: u64,
     ) {
         for index in stages {
             let is_meant = at_fault.is_none_or(|at| at == *index);
-            let ended = if is_meant { ended } else { &Ended::Cancelled };
-            self.live.ended(*index, tokens, ended, now_ms);
+            let ended =
+                if is_meant { ended } else { &RequestOutcome::Cancelled };
+            self.live.record_outcome(*index, tokens, ended, now_ms);
         }
     }
 }
 
 type ChooseFn = fn(
     &mut Chooser,
-    &ChainNeed<'_>,
+    &ChainRequest<'_>,
     &mut fastrand::Rng,
 ) -> Result<Choice, NoChain>;
 
--- a/crates/decisions/src/pick.rs
+++ b/crates/decisions/src/pick.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnutreach_routing::{BackendIndex, Fleet, Live};
+use chestnutreach_routing::{BackendIndex, Fleet, LiveState};
 
 /// The servers that continue from a layer.
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
 impl Starts {
     pub(crate) fn new(fleet: &Fleet) -> Starts {
         let mut by_layer: BTreeMap<u32, Vec<BackendIndex>> = BTreeMap::new();
-        for index in fleet.indices().filter(|i| fleet.is_useful(*i)) {
+        for index in fleet.indices().filter(|i| fleet.is_in_some_chain(*i)) {
             let first_layer = fleet.spec(index).first_layer;
             by_layer.entry(first_layer).or_default().push(index);
         }
@@ -76,7 +76,7 @@
 /// What an entry may choose from.
 pub(crate) struct View<'a> {
     pub(crate) fleet: &'a Fleet,
-    pub(crate) live: &'a Live,
+    pub(crate) live: &'a LiveState,
     pub(crate) avoid: &'a [BackendIndex],
     pub(crate) now_ms: u64,
 }
--- a/crates/decisions/src/request.rs
+++ b/crates/decisions/src/request.rs
@@ -1,6 +1,6 @@
 //! One caller's request on its way.
 
-use chestnutreach_routing::{BackendIndex, Shape};
+use chestnutreach_routing::{BackendIndex, RequestShape};
 
 use crate::workload::Asking;
 
@@ -71,10 +71,11 @@
     }
 
     /// As the entry states it.
-    pub(crate) fn shape(&self, now_us: u64, is_bounded: bool) -> Shape {
+    pub(crate) fn shape(&self, now_us: u64, is_bounded: bool) -> RequestShape {
         let asking = &self.asking;
-        let shape = Shape::new(asking.prompt_tokens, asking.max_output_tokens)
-            .priority(asking.trade.priority());
+        let shape =
+            RequestShape::new(asking.prompt_tokens, asking.max_output_tokens)
+                .priority(asking.trade.priority());
         if !is_bounded {
             return shape;
         }
--- a/crates/decisions/src/work.rs
+++ b/crates/decisions/src/work.rs
@@ -8,8 +8,8 @@
 use std::{hint::black_box, time::Instant};
 
 use chestnutreach_routing::{
-    BackendIndex, BackendSpec, ChainNeed, Chooser, Fleet, Live, LoadReport,
-    Network, Policy, Presence, Shape, explain,
+    BackendIndex, BackendSpec, ChainRequest, Chooser, Fleet, LiveState,
+    LoadReport, Network, Policy, Presence, RequestShape, explain,
 };
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -76,7 +76,7 @@
 
 struct Snapshot {
     fleet: Fleet,
-    live: Live,
+    live: LiveState,
 }
 
 /// Servers looked at by the size of the fleet.
@@ -103,7 +103,7 @@
     let shape = shape(rng);
     let policy = Policy::default();
     let Snapshot { fleet, live } = snapshot;
-    let need = ChainNeed::new(fleet, live, &shape, &policy, NOW_MS);
+    let need = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS);
     let explanation = explain(&need, rng);
     explanation.candidates.len()
 }
@@ -149,8 +149,8 @@
     for at in 0..DECISIONS_PER_ROUND {
         let shape = shape(rng);
         let avoid = [BackendIndex((at % fleet.len()) as u32)];
-        let need =
-            ChainNeed::new(fleet, live, &shape, &policy, NOW_MS).avoid(&avoid);
+        let need = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS)
+            .avoid(&avoid);
         let start = Instant::now();
         let choice = chooser.choose(&need, rng);
         let elapsed = start.elapsed();
@@ -169,8 +169,8 @@
     Histogram::new(3).expect("three digits are allowed")
 }
 
-fn shape(rng: &mut fastrand::Rng) -> Shape {
-    Shape::new(rng.u32(50..2_000), rng.u32(20..400))
+fn shape(rng: &mut fastrand::Rng) -> RequestShape {
+    RequestShape::new(rng.u32(50..2_000), rng.u32(20..400))
         .deadline_ms(600_000)
         .prefix(rng.u64(..))
 }
@@ -179,11 +179,11 @@
     let specs = (0..servers).map(spec).collect();
     let network = Network::new(DATA_CENTRE_COUNT);
     let fleet = Fleet::try_new(LAYER_COUNT, specs, network).expect("valid");
-    let live = Live::new(fleet.len());
+    let live = LiveState::new(fleet.len());
     let mut rng = fastrand::Rng::with_seed(SEED);
     for index in fleet.indices() {
         live.set_presence(index, Presence::Serving);
-        live.report(index, &report(&mut rng), NOW_MS);
+        live.record_report(index, &report(&mut rng), NOW_MS);
     }
     Snapshot { fleet, live }
 }
--- a/crates/decisions/src/workload.rs
+++ b/crates/decisions/src/workload.rs
@@ -5,7 +5,7 @@
 //! Poisson; for two of every ten seconds they come at [`BURST`] times the
 //! rate, and slower between, so that the mean stays.
 
-use chestnutreach_routing::{Mix, throughput_bound};
+use chestnutreach_routing::{TokenMix, throughput_bound};
 
 use crate::{
     case::Case,
@@ -80,7 +80,7 @@
     output: f64,
 ) -> f64 {
     let scale = MIX_SCALE / (prompt + output).max(1.0);
-    let mix = Mix {
+    let mix = TokenMix {
         prompt_tokens: (prompt * scale) as u32,
         output_tokens: (output * scale) as u32,
     };
--- a/crates/decisions/src/world.rs
+++ b/crates/decisions/src/world.rs
@@ -120,7 +120,7 @@
             Event::ReportArrives(index, report) => {
                 let now_ms = self.events.now_ms();
                 for entry in &self.entries {
-                    entry.live.report(index, &report, now_ms);
+                    entry.live.record_report(index, &report, now_ms);
                 }
             }
             Event::Join(index) => {
--- a/crates/decisions/src/world/ask.rs
+++ b/crates/decisions/src/world/ask.rs
@@ -1,6 +1,6 @@
 //! Callers and entries: a request until it is sent and after it ended.
 
-use chestnutreach_routing::Ended;
+use chestnutreach_routing::RequestOutcome;
 
 use super::World;
 use crate::{
@@ -73,7 +73,7 @@
     /// Nothing has run: tries another chain or tells the caller.
     pub(super) fn refused(&mut self, at: RequestIndex, refusal: Refusal) {
         self.note_refused();
-        self.end_attempt(at, &Ended::Refused, Some(refusal));
+        self.end_attempt(at, &RequestOutcome::Refused, Some(refusal));
         let request = &mut self.requests[at as usize];
         if request.phase == Phase::Over {
             return;
@@ -94,7 +94,7 @@
         let now_us = self.events.now_us();
         let request = &self.requests[at as usize];
         let total_us = now_us - request.sent_us;
-        let ended = Ended::Completed {
+        let ended = RequestOutcome::Completed {
             prompt_tokens: request.asking.prompt_tokens,
             output_tokens: request.asking.output_tokens,
             first_token_ms: 0,
@@ -120,18 +120,18 @@
             Phase::Idle | Phase::Over => {}
             Phase::Offered => {
                 self.leave_queue(at);
-                self.end_attempt(at, &Ended::Cancelled, None);
+                self.end_attempt(at, &RequestOutcome::Cancelled, None);
             }
             Phase::Waiting => {
                 self.leave_queue(at);
                 self.release_held(at);
-                self.end_attempt(at, &Ended::Cancelled, None);
+                self.end_attempt(at, &RequestOutcome::Cancelled, None);
             }
             // What is held is freed when the answers come.
             Phase::Reserving | Phase::Answered => {}
             Phase::Running => {
                 self.release_all(at);
-                self.end_attempt(at, &Ended::Cancelled, None);
+                self.end_attempt(at, &RequestOutcome::Cancelled, None);
             }
         }
     }
@@ -155,7 +155,7 @@
     pub(super) fn end_attempt(
         &mut self,
         at: RequestIndex,
-        ended: &Ended,
+        ended: &RequestOutcome,
         refusal: Option<Refusal>,
     ) {
         let now_ms = self.events.now_ms();
--- a/crates/decisions/src/world/serve.rs
+++ b/crates/decisions/src/world/serve.rs
@@ -1,6 +1,6 @@
 //! Engines: a request that holds all its stages.
 
-use chestnutreach_routing::{BackendIndex, Ended};
+use chestnutreach_routing::{BackendIndex, RequestOutcome};
 
 use super::World;
 use crate::{
@@ -14,7 +14,7 @@
     pub(super) fn begin(&mut self, at: RequestIndex) {
         if self.requests[at as usize].phase == Phase::Over {
             self.release_held(at);
-            return self.end_attempt(at, &Ended::Cancelled, None);
+            return self.end_attempt(at, &RequestOutcome::Cancelled, None);
         }
         let request = &mut self.requests[at as usize];
         request.phase = Phase::Running;
--- a/crates/direct/src/known/engine.rs
+++ b/crates/direct/src/known/engine.rs
@@ -12,7 +12,7 @@
 };
 
 pub(crate) use chestnutreach_routing::Evidence;
-use chestnutreach_routing::{Health, KnownUse};
+use chestnutreach_routing::{CircuitBreaker, UsageEstimate};
 use chestnutreach_site::{Backend, BackendState, LayerRange};
 
 use crate::{clock::now_ms, known::notices::Notices, rate::Rate};
@@ -58,7 +58,7 @@
     pub(crate) is_watched: AtomicBool,
     /// How streams that were sent to it first were answered. An engine that
     /// fails at once looks idle, and would be chosen ever more often.
-    pub(crate) answers: Health,
+    pub(crate) answers: CircuitBreaker,
     /// What it said of itself in answers.
     pub(crate) notices: Notices,
     state: Mutex<EngineState>,
@@ -260,7 +260,7 @@
             progress_ms: AtomicU64::new(0),
             is_probing: AtomicBool::new(false),
             is_watched: AtomicBool::new(false),
-            answers: Health::new(),
+            answers: CircuitBreaker::new(),
             notices: Notices::default(),
             state: Mutex::new(EngineState {
                 row,
@@ -297,10 +297,13 @@
     }
 
     /// Memory that requests use, where so many entries have not told.
-    pub(crate) fn planned_token_layers(&self, untold_entries: u64) -> u64 {
+    pub(crate) fn planned_token_layers(
+        &self,
+        entries_without_report: u64,
+    ) -> u64 {
         let own = self.own_token_layers.load(Relaxed);
-        let told = self.others_token_layers.load(Relaxed);
-        KnownUse { own, told, untold_entries }.planned()
+        let reported = self.others_token_layers.load(Relaxed);
+        UsageEstimate { own, reported, entries_without_report }.total()
     }
 
     pub(crate) fn first_count(&self) -> u64 {
--- a/crates/direct/src/request/crossing.rs
+++ b/crates/direct/src/request/crossing.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use chestnutreach_routing::{CrossingBounds, CrossingPart};
+use chestnutreach_routing::{InterconnectLimits, InterconnectQuota};
 
 use crate::{clock::now_ms, known::peer_table::PeerTable, rate::Rate};
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Crossing {
     sent: Rate,
-    part: Mutex<CrossingPart>,
+    part: Mutex<InterconnectQuota>,
 }
 
 impl Crossing {
@@ -24,7 +24,7 @@
     pub(crate) fn share(&self, peers: &PeerTable, pipe_mbps: f64) -> f64 {
         let bounds = bounds(peers, pipe_mbps);
         let mut part = self.part.lock().expect("no holder panics");
-        if !part.has_left(&bounds, now_ms()) {
+        if !part.has_remaining(&bounds, now_ms()) {
             return 1.0;
         }
         drop(part);
@@ -36,16 +36,16 @@
     pub(crate) fn note(&self, peers: &PeerTable, pipe_mbps: f64, bytes: f64) {
         let bounds = bounds(peers, pipe_mbps);
         let mut part = self.part.lock().expect("no holder panics");
-        part.take(&bounds, bytes, now_ms());
+        part.consume(&bounds, bytes, now_ms());
         drop(part);
         self.sent.note(bytes, now_ms());
     }
 }
 
-fn bounds(peers: &PeerTable, pipe_mbps: f64) -> CrossingBounds {
-    CrossingBounds {
+fn bounds(peers: &PeerTable, pipe_mbps: f64) -> InterconnectLimits {
+    InterconnectLimits {
         bytes_per_s: pipe_mbps.max(1.0) * 1e6 / 8.0,
         entries: peers.entry_count(),
-        crossing: peers.crossing_count(now_ms()) + 1,
+        active_entries: peers.crossing_count(now_ms()) + 1,
     }
 }
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -9,7 +9,7 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 use chestnutreach_adapter::engine::MOST_PARTS;
-use chestnutreach_routing::{PartHolder, PathRequest, find_path};
+use chestnutreach_routing::{LayerHolder, PathRequest, find_path};
 use chestnutreach_site::Model;
 
 use crate::{
@@ -48,7 +48,7 @@
     /// Use of what joins data centres; 1 is full.
     pub(crate) crossing_use: f64,
     /// Other entries that have not told yet what they use.
-    pub(crate) untold_entries: u64,
+    pub(crate) entries_without_report: u64,
     /// The only engine that may be first, where there is one.
     pub(crate) only_first: Option<&'a Arc<Engine>>,
     /// Whether engines that named a limit may be first without a permit.
@@ -67,9 +67,9 @@
             tokens: need.tokens,
             data_centre: need.data_centre,
             is_start: true,
-            crossing_use: need.crossing_use,
-            crossing_takes_ms: need.model.crossing_takes_ms(need.tokens),
-            most_parts: MOST_PARTS,
+            interconnect_utilisation: need.crossing_use,
+            interconnect_prefill_ms: need.model.crossing_takes_ms(need.tokens),
+            max_stages: MOST_PARTS,
         };
         let none = BTreeSet::new();
         let path = self.part(need, &request, &none);
@@ -92,7 +92,7 @@
     fn has_failing(&self, need: &PathNeed<'_>) -> bool {
         let engines = self.of_service(need.service);
         let mut engines = engines.all.iter();
-        engines.any(|e| !e.answers.is_open_to_requests(need.now_ms))
+        engines.any(|e| !e.answers.allows_requests(need.now_ms))
     }
 
     /// A path without its bad engines, with the same first one; none where
@@ -145,9 +145,11 @@
                 tokens: need.tokens,
                 data_centre: before.engine.data_centre,
                 is_start: false,
-                crossing_use: need.crossing_use,
-                crossing_takes_ms: need.model.crossing_takes_ms(need.tokens),
-                most_parts: MOST_PARTS.saturating_sub(kept_parts),
+                interconnect_utilisation: need.crossing_use,
+                interconnect_prefill_ms: need
+                    .model
+                    .crossing_takes_ms(need.tokens),
+                max_stages: MOST_PARTS.saturating_sub(kept_parts),
             };
             let part = self.part(need, &request, &used)?;
             let names = part.stages.iter();
@@ -266,11 +268,11 @@
     request: &PathRequest,
     used: &BTreeSet<String>,
 ) -> Option<Path> {
-    let holders: Vec<PartHolder> =
+    let holders: Vec<LayerHolder> =
         engines.iter().map(|engine| holder(need, engine, used)).collect();
     let mut rng = fastrand::Rng::new();
     let parts = find_path(&holders, request, &mut rng)?;
-    let stage = |part: chestnutreach_routing::Part| Stage {
+    let stage = |part: chestnutreach_routing::PathStage| Stage {
         engine: engines[part.holder].clone(),
         first_layer: part.first_layer,
         end_layer: part.end_layer,
@@ -282,7 +284,7 @@
     need: &PathNeed<'_>,
     engine: &Engine,
     used: &BTreeSet<String>,
-) -> PartHolder {
+) -> LayerHolder {
     let state = engine.lock();
     let kind = state.row.kind.as_ref();
     let kind = kind.and_then(|kind| need.model.kinds.get(kind));
@@ -294,16 +296,17 @@
         return unusable(engine.data_centre);
     };
     let total = need.model.token_layers_beside(kind, held.layers());
-    PartHolder {
+    LayerHolder {
         data_centre: engine.data_centre,
         first_layer: lasting.first_layer,
         end_layer: lasting.end_layer,
         layer_ms: need.model.step_part_ms(kind, 1) * state.slowness,
-        used_token_layers: engine.planned_token_layers(need.untold_entries),
-        busy: engine.reading_share(need.now_ms) * state.slowness,
+        used_token_layers: engine
+            .planned_token_layers(need.entries_without_report),
+        prefill_share: engine.reading_share(need.now_ms) * state.slowness,
         total_token_layers: (total as f64 * PLANNED_SHARE) as u64,
         is_usable: !is_named && takes_work(&state, need.now_ms),
-        may_be_first: need
+        can_be_first: need
             .only_first
             .is_none_or(|first| first.incarnation == engine.incarnation)
             && !need.not_first.contains(&engine.hash)
@@ -312,20 +315,20 @@
             && (!need.is_permit_needed
                 || engine.notices.may_send(need.now_ms))
             && (!need.is_choosy
-                || engine.answers.is_open_to_requests(need.now_ms)),
+                || engine.answers.allows_requests(need.now_ms)),
     }
 }
 
-fn unusable(data_centre: usize) -> PartHolder {
-    PartHolder {
+fn unusable(data_centre: usize) -> LayerHolder {
+    LayerHolder {
         data_centre,
         first_layer: 0,
         end_layer: 0,
         layer_ms: 0.0,
         used_token_layers: 0,
-        busy: 0.0,
+        prefill_share: 0.0,
         total_token_layers: 0,
         is_usable: false,
-        may_be_first: false,
+        can_be_first: false,
     }
 }
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -242,15 +242,15 @@
         let first = self.path.first();
         match end {
             AttemptEnd::Failed(head, _) if head.status >= 500 => {
-                first.answers.note_failure(now_ms());
+                first.answers.record_failure(now_ms());
             }
             // One further on that died speaks against no first engine.
             AttemptEnd::Broken
                 if !self.pace.has_begun && !self.has_dead_stage() =>
             {
-                first.answers.note_failure(now_ms());
+                first.answers.record_failure(now_ms());
             }
-            _ => first.answers.note_neutral(),
+            _ => first.answers.record_neutral(),
         }
     }
 
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -53,7 +53,7 @@
         self.note_sent();
         self.attempts.begin(&first.incarnation);
         let sent_ms = now_ms();
-        first.answers.note_sent(sent_ms);
+        first.answers.record_sent(sent_ms);
         first.notices.note_sent(sent_ms);
         let id = self.admitted.id.clone();
         let method = self.request.method.clone();
@@ -233,7 +233,7 @@
             }
         }
         if !had_begun {
-            self.path.first().answers.note_success(now_ms);
+            self.path.first().answers.record_success(now_ms);
         }
         if !self.suspicion.has_lasted() && self.pace.run.has_lasted(now_ms) {
             self.suspicion.note_lasted();
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -248,7 +248,7 @@
                 .core
                 .crossing
                 .share(&self.core.peers, self.model.pipe_mbps),
-            untold_entries: self.core.untold_entries(),
+            entries_without_report: self.core.untold_entries(),
             not_first: &self.not_first,
             only_first: self.trial.as_ref().map(|trial| &trial.engine),
         }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -8,7 +8,7 @@
 use chestnutreach_node::Heard;
 use chestnutreach_platform::ClaimStore;
 use chestnutreach_protocol::{Identity, Links, RequestId};
-use chestnutreach_routing::{ChainNeed, Shape};
+use chestnutreach_routing::{ChainRequest, RequestShape};
 use chestnutreach_telemetry::Metrics;
 
 use crate::{
@@ -165,7 +165,7 @@
     pub fn explain(
         &self,
         service: &str,
-        shape: &Shape,
+        shape: &RequestShape,
     ) -> Result<String, String> {
         let view = self.shared.view.load();
         let Some(service) = view.services.get(service) else {
@@ -174,7 +174,7 @@
         let policy = self.shared.policy();
         let now_ms = self.shared.clock.now_ms();
         let (fleet, live) = (&service.fleet, &service.live);
-        let need = ChainNeed::new(fleet, live, shape, &policy, now_ms)
+        let need = ChainRequest::new(fleet, live, shape, &policy, now_ms)
             .entry_data_centre(service.data_centre);
         let rng = &mut fastrand::Rng::new();
         let explanation = chestnutreach_routing::explain(&need, rng);
--- a/crates/entry/src/recent.rs
+++ b/crates/entry/src/recent.rs
@@ -13,7 +13,9 @@
 };
 
 use chestnutreach_protocol::RequestId;
-use chestnutreach_routing::{BackendIndex, Choice, Ended, Shape};
+use chestnutreach_routing::{
+    BackendIndex, Choice, RequestOutcome, RequestShape,
+};
 use chestnutreach_state::Outcome;
 use serde::Serialize;
 
@@ -147,7 +149,7 @@
     pub(crate) fn chosen(
         &self,
         choice: &Choice,
-        shape: &Shape,
+        shape: &RequestShape,
         avoid: &[BackendIndex],
     ) {
         let noted = NotedChoice {
@@ -172,7 +174,7 @@
     pub(crate) fn attempt_ended(
         &self,
         stages: &[BackendIndex],
-        ended: &Ended,
+        ended: &RequestOutcome,
         at_fault: Option<BackendIndex>,
     ) {
         if stages.is_empty() {
@@ -215,11 +217,11 @@
     }
 }
 
-fn word(ended: &Ended) -> &'static str {
+fn word(ended: &RequestOutcome) -> &'static str {
     match ended {
-        Ended::Completed { .. } => "completed",
-        Ended::Refused => "refused",
-        Ended::Failed => "failed",
-        Ended::Cancelled => "cancelled",
+        RequestOutcome::Completed { .. } => "completed",
+        RequestOutcome::Refused => "refused",
+        RequestOutcome::Failed => "failed",
+        RequestOutcome::Cancelled => "cancelled",
     }
 }
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -7,7 +7,8 @@
     wire::{self, frame::Body},
 };
 use chestnutreach_routing::{
-    BackendIndex, ChainNeed, NoChainReason, Presence, Priority, Shape, choose,
+    BackendIndex, ChainRequest, NoChainReason, Presence, Priority,
+    RequestShape, choose,
 };
 use chestnutreach_state::NotRunReason;
 
@@ -58,7 +59,7 @@
         let now_ms = self.entry.clock.now_ms();
         for stage in &stages {
             let live = &self.job.service.live;
-            live.dispatched(*stage, cost_tokens, now_ms);
+            live.record_dispatch(*stage, cost_tokens, now_ms);
         }
         self.attempt = Some(Attempt {
             stages,
@@ -91,7 +92,7 @@
             && self.job.service.budget.take()
     }
 
-    fn shape(&self) -> Shape {
+    fn shape(&self) -> RequestShape {
         let delivered = self.tokens.len() as u32;
         let (prompt_tokens, output_tokens) = match &self.job.work {
             JobWork::Generate {
@@ -102,7 +103,7 @@
             ),
             JobWork::PlainCall(_) => (0, 0),
         };
-        Shape {
+        RequestShape {
             prompt_tokens,
             output_tokens,
             deadline_ms: self.rest_ms(),
@@ -114,12 +115,15 @@
     /// # Errors
     ///
     /// Why there is no chain; noted as the last refusal as well.
-    fn choose(&mut self, shape: &Shape) -> Result<Vec<BackendIndex>, String> {
+    fn choose(
+        &mut self,
+        shape: &RequestShape,
+    ) -> Result<Vec<BackendIndex>, String> {
         let service = &self.job.service;
         let policy = self.entry.policy();
         let now_ms = self.entry.clock.now_ms();
         let (fleet, live) = (&service.fleet, &service.live);
-        let need = ChainNeed::new(fleet, live, shape, &policy, now_ms)
+        let need = ChainRequest::new(fleet, live, shape, &policy, now_ms)
             .avoid(&self.avoid)
             .entry_data_centre(service.data_centre);
         let choice = choose(&need, &mut fastrand::Rng::new());
--- a/crates/entry/src/session/events.rs
+++ b/crates/entry/src/session/events.rs
@@ -5,7 +5,7 @@
 use chestnutreach_protocol::wire::{
     self, FailureReason, RefusalReason, frame::Body, output::Part,
 };
-use chestnutreach_routing::{fleet::BackendIndex, live::Ended};
+use chestnutreach_routing::{fleet::BackendIndex, live_state::RequestOutcome};
 use chestnutreach_state::{NotRunReason, Outcome};
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
@@ -51,7 +51,7 @@
             self.give_up(Cause::Backend, detail);
             return;
         };
-        self.note_ended(&attempt, &Ended::Cancelled, None);
+        self.note_ended(&attempt, &RequestOutcome::Cancelled, None);
         let outcome = match attempt.is_accepted && !is_kept {
             true => Outcome::Failed,
             false => Outcome::Unknown,
@@ -173,7 +173,7 @@
         let since = |at: Instant| {
             at.saturating_duration_since(attempt.started).as_millis() as u32
         };
-        let ended = Ended::Completed {
+        let ended = RequestOutcome::Completed {
             prompt_tokens: m.prompt_tokens,
             output_tokens: m.output_count - attempt.first_position,
             first_token_ms: since(first),
@@ -187,16 +187,17 @@
     pub(super) fn note_ended(
         &self,
         attempt: &Attempt,
-        ended: &Ended,
+        ended: &RequestOutcome,
         at_fault: Option<BackendIndex>,
     ) {
         self.choices.attempt_ended(&attempt.stages, ended, at_fault);
         let now_ms = self.entry.clock.now_ms();
         for stage in &attempt.stages {
             let is_meant = at_fault.is_none_or(|at| at == *stage);
-            let ended = if is_meant { ended } else { &Ended::Cancelled };
+            let ended =
+                if is_meant { ended } else { &RequestOutcome::Cancelled };
             let live = &self.job.service.live;
-            live.ended(*stage, attempt.cost_tokens, ended, now_ms);
+            live.record_outcome(*stage, attempt.cost_tokens, ended, now_ms);
         }
     }
 
@@ -215,7 +216,7 @@
         // Nothing of this attempt has run, also if it had been accepted.
         self.may_have_begun = attempt.has_begun_before;
         let at_fault = self.job.service.fleet.find(&m.backend);
-        self.note_ended(&attempt, &Ended::Refused, at_fault);
+        self.note_ended(&attempt, &RequestOutcome::Refused, at_fault);
         let first = attempt.stages.first().copied();
         self.avoid.extend(at_fault.or(first));
         let come_back_ms = self.entry.come_back_ms();
@@ -241,9 +242,9 @@
         // Neither a request whose time is over nor a server that asked for
         // rest says anything of a server's health.
         if is_nobodys || reason == FailureReason::AtRest {
-            self.note_ended(&attempt, &Ended::Cancelled, None);
+            self.note_ended(&attempt, &RequestOutcome::Cancelled, None);
         } else {
-            self.note_ended(&attempt, &Ended::Failed, fault);
+            self.note_ended(&attempt, &RequestOutcome::Failed, fault);
         }
         self.avoid.extend(fault);
         let cause = match reason {
--- a/crates/entry/src/session/mod.rs
+++ b/crates/entry/src/session/mod.rs
@@ -35,7 +35,9 @@
 use async_io::Timer;
 use chestnutreach_platform::claims::Claim;
 use chestnutreach_protocol::{Link, RequestId, link::BusyGuard, wire};
-use chestnutreach_routing::{Priority, fleet::BackendIndex, live::Ended};
+use chestnutreach_routing::{
+    Priority, fleet::BackendIndex, live_state::RequestOutcome,
+};
 use chestnutreach_state::{NotRunReason, Outcome};
 
 pub(crate) use crate::ending::{Cause, Ending};
@@ -285,7 +287,7 @@
         if matches!(self.phase, Phase::Waiting | Phase::Lost) {
             self.cancel();
             if let Some(attempt) = &self.attempt {
-                self.note_ended(attempt, &Ended::Cancelled, None);
+                self.note_ended(attempt, &RequestOutcome::Cancelled, None);
             }
         }
     }
--- a/crates/entry/src/session/recover.rs
+++ b/crates/entry/src/session/recover.rs
@@ -7,7 +7,7 @@
     Link,
     wire::{self, FailureReason, RefusalReason, RunState, frame::Body},
 };
-use chestnutreach_routing::live::Ended;
+use chestnutreach_routing::live_state::RequestOutcome;
 use chestnutreach_state::{NotRunReason, Outcome};
 use futures_lite::FutureExt as _;
 
@@ -54,7 +54,7 @@
         let is_accepted = self.attempt.as_ref().is_some_and(|a| a.is_accepted);
         if let Some(attempt) = self.attempt.take() {
             let first = attempt.stages.first().copied();
-            self.note_ended(&attempt, &Ended::Failed, first);
+            self.note_ended(&attempt, &RequestOutcome::Failed, first);
         }
         let outcome =
             if is_accepted { Outcome::Failed } else { Outcome::Unknown };
--- a/crates/entry/src/sides.rs
+++ b/crates/entry/src/sides.rs
@@ -13,7 +13,7 @@
 };
 use chestnutreach_routing::{
     Policy,
-    live::{LoadReport, Presence},
+    live_state::{LoadReport, Presence},
 };
 use chestnutreach_telemetry::{Event, emit};
 
@@ -132,7 +132,7 @@
     fn one_load(&self, beside: &Beside, load: &BackendLoad, leaves: bool) {
         let now_ms = self.clock.now_ms();
         let live = &beside.service.live;
-        live.report(beside.index, &to_report(load), now_ms);
+        live.record_report(beside.index, &to_report(load), now_ms);
         if leaves {
             live.set_presence(beside.index, Presence::Leaving);
         } else if live.presence(beside.index) == Presence::Leaving {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -11,7 +11,7 @@
     manifest::{Account, BackendServer, Service, ServiceKind},
 };
 use chestnutreach_routing::{
-    BackendIndex, BackendSpec, Fleet, Live, Network, Policy, RetryBudget,
+    BackendIndex, BackendSpec, Fleet, LiveState, Network, Policy, RetryBudget,
 };
 
 /// A generation, ready for requests.
@@ -35,7 +35,7 @@
     pub(crate) name: String,
     pub(crate) service: Service,
     pub(crate) fleet: Fleet,
-    pub(crate) live: Arc<Live>,
+    pub(crate) live: Arc<LiveState>,
     pub(crate) budget: Arc<RetryBudget>,
     /// Side process of each backend server, by its index.
     pub(crate) sides: Vec<SocketAddr>,
@@ -148,7 +148,7 @@
 
 impl ServiceView {
     /// What is known of the backend servers, for a new set of them.
-    fn carried(&self, to: &Fleet, specs: &[BackendServer]) -> Arc<Live> {
+    fn carried(&self, to: &Fleet, specs: &[BackendServer]) -> Arc<LiveState> {
         let is_same = |name: &str| {
             let old = self.fleet.find(name).map(|i| &self.specs[at(i)]);
             let new = to.find(name).map(|i| &specs[at(i)]);
@@ -159,7 +159,7 @@
         if is_kept && names.into_iter().all(|name| is_same(name)) {
             return self.live.clone();
         }
-        Arc::new(self.live.carried_where(&self.fleet, to, is_same))
+        Arc::new(self.live.carry_over_where(&self.fleet, to, is_same))
     }
 
     /// Presence and circuit of each backend server, for operators.
@@ -174,7 +174,7 @@
                 let state = serde_json::json!({
                     "presence": presence,
                     "in_flight": in_flight,
-                    "circuit": self.live.health(index, now_ms).name(),
+                    "circuit": self.live.circuit_state(index, now_ms).name(),
                 });
                 (name, state)
             })
@@ -260,7 +260,7 @@
                 .expect("an accepted manifest tiles its layers");
         let live = match old {
             Some(old) => old.carried(&fleet, &specs),
-            None => Arc::new(Live::new(specs.len())),
+            None => Arc::new(LiveState::new(specs.len())),
         };
         ServiceView {
             name: name.to_owned(),
--- a/crates/planner/tests/fast_beside.rs
+++ b/crates/planner/tests/fast_beside.rs
@@ -7,7 +7,7 @@
 use chestnutreach_planner::{
     LayerRange, LayoutEngine, LayoutModel, cover, place_empty,
 };
-use chestnutreach_routing::{PartHolder, PathRequest, find_path};
+use chestnutreach_routing::{LayerHolder, PathRequest, find_path};
 use rstest::rstest;
 
 const LAYERS: u32 = 80;
@@ -85,20 +85,20 @@
 fn holders(
     engines: &[LayoutEngine],
     kinds: &[LayoutEngine],
-) -> Vec<PartHolder> {
+) -> Vec<LayerHolder> {
     let holder = |(e, kind): (&LayoutEngine, &LayoutEngine)| {
         let held = e.held.unwrap_or(LayerRange::new(0, 0));
         let tokens = room(&MODEL, e) * f64::from(held.layers());
-        PartHolder {
+        LayerHolder {
             data_centre: 0,
             first_layer: held.first_layer,
             end_layer: held.end_layer,
             layer_ms: kind.layer_ms,
-            busy: 0.0,
+            prefill_share: 0.0,
             used_token_layers: 0,
             total_token_layers: tokens as u64,
             is_usable: e.is_sound,
-            may_be_first: true,
+            can_be_first: true,
         }
     };
     engines.iter().zip(kinds).map(holder).collect()
@@ -122,7 +122,7 @@
 }
 
 /// Streams of a data centre, each on the cheapest path that has room.
-fn play(mut holders: Vec<PartHolder>, times: f64, seed: u64) -> Figures {
+fn play(mut holders: Vec<LayerHolder>, times: f64, seed: u64) -> Figures {
     let mut rng = fastrand::Rng::with_seed(seed);
     let request = PathRequest {
         first_layer: 0,
@@ -130,9 +130,9 @@
         tokens: TOKENS,
         data_centre: 0,
         is_start: true,
-        crossing_use: 0.0,
-        crossing_takes_ms: 0.0,
-        most_parts: MOST_PARTS,
+        interconnect_utilisation: 0.0,
+        interconnect_prefill_ms: 0.0,
+        max_stages: MOST_PARTS,
     };
     let mut running = BTreeSet::new();
     let mut figures = Figures::default();
@@ -143,7 +143,7 @@
                 break;
             }
             for (holder, layers) in parts {
-                let holder: &mut PartHolder = &mut holders[holder];
+                let holder: &mut LayerHolder = &mut holders[holder];
                 holder.used_token_layers -= layers * TOKENS;
             }
         }
--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -10,8 +10,8 @@
 use std::{hint::black_box, time::Instant};
 
 use chestnutreach_routing::{
-    BackendIndex, BackendSpec, ChainNeed, Chooser, Fleet, Live, LoadReport,
-    Network, Policy, Presence, Shape,
+    BackendIndex, BackendSpec, ChainRequest, Chooser, Fleet, LiveState,
+    LoadReport, Network, Policy, Presence, RequestShape,
 };
 
 const FLEET_SIZES: [usize; 3] = [50, 500, 1_100];
@@ -71,7 +71,7 @@
     way: Way,
     size: usize,
     fleet: Fleet,
-    live: Live,
+    live: LiveState,
     times_ns: Vec<u64>,
     cost_sum: f64,
 }
@@ -95,7 +95,7 @@
     let specs = (0..size).map(spec).collect();
     let network = Network::new(DATA_CENTRE_COUNT);
     let fleet = Fleet::try_new(LAYER_COUNT, specs, network).expect("valid");
-    let live = Live::new(fleet.len());
+    let live = LiveState::new(fleet.len());
     for index in fleet.indices() {
         // By rounds over the parts, so that every part keeps some.
         let round = index.0 as usize / part_count();
@@ -103,7 +103,7 @@
         if !is_absent {
             live.set_presence(index, Presence::Serving);
         }
-        live.report(index, &report(&fleet, index, rng), NOW_MS);
+        live.record_report(index, &report(&fleet, index, rng), NOW_MS);
     }
     Case { way, size, fleet, live, times_ns: Vec::new(), cost_sum: 0.0 }
 }
@@ -158,7 +158,7 @@
 fn measure(case: &mut Case, chooser: &mut Chooser, rng: &mut fastrand::Rng) {
     let policy = Policy::default();
     for at in 0..DECISIONS_PER_ROUND {
-        let shape = Shape::new(rng.u32(50..2_000), rng.u32(20..400))
+        let shape = RequestShape::new(rng.u32(50..2_000), rng.u32(20..400))
             .deadline_ms(600_000)
             .prefix(rng.u64(..));
         let avoid = [BackendIndex(at as u32 % case.size as u32)];
@@ -168,9 +168,14 @@
             Chooser::choose
         };
         let start = Instant::now();
-        let need =
-            ChainNeed::new(&case.fleet, &case.live, &shape, &policy, NOW_MS)
-                .avoid(&avoid);
+        let need = ChainRequest::new(
+            &case.fleet,
+            &case.live,
+            &shape,
+            &policy,
+            NOW_MS,
+        )
+        .avoid(&avoid);
         let choice = choose(chooser, &need, rng);
         let elapsed = start.elapsed();
         case.cost_sum += black_box(choice).expect("a chain").cost;
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -6,7 +6,7 @@
 
 use std::fmt;
 
-use crate::{cost::step_share, shape::Shape};
+use crate::{cost::step_share, request_shape::RequestShape};
 
 const MS_PER_S: f64 = 1_000.0;
 const SMOOTHING: f64 = 0.1;
@@ -152,7 +152,7 @@
 
 /// Time that a request takes on a server of which the share `in_use`, 0 to
 /// 1, is taken.
-pub fn run_ms(shape: &Shape, speed: &Speed, in_use: f64) -> u64 {
+pub fn run_ms(shape: &RequestShape, speed: &Speed, in_use: f64) -> u64 {
     let prompt_tokens = shape.prompt_tokens;
     let prompt_s =
         f64::from(prompt_tokens) / speed.prompt_tokens_per_s(prompt_tokens);
--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use crate::{
-    cost::CostParts,
+    cost::CostBreakdown,
     fleet::{BackendIndex, BackendSpec},
 };
 
@@ -19,9 +19,9 @@
     /// First layer it no longer holds.
     pub end_layer: u32,
     /// Why it was left out before its cost was looked at.
-    pub left_out: Option<LeftOut>,
+    pub left_out: Option<ExclusionReason>,
     /// What a stage there would cost.
-    pub cost: Option<CostParts>,
+    pub cost: Option<CostBreakdown>,
     /// Part of the chain.
     pub is_chosen: bool,
 }
@@ -29,7 +29,7 @@
 /// Why a server was left out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LeftOut {
+pub enum ExclusionReason {
     /// The request has to avoid it.
     Avoided,
     /// Absent or leaving.
@@ -42,7 +42,7 @@
     pub(crate) fn left_out(
         index: BackendIndex,
         spec: &BackendSpec,
-        reason: LeftOut,
+        reason: ExclusionReason,
     ) -> Candidate {
         Candidate { left_out: Some(reason), ..Candidate::bare(index, spec) }
     }
@@ -50,7 +50,7 @@
     pub(crate) fn weighed(
         index: BackendIndex,
         spec: &BackendSpec,
-        cost: CostParts,
+        cost: CostBreakdown,
     ) -> Candidate {
         Candidate { cost: Some(cost), ..Candidate::bare(index, spec) }
     }
--- a/crates/routing/src/chain.rs
+++ b/crates/routing/src/chain.rs
@@ -17,35 +17,35 @@
 use crate::{
     cost::Pricing,
     fleet::{BackendIndex, Fleet},
-    live::Live,
+    live_state::LiveState,
     no_chain::{NoChain, NoChainReason, no_chain},
     policy::{Policy, Weights},
+    request_shape::RequestShape,
     search::{Found, Reach, Search},
-    shape::Shape,
 };
 
 /// What a chain is chosen for, and from what.
 #[derive(Clone, Copy, Debug)]
-pub struct ChainNeed<'a> {
+pub struct ChainRequest<'a> {
     fleet: &'a Fleet,
-    live: &'a Live,
-    shape: &'a Shape,
+    live: &'a LiveState,
+    shape: &'a RequestShape,
     policy: &'a Policy,
     avoid: &'a [BackendIndex],
     entry_data_centre: u32,
     now_ms: u64,
 }
 
-impl<'a> ChainNeed<'a> {
+impl<'a> ChainRequest<'a> {
     /// Asked by an entry in data centre 0, with no server to avoid.
     pub fn new(
         fleet: &'a Fleet,
-        live: &'a Live,
-        shape: &'a Shape,
+        live: &'a LiveState,
+        shape: &'a RequestShape,
         policy: &'a Policy,
         now_ms: u64,
-    ) -> ChainNeed<'a> {
-        ChainNeed {
+    ) -> ChainRequest<'a> {
+        ChainRequest {
             fleet,
             live,
             shape,
@@ -57,13 +57,13 @@
     }
 
     /// Servers that the request has to avoid.
-    pub fn avoid(mut self, avoid: &'a [BackendIndex]) -> ChainNeed<'a> {
+    pub fn avoid(mut self, avoid: &'a [BackendIndex]) -> ChainRequest<'a> {
         self.avoid = avoid;
         self
     }
 
     /// Data centre of the entry, as an index.
-    pub fn entry_data_centre(mut self, index: u32) -> ChainNeed<'a> {
+    pub fn entry_data_centre(mut self, index: u32) -> ChainRequest<'a> {
         self.entry_data_centre = index;
         self
     }
@@ -73,7 +73,7 @@
     }
 
     fn pricing(&self) -> Pricing<'a> {
-        let ChainNeed { fleet, live, shape, policy, now_ms, .. } = *self;
+        let ChainRequest { fleet, live, shape, policy, now_ms, .. } = *self;
         Pricing::new(fleet, live, shape, policy, now_ms)
     }
 }
@@ -99,7 +99,7 @@
 ///
 /// When `live` is of another fleet and shorter.
 pub fn choose(
-    need: &ChainNeed<'_>,
+    need: &ChainRequest<'_>,
     rng: &mut fastrand::Rng,
 ) -> Result<Choice, NoChain> {
     Chooser::new().choose(need, rng)
@@ -120,7 +120,7 @@
     /// Like [`choose`].
     pub fn choose(
         &mut self,
-        need: &ChainNeed<'_>,
+        need: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Choice, NoChain> {
         let choice = self.run(need, rng)?;
@@ -132,7 +132,7 @@
     /// against. Its cost grows with the fleet.
     pub fn choose_by_full_scan(
         &mut self,
-        need: &ChainNeed<'_>,
+        need: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Choice, NoChain> {
         let pricing = need.pricing();
@@ -149,7 +149,7 @@
 
     pub(crate) fn run(
         &mut self,
-        need: &ChainNeed<'_>,
+        need: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Choice, NoChain> {
         let mut pricing = need.pricing();
@@ -174,7 +174,7 @@
     fn find(
         &mut self,
         pricing: &Pricing<'_>,
-        need: &ChainNeed<'_>,
+        need: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Found, NoChainReason> {
         let (avoid, entry) = (need.avoid, need.entry_data_centre);
@@ -197,7 +197,7 @@
 }
 
 /// The next choice looks at the same servers again.
-fn remember(fleet: &Fleet, live: &Live, stages: &[BackendIndex]) {
+fn remember(fleet: &Fleet, live: &LiveState, stages: &[BackendIndex]) {
     let mut boundary = 0;
     for &index in stages {
         live.memory().note(boundary, index);
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/circuit_breaker.rs
@@ -35,7 +35,7 @@
 
 /// State of a circuit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum HealthState {
+pub enum CircuitState {
     /// Takes requests.
     Closed,
     /// Takes none for now.
@@ -47,20 +47,20 @@
     HalfOpen,
 }
 
-impl HealthState {
+impl CircuitState {
     /// Its name, as operators see it.
     pub fn name(self) -> &'static str {
         match self {
-            HealthState::Closed => "closed",
-            HealthState::Open { .. } => "open",
-            HealthState::HalfOpen => "half_open",
+            CircuitState::Closed => "closed",
+            CircuitState::Open { .. } => "open",
+            CircuitState::HalfOpen => "half_open",
         }
     }
 }
 
 /// Circuit of one backend server, shared by all threads.
 #[derive(Debug, Default)]
-pub struct Health {
+pub struct CircuitBreaker {
     failures: AtomicU32,
     successes: AtomicU32,
     doublings: AtomicU32,
@@ -68,45 +68,45 @@
     trial_since_ms: AtomicU64,
 }
 
-impl Health {
+impl CircuitBreaker {
     /// A closed circuit.
-    pub fn new() -> Health {
-        Health::default()
+    pub fn new() -> CircuitBreaker {
+        CircuitBreaker::default()
     }
 
     /// Its state now.
-    pub fn state(&self, now_ms: u64) -> HealthState {
+    pub fn state(&self, now_ms: u64) -> CircuitState {
         match self.open_until_ms.load(Relaxed) {
-            CLOSED => HealthState::Closed,
-            until_ms if now_ms < until_ms => HealthState::Open { until_ms },
-            _ => HealthState::HalfOpen,
+            CLOSED => CircuitState::Closed,
+            until_ms if now_ms < until_ms => CircuitState::Open { until_ms },
+            _ => CircuitState::HalfOpen,
         }
     }
 
     /// Whether a request may be sent now.
-    pub fn is_open_to_requests(&self, now_ms: u64) -> bool {
+    pub fn allows_requests(&self, now_ms: u64) -> bool {
         match self.state(now_ms) {
-            HealthState::Closed => true,
-            HealthState::Open { .. } => false,
-            HealthState::HalfOpen => !self.has_trial(now_ms),
+            CircuitState::Closed => true,
+            CircuitState::Open { .. } => false,
+            CircuitState::HalfOpen => !self.has_trial(now_ms),
         }
     }
 
     /// Notes that a request is sent; in a half-open state it is the trial.
-    pub fn note_sent(&self, now_ms: u64) {
+    pub fn record_sent(&self, now_ms: u64) {
         if self.open_until_ms.load(Relaxed) != CLOSED {
             self.trial_since_ms.store(now_ms.max(1), Relaxed);
         }
     }
 
     /// Notes that a request or probe succeeded.
-    pub fn note_success(&self, now_ms: u64) {
+    pub fn record_success(&self, now_ms: u64) {
         self.trial_since_ms.store(NO_TRIAL, Relaxed);
         match self.state(now_ms) {
-            HealthState::Closed => self.failures.store(0, Relaxed),
+            CircuitState::Closed => self.failures.store(0, Relaxed),
             // The request was sent before the failures that opened it.
-            HealthState::Open { .. } => {}
-            HealthState::HalfOpen => {
+            CircuitState::Open { .. } => {}
+            CircuitState::HalfOpen => {
                 let successes = self.successes.fetch_add(1, Relaxed) + 1;
                 if successes >= SUCCESS_LIMIT {
                     self.close();
@@ -116,18 +116,18 @@
     }
 
     /// Notes that a request or probe failed.
-    pub fn note_failure(&self, now_ms: u64) {
+    pub fn record_failure(&self, now_ms: u64) {
         self.trial_since_ms.store(NO_TRIAL, Relaxed);
         match self.state(now_ms) {
-            HealthState::Closed => {
+            CircuitState::Closed => {
                 let failures = self.failures.fetch_add(1, Relaxed) + 1;
                 if failures >= FAILURE_LIMIT {
                     self.open(now_ms);
                 }
             }
             // Sent before it opened: tells nothing new.
-            HealthState::Open { .. } => {}
-            HealthState::HalfOpen => {
+            CircuitState::Open { .. } => {}
+            CircuitState::HalfOpen => {
                 self.doublings.fetch_add(1, Relaxed);
                 self.open(now_ms);
             }
@@ -135,7 +135,7 @@
     }
 
     /// Notes an end that tells nothing of the server.
-    pub fn note_neutral(&self) {
+    pub fn record_neutral(&self) {
         self.trial_since_ms.store(NO_TRIAL, Relaxed);
     }
 
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -16,10 +16,10 @@
 
 use crate::{
     fleet::{BackendIndex, Facts, Fleet},
-    live::{Live, Presence, TypicalLoad},
+    live_state::{LiveState, Presence, TypicalLoad},
     policy::{Policy, Weights},
+    request_shape::RequestShape,
     server::Reading,
-    shape::Shape,
 };
 
 const MS_PER_S: f64 = 1_000.0;
@@ -34,8 +34,8 @@
 /// What stays the same for all candidates of one choice.
 pub(crate) struct Pricing<'a> {
     pub(crate) fleet: &'a Fleet,
-    pub(crate) live: &'a Live,
-    pub(crate) shape: &'a Shape,
+    pub(crate) live: &'a LiveState,
+    pub(crate) shape: &'a RequestShape,
     pub(crate) policy: &'a Policy,
     pub(crate) weights: Weights,
     pub(crate) now_ms: u64,
@@ -45,7 +45,7 @@
 
 /// Parts of a stage's cost.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct CostParts {
+pub struct CostBreakdown {
     /// Wait until it begins; a chain counts its longest only.
     pub wait_ms: f64,
     /// The prompt.
@@ -80,8 +80,8 @@
 }
 
 impl StageCost {
-    pub(crate) fn parts(&self) -> CostParts {
-        CostParts {
+    pub(crate) fn parts(&self) -> CostBreakdown {
+        CostBreakdown {
             wait_ms: self.wait_ms,
             prompt_ms: self.prompt_ms,
             step_ms: self.step_ms,
@@ -97,8 +97,8 @@
 impl<'a> Pricing<'a> {
     pub(crate) fn new(
         fleet: &'a Fleet,
-        live: &'a Live,
-        shape: &'a Shape,
+        live: &'a LiveState,
+        shape: &'a RequestShape,
         policy: &'a Policy,
         now_ms: u64,
     ) -> Pricing<'a> {
@@ -149,7 +149,7 @@
         reading: &Reading,
     ) -> Load {
         let is_recent = reading.reported_ms.is_some_and(|at| {
-            self.now_ms.saturating_sub(at) <= self.policy.report_limit_ms
+            self.now_ms.saturating_sub(at) <= self.policy.max_report_age_ms
         });
         if !is_recent {
             self.live.leave_mean(index);
--- a/crates/routing/src/explain.rs
+++ b/crates/routing/src/explain.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     candidate::Candidate,
-    chain::{ChainNeed, Chooser},
+    chain::{ChainRequest, Chooser},
     fleet::BackendIndex,
     no_chain::{NoChain, NoChainReason},
 };
@@ -39,7 +39,10 @@
 }
 
 /// Like [`crate::choose`], with what it looked at.
-pub fn explain(need: &ChainNeed<'_>, rng: &mut fastrand::Rng) -> Explanation {
+pub fn explain(
+    need: &ChainRequest<'_>,
+    rng: &mut fastrand::Rng,
+) -> Explanation {
     let mut chooser = Chooser::new();
     chooser.search_mut().record = Some(Vec::new());
     let result = chooser.run(need, rng);
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -7,7 +7,7 @@
 //!
 //! Speeds of a [`BackendSpec`] are those of the accelerator through *all*
 //! layers. A server that holds `k` of `L` layers runs its own part `L / k`
-//! times as fast. Reported speeds (see [`crate::live`]) are measured through
+//! times as fast. Reported speeds (see [`crate::live_state`]) are measured through
 //! the server's own range and are taken as they are.
 
 use std::{collections::BTreeMap, ops::Range};
@@ -117,7 +117,7 @@
     }
 
     /// Whether the server lies on some tiling of all layers.
-    pub fn is_useful(&self, index: BackendIndex) -> bool {
+    pub fn is_in_some_chain(&self, index: BackendIndex) -> bool {
         self.members.contains(&index)
     }
 
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -21,7 +21,7 @@
     admission::{self, Speed},
     drain::Drain,
     fair::FairQueue,
-    shape::Shape,
+    request_shape::RequestShape,
 };
 
 /// Longest wait for a later stage: the earlier ones stand idle meanwhile.
@@ -51,7 +51,7 @@
     /// Whose it is.
     pub account: &'a str,
     /// What it takes.
-    pub shape: &'a Shape,
+    pub shape: &'a RequestShape,
     /// What its account is charged.
     pub cost_tokens: u64,
     /// When its caller gives up.
--- a/crates/routing/src/crossing.rs
+++ b/crates/routing/src/interconnect.rs
@@ -9,7 +9,7 @@
 
 /// Share of the join that requests may use: above it whatever crosses waits,
 /// and holds memory in all data centres meanwhile.
-pub const MOST_USED: f64 = 0.6;
+pub const MAX_UTILISATION: f64 = 0.6;
 /// Most of an entry's part, as a multiple of an even one among all entries:
 /// what it sends before it hears that others cross as well.
 const PARTS: f64 = 3.0;
@@ -18,51 +18,60 @@
 
 /// What joins data centres, and between how many it is shared.
 #[derive(Clone, Copy, Debug)]
-pub struct CrossingBounds {
+pub struct InterconnectLimits {
     /// Rate of the join, in bytes a second.
     pub bytes_per_s: f64,
     /// Entries that may use it.
     pub entries: usize,
     /// Those that have told of late that they do, with this one.
-    pub crossing: usize,
+    pub active_entries: usize,
 }
 
-impl CrossingBounds {
+impl InterconnectLimits {
     /// An entry's part, in bytes a millisecond.
     fn part_per_ms(&self) -> f64 {
         let fewest = self.entries as f64 / PARTS;
-        let sharers = fewest.max(self.crossing as f64).max(1.0);
-        MOST_USED * self.bytes_per_s / sharers / 1e3
+        let sharers = fewest.max(self.active_entries as f64).max(1.0);
+        MAX_UTILISATION * self.bytes_per_s / sharers / 1e3
     }
 }
 
 /// What one entry has left of its part.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct CrossingPart {
+pub struct InterconnectQuota {
     /// Bytes; below zero after a request that was larger than what was left.
     left: f64,
     at_ms: Option<u64>,
 }
 
-impl CrossingPart {
+impl InterconnectQuota {
     /// A part of which nothing was used.
-    pub fn new() -> CrossingPart {
-        CrossingPart::default()
+    pub fn new() -> InterconnectQuota {
+        InterconnectQuota::default()
     }
 
     /// Whether a further request may cross.
-    pub fn has_left(&mut self, bounds: &CrossingBounds, now_ms: u64) -> bool {
+    pub fn has_remaining(
+        &mut self,
+        bounds: &InterconnectLimits,
+        now_ms: u64,
+    ) -> bool {
         self.refill(bounds, now_ms);
         self.left > 0.0
     }
 
     /// Counts what a request sends.
-    pub fn take(&mut self, bounds: &CrossingBounds, bytes: f64, now_ms: u64) {
+    pub fn consume(
+        &mut self,
+        bounds: &InterconnectLimits,
+        bytes: f64,
+        now_ms: u64,
+    ) {
         self.refill(bounds, now_ms);
         self.left -= bytes;
     }
 
-    fn refill(&mut self, bounds: &CrossingBounds, now_ms: u64) {
+    fn refill(&mut self, bounds: &InterconnectLimits, now_ms: u64) {
         let per_ms = bounds.part_per_ms();
         let most = per_ms * ADDS_UP_MS;
         let Some(at_ms) = self.at_ms.replace(now_ms) else {
--- a/crates/routing/src/layer_path.rs
+++ b/crates/routing/src/layer_path.rs
@@ -14,7 +14,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::crossing::MOST_USED;
+use crate::interconnect::MAX_UTILISATION;
 
 /// Price of a change of engine, in milliseconds of a token's time: a wait for
 /// the pass that runs there, and the way.
@@ -33,7 +33,7 @@
 /// which it counts as full. Then no path crosses, even where no other is:
 /// everything that waits there would hold memory in all data centres until
 /// none is left for requests that need not cross.
-const CROSSING_USE: (f64, f64) = (0.2, MOST_USED);
+const CROSSING_USE: (f64, f64) = (0.2, MAX_UTILISATION);
 /// Price of starting in another data centre, where only the events of one
 /// stream cross, in the same unit.
 const FAR_START_MS: f64 = 1.0;
@@ -57,7 +57,7 @@
 
 /// An engine that holds layers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PartHolder {
+pub struct LayerHolder {
     /// Data centre, as an index.
     pub data_centre: usize,
     /// First layer that it holds.
@@ -67,7 +67,7 @@
     /// Time of a token through one layer, in milliseconds.
     pub layer_ms: f64,
     /// Share of its time that reading prompts takes.
-    pub busy: f64,
+    pub prefill_share: f64,
     /// Memory for requests that is used, in tokens times layers.
     pub used_token_layers: u64,
     /// Memory for requests, in tokens times layers.
@@ -75,7 +75,7 @@
     /// Whether it may take a part now.
     pub is_usable: bool,
     /// Whether it may be the first of a path.
-    pub may_be_first: bool,
+    pub can_be_first: bool,
 }
 
 /// What a path is sought for.
@@ -92,28 +92,30 @@
     /// Whether the path begins the request, and not in its middle.
     pub is_start: bool,
     /// Use of what joins data centres; 1 is full.
-    pub crossing_use: f64,
+    pub interconnect_utilisation: f64,
     /// Time for which reading the request takes it up, in milliseconds.
-    pub crossing_takes_ms: f64,
+    pub interconnect_prefill_ms: f64,
     /// Most parts that the path may have.
-    pub most_parts: usize,
+    pub max_stages: usize,
 }
 
 impl PathRequest {
     fn crossing_ms(&self) -> f64 {
         let (from, to) = CROSSING_USE;
-        if self.crossing_use >= to {
+        if self.interconnect_utilisation >= to {
             return f64::INFINITY;
         }
-        let share = ((self.crossing_use - from) / (to - from)).clamp(0.0, 1.0);
-        let least = CROSSING_MS.max(CROSSING_PRICE * self.crossing_takes_ms);
+        let share = ((self.interconnect_utilisation - from) / (to - from))
+            .clamp(0.0, 1.0);
+        let least =
+            CROSSING_MS.max(CROSSING_PRICE * self.interconnect_prefill_ms);
         least + share * (FULL_CROSSING_MS - least).max(0.0)
     }
 }
 
 /// Layers that one engine runs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Part {
+pub struct PathStage {
     /// The engine, as an index.
     pub holder: usize,
     /// First layer that it runs.
@@ -125,7 +127,7 @@
 #[derive(Clone, Copy)]
 struct Step {
     cost_ms: f64,
-    part: Part,
+    part: PathStage,
     /// Data centre before it.
     came_from: usize,
 }
@@ -133,14 +135,14 @@
 /// The cheapest path; none where layers or room are lacking, or where it
 /// would have too many parts.
 pub fn find_path(
-    holders: &[PartHolder],
+    holders: &[LayerHolder],
     request: &PathRequest,
     rng: &mut fastrand::Rng,
-) -> Option<Vec<Part>> {
+) -> Option<Vec<PathStage>> {
     let mut search = Search::new(holders, request, rng);
     for _ in 0..MOST_SEARCHES {
         let parts = without_returns(search.run()?);
-        if parts.len() <= request.most_parts {
+        if parts.len() <= request.max_stages {
             return Some(parts);
         }
         search.change_ms *= DEARER;
@@ -149,7 +151,7 @@
 }
 
 struct Search<'a> {
-    holders: &'a [PartHolder],
+    holders: &'a [LayerHolder],
     request: &'a PathRequest,
     factors: Vec<f64>,
     boundaries: BTreeSet<u32>,
@@ -161,11 +163,11 @@
 
 impl Search<'_> {
     fn new<'a>(
-        holders: &'a [PartHolder],
+        holders: &'a [LayerHolder],
         request: &'a PathRequest,
         rng: &mut fastrand::Rng,
     ) -> Search<'a> {
-        let factor = |_: &PartHolder| 1.0 + JITTER * (rng.f64() * 2.0 - 1.0);
+        let factor = |_: &LayerHolder| 1.0 + JITTER * (rng.f64() * 2.0 - 1.0);
         let factors = holders.iter().map(factor).collect();
         let usable = || holders.iter().filter(|h| h.is_usable);
         let bounds = usable().flat_map(|h| [h.first_layer, h.end_layer]);
@@ -182,7 +184,7 @@
         }
     }
 
-    fn run(&self) -> Option<Vec<Part>> {
+    fn run(&self) -> Option<Vec<PathStage>> {
         let (first, end) = (self.request.first_layer, self.request.end_layer);
         let width = (end - first) as usize + 1;
         // The best way to each layer and data centre.
@@ -217,7 +219,7 @@
             let holds = holder.first_layer <= at && at < holder.end_layer;
             if !holds
                 || !holder.is_usable
-                || (is_first && !holder.may_be_first)
+                || (is_first && !holder.can_be_first)
             {
                 continue;
             }
@@ -232,8 +234,11 @@
                 if cost_ms.is_infinite() {
                     break;
                 }
-                let part =
-                    Part { holder: index, first_layer: at, end_layer: end };
+                let part = PathStage {
+                    holder: index,
+                    first_layer: at,
+                    end_layer: end,
+                };
                 let row = (end - self.request.first_layer) as usize;
                 let slot = &mut best[row][holder.data_centre];
                 if slot.is_none_or(|step| cost_ms < step.cost_ms) {
@@ -263,12 +268,13 @@
         let fill = used as f64 / holder.total_token_layers as f64;
         let over = ((fill - FULL_FROM) / (1.0 - FULL_FROM)).max(0.0);
         let time_ms = layers as f64 * holder.layer_ms * self.factors[index];
-        let busy = ((holder.busy - BUSY_FROM) / (1.0 - BUSY_FROM)).max(0.0);
+        let busy =
+            ((holder.prefill_share - BUSY_FROM) / (1.0 - BUSY_FROM)).max(0.0);
         let waits_ms = BUSY_MS * busy.min(MAX_BUSY).powi(2);
         Some(time_ms * (1.0 + fill) + FULL_MS * over * over + waits_ms)
     }
 
-    fn walk_back(&self, best: &[Vec<Option<Step>>]) -> Option<Vec<Part>> {
+    fn walk_back(&self, best: &[Vec<Option<Step>>]) -> Option<Vec<PathStage>> {
         let steps = best.last()?.iter().flatten();
         let mut step =
             *steps.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))?;
@@ -286,8 +292,8 @@
 
 /// A path may not come back to an engine: what lies between goes to it, since
 /// it holds that as well.
-fn without_returns(parts: Vec<Part>) -> Vec<Part> {
-    let mut out: Vec<Part> = Vec::with_capacity(parts.len());
+fn without_returns(parts: Vec<PathStage>) -> Vec<PathStage> {
+    let mut out: Vec<PathStage> = Vec::with_capacity(parts.len());
     for part in parts {
         match out.iter().position(|p| p.holder == part.holder) {
             Some(at) => {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -7,13 +7,13 @@
 //! |---|---|
 //! | [`priority`] | the order of requests |
 //! | [`fleet`], [`network`] | what the manifest says of a service's servers |
-//! | [`live`], [`health`] | what this process knows of each one now |
-//! | [`policy`], [`shape`], [`chain`], [`mod@explain`] | the chain of a request, why |
+//! | [`live_state`], [`circuit_breaker`] | what this process knows of each one now |
+//! | [`policy`], [`request_shape`], [`chain`], [`mod@explain`] | the chain of a request, why |
 //! | [`attempts`] | whether a request may be handed to a backend again |
 //! | [`mod@rest_wait`] | whether a request waits where all servers are at rest |
 //! | [`retry`] | whether a failure may be tried again |
 //! | [`retry_window`] | the same where all entries share a bound in time |
-//! | [`assumed_use`] | what entries that have not told yet are taken to use |
+//! | [`usage_estimate`] | what entries that have not told yet are taken to use |
 //! | [`layer_path`] | which engines run which layers of a request |
 //! | [`fair`], [`admission`] | who goes next, and who can finish in time |
 //! | [`gate`] | who may run on one server now, and who waits |
@@ -24,11 +24,11 @@
 //! | [`permits`] | who may send to a server that named a limit |
 //! | [`server_limit`] | which limit on its requests a server has named |
 //! | [`quarantine`] | which requests crash servers, and may not run |
-//! | [`flow`] | the most tokens a second the hardware allows |
+//! | [`throughput`] | the most tokens a second the hardware allows |
 //!
 //! ```
 //! use chestnutreach_routing::{
-//!     BackendSpec, ChainNeed, Fleet, Live, Network, Policy, Presence, Shape,
+//!     BackendSpec, ChainRequest, Fleet, LiveState, Network, Policy, Presence, RequestShape,
 //!     choose,
 //! };
 //!
@@ -45,15 +45,15 @@
 //! };
 //! let specs = vec![half("lower", 0, 16), half("upper", 16, 32)];
 //! let fleet = Fleet::try_new(32, specs, Network::new(1))?;
-//! let live = Live::new(fleet.len());
+//! let live = LiveState::new(fleet.len());
 //! for index in fleet.indices() {
 //!     live.set_presence(index, Presence::Serving);
 //! }
 //!
-//! let shape = Shape::new(500, 100).deadline_ms(20_000);
+//! let shape = RequestShape::new(500, 100).deadline_ms(20_000);
 //! let mut rng = fastrand::Rng::with_seed(7);
 //! let policy = Policy::default();
-//! let need = ChainNeed::new(&fleet, &live, &shape, &policy, 1_000);
+//! let need = ChainRequest::new(&fleet, &live, &shape, &policy, 1_000);
 //! let choice = choose(&need, &mut rng)?;
 //! let names: Vec<&str> =
 //!     choice.stages.iter().map(|&i| fleet.spec(i).name.as_str()).collect();
@@ -62,13 +62,12 @@
 //! ```
 
 pub mod admission;
-pub mod assumed_use;
 pub mod attempts;
 mod backend_spec;
 mod candidate;
 pub mod chain;
+pub mod circuit_breaker;
 mod cost;
-pub mod crossing;
 mod drain;
 pub mod end_proof;
 pub mod explain;
@@ -80,12 +79,11 @@
 pub mod first_wait;
 pub mod fleet;
 mod fleet_error;
-pub mod flow;
 pub mod gate;
-pub mod health;
+pub mod interconnect;
 mod label;
 pub mod layer_path;
-pub mod live;
+pub mod live_state;
 mod load_report;
 mod memory;
 pub mod network;
@@ -95,6 +93,7 @@
 pub mod policy;
 pub mod priority;
 pub mod quarantine;
+pub mod request_shape;
 pub mod rest_wait;
 pub mod retry;
 pub mod retry_window;
@@ -102,19 +101,19 @@
 mod search;
 mod server;
 pub mod server_limit;
-pub mod shape;
 mod shares;
+pub mod throughput;
 pub mod turns;
+pub mod usage_estimate;
 
 pub use admission::{
     Speed, TooLate, can_finish, expected_wait_ms, retry_after_ms,
 };
-pub use assumed_use::KnownUse;
 pub use attempts::{Attempts, Counted};
-pub use candidate::{Candidate, LeftOut};
-pub use chain::{ChainNeed, Choice, Chooser, choose};
-pub use cost::CostParts;
-pub use crossing::{CrossingBounds, CrossingPart};
+pub use candidate::{Candidate, ExclusionReason};
+pub use chain::{ChainRequest, Choice, Chooser, choose};
+pub use circuit_breaker::{CircuitBreaker, CircuitState};
+pub use cost::CostBreakdown;
 pub use end_proof::{EndProof, Evidence, end_proof};
 pub use explain::{Explanation, explain};
 pub use fair::{FairQueue, Popped};
@@ -124,10 +123,9 @@
 pub use first_wait::FirstWaits;
 pub use fleet::{BackendIndex, BackendSpec, Fleet};
 pub use fleet_error::{FleetError, FleetFinding};
-pub use flow::{Mix, throughput_bound};
-pub use health::{Health, HealthState};
-pub use layer_path::{Part, PartHolder, PathRequest, find_path};
-pub use live::{Ended, Live, LoadReport, Presence};
+pub use interconnect::{InterconnectLimits, InterconnectQuota};
+pub use layer_path::{LayerHolder, PathRequest, PathStage, find_path};
+pub use live_state::{LiveState, LoadReport, Presence, RequestOutcome};
 pub use network::Network;
 pub use no_chain::{NoChain, NoChainReason};
 pub use pause_look::PauseLook;
@@ -135,10 +133,12 @@
 pub use policy::Policy;
 pub use priority::Priority;
 pub use quarantine::{RunStart, SuspectNews, Suspects, Trials, Verdict};
+pub use request_shape::RequestShape;
 pub use rest_wait::{RestWait, rest_wait};
 pub use retry::RetryBudget;
 pub use retry_window::{RetryBounds, RetryWindow, Sent};
 pub use room_wait::{RoomNeed, RoomWait, RoomWaits};
 pub use server_limit::{NamedLimit, ServerLimit};
-pub use shape::Shape;
+pub use throughput::{TokenMix, throughput_bound};
 pub use turns::{TurnNeed, Turns};
+pub use usage_estimate::UsageEstimate;
--- a/crates/routing/src/live.rs
+++ b/crates/routing/src/live_state.rs
@@ -6,8 +6,8 @@
 //! server. A server without a recent report counts as loaded as the fleet is
 //! on average, never as idle.
 //!
-//! A new manifest generation has its own [`Live`], made by
-//! [`Live::carried`]. Servers that stay share their state with the old one,
+//! A new manifest generation has its own [`LiveState`], made by
+//! [`LiveState::carry_over`]. Servers that stay share their state with the old one,
 //! so a request that was sent under one generation may end under another.
 
 use std::sync::{
@@ -17,15 +17,15 @@
 
 pub use crate::load_report::{LoadReport, Presence};
 use crate::{
+    circuit_breaker::CircuitState,
     fleet::{BackendIndex, Fleet},
-    health::HealthState,
     memory::Memory,
     server::{Server, Told},
 };
 
 /// How a request that was sent to a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// Answered whole.
     Completed {
         /// Length of the prompt.
@@ -47,7 +47,7 @@
 
 /// What this process knows of each backend server of a fleet.
 #[derive(Debug)]
-pub struct Live {
+pub struct LiveState {
     servers: Vec<Arc<Server>>,
     typical: Arc<Typical>,
     memory: Memory,
@@ -92,10 +92,10 @@
     }
 }
 
-impl Live {
+impl LiveState {
     /// `len` absent servers of which nothing is known.
-    pub fn new(len: usize) -> Live {
-        Live {
+    pub fn new(len: usize) -> LiveState {
+        LiveState {
             servers: (0..len).map(|_| Arc::new(Server::new())).collect(),
             typical: Arc::default(),
             memory: Memory::new(),
@@ -105,19 +105,19 @@
     /// The state for a new generation: servers of the same name share theirs
     /// with this one, new ones are absent, and those that went are absent
     /// here too.
-    pub fn carried(&self, from: &Fleet, to: &Fleet) -> Live {
-        self.carried_where(from, to, |_| true)
+    pub fn carry_over(&self, from: &Fleet, to: &Fleet) -> LiveState {
+        self.carry_over_where(from, to, |_| true)
     }
 
-    /// As [`Live::carried`], but a server is only carried where `is_same`
+    /// As [`LiveState::carry_over`], but a server is only carried where `is_same`
     /// holds of its name: one that was replaced under its name counts as
     /// gone and as new.
-    pub fn carried_where(
+    pub fn carry_over_where(
         &self,
         from: &Fleet,
         to: &Fleet,
         is_same: impl Fn(&str) -> bool,
-    ) -> Live {
+    ) -> LiveState {
         let carry = |name: &str| match from.find(name) {
             Some(old) if is_same(name) => Arc::clone(&self.servers[old.at()]),
             _ => Arc::new(Server::new()),
@@ -131,7 +131,7 @@
             }
         }
         let typical = Arc::clone(&self.typical);
-        Live { servers, typical, memory: Memory::new() }
+        LiveState { servers, typical, memory: Memory::new() }
     }
 
     /// How many servers there are.
@@ -145,7 +145,7 @@
     }
 
     /// Takes a load report.
-    pub fn report(
+    pub fn record_report(
         &self,
         index: BackendIndex,
         report: &LoadReport,
@@ -170,48 +170,58 @@
     }
 
     /// Notes that a request was sent, with the tokens it is expected to take.
-    pub fn dispatched(&self, index: BackendIndex, tokens: u32, now_ms: u64) {
+    pub fn record_dispatch(
+        &self,
+        index: BackendIndex,
+        tokens: u32,
+        now_ms: u64,
+    ) {
         self.server(index).note_sent(tokens, now_ms);
     }
 
     /// Notes how a request ended, with the tokens given to
-    /// [`Live::dispatched`].
-    pub fn ended(
+    /// [`LiveState::record_dispatch`].
+    pub fn record_outcome(
         &self,
         index: BackendIndex,
         tokens: u32,
-        ended: &Ended,
+        ended: &RequestOutcome,
         now_ms: u64,
     ) {
         let server = self.server(index);
         match ended {
-            Ended::Completed { total_ms, .. } => {
+            RequestOutcome::Completed { total_ms, .. } => {
                 server.note_ended(tokens);
                 server.note_answer_ms(*total_ms);
-                server.health.note_success(now_ms);
+                server.health.record_success(now_ms);
             }
-            Ended::Refused => {
+            RequestOutcome::Refused => {
                 server.note_refused();
-                server.health.note_neutral();
+                server.health.record_neutral();
             }
-            Ended::Failed => {
+            RequestOutcome::Failed => {
                 server.note_ended(tokens);
-                server.health.note_failure(now_ms);
+                server.health.record_failure(now_ms);
             }
-            Ended::Cancelled => {
+            RequestOutcome::Cancelled => {
                 server.note_ended(tokens);
-                server.health.note_neutral();
+                server.health.record_neutral();
             }
         }
     }
 
     /// Notes the answer of a health probe.
-    pub fn probed(&self, index: BackendIndex, is_alive: bool, now_ms: u64) {
+    pub fn record_probe(
+        &self,
+        index: BackendIndex,
+        is_alive: bool,
+        now_ms: u64,
+    ) {
         let health = &self.server(index).health;
         if is_alive {
-            health.note_success(now_ms);
+            health.record_success(now_ms);
         } else {
-            health.note_failure(now_ms);
+            health.record_failure(now_ms);
         }
     }
 
@@ -222,7 +232,11 @@
     }
 
     /// State of a server's circuit.
-    pub fn health(&self, index: BackendIndex, now_ms: u64) -> HealthState {
+    pub fn circuit_state(
+        &self,
+        index: BackendIndex,
+        now_ms: u64,
+    ) -> CircuitState {
         self.server(index).health.state(now_ms)
     }
 
@@ -233,8 +247,8 @@
 
     /// Notes that a server's cache holds a prefix, from its own cache events
     /// or because a request with the prefix completed there.
-    pub fn note_prefix(&self, index: BackendIndex, prefix: u64) {
-        self.server(index).note_prefix(mix(prefix));
+    pub fn record_prefix(&self, index: BackendIndex, prefix: u64) {
+        self.server(index).record_prefix(mix(prefix));
     }
 
     /// Whether a server's cache is believed to hold a prefix.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -43,7 +43,7 @@
     pub(crate) recovery_weight: f64,
     pub(crate) sample_count: usize,
     pub(crate) ramp_ms: u64,
-    pub(crate) report_limit_ms: u64,
+    pub(crate) max_report_age_ms: u64,
     pub(crate) entry_count: u32,
     pub(crate) near_equal_permille: u32,
     pub(crate) stage_penalty_ms: u32,
@@ -57,7 +57,7 @@
             recovery_weight: 0.5,
             sample_count: 6,
             ramp_ms: 30_000,
-            report_limit_ms: 3_000,
+            max_report_age_ms: 3_000,
             entry_count: 3,
             near_equal_permille: 50,
             stage_penalty_ms: 200,
@@ -87,8 +87,8 @@
     }
 
     /// Age past which a load report is no longer believed.
-    pub fn report_limit_ms(mut self, limit_ms: u64) -> Policy {
-        self.report_limit_ms = limit_ms;
+    pub fn max_report_age_ms(mut self, limit_ms: u64) -> Policy {
+        self.max_report_age_ms = limit_ms;
         self
     }
 
--- a/crates/routing/src/search.rs
+++ b/crates/routing/src/search.rs
@@ -7,7 +7,7 @@
 //! candidates is found whenever there is one.
 
 use crate::{
-    candidate::{Candidate, LeftOut},
+    candidate::{Candidate, ExclusionReason},
     cost::{Pricing, StageCost},
     fleet::BackendIndex,
     label::{BEAM, Beam, Label, NO_PARENT},
@@ -204,7 +204,7 @@
         &mut self,
         pricing: &Pricing<'_>,
         index: BackendIndex,
-        reason: LeftOut,
+        reason: ExclusionReason,
     ) {
         if let Some(record) = &mut self.record {
             let spec = pricing.fleet.spec(index);
--- a/crates/routing/src/search/pick.rs
+++ b/crates/routing/src/search/pick.rs
@@ -7,7 +7,8 @@
 
 use super::{Reach, Search};
 use crate::{
-    candidate::LeftOut, cost::Pricing, fleet::BackendIndex, live::mix,
+    candidate::ExclusionReason, cost::Pricing, fleet::BackendIndex,
+    live_state::mix,
 };
 
 const RENDEZVOUS_COUNT: u64 = 2;
@@ -122,12 +123,12 @@
         index: BackendIndex,
     ) {
         let left_out = if avoid.contains(&index) {
-            Some(LeftOut::Avoided)
+            Some(ExclusionReason::Avoided)
         } else if !pricing.live.is_present(index) {
-            Some(LeftOut::NotPresent)
+            Some(ExclusionReason::NotPresent)
         } else if pricing.live.is_suspect(index, pricing.now_ms) {
             self.suspects.push(index);
-            Some(LeftOut::Suspect)
+            Some(ExclusionReason::Suspect)
         } else {
             None
         };
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    health::Health,
+    circuit_breaker::CircuitBreaker,
     load_report::{LoadReport, Presence},
 };
 
@@ -20,7 +20,7 @@
 /// State of one backend server, shared by the fleets of all generations.
 #[derive(Debug)]
 pub(crate) struct Server {
-    pub(crate) health: Health,
+    pub(crate) health: CircuitBreaker,
     presence: AtomicU64,
     /// Time of the last report plus 1; 0 for none.
     reported: AtomicU64,
@@ -92,7 +92,7 @@
 impl Server {
     pub(crate) fn new() -> Server {
         Server {
-            health: Health::new(),
+            health: CircuitBreaker::new(),
             presence: AtomicU64::new(pack_presence(Presence::Absent)),
             reported: AtomicU64::new(0),
             told: AtomicU64::new(0),
@@ -119,8 +119,7 @@
     }
 
     pub(crate) fn is_suspect(&self, now_ms: u64) -> bool {
-        !self.is_healthy.load(Relaxed)
-            || !self.health.is_open_to_requests(now_ms)
+        !self.is_healthy.load(Relaxed) || !self.health.allows_requests(now_ms)
     }
 
     /// Takes a report; gives back what counted in the mean before.
@@ -167,7 +166,7 @@
         self.token_change.fetch_add(i64::from(tokens), Relaxed);
         self.sent.fetch_add(1, Relaxed);
         self.in_flight.fetch_add(1, Relaxed);
-        self.health.note_sent(now_ms);
+        self.health.record_sent(now_ms);
     }
 
     pub(crate) fn note_ended(&self, tokens: u32) {
@@ -217,7 +216,7 @@
         }
     }
 
-    pub(crate) fn note_prefix(&self, prefix: u64) {
+    pub(crate) fn record_prefix(&self, prefix: u64) {
         let (slot, mark) = prefix_slot(prefix);
         self.prefixes[slot].store(mark, Relaxed);
     }
--- a/crates/routing/src/flow.rs
+++ b/crates/routing/src/throughput.rs
@@ -12,7 +12,7 @@
 use crate::{
     cost::{output_tokens_per_ms, prompt_tokens_per_ms},
     fleet::{BackendIndex, Fleet},
-    live::Live,
+    live_state::LiveState,
     server::Server,
 };
 
@@ -22,7 +22,7 @@
 
 /// What a typical request is made of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Mix {
+pub struct TokenMix {
     /// Length of its prompt.
     pub prompt_tokens: u32,
     /// Length of its answer.
@@ -31,7 +31,11 @@
 
 /// Most tokens a second, prompt and output together, over all chains. With
 /// `live`, at learned speeds and without servers that are not there.
-pub fn throughput_bound(fleet: &Fleet, live: Option<&Live>, mix: &Mix) -> f64 {
+pub fn throughput_bound(
+    fleet: &Fleet,
+    live: Option<&LiveState>,
+    mix: &TokenMix,
+) -> f64 {
     let capacity = |index| capacity_tokens_per_s(fleet, live, mix, index);
     if fleet.is_plain() {
         return fleet.indices().map(capacity).sum();
@@ -49,8 +53,8 @@
 
 fn capacity_tokens_per_s(
     fleet: &Fleet,
-    live: Option<&Live>,
-    mix: &Mix,
+    live: Option<&LiveState>,
+    mix: &TokenMix,
     index: BackendIndex,
 ) -> f64 {
     if live.is_some_and(|live| !live.is_present(index)) {
--- a/crates/routing/src/assumed_use.rs
+++ b/crates/routing/src/usage_estimate.rs
@@ -10,18 +10,18 @@
 
 /// What an entry knows of the use of an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct KnownUse {
+pub struct UsageEstimate {
     /// Its own use.
     pub own: u64,
     /// The sum of what others told.
-    pub told: u64,
+    pub reported: u64,
     /// Entries that are there and have not told.
-    pub untold_entries: u64,
+    pub entries_without_report: u64,
 }
 
-impl KnownUse {
+impl UsageEstimate {
     /// The use to plan with.
-    pub fn planned(&self) -> u64 {
-        self.own + self.told + self.untold_entries * self.own
+    pub fn total(&self) -> u64 {
+        self.own + self.reported + self.entries_without_report * self.own
     }
 }
--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use chestnutreach_routing::{
-    BackendIndex, BackendSpec, ChainNeed, Choice, Chooser, Ended, Fleet,
-    FleetFinding, Live, Network, NoChain, NoChainReason, Policy, Presence,
-    Priority, Shape, choose, explain,
+    BackendIndex, BackendSpec, ChainRequest, Choice, Chooser, Fleet,
+    FleetFinding, LiveState, Network, NoChain, NoChainReason, Policy,
+    Presence, Priority, RequestOutcome, RequestShape, choose, explain,
 };
 use common::{NOW_MS, fleet, numbered, report, serving, spec};
 use proptest::prelude::*;
@@ -15,20 +15,21 @@
 
 fn run(
     fleet: &Fleet,
-    live: &Live,
-    shape: &Shape,
+    live: &LiveState,
+    shape: &RequestShape,
     policy: &Policy,
     avoid: &[BackendIndex],
     seed: u64,
 ) -> Result<Choice, NoChain> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let need = ChainNeed::new(fleet, live, shape, policy, NOW_MS).avoid(avoid);
+    let need =
+        ChainRequest::new(fleet, live, shape, policy, NOW_MS).avoid(avoid);
     choose(&need, &mut rng)
 }
 
 /// How often each server is part of a chain, over many seeds.
-fn counts(fleet: &Fleet, live: &Live, policy: &Policy) -> Vec<usize> {
-    let shape = Shape::new(500, 100);
+fn counts(fleet: &Fleet, live: &LiveState, policy: &Policy) -> Vec<usize> {
+    let shape = RequestShape::new(500, 100);
     let mut counts = vec![0; fleet.len()];
     for seed in 0..DRAWS as u64 {
         let choice = run(fleet, live, &shape, policy, &[], seed);
@@ -94,16 +95,16 @@
     reached[layers as usize]
 }
 
-fn build(layers: u32, servers: &[Server]) -> (Fleet, Live) {
+fn build(layers: u32, servers: &[Server]) -> (Fleet, LiveState) {
     let ranges: Vec<(u32, u32)> =
         servers.iter().map(|s| (s.first_layer, s.end_layer)).collect();
     let fleet = fleet(layers, numbered(&ranges));
-    let live = Live::new(fleet.len());
+    let live = LiveState::new(fleet.len());
     for (index, server) in fleet.indices().zip(servers) {
         live.set_presence(index, server.presence);
         for _ in 0..3 * u32::from(server.is_suspect) {
-            live.dispatched(index, 10, NOW_MS);
-            live.ended(index, 10, &Ended::Failed, NOW_MS);
+            live.record_dispatch(index, 10, NOW_MS);
+            live.record_outcome(index, 10, &RequestOutcome::Failed, NOW_MS);
         }
     }
     (fleet, live)
@@ -129,10 +130,10 @@
             .filter(|i| servers[i.0 as usize].is_avoided)
             .collect();
         let policy = Policy::default().sample_count(sample_count);
-        let shape = Shape::new(100, 10).prefix(seed);
+        let shape = RequestShape::new(100, 10).prefix(seed);
         // Before the choice, which is remembered; explaining is not.
         let mut rng = fastrand::Rng::with_seed(seed);
-        let need = ChainNeed::new(&fleet, &live, &shape, &policy, NOW_MS);
+        let need = ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
         let explanation = explain(&need.avoid(&avoid), &mut rng);
         let result = run(&fleet, &live, &shape, &policy, &avoid, seed);
         prop_assert_eq!(result.is_ok(), has_tiling(layers, &servers));
@@ -193,12 +194,12 @@
 })]
 fn no_chain_tells_why(#[case] case: NoChainCase) {
     let fleet = fleet(8, numbered(&[(0, 4), (4, 8)]));
-    let live = Live::new(2);
+    let live = LiveState::new(2);
     for (index, presence) in fleet.indices().zip(case.presence) {
         live.set_presence(index, presence);
     }
     let avoid: Vec<_> = case.avoid.iter().map(|&i| BackendIndex(i)).collect();
-    let shape = Shape::new(500, 100).deadline_ms(case.deadline_ms);
+    let shape = RequestShape::new(500, 100).deadline_ms(case.deadline_ms);
     let policy = Policy::default();
     let error = run(&fleet, &live, &shape, &policy, &avoid, 1).unwrap_err();
     assert!((case.expected)(&error.reason), "{error}");
@@ -211,8 +212,8 @@
     let live = serving(&fleet, 2);
     let fail = |index| {
         for _ in 0..3 {
-            live.dispatched(index, 10, NOW_MS);
-            live.ended(index, 10, &Ended::Failed, NOW_MS);
+            live.record_dispatch(index, 10, NOW_MS);
+            live.record_outcome(index, 10, &RequestOutcome::Failed, NOW_MS);
         }
     };
     let last = BackendIndex(19);
@@ -231,15 +232,15 @@
     let live = serving(&fleet, 8);
     let late_ms = NOW_MS + 60_000;
     // 0 told of no load long ago, 1 told nothing; the others are fresh.
-    live.report(BackendIndex(0), &report(0), NOW_MS);
+    live.record_report(BackendIndex(0), &report(0), NOW_MS);
     let fresh: Vec<_> = fleet.indices().skip(2).collect();
-    fresh.iter().for_each(|&i| live.report(i, &report(8), late_ms));
+    fresh.iter().for_each(|&i| live.record_report(i, &report(8), late_ms));
     let mut rng = fastrand::Rng::with_seed(5);
     let mut counts = [0; 6];
     for _ in 0..600 {
-        let shape = Shape::new(500, 100);
+        let shape = RequestShape::new(500, 100);
         let policy = Policy::default();
-        let need = ChainNeed::new(&fleet, &live, &shape, &policy, late_ms);
+        let need = ChainRequest::new(&fleet, &live, &shape, &policy, late_ms);
         let choice = choose(&need, &mut rng);
         counts[choice.expect("a chain").stages[0].0 as usize] += 1;
     }
@@ -268,7 +269,7 @@
     let live = serving(&fleet, 4);
     let percent = case.recovery_weight_percent;
     let policy = Policy::default().recovery_weight_percent(percent);
-    let shape = Shape::new(500, 100);
+    let shape = RequestShape::new(500, 100);
     let choice = run(&fleet, &live, &shape, &policy, &[], 3).expect("chain");
     let stages: Vec<u32> = choice.stages.iter().map(|i| i.0).collect();
     assert_eq!(stages, case.expected);
@@ -283,8 +284,8 @@
     let fleet = fleet(8, vec![cheap, fast]);
     let live = serving(&fleet, 4);
     let policy = Policy::default().recovery_weight_percent(0);
-    let shape = Shape::new(500, 100).priority(Priority::Low);
-    let stages = |shape: &Shape| {
+    let shape = RequestShape::new(500, 100).priority(Priority::Low);
+    let stages = |shape: &RequestShape| {
         run(&fleet, &live, shape, &policy, &[], 3).expect("chain").stages
     };
     assert_eq!(stages(&shape), [BackendIndex(0)]);
@@ -308,13 +309,13 @@
     let live = serving(&fleet, 2);
     let mut rng = fastrand::Rng::with_seed(9);
     let mut chooser = Chooser::new();
-    let shape = Shape::new(4_000, 20).prefix(77);
+    let shape = RequestShape::new(4_000, 20).prefix(77);
     let policy = Policy::default();
     let mut seen = std::collections::BTreeMap::new();
     for _ in 0..50 {
-        let need = ChainNeed::new(&fleet, &live, &shape, &policy, NOW_MS);
+        let need = ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
         let choice = chooser.choose(&need, &mut rng).expect("a chain");
-        live.note_prefix(choice.stages[0], 77);
+        live.record_prefix(choice.stages[0], 77);
         *seen.entry(choice.stages[0]).or_insert(0) += 1;
     }
     let most = seen.values().max().copied().unwrap_or(0);
@@ -325,15 +326,20 @@
 fn a_new_generation_keeps_what_is_known() {
     let old = fleet(0, numbered(&[(0, 0); 3]));
     let live = serving(&old, 5);
-    live.dispatched(BackendIndex(2), 100, NOW_MS);
+    live.record_dispatch(BackendIndex(2), 100, NOW_MS);
     let specs = vec![spec("new", 0, 0), spec("server-2", 0, 0)];
     let new = fleet(0, specs);
-    let carried = live.carried(&old, &new);
+    let carried = live.carry_over(&old, &new);
     assert_eq!(carried.presence(BackendIndex(0)), Presence::Absent);
     assert_eq!(carried.presence(BackendIndex(1)), Presence::Serving);
     assert_eq!(carried.in_flight(BackendIndex(1)), 1);
     // Ends under the generation it was sent under.
-    live.ended(BackendIndex(2), 100, &Ended::Cancelled, NOW_MS);
+    live.record_outcome(
+        BackendIndex(2),
+        100,
+        &RequestOutcome::Cancelled,
+        NOW_MS,
+    );
     assert_eq!(carried.in_flight(BackendIndex(1)), 0);
     assert_eq!(live.presence(BackendIndex(0)), Presence::Absent);
 }
@@ -342,10 +348,10 @@
 fn a_server_replaced_under_its_name_is_new() {
     let old = fleet(0, numbered(&[(0, 0); 2]));
     let live = serving(&old, 5);
-    live.dispatched(BackendIndex(0), 100, NOW_MS);
-    live.dispatched(BackendIndex(1), 100, NOW_MS);
+    live.record_dispatch(BackendIndex(0), 100, NOW_MS);
+    live.record_dispatch(BackendIndex(1), 100, NOW_MS);
     let new = fleet(0, numbered(&[(0, 0); 2]));
-    let carried = live.carried_where(&old, &new, |name| name != "server-0");
+    let carried = live.carry_over_where(&old, &new, |name| name != "server-0");
     assert_eq!(carried.presence(BackendIndex(0)), Presence::Absent);
     assert_eq!(carried.in_flight(BackendIndex(0)), 0);
     assert_eq!(live.presence(BackendIndex(0)), Presence::Absent);
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use chestnutreach_routing::{
-    BackendSpec, Fleet, Live, LoadReport, Network, Presence,
+    BackendSpec, Fleet, LiveState, LoadReport, Network, Presence,
 };
 
 pub const NOW_MS: u64 = 1_000_000;
@@ -33,11 +33,11 @@
 }
 
 /// All serving, with a fresh report of the given load.
-pub fn serving(fleet: &Fleet, running: u32) -> Live {
-    let live = Live::new(fleet.len());
+pub fn serving(fleet: &Fleet, running: u32) -> LiveState {
+    let live = LiveState::new(fleet.len());
     for index in fleet.indices() {
         live.set_presence(index, Presence::Serving);
-        live.report(index, &report(running), NOW_MS);
+        live.record_report(index, &report(running), NOW_MS);
     }
     live
 }
--- a/crates/routing/tests/gate.rs
+++ b/crates/routing/tests/gate.rs
@@ -1,7 +1,7 @@
 //! A gate tells at once what it cannot do in time, and no more than that.
 
 use chestnutreach_routing::{
-    Shape,
+    RequestShape,
     gate::{Asked, Gate, LATER_WAIT_LIMIT_MS, Offer, Places},
 };
 use rstest::rstest;
@@ -27,7 +27,7 @@
 }
 
 /// Of one stage, in good time.
-fn asked<'a>(shape: &'a Shape, account: &'a str) -> Asked<'a> {
+fn asked<'a>(shape: &'a RequestShape, account: &'a str) -> Asked<'a> {
     Asked {
         account,
         shape,
@@ -66,7 +66,7 @@
     account: "quiet", stage_count: 2, deadline_at_ms: 2_000, is_taken: false,
 })]
 fn only_what_cannot_finish_is_turned_away(#[case] case: TimeCase) {
-    let shape = Shape::new(100, 100);
+    let shape = RequestShape::new(100, 100);
     let mut gate = full_gate();
     for _ in 0..40 {
         let offer = offer(&mut gate, &asked(&shape, "flood"));
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_request_leaves_while_it_could_still_be_told_in_time() {
-    let shape = Shape::new(100, 100);
+    let shape = RequestShape::new(100, 100);
     let mut gate = full_gate();
     let deadline_at_ms = 5_000;
     let request = Asked { deadline_at_ms, ..asked(&shape, "a") };
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_later_stage_lets_wait_only_for_a_while() {
-    let shape = Shape::new(100, 100);
+    let shape = RequestShape::new(100, 100);
     let mut gate = full_gate();
     let mut rng = fastrand::Rng::with_seed(3);
     let mut waiting = 0;
@@ -111,7 +111,7 @@
 
 #[test]
 fn the_wait_is_learned_from_what_leaves() {
-    let shape = Shape::new(100, 100);
+    let shape = RequestShape::new(100, 100);
     let mut gate = full_gate();
     for _ in 0..20 {
         offer(&mut gate, &asked(&shape, "a"));
--- a/crates/routing/tests/guards.rs
+++ b/crates/routing/tests/guards.rs
@@ -3,9 +3,10 @@
 mod common;
 
 use chestnutreach_routing::{
-    Health, HealthState, Live, Mix, Presence, RetryBudget, Shape, Speed,
-    admission::run_ms, can_finish, expected_wait_ms, health, retry,
-    retry_after_ms, throughput_bound,
+    CircuitBreaker, CircuitState, LiveState, Presence, RequestShape,
+    RetryBudget, Speed, TokenMix, admission::run_ms, can_finish,
+    circuit_breaker, expected_wait_ms, retry, retry_after_ms,
+    throughput_bound,
 };
 use common::{fleet, numbered, serving, spec};
 use rstest::rstest;
@@ -42,43 +43,43 @@
 
 #[test]
 fn health_opens_backs_off_and_comes_back() {
-    let health = Health::new();
-    let fail = |now_ms| health.note_failure(now_ms);
-    (1..health::FAILURE_LIMIT).for_each(|_| fail(0));
-    assert_eq!(health.state(0), HealthState::Closed);
+    let health = CircuitBreaker::new();
+    let fail = |now_ms| health.record_failure(now_ms);
+    (1..circuit_breaker::FAILURE_LIMIT).for_each(|_| fail(0));
+    assert_eq!(health.state(0), CircuitState::Closed);
     fail(0);
-    let until_ms = health::FIRST_BACKOFF_MS;
-    assert_eq!(health.state(0), HealthState::Open { until_ms });
-    assert!(!health.is_open_to_requests(until_ms - 1));
+    let until_ms = circuit_breaker::FIRST_BACKOFF_MS;
+    assert_eq!(health.state(0), CircuitState::Open { until_ms });
+    assert!(!health.allows_requests(until_ms - 1));
 
     // One trial at a time; its failure doubles the wait.
-    assert!(health.is_open_to_requests(until_ms));
-    health.note_sent(until_ms);
-    assert!(!health.is_open_to_requests(until_ms));
+    assert!(health.allows_requests(until_ms));
+    health.record_sent(until_ms);
+    assert!(!health.allows_requests(until_ms));
     fail(until_ms);
-    let until_ms = until_ms + 2 * health::FIRST_BACKOFF_MS;
-    assert_eq!(health.state(until_ms - 1), HealthState::Open { until_ms });
+    let until_ms = until_ms + 2 * circuit_breaker::FIRST_BACKOFF_MS;
+    assert_eq!(health.state(until_ms - 1), CircuitState::Open { until_ms });
 
     // A trial that never ends bars the next one only for a while.
-    health.note_sent(until_ms);
-    let later_ms = until_ms + health::TRIAL_LIMIT_MS;
-    assert!(health.is_open_to_requests(later_ms));
-    for _ in 0..health::SUCCESS_LIMIT {
-        assert_eq!(health.state(later_ms), HealthState::HalfOpen);
-        health.note_sent(later_ms);
-        health.note_success(later_ms);
+    health.record_sent(until_ms);
+    let later_ms = until_ms + circuit_breaker::TRIAL_LIMIT_MS;
+    assert!(health.allows_requests(later_ms));
+    for _ in 0..circuit_breaker::SUCCESS_LIMIT {
+        assert_eq!(health.state(later_ms), CircuitState::HalfOpen);
+        health.record_sent(later_ms);
+        health.record_success(later_ms);
     }
-    assert_eq!(health.state(later_ms), HealthState::Closed);
+    assert_eq!(health.state(later_ms), CircuitState::Closed);
 }
 
 #[test]
 fn the_backoff_has_a_limit() {
-    let health = Health::new();
+    let health = CircuitBreaker::new();
     let mut now_ms = 0;
     for _ in 0..100 {
-        health.note_failure(now_ms);
-        if let HealthState::Open { until_ms } = health.state(now_ms) {
-            assert!(until_ms - now_ms <= health::MAX_BACKOFF_MS);
+        health.record_failure(now_ms);
+        if let CircuitState::Open { until_ms } = health.state(now_ms) {
+            assert!(until_ms - now_ms <= circuit_breaker::MAX_BACKOFF_MS);
             now_ms = until_ms;
         }
     }
@@ -87,7 +88,7 @@
 #[test]
 fn admission_follows_the_learned_speed() {
     let mut speed = Speed::new(1_000.0, 100.0).places(4);
-    let shape = Shape::new(1_000, 100);
+    let shape = RequestShape::new(1_000, 100);
     let alone_ms = |speed: &Speed| run_ms(&shape, speed, 0.0);
     assert_eq!(expected_wait_ms(1_000, &speed), 10_000);
     // 1 s of prompt and 100 steps of 20 ms on an empty server.
@@ -223,7 +224,7 @@
         spec
     });
     let fleet = fleet(case.layer_count, specs.collect());
-    let mix = Mix { prompt_tokens: 0, output_tokens: 100 };
+    let mix = TokenMix { prompt_tokens: 0, output_tokens: 100 };
     let bound = throughput_bound(&fleet, None, &mix);
     let off = (bound - case.expected_tokens_per_s).abs();
     assert!(off < 1e-6, "{bound}");
@@ -232,8 +233,8 @@
 #[test]
 fn the_bound_follows_presence_and_learned_speed() {
     let fleet = fleet(0, numbered(&[(0, 0), (0, 0)]));
-    let live: Live = serving(&fleet, 0);
-    let mix = Mix { prompt_tokens: 800, output_tokens: 160 };
+    let live: LiveState = serving(&fleet, 0);
+    let mix = TokenMix { prompt_tokens: 800, output_tokens: 160 };
     // 0.1 s of prompt and 0.1 s of output on each.
     let bound = |live| throughput_bound(&fleet, Some(live), &mix);
     assert!((bound(&live) - 9_600.0).abs() < 1e-6);
--- a/crates/routing/tests/crossing.rs
+++ b/crates/routing/tests/interconnect.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use chestnutreach_routing::{
-    CrossingBounds, CrossingPart, crossing::MOST_USED,
+    InterconnectLimits, InterconnectQuota, interconnect::MAX_UTILISATION,
 };
 
 const ENTRIES: usize = 28;
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    part: CrossingPart,
+    part: InterconnectQuota,
     /// When each request that waits gives up.
     waiting: VecDeque<u64>,
     /// When each request of the last second was sent.
@@ -85,10 +85,10 @@
 
 /// The longest wait at the join, and its use.
 fn play(case: &Case) -> (f64, f64) {
-    let mut bounds = CrossingBounds {
+    let mut bounds = InterconnectLimits {
         bytes_per_s: BYTES_PER_S,
         entries: ENTRIES,
-        crossing: 1,
+        active_entries: 1,
     };
     let mut entries = vec![Entry::default(); case.crossing];
     let mut rng = fastrand::Rng::with_seed(11);
@@ -98,7 +98,7 @@
         if now_ms % TELL_EVERY_MS == 0 {
             told = entries.iter_mut().map(|e| e.recent_bytes(now_ms)).sum();
             let crosses = |e: &&Entry| e.has_crossed;
-            bounds.crossing = entries.iter().filter(crosses).count();
+            bounds.active_entries = entries.iter().filter(crosses).count();
         }
         backlog = (backlog - BYTES_PER_S / 1e3).max(0.0);
         for entry in &mut entries {
@@ -107,13 +107,13 @@
             }
             entry.waiting.retain(|until_ms| *until_ms > now_ms);
             let own = entry.recent_bytes(now_ms);
-            let is_full = told.max(own) >= MOST_USED * BYTES_PER_S;
+            let is_full = told.max(own) >= MAX_UTILISATION * BYTES_PER_S;
             let has_part =
-                !case.has_parts || entry.part.has_left(&bounds, now_ms);
+                !case.has_parts || entry.part.has_remaining(&bounds, now_ms);
             if is_full || !has_part || entry.waiting.pop_front().is_none() {
                 continue;
             }
-            entry.part.take(&bounds, REQUEST_BYTES, now_ms);
+            entry.part.consume(&bounds, REQUEST_BYTES, now_ms);
             entry.sent.push_back(now_ms);
             entry.has_crossed = true;
             all += REQUEST_BYTES;
@@ -141,17 +141,20 @@
 
 #[test]
 fn one_entry_alone_may_use_all_that_is_allowed() {
-    let bounds =
-        CrossingBounds { bytes_per_s: BYTES_PER_S, entries: 1, crossing: 1 };
-    let mut part = CrossingPart::new();
+    let bounds = InterconnectLimits {
+        bytes_per_s: BYTES_PER_S,
+        entries: 1,
+        active_entries: 1,
+    };
+    let mut part = InterconnectQuota::new();
     let mut sent = 0;
     for now_ms in 0..LENGTH_MS {
-        if part.has_left(&bounds, now_ms) {
-            part.take(&bounds, REQUEST_BYTES, now_ms);
+        if part.has_remaining(&bounds, now_ms) {
+            part.consume(&bounds, REQUEST_BYTES, now_ms);
             sent += 1;
         }
     }
     let used = f64::from(sent) * REQUEST_BYTES
         / (BYTES_PER_S * LENGTH_MS as f64 / 1e3);
-    assert!((used - MOST_USED).abs() < 0.05, "{used}");
+    assert!((used - MAX_UTILISATION).abs() < 0.05, "{used}");
 }
--- a/crates/routing/tests/stampede.rs
+++ b/crates/routing/tests/stampede.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use chestnutreach_routing::{
-    BackendIndex, ChainNeed, Fleet, Live, Policy, Presence, Shape, choose,
+    BackendIndex, ChainRequest, Fleet, LiveState, Policy, Presence,
+    RequestShape, choose,
 };
 use common::{NOW_MS, fleet, numbered, report};
 use rstest::rstest;
@@ -15,15 +16,15 @@
 const LIMIT: f64 = 2.0;
 
 /// All but the newcomer have told of the same load.
-fn view(fleet: &Fleet, case: &Case) -> Live {
-    let live = Live::new(fleet.len());
+fn view(fleet: &Fleet, case: &Case) -> LiveState {
+    let live = LiveState::new(fleet.len());
     for index in fleet.indices() {
         live.set_presence(index, Presence::Serving);
-        live.report(index, &report(case.others_running), NOW_MS);
+        live.record_report(index, &report(case.others_running), NOW_MS);
     }
     live.set_presence(BackendIndex(0), case.newcomer);
     if case.has_report {
-        live.report(BackendIndex(0), &report(0), NOW_MS);
+        live.record_report(BackendIndex(0), &report(0), NOW_MS);
     }
     live
 }
@@ -53,17 +54,18 @@
     let policy = Policy::default()
         .entry_count(case.entry_count)
         .recovery_weight_percent(case.recovery_weight_percent);
-    let shape = Shape::new(500, 100);
+    let shape = RequestShape::new(500, 100);
     let mut sent = [0; SERVER_COUNT];
     for entry in 0..ENTRY_COUNT {
         let live = view(&fleet, case);
         let mut rng = fastrand::Rng::with_seed(entry);
         for at in 0..REQUESTS_PER_ENTRY {
             let now_ms = NOW_MS + at as u64;
-            let need = ChainNeed::new(&fleet, &live, &shape, &policy, now_ms);
+            let need =
+                ChainRequest::new(&fleet, &live, &shape, &policy, now_ms);
             let choice = choose(&need, &mut rng);
             let stage = choice.expect("a chain").stages[0];
-            live.dispatched(stage, shape.tokens(), now_ms);
+            live.record_dispatch(stage, shape.tokens(), now_ms);
             sent[stage.0 as usize] += 1;
         }
     }
--- a/crates/routing/tests/assumed_use.rs
+++ b/crates/routing/tests/usage_estimate.rs
@@ -1,7 +1,7 @@
 //! Entries that start together, replayed: the streams that were cut come back
 //! to all of them before anybody has told what it uses.
 
-use chestnutreach_routing::KnownUse;
+use chestnutreach_routing::UsageEstimate;
 use rstest::rstest;
 
 /// Room of the fast engine and of all slower ones, in streams.
@@ -27,9 +27,14 @@
         let streams = rng.u64(BACK / 2..=BACK + BACK / 2);
         let mut own = 0;
         for _ in 0..streams {
-            let untold_entries = if knows_others { entries - 1 } else { 0 };
-            let with = KnownUse { own: own + 1, told: 0, untold_entries };
-            own += u64::from(with.planned() <= FAST_ROOM);
+            let entries_without_report =
+                if knows_others { entries - 1 } else { 0 };
+            let with = UsageEstimate {
+                own: own + 1,
+                reported: 0,
+                entries_without_report,
+            };
+            own += u64::from(with.total() <= FAST_ROOM);
         }
         sent += own;
     }
@@ -57,8 +62,10 @@
 
 #[test]
 fn what_is_told_replaces_what_was_assumed() {
-    let before = KnownUse { own: 3, told: 0, untold_entries: 22 };
-    let after = KnownUse { own: 3, told: 20, untold_entries: 0 };
-    assert_eq!(before.planned(), 69);
-    assert_eq!(after.planned(), 23);
+    let before =
+        UsageEstimate { own: 3, reported: 0, entries_without_report: 22 };
+    let after =
+        UsageEstimate { own: 3, reported: 20, entries_without_report: 0 };
+    assert_eq!(before.total(), 69);
+    assert_eq!(after.total(), 23);
 }
--- a/crates/side/src/run/admit.rs
+++ b/crates/side/src/run/admit.rs
@@ -9,7 +9,7 @@
         self, Accepted, FailureReason, RefusalReason, Refused, frame::Body,
     },
 };
-use chestnutreach_routing::Shape;
+use chestnutreach_routing::RequestShape;
 use chestnutreach_state::Admission;
 use chestnutreach_telemetry::{Event, emit};
 
@@ -322,7 +322,7 @@
     }
 }
 
-fn shape_of(m: &wire::Run, work: &Work) -> (Shape, u64) {
+fn shape_of(m: &wire::Run, work: &Work) -> (RequestShape, u64) {
     let (prompt_tokens, output_tokens) = match work {
         Work::Generate(g) => {
             let delivered = g.delivered_tokens.len() as u32;
@@ -331,7 +331,7 @@
         }
         Work::PlainCall(_) => (0, 0),
     };
-    let shape = Shape {
+    let shape = RequestShape {
         prompt_tokens,
         output_tokens,
         deadline_ms: u64::from(m.deadline_ms),
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -28,7 +28,7 @@
     link::BusyGuard,
     wire::{self, FailureReason, Output, Stage, frame::Body},
 };
-use chestnutreach_routing::Shape;
+use chestnutreach_routing::RequestShape;
 
 use crate::backend::Backend;
 
@@ -52,7 +52,7 @@
     pub(crate) generation: u64,
     pub(crate) chain: Vec<Stage>,
     pub(crate) work: Work,
-    pub(crate) shape: Shape,
+    pub(crate) shape: RequestShape,
     pub(crate) cost_tokens: u64,
     pub(crate) backend: Arc<Backend>,
     /// The caller's request without its prompt, once it is asked for.
--- a/crates/side/src/seat/mod.rs
+++ b/crates/side/src/seat/mod.rs
@@ -26,7 +26,7 @@
     link::BusyGuard,
     wire::{self, Stage},
 };
-use chestnutreach_routing::Shape;
+use chestnutreach_routing::RequestShape;
 use chestnutreach_state::StepGate;
 
 use crate::backend::Backend;
@@ -41,7 +41,7 @@
     next: Option<Stage>,
     priority: u8,
     pub(crate) account: String,
-    pub(crate) shape: Shape,
+    pub(crate) shape: RequestShape,
     pub(crate) cost_tokens: u64,
     pub(crate) wait_until_ms: u64,
     pub(crate) deadline_at_ms: u64,
--- a/crates/side/src/seat/reserve.rs
+++ b/crates/side/src/seat/reserve.rs
@@ -6,7 +6,7 @@
     Link, RequestId,
     wire::{self, RefusalReason, Stage, frame::Body},
 };
-use chestnutreach_routing::{Shape, gate::LATER_WAIT_LIMIT_MS};
+use chestnutreach_routing::{RequestShape, gate::LATER_WAIT_LIMIT_MS};
 use chestnutreach_state::{Admission, StepGate};
 
 use super::{Place, Seat, State};
@@ -66,7 +66,7 @@
         let cost_tokens =
             u64::from(m.prompt_tokens_estimate) + u64::from(m.max_tokens);
         let priority = to_priority(m.priority());
-        let shape = Shape {
+        let shape = RequestShape {
             prompt_tokens: m.prompt_tokens_estimate,
             output_tokens: m.max_tokens,
             deadline_ms: u64::from(m.deadline_ms),
