--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -242,15 +242,15 @@
         let first = self.path.first();
         match end {
             AttemptEnd::Failed(head, _) if head.status >= 500 => {
-                first.circuit.note_failure(now_ms());
+                first.circuit.record_failure(now_ms());
             }
             // One further on that died speaks against no first engine.
             AttemptEnd::Broken
                 if !self.pace.has_begun && !self.has_dead_stage() =>
             {
-                first.circuit.note_failure(now_ms());
+                first.circuit.record_failure(now_ms());
             }
-            _ => first.circuit.note_neutral(),
+            _ => first.circuit.record_neutral(),
         }
     }
 
