--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -303,7 +303,8 @@
         layer_ms: need.model.step_part_ms(kind, 1) * state.slowness,
         used_token_layers: engine
             .estimated_token_layers(need.entries_without_report),
-        prefill_share: engine.prefill_utilisation(need.now_ms) * state.slowness,
+        prefill_share: engine.prefill_utilisation(need.now_ms)
+            * state.slowness,
         total_token_layers: (total as f64 * PLANNED_SHARE) as u64,
         is_usable: !is_named && accepts_work(&state, need.now_ms),
         can_be_first: need
