--- a/crates/decisions/src/server.rs
+++ b/crates/decisions/src/server.rs
@@ -4,7 +4,7 @@
 use chestnutreach_routing::{
     Fleet, LoadReport,
     fleet::BackendIndex,
-    gate::{Gate, Places},
+    slot_queue::{ServerCapacity, SlotQueue},
 };
 
 use crate::{
@@ -27,7 +27,7 @@
 /// One backend server with its side process.
 #[derive(Debug)]
 pub(crate) struct Server {
-    pub(crate) gate: Gate<Waiter>,
+    pub(crate) gate: SlotQueue<Waiter>,
     pub(crate) engine: Engine,
     pub(crate) rng: fastrand::Rng,
 }
@@ -42,8 +42,8 @@
         let spec = fleet.spec(index);
         let layers = f64::from(spec.end_layer - spec.first_layer);
         let share = layers / f64::from(fleet.layer_count());
-        let mut gate = Gate::new(QUEUE_LIMIT_TOKENS);
-        gate.set_places(Places {
+        let mut gate = SlotQueue::new(QUEUE_LIMIT_TOKENS);
+        gate.set_capacity(ServerCapacity {
             max_running: spec.max_running,
             prompt_tokens_per_s: f64::from(spec.prompt_tokens_per_s) / share,
             output_tokens_per_s: f64::from(spec.output_tokens_per_s) / share,
--- a/crates/decisions/src/world/ask.rs
+++ b/crates/decisions/src/world/ask.rs
@@ -22,7 +22,7 @@
         request.last_retry_after_ms = None;
         let entry = request.entry;
         let is_comeback = request.comebacks > 0;
-        self.entries[entry].budget.note_request();
+        self.entries[entry].budget.record_request();
         if is_comeback {
             self.note_comeback();
         }
@@ -82,7 +82,7 @@
         request.avoid.push(refusal.by);
         request.last_retry_after_ms = Some(refusal.retry_after_ms);
         let may_try = request.attempts < MAX_ATTEMPTS
-            && self.entries[request.entry].budget.take();
+            && self.entries[request.entry].budget.try_take();
         if may_try {
             self.count_up(at);
         } else {
--- a/crates/decisions/src/world/reserve.rs
+++ b/crates/decisions/src/world/reserve.rs
@@ -2,7 +2,9 @@
 
 use chestnutreach_routing::{
     BackendIndex,
-    gate::{Asked, Gate, LATER_WAIT_LIMIT_MS, Offer},
+    slot_queue::{
+        LATER_STAGE_MAX_WAIT_MS, SlotAdmission, SlotQueue, SlotRequest,
+    },
 };
 
 use super::World;
@@ -14,12 +16,12 @@
 };
 
 type AskGate = fn(
-    &mut Gate<Waiter>,
-    &Asked<'_>,
+    &mut SlotQueue<Waiter>,
+    &SlotRequest<'_>,
     Waiter,
     u64,
     &mut fastrand::Rng,
-) -> Offer;
+) -> SlotAdmission;
 
 impl World<'_> {
     /// The request reaches its first stage.
@@ -29,11 +31,11 @@
             return;
         }
         let by = request.stages[0];
-        match self.ask_gate(at, 0, Gate::offer) {
-            Offer::Admitted => self.admitted(at),
-            Offer::Queued => {}
-            Offer::Full { retry_after_ms }
-            | Offer::TooLate { retry_after_ms } => {
+        match self.ask_gate(at, 0, SlotQueue::request) {
+            SlotAdmission::Admitted => self.admitted(at),
+            SlotAdmission::Queued => {}
+            SlotAdmission::Full { retry_after_ms }
+            | SlotAdmission::TooLate { retry_after_ms } => {
                 self.refuse(at, Refusal { by, retry_after_ms });
             }
         }
@@ -44,14 +46,14 @@
         at: RequestIndex,
         stage: usize,
         ask: AskGate,
-    ) -> Offer {
+    ) -> SlotAdmission {
         let now_us = self.events.now_us();
         let request = &self.requests[at as usize];
         let is_bounded = self.case.refuses_late;
         let shape = request.shape(now_us, is_bounded);
         let accounts = &self.deployment.accounts;
         let deadline_ms = request.deadline_us() / 1_000;
-        let asked = Asked {
+        let asked = SlotRequest {
             account: &accounts[request.asking.account].name,
             shape: &shape,
             cost_tokens: request.cost_tokens().into(),
@@ -123,7 +125,7 @@
         let delay_us = self.farthest_us(at);
         for index in later {
             let Server { gate, rng, .. } = &mut self.servers[index.0 as usize];
-            if let Err(retry_after_ms) = gate.try_take(cost_tokens, rng) {
+            if let Err(retry_after_ms) = gate.try_acquire(cost_tokens, rng) {
                 let refusal = Refusal { by: index, retry_after_ms };
                 let refused = Event::StageRefused(at, refusal);
                 return self.events.after_us(delay_us, refused);
@@ -141,17 +143,17 @@
             return self.begin(at);
         }
         let by = request.stages[request.held];
-        match self.ask_gate(at, request.held, Gate::offer_later) {
-            Offer::Admitted => self.admitted(at),
-            Offer::Queued => {
+        match self.ask_gate(at, request.held, SlotQueue::request_later_stage) {
+            SlotAdmission::Admitted => self.admitted(at),
+            SlotAdmission::Queued => {
                 let request = &mut self.requests[at as usize];
                 request.phase = Phase::Waiting;
                 request.waits += 1;
                 let over = Event::WaitOver(at, request.waits);
-                self.events.after_us(LATER_WAIT_LIMIT_MS * 1_000, over);
+                self.events.after_us(LATER_STAGE_MAX_WAIT_MS * 1_000, over);
             }
-            Offer::Full { retry_after_ms }
-            | Offer::TooLate { retry_after_ms } => {
+            SlotAdmission::Full { retry_after_ms }
+            | SlotAdmission::TooLate { retry_after_ms } => {
                 let refusal = Refusal { by, retry_after_ms };
                 let delay_us =
                     self.latency_us(self.requests[at as usize].stages[0], by);
@@ -235,7 +237,7 @@
         self.expire(index);
         let now_ms = self.events.now_ms();
         let gate = &mut self.servers[index.0 as usize].gate;
-        if let Some(next) = gate.give_back(cost_tokens, now_ms) {
+        if let Some(next) = gate.release(cost_tokens, now_ms) {
             self.admitted(next.request);
         }
     }
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -11,7 +11,7 @@
 use async_executor::Executor;
 use chestnutreach_protocol::peers::OpenMove;
 use chestnutreach_routing::{
-    FirstWaits, RetryBounds, RetryWindow, RoomWaits, Sent,
+    CapacityWaits, FirstEventWaits, RetryLimit, RetryWindow, SentCounts,
 };
 use chestnutreach_site::{Configuration, Limits, NodeSettings};
 use chestnutreach_telemetry::{Event, Metrics, Readiness, emit};
@@ -78,9 +78,9 @@
     /// What own requests send between data centres.
     pub(crate) crossing: Crossing,
     retries: ByService<RetryWindow>,
-    first_waits: ByService<FirstWaits>,
+    first_waits: ByService<FirstEventWaits>,
     /// What finds room, and what waits for it.
-    pub(crate) room_waits: Arc<ByService<RoomWaits>>,
+    pub(crate) room_waits: Arc<ByService<CapacityWaits>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) readiness: Arc<Readiness>,
     /// When the stop began; 0 before.
@@ -228,7 +228,7 @@
         }
     }
 
-    fn retry_bounds(&self) -> RetryBounds {
+    fn retry_bounds(&self) -> RetryLimit {
         let bounds = &self.settings.bounds;
         // What the process before this one sent still counts, and is not
         // known here.
@@ -237,9 +237,9 @@
             true => SHARE_WHILE_NEW,
             false => 1.0,
         };
-        RetryBounds {
+        RetryLimit {
             ratio: bounds.retry_ratio * share,
-            slack: bounds.retry_slack * share,
+            free_retries: bounds.retry_slack * share,
             window_ms: bounds.retry_window_ms,
         }
     }
@@ -248,22 +248,23 @@
     pub(crate) fn note_request(&self, service: &str) {
         let bounds = self.retry_bounds();
         let note = |window: &mut RetryWindow| {
-            window.note_request(&bounds, now_ms());
+            window.record_request(&bounds, now_ms());
         };
         self.retries.change(service, note);
     }
 
     /// What this entry sent to each service within the window.
-    pub(crate) fn sent_to_services(&self) -> Vec<(String, Sent)> {
+    pub(crate) fn sent_to_services(&self) -> Vec<(String, SentCounts)> {
         let bounds = self.retry_bounds();
-        self.retries.of_each(|window| window.sent(&bounds, now_ms()))
+        self.retries.of_each(|window| window.counts(&bounds, now_ms()))
     }
 
     /// Further arrivals that are left of this entry's own part, by service.
     pub(crate) fn retries_left(&self) -> Vec<(String, f64)> {
         let bounds = self.retry_bounds();
         let entries = self.peers.entry_count();
-        self.retries.of_each(|window| window.left(&bounds, entries, now_ms()))
+        self.retries
+            .of_each(|window| window.remaining(&bounds, entries, now_ms()))
     }
 
     /// How long the store has not answered; 0 if it does.
@@ -280,14 +281,15 @@
         let entries = self.peers.entry_count();
         let others = self.peers.others_sent(service);
         let take = |window: &mut RetryWindow| {
-            window.take(&bounds, entries, &others, now_ms())
+            window.try_take(&bounds, entries, &others, now_ms())
         };
         self.retries.change(service, take)
     }
 
     /// A stream that was sent then has its first event.
     pub(crate) fn note_first_event(&self, service: &str, sent_ms: u64) {
-        let note = |waits: &mut FirstWaits| waits.note(sent_ms, now_ms());
+        let note =
+            |waits: &mut FirstEventWaits| waits.record(sent_ms, now_ms());
         self.first_waits.change(service, note);
     }
 
@@ -298,14 +300,15 @@
         sent_ms: u64,
         least_ms: u64,
     ) -> bool {
-        let is_overdue =
-            |waits: &FirstWaits| waits.is_overdue(sent_ms, least_ms, now_ms());
+        let is_overdue = |waits: &FirstEventWaits| {
+            waits.is_overdue(sent_ms, least_ms, now_ms())
+        };
         self.first_waits.look(service, is_overdue).unwrap_or(false)
     }
 
     /// How long streams of a service usually wait for their first event.
     pub(crate) fn usual_first_ms(&self, service: &str) -> Option<u64> {
-        self.first_waits.look(service, FirstWaits::usual_ms)?
+        self.first_waits.look(service, FirstEventWaits::median_ms)?
     }
 
     /// Tells that a request may not be sent again now.
--- a/crates/direct/src/known/engine.rs
+++ b/crates/direct/src/known/engine.rs
@@ -11,7 +11,7 @@
     },
 };
 
-pub(crate) use chestnutreach_routing::Evidence;
+pub(crate) use chestnutreach_routing::FailureEvidence;
 use chestnutreach_routing::{Health, KnownUse};
 use chestnutreach_site::{Backend, BackendState, LayerRange};
 
@@ -231,7 +231,7 @@
     pub(crate) since_ms: u64,
     /// Not cleared before.
     pub(crate) until_ms: u64,
-    pub(crate) evidence: Evidence,
+    pub(crate) evidence: FailureEvidence,
 }
 
 impl Engine {
--- a/crates/direct/src/known/engine_watch.rs
+++ b/crates/direct/src/known/engine_watch.rs
@@ -13,7 +13,7 @@
 
 use async_io::Timer;
 use chestnutreach_http::relay::Outbound;
-use chestnutreach_membership::duty;
+use chestnutreach_membership::rendezvous;
 
 use crate::{
     clock::now_ms,
@@ -61,7 +61,7 @@
         let here = self.here.get(&engine.data_centre);
         let entries = here.filter(|h| !h.is_empty()).unwrap_or(&self.all);
         entries.contains(&core.boot_id)
-            && duty::holds(
+            && rendezvous::is_assigned(
                 core.boot_id,
                 entries.iter().copied(),
                 engine.hash.into(),
--- a/crates/direct/src/known/feeds.rs
+++ b/crates/direct/src/known/feeds.rs
@@ -1,7 +1,7 @@
 //! What the store holds, as this entry has it: copies of two tables, how old
 //! they are, and whom to ask next.
 //!
-//! Who asks and whom is decided by [`Sources`]; what is answered to others by
+//! Who asks and whom is decided by [`FeedSources`]; what is answered to others by
 //! [`TableCopy`]. Here is what the tasks share.
 
 use std::sync::{
@@ -14,7 +14,7 @@
     store::{Row, Rows},
 };
 use chestnutreach_membership::{
-    Around, Change, Outcome, Source, Sources, TableCopy,
+    FeedPeers, FeedSource, FeedSources, FetchOutcome, RowChange, TableCopy,
 };
 use chestnutreach_protocol::peers::{FeedAnswer, FeedRow};
 
@@ -58,7 +58,7 @@
     /// Number of the duty to read it.
     duty: u64,
     copy: Mutex<TableCopy>,
-    sources: Mutex<Sources>,
+    sources: Mutex<FeedSources>,
     /// When the store last confirmed the copy.
     confirmed_ms: AtomicU64,
     /// When the store was back after an outage; 0 if there was none.
@@ -83,15 +83,15 @@
         }
     }
 
-    pub(crate) fn choose(&self, around: &Around<'_>) -> Source {
+    pub(crate) fn choose(&self, around: &FeedPeers<'_>) -> FeedSource {
         self.sources().choose(around, self.duty, now_ms())
     }
 
     /// Keeps whom this entry asks now, for operators.
-    pub(crate) fn set_source(&self, source: Source) {
+    pub(crate) fn set_source(&self, source: FeedSource) {
         let asks = match source {
-            Source::Store => 0,
-            Source::Entry(boot_id) => boot_id,
+            FeedSource::Store => 0,
+            FeedSource::Entry(boot_id) => boot_id,
         };
         self.asks.store(asks, Relaxed);
     }
@@ -111,11 +111,11 @@
     }
 
     pub(crate) fn note_asked(&self) {
-        self.sources().note_asked(now_ms());
+        self.sources().record_request(now_ms());
     }
 
-    pub(crate) fn note(&self, source: Source, outcome: Outcome) {
-        self.sources().note(source, outcome, now_ms());
+    pub(crate) fn note(&self, source: FeedSource, outcome: FetchOutcome) {
+        self.sources().record_outcome(source, outcome, now_ms());
     }
 
     /// Version up to which the copy is complete.
@@ -151,7 +151,7 @@
     /// Takes rows that changed.
     pub(crate) fn extend(&self, rows: &Rows) {
         let changes = rows.rows.iter().map(change_of).collect();
-        self.copy().extend(changes, rows.version);
+        self.copy().apply(changes, rows.version);
         if !rows.rows.is_empty() {
             self.news.nudge_all();
         }
@@ -159,7 +159,7 @@
 
     /// Whether the copy has something newer than a version.
     pub(crate) fn has_news(&self, version: u64) -> bool {
-        self.copy().has_news(version)
+        self.copy().has_changes_after(version)
     }
 
     /// What is told to an entry that knows a version; none while nothing is
@@ -167,11 +167,11 @@
     pub(crate) fn answer(&self, after: Option<u64>) -> Option<FeedAnswer> {
         let copy = self.copy();
         let version = copy.version()?;
-        let changes = after.and_then(|after| copy.after(after));
+        let changes = after.and_then(|after| copy.changes_after(after));
         let is_whole = changes.is_none();
         let rows = match changes {
             Some(changes) => changes.into_iter().map(told_row).collect(),
-            None => copy.all().map(told_row).collect(),
+            None => copy.rows().map(told_row).collect(),
         };
         let back_ms = Some(self.back_ms()).filter(|ms| *ms > 0);
         Some(FeedAnswer {
@@ -188,7 +188,7 @@
         self.copy.lock().expect("no holder panics")
     }
 
-    fn sources(&self) -> MutexGuard<'_, Sources> {
+    fn sources(&self) -> MutexGuard<'_, FeedSources> {
         self.sources.lock().expect("no holder panics")
     }
 }
@@ -205,15 +205,15 @@
     Rows { rows: answer.rows.into_iter().map(row).collect(), version }
 }
 
-fn change_of(row: &Row) -> Change {
-    Change {
+fn change_of(row: &Row) -> RowChange {
+    RowChange {
         key: row.key.clone(),
         value: (!row.is_dropped).then(|| row.value.clone()),
         version: row.version,
     }
 }
 
-fn told_row(change: &Change) -> FeedRow {
+fn told_row(change: &RowChange) -> FeedRow {
     FeedRow {
         key: change.key.clone(),
         value: change.value.clone(),
--- a/crates/direct/src/known/follow.rs
+++ b/crates/direct/src/known/follow.rs
@@ -3,9 +3,9 @@
 //! A feed's call waits at the store until something changes. Its wait is
 //! short, since only the end of a call shows that its connection has not
 //! gone silent. Where a data centre has several entries, one asks the store
-//! and the others ask it in the same way ([`Sources`]).
+//! and the others ask it in the same way ([`FeedSources`]).
 //!
-//! [`Sources`]: chestnutreach_membership::Sources
+//! [`FeedSources`]: chestnutreach_membership::FeedSources
 
 use std::{
     sync::{Arc, atomic::Ordering::Relaxed},
@@ -17,7 +17,9 @@
     configuration::{self, KEY},
     store::{Row, Rows, StoreClient, StoreError},
 };
-use chestnutreach_membership::{Around, Outcome, Source, source::FEWEST};
+use chestnutreach_membership::{
+    FeedPeers, FeedSource, FetchOutcome, feed_source::MIN_SHARING_ENTRIES,
+};
 use chestnutreach_telemetry::{Event, emit};
 
 use crate::{
@@ -92,7 +94,7 @@
     /// Version up to which everything was taken.
     after: Option<u64>,
     /// Whom it asked last.
-    source: Source,
+    source: FeedSource,
     /// When that was last told.
     told_ms: u64,
 }
@@ -108,7 +110,7 @@
             asker: None,
             health: Health::new(table),
             after: None,
-            source: Source::Store,
+            source: FeedSource::Store,
             told_ms: 0,
         }
     }
@@ -120,33 +122,33 @@
     async fn run(mut self) {
         loop {
             let others = self.core.entries_here();
-            let around = Around {
+            let around = FeedPeers {
                 own: self.core.boot_id,
-                others: &others,
-                must_read: self.core.is_planner.load(Relaxed),
+                peers: &others,
+                must_read_store: self.core.is_planner.load(Relaxed),
             };
             let source = self.feed().choose(&around);
             self.note_source(source);
-            let is_shared = others.len() + 1 >= FEWEST;
+            let is_shared = others.len() + 1 >= MIN_SHARING_ENTRIES;
             let outcome = match source {
-                Source::Store => self.ask_store(is_shared).await,
-                Source::Entry(entry) => self.ask_entry(entry).await,
+                FeedSource::Store => self.ask_store(is_shared).await,
+                FeedSource::Entry(entry) => self.ask_entry(entry).await,
             };
             self.feed().note(source, outcome);
             self.pause(source, outcome).await;
         }
     }
 
-    async fn pause(&self, source: Source, outcome: Outcome) {
-        if outcome == Outcome::Failed {
+    async fn pause(&self, source: FeedSource, outcome: FetchOutcome) {
+        if outcome == FetchOutcome::Failed {
             Timer::after(RETRY_PAUSE).await;
         }
-        if self.kind == Kind::Backends && source == Source::Store {
+        if self.kind == Kind::Backends && source == FeedSource::Store {
             Timer::after(list_pause(&self.core)).await;
         }
     }
 
-    async fn ask_store(&mut self, is_shared: bool) -> Outcome {
+    async fn ask_store(&mut self, is_shared: bool) -> FetchOutcome {
         let result = match self.after {
             None => self.read_store().await,
             Some(version) => self.feed_store(version, is_shared).await,
@@ -157,16 +159,16 @@
                 self.health.answered(feed, version);
                 self.note_reached();
                 self.after = Some(version);
-                Outcome::Fresh
+                FetchOutcome::Fresh
             }
             Err(StoreError::HistoryGone) => {
                 self.after = None;
-                Outcome::Fresh
+                FetchOutcome::Fresh
             }
             Err(e) => {
                 self.health.failed(&self.core, &e);
                 self.note_lost();
-                Outcome::Failed
+                FetchOutcome::Failed
             }
         }
     }
@@ -206,9 +208,9 @@
         Ok(rows.version.max(after))
     }
 
-    async fn ask_entry(&mut self, entry: u64) -> Outcome {
+    async fn ask_entry(&mut self, entry: u64) -> FetchOutcome {
         let Some(address) = self.core.peers.feed_address(entry) else {
-            return Outcome::Failed;
+            return FetchOutcome::Failed;
         };
         let kept = self.asker.take().filter(|a| a.address() == address);
         let asker = kept.unwrap_or_else(|| Asker::new(address));
@@ -219,7 +221,7 @@
         };
         let timeout = wait + ENTRY_SLACK;
         let asked = asker.ask(table, self.after, wait, timeout).await;
-        let Some(asked) = asked else { return Outcome::Failed };
+        let Some(asked) = asked else { return FetchOutcome::Failed };
         self.asker = Some(asker);
         let answer = asked.answer;
         let age_ms = answer.confirmed_age_ms;
@@ -237,11 +239,11 @@
         self.after = self.after.max(Some(rows.version));
         self.confirm(confirmed_ms);
         if age_ms > STALE_MS {
-            return Outcome::Stale;
+            return FetchOutcome::Stale;
         }
         self.health.set_aside();
         self.note_reached();
-        Outcome::Fresh
+        FetchOutcome::Fresh
     }
 
     /// Takes all rows, unless what is known here is newer, as it may be than
@@ -291,13 +293,13 @@
         }
     }
 
-    fn note_source(&mut self, source: Source) {
+    fn note_source(&mut self, source: FeedSource) {
         if source == self.source {
             return;
         }
         let is_same_kind = matches!(
             (self.source, source),
-            (Source::Entry(_), Source::Entry(_))
+            (FeedSource::Entry(_), FeedSource::Entry(_))
         );
         self.source = source;
         self.feed().set_source(source);
@@ -308,8 +310,8 @@
         }
         self.told_ms = now_ms;
         let (name, boot_id) = match source {
-            Source::Store => ("store", String::new()),
-            Source::Entry(boot_id) => ("entry", boot_id.to_string()),
+            FeedSource::Store => ("store", String::new()),
+            FeedSource::Entry(boot_id) => ("entry", boot_id.to_string()),
         };
         emit(
             Event::FeedSourceChanged,
--- a/crates/direct/src/known/notices.rs
+++ b/crates/direct/src/known/notices.rs
@@ -15,7 +15,8 @@
 
 use chestnutreach_protocol::peers::EngineNotice;
 use chestnutreach_routing::{
-    Ask, Grant, NamedLimit, PermitStock, ServerLimit, Want,
+    AnnouncedLimit, PermitDemand, PermitGrant, PermitHolder, PermitRequest,
+    ServerRateLimit,
 };
 
 mod take;
@@ -44,7 +45,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    limit: ServerLimit,
+    limit: ServerRateLimit,
     /// When the request of the last answer to this entry that named none was
     /// sent.
     own_unnamed_ms: Option<u64>,
@@ -54,7 +55,7 @@
     told: Option<(u64, f64)>,
     /// When requests of this entry were sent.
     sent: VecDeque<u64>,
-    permits: PermitStock,
+    permits: PermitHolder,
     issuer: Issuer,
     /// It said that it leaves, which others are told as long as it is listed.
     has_said_leaving: bool,
@@ -87,16 +88,17 @@
     }
 
     /// The limit that holds.
-    pub(crate) fn limit(&self) -> Option<NamedLimit> {
+    pub(crate) fn limit(&self) -> Option<AnnouncedLimit> {
         if !self.is_limited.load(Relaxed) {
             return None;
         }
-        self.lock().limit.in_force()
+        self.lock().limit.current()
     }
 
     /// Whether a request may be sent now.
     pub(crate) fn may_send(&self, now_ms: u64) -> bool {
-        !self.is_limited.load(Relaxed) || self.lock().permits.has_some(now_ms)
+        !self.is_limited.load(Relaxed)
+            || self.lock().permits.has_permit(now_ms)
     }
 
     /// Takes the permit for a request, where it needs one; false if there is
@@ -108,8 +110,9 @@
 
     /// Notes a request that would be sent if there were a permit; whether one
     /// may come in a moment.
-    pub(crate) fn want(&self, want: Want, now_ms: u64) -> bool {
-        self.is_limited.load(Relaxed) && self.lock().permits.want(want, now_ms)
+    pub(crate) fn want(&self, want: PermitDemand, now_ms: u64) -> bool {
+        self.is_limited.load(Relaxed)
+            && self.lock().permits.add_demand(want, now_ms)
     }
 
     /// Whether a request was told that there is no permit for it now.
@@ -118,21 +121,21 @@
     }
 
     /// What the issuer is to be told now.
-    pub(crate) fn ask(&self, now_ms: u64) -> Option<Ask> {
-        self.lock().permits.ask(now_ms)
+    pub(crate) fn ask(&self, now_ms: u64) -> Option<PermitRequest> {
+        self.lock().permits.next_request(now_ms)
     }
 
     /// Takes what the issuer grants.
     pub(crate) fn hear_grant(
         &self,
         from: u64,
-        grant: Grant,
+        grant: PermitGrant,
         pause_ms: u64,
         now_ms: u64,
     ) {
         let mut state = self.lock();
         if state.issuer.boot_id == from {
-            state.permits.hear(from, grant, pause_ms, now_ms);
+            state.permits.apply_grant(from, grant, pause_ms, now_ms);
         }
     }
 
@@ -148,10 +151,10 @@
         now_ms: u64,
     ) -> u64 {
         let mut state = self.lock();
-        if state.permits.is_unanswered(now_ms) {
+        if state.permits.is_issuer_unresponsive(now_ms) {
             let silent = state.issuer.boot_id;
             state.issuer.avoided = Some((silent, now_ms + AVOIDED_MS));
-            state.permits.change_issuer();
+            state.permits.reset_issuer();
         }
         let avoided = state.issuer.avoided;
         let avoided = avoided.filter(|(_, until_ms)| *until_ms > now_ms);
@@ -164,7 +167,7 @@
     /// late.
     pub(crate) fn news(&self, now_ms: u64) -> Option<EngineNotice> {
         let state = self.lock();
-        let in_force = state.limit.in_force();
+        let in_force = state.limit.current();
         let is_ended_of_late = state
             .ended_ms
             .is_some_and(|at| now_ms.saturating_sub(at) < END_TOLD_MS);
@@ -210,12 +213,12 @@
     /// Changes what is known of the limit; what came of it.
     fn change(
         &mut self,
-        change: impl FnOnce(&mut ServerLimit),
+        change: impl FnOnce(&mut ServerRateLimit),
         now_ms: u64,
     ) -> Change {
-        let before = self.limit.in_force();
+        let before = self.limit.current();
         change(&mut self.limit);
-        match (before, self.limit.in_force()) {
+        match (before, self.limit.current()) {
             (Some(ended), None) => {
                 self.ended_ms = Some(now_ms);
                 Change::Ended(ended.received_ms)
--- a/crates/direct/src/known/notices/take.rs
+++ b/crates/direct/src/known/notices/take.rs
@@ -9,7 +9,7 @@
     rest::{self, RestNotice},
 };
 use chestnutreach_protocol::peers::EngineNotice;
-use chestnutreach_routing::ServerLimit;
+use chestnutreach_routing::ServerRateLimit;
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Change;
@@ -47,8 +47,8 @@
     let values = answered.head.values(notices::LIMIT);
     let change = match notices::limit(values) {
         LimitNotice::PerS(per_s) => {
-            let name = |limit: &mut ServerLimit| {
-                limit.note_named(per_s, now_ms);
+            let name = |limit: &mut ServerRateLimit| {
+                limit.record_announced(per_s, now_ms);
             };
             engine.notices.lock().change(name, now_ms)
         }
@@ -56,7 +56,7 @@
             let sent_ms = answered.sent_ms;
             let mut state = engine.notices.lock();
             state.own_unnamed_ms = state.own_unnamed_ms.max(Some(sent_ms));
-            state.change(|limit| limit.note_unnamed(sent_ms), now_ms)
+            state.change(|limit| limit.record_absent(sent_ms), now_ms)
         }
         LimitNotice::Malformed => {
             core.metrics.malformed_limits.inc();
@@ -139,13 +139,13 @@
     }
     let now_ms = now_ms();
     let ago = |age_ms: u64| now_ms.saturating_sub(age_ms);
-    let take = |limit: &mut ServerLimit| {
+    let take = |limit: &mut ServerRateLimit| {
         // A peer's number may be any.
         if told.limit_per_s.is_finite() && told.limit_per_s > 0.0 {
-            limit.note_named(told.limit_per_s, ago(told.named_age_ms));
+            limit.record_announced(told.limit_per_s, ago(told.named_age_ms));
         }
         if let Some(age_ms) = told.unnamed_age_ms {
-            limit.note_unnamed(ago(age_ms).saturating_sub(MESSAGE_MS));
+            limit.record_absent(ago(age_ms).saturating_sub(MESSAGE_MS));
         }
     };
     let change = engine.notices.lock().change(take, now_ms);
@@ -169,7 +169,7 @@
 ) {
     let now_ms = now_ms();
     let mut state = engine.notices.lock();
-    let limit = state.limit.in_force();
+    let limit = state.limit.current();
     engine.notices.is_limited.store(limit.is_some(), Relaxed);
     let is_to_be_told = match limit {
         Some(named) => state.is_to_be_told(named.per_s, now_ms),
@@ -205,7 +205,7 @@
     (age_name, age_ms): (&'static str, u64),
 ) {
     let mut state = engine.notices.lock();
-    let last = state.limit.last_named().map_or(0.0, |named| named.per_s);
+    let last = state.limit.last_announced().map_or(0.0, |named| named.per_s);
     let sent_4s = state.sent_of_late(now_ms()).len();
     drop(state);
     emit(
--- a/crates/direct/src/known/peer_table.rs
+++ b/crates/direct/src/known/peer_table.rs
@@ -10,11 +10,11 @@
 };
 
 use chestnutreach_membership::{
-    issuer::{self, CUT_COUNTS_MS},
-    telling::{Whom, planner_silent_ms},
+    gossip::{PeerScope, planner_timeout_ms},
+    issuer::{self, PARTITION_TIMEOUT_MS},
 };
 use chestnutreach_protocol::peers::{OpenMove, PeerState};
-use chestnutreach_routing::Sent;
+use chestnutreach_routing::SentCounts;
 
 use crate::clock::now_ms;
 
@@ -90,7 +90,7 @@
 struct Told {
     heard_ms: u64,
     /// Requests and further arrivals by service.
-    sent: BTreeMap<String, Sent>,
+    sent: BTreeMap<String, SentCounts>,
 }
 
 /// How many are near and far.
@@ -102,33 +102,34 @@
 
 impl Counts {
     fn of(peers: &BTreeMap<SocketAddr, Peer>, data_centre: &str) -> Counts {
-        let is_near = |p: &&Peer| p.whom(data_centre) == Whom::Near;
+        let is_near =
+            |p: &&Peer| p.whom(data_centre) == PeerScope::SameDataCentre;
         let near = peers.values().filter(is_near).count();
         Counts { near, far: peers.len() - near }
     }
 
-    fn of_whom(self, whom: Whom) -> usize {
+    fn of_whom(self, whom: PeerScope) -> usize {
         match whom {
-            Whom::Near => self.near,
-            Whom::Far => self.far,
-            Whom::ByPlanner => self.near + self.far,
+            PeerScope::SameDataCentre => self.near,
+            PeerScope::OtherDataCentre => self.far,
+            PeerScope::FromPlanner => self.near + self.far,
         }
     }
 
     /// Whether an entry has told of late.
     fn is_heard(self, peer: &Peer, data_centre: &str, now_ms: u64) -> bool {
         let whom = peer.whom(data_centre);
-        let absent_ms = whom.absent_ms(self.of_whom(whom));
+        let absent_ms = whom.absence_timeout_ms(self.of_whom(whom));
         let silent_ms = now_ms.saturating_sub(peer.heard_ms);
         peer.boot_id != 0 && silent_ms < absent_ms
     }
 }
 
 impl Peer {
-    fn whom(&self, data_centre: &str) -> Whom {
+    fn whom(&self, data_centre: &str) -> PeerScope {
         match self.data_centre == data_centre {
-            true => Whom::Near,
-            false => Whom::Far,
+            true => PeerScope::SameDataCentre,
+            false => PeerScope::OtherDataCentre,
         }
     }
 }
@@ -158,7 +159,7 @@
 
     /// What others sent to a service within the window, as they told.
     /// Empty where an entry that is listed has not told.
-    pub(crate) fn others_sent(&self, service: &str) -> Vec<Sent> {
+    pub(crate) fn others_sent(&self, service: &str) -> Vec<SentCounts> {
         if self.lock().values().any(|peer| peer.boot_id == 0) {
             return Vec::new();
         }
@@ -170,7 +171,7 @@
     /// Whether another entry plans, as far as is known.
     pub(crate) fn has_planner(&self, now_ms: u64) -> bool {
         let heard_ms = self.planner_ms.load(Relaxed);
-        let silent_ms = planner_silent_ms(self.lock().len());
+        let silent_ms = planner_timeout_ms(self.lock().len());
         heard_ms > 0 && now_ms.saturating_sub(heard_ms) < silent_ms
     }
 
@@ -232,7 +233,7 @@
         let running = self.lock().values().filter(goes_on).count();
         let lost = self.lost_ms.lock().expect("no holder panics");
         let lost_for_ms = lost.values().map(|at| now_ms.saturating_sub(*at));
-        issuer::sharing(running, lost_for_ms)
+        issuer::sharing_count(running, lost_for_ms)
     }
 
     /// Where an entry answers in place of the store.
@@ -321,7 +322,7 @@
         let now_ms = now_ms();
         let sent = state.services.iter();
         let sent = sent.map(|s| {
-            let sent = Sent { requests: s.requests, further: s.further };
+            let sent = SentCounts { requests: s.requests, retries: s.further };
             (s.service.clone(), sent)
         });
         let new = Told { heard_ms: now_ms, sent: sent.collect() };
@@ -342,12 +343,11 @@
         let mut peers = self.lock();
         let counts = Counts::of(&peers, &self.data_centre);
         let mut lost = self.lost_ms.lock().expect("no holder panics");
-        lost.retain(|_, at| now_ms.saturating_sub(*at) < CUT_COUNTS_MS);
+        lost.retain(|_, at| now_ms.saturating_sub(*at) < PARTITION_TIMEOUT_MS);
         peers.retain(|address, peer| {
             let silent_ms = now_ms.saturating_sub(peer.heard_ms);
             let whom = peer.whom(&self.data_centre);
-            let is_silent =
-                silent_ms > whom.forgotten_ms(counts.of_whom(whom));
+            let is_silent = silent_ms > whom.expiry_ms(counts.of_whom(whom));
             if is_silent && peer.boot_id != 0 && !peer.is_stopping {
                 lost.insert(*address, now_ms);
             }
@@ -367,7 +367,7 @@
 
     /// Addresses of the entries of this data centre, or of the others and of
     /// those that were not heard yet.
-    pub(crate) fn addresses_of(&self, whom: Whom) -> Vec<SocketAddr> {
+    pub(crate) fn addresses_of(&self, whom: PeerScope) -> Vec<SocketAddr> {
         let peers = self.lock();
         let is_told = |(_, peer): &(&SocketAddr, &Peer)| {
             peer.whom(&self.data_centre) == whom
--- a/crates/direct/src/known/peers.rs
+++ b/crates/direct/src/known/peers.rs
@@ -15,7 +15,9 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_adapter::store::{StoreClient, StoreError};
-use chestnutreach_membership::telling::{EVERY_MS, Rounds, Whom};
+use chestnutreach_membership::gossip::{
+    BASE_INTERVAL_MS, PeerScope, RoundRobin,
+};
 use chestnutreach_protocol::peers::{
     EngineUse, PeerState, ServiceUse, SuspectRequest,
 };
@@ -36,7 +38,7 @@
 };
 
 /// Time between messages.
-const TELL_EVERY: Duration = Duration::from_millis(EVERY_MS);
+const TELL_EVERY: Duration = Duration::from_millis(BASE_INTERVAL_MS);
 /// Time for a call of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time before the table is read again after a failure.
@@ -84,7 +86,7 @@
 
 async fn tell(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     let mut sequence = 0;
-    let mut rounds = [Rounds::default(), Rounds::default()];
+    let mut rounds = [RoundRobin::default(), RoundRobin::default()];
     loop {
         sequence += 1;
         let bytes = own_state(&core, sequence).encode_to_vec();
@@ -98,13 +100,14 @@
 }
 
 /// Who is told now: some of this data centre, fewer of the others.
-fn told_now(core: &Core, rounds: &mut [Rounds; 2]) -> Vec<SocketAddr> {
+fn told_now(core: &Core, rounds: &mut [RoundRobin; 2]) -> Vec<SocketAddr> {
     let is_planner = core.is_planner.load(Relaxed);
-    let turn = |(whom, rounds): (Whom, &mut Rounds)| {
-        let told = if is_planner { Whom::ByPlanner } else { whom };
-        rounds.take(&core.peers.addresses_of(whom), told.at_once())
+    let turn = |(whom, rounds): (PeerScope, &mut RoundRobin)| {
+        let told = if is_planner { PeerScope::FromPlanner } else { whom };
+        rounds.next_batch(&core.peers.addresses_of(whom), told.fan_out())
     };
-    let whom = [Whom::Near, Whom::Far].into_iter();
+    let whom =
+        [PeerScope::SameDataCentre, PeerScope::OtherDataCentre].into_iter();
     whom.zip(rounds).flat_map(turn).collect()
 }
 
@@ -163,7 +166,7 @@
     let services = sent.map(|(service, sent)| ServiceUse {
         service,
         requests: sent.requests,
-        further: sent.further,
+        further: sent.retries,
     });
     PeerState {
         boot_id: core.boot_id,
@@ -196,11 +199,11 @@
 
 /// States that an entry hears in a second, about as many as it sends.
 fn states_per_s(core: &Core) -> f64 {
-    let at_once = [Whom::Near, Whom::Far]
+    let at_once = [PeerScope::SameDataCentre, PeerScope::OtherDataCentre]
         .into_iter()
-        .map(|whom| core.peers.addresses_of(whom).len().min(whom.at_once()));
+        .map(|whom| core.peers.addresses_of(whom).len().min(whom.fan_out()));
     let at_once: usize = at_once.sum();
-    at_once as f64 * 1e3 / EVERY_MS as f64
+    at_once as f64 * 1e3 / BASE_INTERVAL_MS as f64
 }
 
 fn take(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
--- a/crates/direct/src/known/permits.rs
+++ b/crates/direct/src/known/permits.rs
@@ -17,8 +17,8 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use chestnutreach_protocol::peers::{EngineNotice, PeerState};
-use chestnutreach_routing::permits::PASSING_WANT_MS;
-use chestnutreach_routing::{PermitIssuer, Want};
+use chestnutreach_routing::permits::REROUTABLE_WAIT_MS;
+use chestnutreach_routing::{PermitDemand, PermitIssuer};
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 use prost::Message as _;
@@ -124,7 +124,7 @@
     pub(crate) fn status(&self) -> Vec<serde_json::Value> {
         let state = self.lock();
         let of_server = |(engine, issuer): (&u32, &PermitIssuer)| {
-            let out = issuer.out().map(|(entry, out)| {
+            let out = issuer.outstanding().map(|(entry, out)| {
                 serde_json::json!({"entry": entry.to_string(), "out": out})
             });
             serde_json::json!({
@@ -148,7 +148,7 @@
     core: &Core,
     engine: &Engine,
     id: &str,
-    want: Want,
+    want: PermitDemand,
 ) -> bool {
     let asked_ms = now_ms();
     let has_permit = engine.notices.want(want, asked_ms)
@@ -160,12 +160,12 @@
 async fn comes_soon(
     core: &Core,
     engine: &Engine,
-    want: Want,
+    want: PermitDemand,
     asked_ms: u64,
 ) -> bool {
     let notices = &engine.notices;
     core.permits.wake();
-    while now_ms() < asked_ms + PASSING_WANT_MS {
+    while now_ms() < asked_ms + REROUTABLE_WAIT_MS {
         Timer::after(PASSING_LOOK).await;
         if notices.may_send(now_ms()) {
             return true;
--- a/crates/direct/src/known/permits/messages.rs
+++ b/crates/direct/src/known/permits/messages.rs
@@ -1,12 +1,14 @@
 //! Asks and grants as entries tell them to each other.
 
-use chestnutreach_protocol::peers::{PermitAsk, PermitGrant};
-use chestnutreach_routing::{Ask, Grant};
+use chestnutreach_protocol::peers::{
+    PermitAsk, PermitGrant as PermitGrantMessage,
+};
+use chestnutreach_routing::{PermitGrant, PermitRequest};
 
-pub(super) fn ask_message(engine: u32, ask: Ask) -> PermitAsk {
+pub(super) fn ask_message(engine: u32, ask: PermitRequest) -> PermitAsk {
     PermitAsk {
         engine,
-        number: ask.number,
+        number: ask.sent_ms,
         series: ask.series,
         wanted: ask.wanted,
         is_waiting: ask.is_waiting,
@@ -16,9 +18,9 @@
     }
 }
 
-pub(super) fn from_ask(told: &PermitAsk) -> Ask {
-    Ask {
-        number: told.number,
+pub(super) fn from_ask(told: &PermitAsk) -> PermitRequest {
+    PermitRequest {
+        sent_ms: told.number,
         series: told.series,
         wanted: told.wanted,
         is_waiting: told.is_waiting,
@@ -28,12 +30,15 @@
     }
 }
 
-pub(super) fn grant_message(engine: u32, grant: Grant) -> PermitGrant {
-    let Grant { answers, series, granted } = grant;
-    PermitGrant { engine, answers, series, granted }
+pub(super) fn grant_message(
+    engine: u32,
+    grant: PermitGrant,
+) -> PermitGrantMessage {
+    let PermitGrant { answered_ms, series, granted } = grant;
+    PermitGrantMessage { engine, answers: answered_ms, series, granted }
 }
 
-pub(super) fn from_grant(told: &PermitGrant) -> Grant {
-    let PermitGrant { answers, series, granted, .. } = *told;
-    Grant { answers, series, granted }
+pub(super) fn from_grant(told: &PermitGrantMessage) -> PermitGrant {
+    let PermitGrantMessage { answers, series, granted, .. } = *told;
+    PermitGrant { answered_ms: answers, series, granted }
 }
--- a/crates/direct/src/known/permits/round.rs
+++ b/crates/direct/src/known/permits/round.rs
@@ -6,8 +6,8 @@
     sync::Arc,
 };
 
-use chestnutreach_membership::issuer::View;
-use chestnutreach_routing::{Ask, Grant};
+use chestnutreach_membership::issuer::IssuerView;
+use chestnutreach_routing::{PermitGrant, PermitRequest};
 
 use super::{State, messages::grant_message, news_of};
 use crate::{clock::now_ms, core::Core, known::engine::Engine};
@@ -50,12 +50,12 @@
         }
     }
 
-    fn view<'v>(&'v self, choices: &'v BTreeMap<u64, u64>) -> View<'v> {
-        View {
+    fn view<'v>(&'v self, choices: &'v BTreeMap<u64, u64>) -> IssuerView<'v> {
+        IssuerView {
             own: self.core.boot_id,
             is_leaving: self.core.stopping_for_ms().is_some(),
             live: &self.live,
-            known: self.known,
+            known_count: self.known,
             choices,
         }
     }
@@ -65,7 +65,7 @@
         let none = BTreeMap::new();
         let view = self.view(&none);
         let duty = u64::from(engine.hash);
-        let choose = |silent: &[u64]| view.issuer(duty, silent);
+        let choose = |silent: &[u64]| view.choose_issuer(duty, silent);
         engine.notices.choose_issuer(choose, self.now_ms)
     }
 
@@ -76,7 +76,7 @@
         state: &mut State,
         engine: &Arc<Engine>,
         (from, boot_id): (SocketAddr, u64),
-        ask: Ask,
+        ask: PermitRequest,
     ) {
         if engine.notices.limit().is_none() {
             let news = news_of(engine, self.now_ms);
@@ -93,10 +93,10 @@
         state: &mut State,
         engine: &Engine,
         from: u64,
-        ask: Ask,
+        ask: PermitRequest,
     ) {
         let issuer = state.issuer(engine, self.now_ms);
-        issuer.hear(from, ask, self.now_ms);
+        issuer.handle_request(from, ask, self.now_ms);
         self.grant(state, engine, Some(from));
     }
 
@@ -110,14 +110,14 @@
     ) {
         let Some(limit) = engine.notices.limit() else { return };
         let choices = state.choices_of(engine.hash);
-        let part = self.view(&choices).part();
+        let part = self.view(&choices).share();
         let issuer = state.issuer(engine, self.now_ms);
-        issuer.fill(limit.per_s * part, self.now_ms);
+        issuer.refill(limit.per_s * part, self.now_ms);
         let mut told: BTreeSet<u64> =
             issuer.issue(self.now_ms).into_iter().collect();
         told.extend(asker);
-        let grants: Vec<(u64, Grant)> =
-            told.into_iter().map(|to| (to, issuer.grant(to))).collect();
+        let grants: Vec<(u64, PermitGrant)> =
+            told.into_iter().map(|to| (to, issuer.grant_for(to))).collect();
         for (to, grant) in grants {
             self.tell_grant(state, engine, to, grant);
         }
@@ -128,7 +128,7 @@
         state: &mut State,
         engine: &Engine,
         to: u64,
-        grant: Grant,
+        grant: PermitGrant,
     ) {
         if to == self.core.boot_id {
             let notices = &engine.notices;
--- a/crates/direct/src/known/probe.rs
+++ b/crates/direct/src/known/probe.rs
@@ -15,7 +15,7 @@
 use chestnutreach_http::relay::Outbound;
 use chestnutreach_protocol::peers::EngineUse;
 use chestnutreach_routing::{
-    EndProof, end_proof, end_proof::SILENCE_PROVES_MS,
+    ExitStatus, detect_exit, exit_detection::SILENCE_TIMEOUT_MS,
 };
 use chestnutreach_telemetry::{Event, emit};
 
@@ -24,7 +24,7 @@
     core::Core,
     known::{
         alerts::percent,
-        engine::{Engine, Evidence, FLOWING_MS, Suspicion, Told},
+        engine::{Engine, FLOWING_MS, FailureEvidence, Suspicion, Told},
     },
     request::{exchange, path::Path},
 };
@@ -54,10 +54,10 @@
 
 pub(crate) fn note_unreached(core: &Core, engine: &Engine, error: &io::Error) {
     let evidence = match error.kind() {
-        io::ErrorKind::TimedOut => Evidence::Silent,
-        _ => Evidence::Refused,
+        io::ErrorKind::TimedOut => FailureEvidence::Silent,
+        _ => FailureEvidence::Refused,
     };
-    if evidence == Evidence::Silent && is_own_fault(core) {
+    if evidence == FailureEvidence::Silent && is_own_fault(core) {
         return;
     }
     suspect(core, engine, evidence);
@@ -69,19 +69,23 @@
     let engines = core.fleet.all();
     let is_silent = |engine: &&Arc<Engine>| {
         let suspicion = engine.lock().suspicion;
-        suspicion.is_some_and(|s| s.evidence == Evidence::Silent)
+        suspicion.is_some_and(|s| s.evidence == FailureEvidence::Silent)
     };
     let silent = engines.iter().filter(is_silent).count();
     silent as f64 >= OWN_FAULT_SHARE * engines.len() as f64
 }
 
 /// Takes an engine out of new paths and tells the streams on it.
-pub(crate) fn suspect(core: &Core, engine: &Engine, evidence: Evidence) {
+pub(crate) fn suspect(
+    core: &Core,
+    engine: &Engine,
+    evidence: FailureEvidence,
+) {
     let now_ms = now_ms();
     let least_ms = match evidence {
         // Others may wait for it that long before that shows.
-        Evidence::Stalled => core.settings.bounds.stall_ms,
-        Evidence::Refused | Evidence::Silent => 0,
+        FailureEvidence::Stalled => core.settings.bounds.stall_ms,
+        FailureEvidence::Refused | FailureEvidence::Silent => 0,
     };
     {
         let mut state = engine.lock();
@@ -99,13 +103,13 @@
         &[
             ("backend", &engine.id),
             ("address", &engine.address),
-            ("evidence", &evidence.name()),
+            ("evidence", &evidence.as_str()),
             ("quiet_ms", &engine.quiet_ms(now_ms)),
         ],
     );
     core.streams.nudge_all();
     // Others that wait for an engine may not reach those that they need.
-    if evidence != Evidence::Stalled {
+    if evidence != FailureEvidence::Stalled {
         alert(core, engine, EngineUse { is_suspect: true, ..news(engine) });
     }
 }
@@ -132,7 +136,7 @@
     };
     // A port that answers again after its process ended is a new process.
     let is_over = suspicion.until_ms <= now_ms
-        && suspicion.evidence != Evidence::Refused;
+        && suspicion.evidence != FailureEvidence::Refused;
     if !is_over {
         return;
     }
@@ -190,15 +194,15 @@
         (state.is_gone, state.is_replaced, state.suspicion)
     };
     let lasted_ms = suspicion.map_or(0, |s| now_ms() - s.since_ms);
-    match end_proof(suspicion.map(|s| s.evidence), lasted_ms) {
-        EndProof::Ended => true,
+    match detect_exit(suspicion.map(|s| s.evidence), lasted_ms) {
+        ExitStatus::Exited => true,
         _ if is_replaced => true,
-        EndProof::Unsure => {
-            let limit = Duration::from_millis(SILENCE_PROVES_MS);
+        ExitStatus::Unknown => {
+            let limit = Duration::from_millis(SILENCE_TIMEOUT_MS);
             is_patient
                 && Outbound::connect(engine.address, limit).await.is_err()
         }
-        EndProof::Lives => is_gone && dial(engine, DIALS).await.is_err(),
+        ExitStatus::Alive => is_gone && dial(engine, DIALS).await.is_err(),
     }
 }
 
@@ -218,7 +222,8 @@
 fn has_crashed(engine: &Engine) -> bool {
     let state = engine.lock();
     let evidence = state.suspicion.map(|suspicion| suspicion.evidence);
-    let has_ended = state.is_replaced || evidence == Some(Evidence::Refused);
+    let has_ended =
+        state.is_replaced || evidence == Some(FailureEvidence::Refused);
     has_ended && state.leaving_since_ms.is_none()
 }
 
@@ -289,7 +294,7 @@
         // It came late, or is of another writer.
         Told::Earlier => return,
         // What runs there now has a row of its own, or soon will.
-        Told::Later => return suspect(core, engine, Evidence::Refused),
+        Told::Later => return suspect(core, engine, FailureEvidence::Refused),
     }
     let slowness = match report.slowness {
         slowness if slowness < SLOW_FROM => 1.0,
@@ -305,7 +310,7 @@
         // It may be back, while the report is of before.
         let is_flowing = dead.quiet_ms(now_ms()) < FLOWING_MS;
         if !is_flowing && dead.incarnation != engine.incarnation {
-            suspect(core, &dead, Evidence::Stalled);
+            suspect(core, &dead, FailureEvidence::Stalled);
         }
     }
 }
--- a/crates/direct/src/known/suspects.rs
+++ b/crates/direct/src/known/suspects.rs
@@ -18,8 +18,8 @@
     EngineCrash, PeerState, RequestTrial, SuspectRequest,
 };
 use chestnutreach_routing::{
-    Fingerprint, RunStart, SuspectNews, Suspects, Trials, Verdict,
-    quarantine::CrashNews,
+    Fingerprint, RunProgress, SuspectReport, Suspects, Trials, Verdict,
+    quarantine::CrashReport,
 };
 use chestnutreach_telemetry::{Event, emit};
 
@@ -63,7 +63,7 @@
     pub(crate) request: String,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) engine: Arc<Engine>,
-    pub(crate) start: RunStart,
+    pub(crate) start: RunProgress,
     pub(crate) is_in_trial: bool,
 }
 
@@ -85,7 +85,7 @@
     pub(crate) fn is_held(&self) -> bool {
         let holder = self.core.boot_id;
         let trials = &self.core.suspects.lock().trials;
-        trials.is_held(self.fingerprint, holder, now_ms())
+        trials.is_held_by(self.fingerprint, holder, now_ms())
     }
 }
 
@@ -135,7 +135,7 @@
         if self.is_empty() {
             return BTreeSet::new();
         }
-        self.lock().trials.servers(now_ms())
+        self.lock().trials.servers_on_trial(now_ms())
     }
 
     /// What is told of requests with the next state, of which each entry hears
@@ -145,15 +145,15 @@
         let mut rng = fastrand::Rng::new();
         let mut state = self.lock();
         let suspects = &mut state.suspects;
-        suspects.forget(now_ms);
+        suspects.remove_expired(now_ms);
         self.count.store(suspects.len(), Relaxed);
-        let news = suspects.news(now_ms, states_per_s, &mut rng);
+        let news = suspects.next_reports(now_ms, states_per_s, &mut rng);
         news.into_iter().map(to_message).collect()
     }
 
     /// What is told at once of a request.
     pub(crate) fn news_of(&self, of: Fingerprint) -> Option<SuspectRequest> {
-        let news = self.lock().suspects.news_of(of, now_ms());
+        let news = self.lock().suspects.report_of(of, now_ms());
         news.map(to_message)
     }
 
@@ -163,7 +163,7 @@
         let state = self.lock();
         let suspects = &state.suspects;
         let of_request = |request| {
-            let news = suspects.news_of(request, now_ms)?;
+            let news = suspects.report_of(request, now_ms)?;
             let verdict = suspects.verdict(request, now_ms);
             let name = match verdict {
                 Verdict::Free => "free",
@@ -178,12 +178,12 @@
                 "crashes": crashes_json(&news),
             }))
         };
-        suspects.requests().filter_map(of_request).collect()
+        suspects.fingerprints().filter_map(of_request).collect()
     }
 }
 
-fn crashes_json(news: &SuspectNews) -> Vec<serde_json::Value> {
-    let crash = |crash: &CrashNews| {
+fn crashes_json(news: &SuspectReport) -> Vec<serde_json::Value> {
+    let crash = |crash: &CrashReport| {
         serde_json::json!({
             "backend_hash": format!("{:08x}", crash.server),
             "age_ms": crash.age_ms,
@@ -194,8 +194,8 @@
     news.crashes.iter().map(crash).collect()
 }
 
-fn to_message(news: SuspectNews) -> SuspectRequest {
-    let crash = |crash: CrashNews| EngineCrash {
+fn to_message(news: SuspectReport) -> SuspectRequest {
+    let crash = |crash: CrashReport| EngineCrash {
         engine: crash.server,
         age_ms: crash.age_ms,
         is_in_trial: crash.is_in_trial,
@@ -207,14 +207,14 @@
     }
 }
 
-fn from_message(told: &SuspectRequest) -> SuspectNews {
-    let crash = |crash: &EngineCrash| CrashNews {
+fn from_message(told: &SuspectRequest) -> SuspectReport {
+    let crash = |crash: &EngineCrash| CrashReport {
         server: crash.engine,
         age_ms: crash.age_ms,
         is_in_trial: crash.is_in_trial,
         is_void: crash.is_void,
     };
-    SuspectNews {
+    SuspectReport {
         fingerprint: Fingerprint(told.fingerprint),
         crashes: told.crashes.iter().map(crash).collect(),
     }
@@ -257,7 +257,7 @@
     let fingerprint = run.fingerprint;
     let changed = core.suspects.change(fingerprint, |suspects, now_ms| {
         let server = run.engine.hash;
-        suspects.note_crash(fingerprint, server, run.is_in_trial, now_ms)
+        suspects.record_crash(fingerprint, server, run.is_in_trial, now_ms)
     });
     let begun_ms = run.start.age_ms(now_ms());
     let begun_ms = begun_ms.map_or_else(String::new, |ms| ms.to_string());
@@ -360,8 +360,9 @@
     for suspect in &told.suspects {
         let news = from_message(suspect);
         let fingerprint = news.fingerprint;
-        let hear =
-            |suspects: &mut Suspects, now_ms| suspects.hear(&news, now_ms);
+        let hear = |suspects: &mut Suspects, now_ms| {
+            suspects.apply_report(&news, now_ms)
+        };
         let changed = core.suspects.change(fingerprint, hear);
         if changed.is_news {
             note_change(core, fingerprint, &changed, "told");
@@ -377,6 +378,6 @@
     let trials = &mut core.suspects.lock().trials;
     match told.engine {
         0 => trials.end(fingerprint, holder),
-        server => trials.hear(fingerprint, server, holder, now_ms()),
+        server => trials.apply_remote(fingerprint, server, holder, now_ms()),
     }
 }
--- a/crates/direct/src/orders/lease.rs
+++ b/crates/direct/src/orders/lease.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use chestnutreach_adapter::store::{Row, StoreClient, StoreError};
-use chestnutreach_membership::duty;
+use chestnutreach_membership::rendezvous;
 use chestnutreach_site::tables::{LEASE, LEASE_KEY};
 use chestnutreach_state::{
     FencingNumber, LeaseCommand, LeaseHolder, LeaseOptions, LeaseRow,
@@ -179,7 +179,7 @@
     let now_ms = now_ms();
     let unheld_ms = core.age_ms().min(core.peers.planner_silent_ms(now_ms));
     unheld_ms >= ALL_SEEK_MS
-        || duty::holds(
+        || rendezvous::is_assigned(
             core.boot_id,
             core.peers.live(now_ms),
             LEASE_DUTY,
--- a/crates/direct/src/orders/place.rs
+++ b/crates/direct/src/orders/place.rs
@@ -24,7 +24,7 @@
     clock::now_ms,
     core::Core,
     known::{
-        engine::{Engine, Evidence},
+        engine::{Engine, FailureEvidence},
         probe,
     },
     orders::{
@@ -262,7 +262,9 @@
     // Its process may go on: nothing but silence speaks against it.
     let may_return = state.row.state == BackendState::Ready
         && !state.is_gone
-        && state.suspicion.is_some_and(|s| s.evidence != Evidence::Refused);
+        && state
+            .suspicion
+            .is_some_and(|s| s.evidence != FailureEvidence::Refused);
     KnownEngine {
         id: &engine.incarnation,
         may_return,
--- a/crates/direct/src/request/admit.rs
+++ b/crates/direct/src/request/admit.rs
@@ -4,7 +4,7 @@
 
 use chestnutreach_adapter::clients;
 use chestnutreach_http::relay::RelayRequest;
-use chestnutreach_routing::{Attempts, Counted};
+use chestnutreach_routing::{Attempts, CountedBackends};
 use chestnutreach_site::{Configuration, Route, Service};
 
 use crate::{core::Core, request::answer::Reason};
@@ -36,7 +36,7 @@
     }
 
     /// Its tries at backend servers, none of them made.
-    pub(crate) fn attempts(&self, counted: Counted) -> Attempts {
+    pub(crate) fn attempts(&self, counted: CountedBackends) -> Attempts {
         let most = self.route.max_attempts as usize;
         Attempts::new(self.route.reuse.may_repeat(), most, counted)
     }
--- a/crates/direct/src/request/answer.rs
+++ b/crates/direct/src/request/answer.rs
@@ -4,7 +4,7 @@
 
 use chestnutreach_adapter::{clients, engine, notices};
 use chestnutreach_http::relay::{AnswerHead, is_end_to_end, push_header};
-use chestnutreach_routing::{RestWait, rest_wait};
+use chestnutreach_routing::{CooldownWait, cooldown_wait};
 
 /// Time after which a client that was refused may come back where nothing
 /// tells more, in milliseconds: a place is usually free again after a few
@@ -26,9 +26,9 @@
     may_wait_ms: u64,
 ) -> Option<u64> {
     let mut rng = fastrand::Rng::new();
-    match rest_wait(ready_in_ms?, may_wait_ms, &mut rng) {
-        RestWait::Waits => None,
-        RestWait::Refused(come_back_ms) => Some(come_back_ms),
+    match cooldown_wait(ready_in_ms?, may_wait_ms, &mut rng) {
+        CooldownWait::Wait => None,
+        CooldownWait::Refuse(come_back_ms) => Some(come_back_ms),
     }
 }
 
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -11,7 +11,7 @@
 use chestnutreach_http::relay::{
     Inbound, InboundError, InboundLimits, RelayRequest,
 };
-use chestnutreach_routing::FirstRead;
+use chestnutreach_routing::StartupWait;
 use chestnutreach_site::Limits;
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
@@ -151,12 +151,12 @@
             return;
         }
         let waited_ms = crate::clock::now_ms() - came_ms;
-        let read = FirstRead {
-            age_ms: core.age_ms(),
-            is_store_lost: core.store_lost_for_ms() > 0,
-            client_left_ms: client_ms.saturating_sub(2 * waited_ms),
+        let read = StartupWait {
+            uptime_ms: core.age_ms(),
+            is_store_unavailable: core.store_lost_for_ms() > 0,
+            client_remaining_ms: client_ms.saturating_sub(2 * waited_ms),
         };
-        let Some(wait_ms) = read.wait_ms() else { return };
+        let Some(wait_ms) = read.max_wait_ms() else { return };
         let limit = async {
             Timer::after(Duration::from_millis(wait_ms)).await;
         };
--- a/crates/direct/src/request/isolation.rs
+++ b/crates/direct/src/request/isolation.rs
@@ -11,7 +11,7 @@
 
 use async_io::Timer;
 use chestnutreach_http::relay::RelayRequest;
-use chestnutreach_routing::{Fingerprint, RunStart, Verdict};
+use chestnutreach_routing::{Fingerprint, RunProgress, Verdict};
 use chestnutreach_telemetry::{Event, emit};
 
 use crate::{
@@ -161,7 +161,7 @@
     pub(crate) async fn note_broken(
         &mut self,
         engine: &Arc<Engine>,
-        start: RunStart,
+        start: RunProgress,
         is_in_trial: bool,
     ) {
         if self.has_lasted {
@@ -176,7 +176,7 @@
     pub(crate) fn note_left(
         &self,
         engine: &Arc<Engine>,
-        start: RunStart,
+        start: RunProgress,
         is_in_trial: bool,
     ) {
         if !self.has_lasted {
@@ -188,7 +188,7 @@
     fn broken_run(
         &self,
         engine: &Arc<Engine>,
-        start: RunStart,
+        start: RunProgress,
         is_in_trial: bool,
     ) -> BrokenRun {
         BrokenRun {
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -14,7 +14,7 @@
 
 use async_io::Timer;
 use chestnutreach_http::relay::{AnswerHead, Inbound, Outbound, RelayRequest};
-use chestnutreach_routing::{Attempts, Counted, RunStart};
+use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::Reuse;
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
@@ -104,7 +104,7 @@
         }
     }
     let (mut ended, after) = run.answer(inbound, is_last).await;
-    ended.attempts = run.attempts.made();
+    ended.attempts = run.attempts.count();
     (ended, after)
 }
 
@@ -119,7 +119,7 @@
             request,
             admitted,
             suspicion: Suspicion::new(core, request, admitted),
-            attempts: admitted.attempts(Counted::Handed),
+            attempts: admitted.attempts(CountedBackends::Contacted),
             tried: BTreeSet::new(),
             kept: None,
             key: fastrand::u64(..),
@@ -136,7 +136,7 @@
             return None;
         }
         let service = &self.admitted.service.name;
-        let is_further = self.attempts.made() > 0;
+        let is_further = self.attempts.count() > 0;
         if is_further && !self.core.take_retry(service) {
             let id = self.admitted.id_text();
             self.core.note_retry_denied(service, id);
@@ -153,7 +153,7 @@
     ) -> Attempt {
         self.attempts.begin(&engine.incarnation);
         self.tried.insert(engine.incarnation.clone());
-        let made = self.attempts.made();
+        let made = self.attempts.count();
         // A trial is seen to its end: what it would show is lost else.
         let limit_ms = match trial {
             Some(_) => self.admitted.end_ms,
@@ -190,7 +190,7 @@
             Attempt::Answered(head, body) => {
                 let is_failure = head.status >= 500;
                 if exchange::is_not_run(&head) {
-                    self.attempts.did_not_run();
+                    self.attempts.record_not_run();
                 }
                 self.kept = Some((head, body));
                 if !is_failure {
@@ -201,10 +201,10 @@
                 self.is_caller_gone = true;
                 return true;
             }
-            Attempt::NotRun => self.attempts.did_not_run(),
+            Attempt::NotRun => self.attempts.record_not_run(),
             Attempt::Lost | Attempt::TimeOver => {}
         }
-        self.admitted.left_ms(now_ms()) == 0 || !self.attempts.may_go_on()
+        self.admitted.left_ms(now_ms()) == 0 || !self.attempts.may_retry()
     }
 
     /// Answers the client with what there is.
@@ -263,11 +263,11 @@
             suspicion.note_lasted();
         }
         Attempt::Lost => {
-            let start = RunStart::new();
+            let start = RunProgress::new();
             suspicion.note_broken(engine, start, is_in_trial).await;
         }
         Attempt::TimeOver | Attempt::CallerGone => {
-            suspicion.note_left(engine, RunStart::new(), is_in_trial);
+            suspicion.note_left(engine, RunProgress::new(), is_in_trial);
         }
         _ => {}
     }
--- a/crates/direct/src/request/plain/seek.rs
+++ b/crates/direct/src/request/plain/seek.rs
@@ -7,7 +7,9 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_routing::{RoomNeed, RoomWait, RoomWaits, TurnNeed, Want};
+use chestnutreach_routing::{
+    CapacityRequest, CapacityWait, CapacityWaits, PermitDemand, TurnRequest,
+};
 use futures_lite::FutureExt as _;
 
 use super::Run;
@@ -149,9 +151,9 @@
         refusal.is_some()
     }
 
-    fn want(&self, is_waiting: bool) -> Want {
+    fn want(&self, is_waiting: bool) -> PermitDemand {
         let urgency = self.admitted.urgency;
-        Want { request: self.key, is_waiting, urgency }
+        PermitDemand { request: self.key, is_waiting, urgency }
     }
 
     /// Asks for a permit of any that takes work.
@@ -171,31 +173,32 @@
         let queues = &self.core.path_queues;
         let before = queues.before(service, account, TOKENS);
         let now_ms = now_ms();
-        let need = RoomNeed {
+        let need = CapacityRequest {
             account,
             tokens: TOKENS,
             tokens_before: before.tokens,
-            in_time_ms: until_ms.saturating_sub(now_ms),
-            waited_for_ms: before.busy_for_ms,
-        };
-        let decide = |waits: &mut RoomWaits| match waits.wait(&need, now_ms) {
-            RoomWait::UpTo(_) => None,
-            RoomWait::Refused(_) => {
-                let mut rng = fastrand::Rng::new();
-                Some(waits.come_back_ms(now_ms, &mut rng))
-            }
+            start_within_ms: until_ms.saturating_sub(now_ms),
+            contended_for_ms: before.busy_for_ms,
         };
+        let decide =
+            |waits: &mut CapacityWaits| match waits.decide(&need, now_ms) {
+                CapacityWait::UpTo(_) => None,
+                CapacityWait::Refused(_) => {
+                    let mut rng = fastrand::Rng::new();
+                    Some(waits.retry_after_ms(now_ms, &mut rng))
+                }
+            };
         let come_back_ms = self.core.room_waits.change(service, decide);
         self.refusal = come_back_ms.map(|ms| (Reason::NoRoom, ms));
         if self.refusal.is_some() {
             return None;
         }
-        let need = TurnNeed {
+        let need = TurnRequest {
             account,
             priority: priority_of(self.admitted.urgency),
             tokens: TOKENS,
-            in_time_until_ms: until_ms,
-            until_ms,
+            start_by_ms: until_ms,
+            wait_until_ms: until_ms,
         };
         queues.try_join(service, &need).ok()
     }
@@ -211,7 +214,9 @@
     /// Counts that it asks for a backend server.
     pub(super) fn note_asked(&self) {
         let account = self.admitted.account.as_deref().unwrap_or("");
-        let ask = |waits: &mut RoomWaits| waits.ask(account, TOKENS, now_ms());
+        let ask = |waits: &mut CapacityWaits| {
+            waits.record_request(account, TOKENS, now_ms())
+        };
         self.core.room_waits.change(&self.admitted.service.name, ask);
     }
 
--- a/crates/direct/src/request/queue.rs
+++ b/crates/direct/src/request/queue.rs
@@ -1,12 +1,14 @@
 //! Streams that wait for a path, in turns.
 //!
-//! Who may look next is decided by [`Turns`]; here are the wake-ups. A place
+//! Who may look next is decided by [`SearchTurns`]; here are the wake-ups. A place
 //! in a queue ends when it is dropped, whatever became of its request.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use async_channel::{Receiver, Sender};
-use chestnutreach_routing::{Priority, PushRefusalReason, TurnNeed, Turns};
+use chestnutreach_routing::{
+    Priority, PushErrorReason, SearchTurns, TurnRequest,
+};
 
 use crate::{by_service::ByService, clock::now_ms};
 
@@ -27,7 +29,7 @@
 
 #[derive(Debug)]
 struct Queue {
-    turns: Turns,
+    turns: SearchTurns,
     signals: BTreeMap<u64, Sender<()>>,
 }
 
@@ -50,7 +52,10 @@
 
 impl Default for Queue {
     fn default() -> Queue {
-        Queue { turns: Turns::new(LIMIT_TOKENS), signals: BTreeMap::new() }
+        Queue {
+            turns: SearchTurns::new(LIMIT_TOKENS),
+            signals: BTreeMap::new(),
+        }
     }
 }
 
@@ -86,7 +91,7 @@
         tokens: u64,
     ) -> Before {
         let before = |queue: &Queue| Before {
-            busy_for_ms: queue.turns.busy_for_ms(now_ms()),
+            busy_for_ms: queue.turns.contended_for_ms(now_ms()),
             tokens: queue.turns.tokens_before(account, tokens),
         };
         self.by_service.look(service, before).unwrap_or_default()
@@ -100,8 +105,8 @@
     pub(crate) fn try_join(
         &self,
         service: &str,
-        need: &TurnNeed<'_>,
-    ) -> Result<Place, PushRefusalReason> {
+        need: &TurnRequest<'_>,
+    ) -> Result<Place, PushErrorReason> {
         let (signal, granted) = async_channel::bounded(1);
         let join = |queue: &mut Queue| {
             let key = queue.turns.try_join(need, now_ms())?;
@@ -127,7 +132,7 @@
     fn drop(&mut self) {
         self.queues.by_service.change(&self.service, |queue| {
             queue.signals.remove(&self.key);
-            queue.turns.end(self.key);
+            queue.turns.leave(self.key);
             queue.grant();
         });
     }
--- a/crates/direct/src/request/room.rs
+++ b/crates/direct/src/request/room.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use chestnutreach_routing::RoomWaits;
+use chestnutreach_routing::CapacityWaits;
 
 use crate::{by_service::ByService, clock::now_ms};
 
 /// Tokens of a request that runs, until it is dropped.
 pub(crate) struct RunningTokens {
-    waits: Arc<ByService<RoomWaits>>,
+    waits: Arc<ByService<CapacityWaits>>,
     service: String,
     tokens: u64,
 }
@@ -16,13 +16,13 @@
 impl RunningTokens {
     /// Counts that a request has found room.
     pub(crate) fn begin(
-        waits: &Arc<ByService<RoomWaits>>,
+        waits: &Arc<ByService<CapacityWaits>>,
         service: &str,
         account: &str,
         tokens: u64,
     ) -> RunningTokens {
-        let begin = |waits: &mut RoomWaits| {
-            waits.begin(account, tokens, now_ms());
+        let begin = |waits: &mut CapacityWaits| {
+            waits.record_start(account, tokens, now_ms());
         };
         waits.change(service, begin);
         let (waits, service) = (waits.clone(), service.to_owned());
@@ -32,7 +32,7 @@
 
 impl Drop for RunningTokens {
     fn drop(&mut self) {
-        let end = |waits: &mut RoomWaits| waits.end(self.tokens);
+        let end = |waits: &mut CapacityWaits| waits.record_end(self.tokens);
         self.waits.change(&self.service, end);
     }
 }
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -14,7 +14,7 @@
 use chestnutreach_http::relay::{
     AnswerHead, Inbound, LAST_CHUNK, RelayRequest,
 };
-use chestnutreach_routing::{Attempts, Counted, RunStart};
+use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::Model;
 use futures_lite::FutureExt as _;
 
@@ -141,7 +141,7 @@
         listed: core.streams.list(),
         without: BTreeSet::new(),
         not_first: BTreeSet::new(),
-        attempts: admitted.attempts(Counted::MayHaveRun),
+        attempts: admitted.attempts(CountedBackends::MayHaveRun),
         malformed: 0,
         left: Vec::new(),
         path: Path::default(),
@@ -166,7 +166,7 @@
     metrics.requests_in_flight.inc();
     stream.note_asked();
     let after = stream.run(inbound).await;
-    stream.ended.attempts = stream.attempts.made();
+    stream.ended.attempts = stream.attempts.count();
     metrics.requests_in_flight.dec();
     stream.note_waiting();
     (stream.ended, after)
@@ -232,7 +232,7 @@
             }
             self.release_path();
             self.trial = None;
-            self.pace.run = RunStart::new();
+            self.pace.run = RunProgress::new();
         }
     }
 
@@ -255,7 +255,7 @@
     }
 
     fn note_caller_gone(&mut self) -> After {
-        if self.pace.run.may_crash(now_ms()) {
+        if self.pace.run.may_have_crashed_server(now_ms()) {
             let (first, is_in_trial) =
                 (self.path.first(), self.trial.is_some());
             self.suspicion.note_left(first, self.pace.run, is_in_trial);
@@ -266,7 +266,7 @@
 
     /// Whether it may go to another first engine.
     fn can_move(&self) -> bool {
-        self.admitted.left_ms(now_ms()) > 0 && self.attempts.may_go_on()
+        self.admitted.left_ms(now_ms()) > 0 && self.attempts.may_retry()
     }
 
     /// Takes that the first engine no longer answers this request. It does
@@ -278,10 +278,10 @@
         let first = self.path.first().clone();
         self.without.insert(first.incarnation.clone());
         self.cause = "resumed";
-        let may_crash = self.pace.run.may_crash(now_ms())
+        let may_crash = self.pace.run.may_have_crashed_server(now_ms())
             && (self.is_cut || first.is_suspect());
         match probe::has_ended(self.core, &first, false).await {
-            true => self.attempts.has_ended(&first.incarnation),
+            true => self.attempts.record_backend_exit(&first.incarnation),
             false => self.left.push(first.clone()),
         }
         if may_crash {
@@ -289,12 +289,12 @@
             let run = self.pace.run;
             self.suspicion.note_broken(&first, run, is_in_trial).await;
         }
-        if self.attempts.may_go_on() {
+        if self.attempts.may_retry() {
             return;
         }
         for left in std::mem::take(&mut self.left) {
             if probe::has_ended(self.core, &left, true).await {
-                self.attempts.has_ended(&left.incarnation);
+                self.attempts.record_backend_exit(&left.incarnation);
             }
         }
     }
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -72,11 +72,11 @@
         notices::take(self.core, &first, &answered);
         if head.status != 200 {
             if exchange::is_not_run(&head) {
-                self.attempts.did_not_run();
+                self.attempts.record_not_run();
             }
             return self.refused(&mut connection, head).await;
         }
-        self.pace.run.note_begun(now_ms());
+        self.pace.run.record_start(now_ms());
         self.pass_events(inbound, &mut watch, &mut connection, &head).await
     }
 
@@ -125,7 +125,7 @@
             Event::RelayAnswered,
             &[
                 ("request", &self.admitted.id_text()),
-                ("attempt", &self.attempts.made()),
+                ("attempt", &self.attempts.count()),
                 ("backend", &self.path.first().id),
                 ("status", &head.status),
                 ("at", &at.as_deref().unwrap_or("")),
@@ -200,7 +200,7 @@
             }
             self.last_event = event.id.or(self.last_event);
             self.ended.events += 1;
-            self.pace.run.note_event();
+            self.pace.run.record_event();
             bytes.extend_from_slice(&event.bytes);
         }
         if bytes.is_empty() {
@@ -235,7 +235,7 @@
         if !had_begun {
             self.path.first().answers.note_success(now_ms);
         }
-        if !self.suspicion.has_lasted() && self.pace.run.has_lasted(now_ms) {
+        if !self.suspicion.has_lasted() && self.pace.run.has_survived(now_ms) {
             self.suspicion.note_lasted();
             self.trial = None;
         }
--- a/crates/direct/src/request/stream/pace.rs
+++ b/crates/direct/src/request/stream/pace.rs
@@ -1,6 +1,6 @@
 //! How fast a stream goes, and when a pause is worth a look.
 
-use chestnutreach_routing::{PauseLook, RunStart};
+use chestnutreach_routing::{RunProgress, StallCheck};
 
 use crate::clock::now_ms;
 
@@ -23,7 +23,7 @@
 
 /// How fast a stream goes.
 pub(super) struct Pace {
-    look: PauseLook,
+    look: StallCheck,
     /// When the last event came, or the attempt began.
     pub(super) moved_ms: u64,
     /// When the path was last changed.
@@ -31,7 +31,7 @@
     pub(super) usual_gap_ms: f64,
     pub(super) has_begun: bool,
     /// The start of the run of this attempt.
-    pub(super) run: RunStart,
+    pub(super) run: RunProgress,
     /// Time until the next look at a pause.
     pub(super) look_again_ms: u64,
     /// Whether the pause was told in the logs.
@@ -46,12 +46,12 @@
     /// Of a stream whose route has this longest pause that is in time.
     pub(super) fn new(gap_target_ms: Option<u64>) -> Pace {
         Pace {
-            look: PauseLook::new(gap_target_ms),
+            look: StallCheck::new(gap_target_ms),
             moved_ms: now_ms(),
             changed_ms: 0,
             usual_gap_ms: USUAL_GAP_MS,
             has_begun: false,
-            run: RunStart::new(),
+            run: RunProgress::new(),
             look_again_ms: LOOK_AGAIN_MS,
             is_told: false,
             refused_orders: 0,
@@ -85,7 +85,7 @@
     pub(super) fn begin_attempt(&mut self) {
         self.moved_ms = now_ms();
         self.has_begun = false;
-        self.run = RunStart::new();
+        self.run = RunProgress::new();
     }
 
     pub(super) fn moved(&mut self, now_ms: u64) -> u64 {
@@ -111,11 +111,11 @@
         if !self.has_begun {
             return FIRST_LOOK_MS;
         }
-        self.look.after_ms(self.usual_gap_ms)
+        self.look.gap_ms(self.usual_gap_ms)
     }
 
     /// The shortest pause that is worth a look.
     pub(super) fn least_look_ms(&self) -> u64 {
-        self.look.least_ms()
+        self.look.min_gap_ms()
     }
 }
--- a/crates/direct/src/request/stream/room.rs
+++ b/crates/direct/src/request/stream/room.rs
@@ -1,6 +1,6 @@
 //! Whether a stream may wait for room, and what it takes of it.
 
-use chestnutreach_routing::{RoomNeed, RoomWait, RoomWaits};
+use chestnutreach_routing::{CapacityRequest, CapacityWait, CapacityWaits};
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Stream;
@@ -19,8 +19,8 @@
 
     /// Counts that it asks for room.
     pub(super) fn note_asked(&self) {
-        let ask = |waits: &mut RoomWaits| {
-            waits.ask(self.account(), self.tokens, now_ms());
+        let ask = |waits: &mut CapacityWaits| {
+            waits.record_request(self.account(), self.tokens, now_ms());
         };
         let service = &self.admitted.service.name;
         self.core.room_waits.change(service, ask);
@@ -52,22 +52,22 @@
         let account = self.account();
         let queues = &self.core.path_queues;
         let before = queues.before(service, account, self.tokens);
-        let need = RoomNeed {
+        let need = CapacityRequest {
             account,
             tokens: self.tokens,
             tokens_before: before.tokens,
-            in_time_ms: self.in_time_ms(),
-            waited_for_ms: before.busy_for_ms,
+            start_within_ms: self.in_time_ms(),
+            contended_for_ms: before.busy_for_ms,
         };
-        let decide = |waits: &mut RoomWaits| {
+        let decide = |waits: &mut CapacityWaits| {
             let now_ms = now_ms();
-            (waits.wait(&need, now_ms), waits.tokens_per_s(now_ms))
+            (waits.decide(&need, now_ms), waits.tokens_per_s(now_ms))
         };
         let (wait, tokens_per_s) =
             self.core.room_waits.change(service, decide);
         match wait {
-            RoomWait::UpTo(ms) => Some(ms),
-            RoomWait::Refused(expected_ms) => {
+            CapacityWait::UpTo(ms) => Some(ms),
+            CapacityWait::Refused(expected_ms) => {
                 self.note_refused(&need, expected_ms, tokens_per_s);
                 self.is_refused_room = true;
                 None
@@ -78,15 +78,15 @@
     /// Time after which its client is to come back.
     pub(super) fn come_back_ms(&self) -> u64 {
         let service = &self.admitted.service.name;
-        let come_back = |waits: &mut RoomWaits| {
-            waits.come_back_ms(now_ms(), &mut fastrand::Rng::new())
+        let come_back = |waits: &mut CapacityWaits| {
+            waits.retry_after_ms(now_ms(), &mut fastrand::Rng::new())
         };
         self.core.room_waits.change(service, come_back)
     }
 
     fn note_refused(
         &self,
-        need: &RoomNeed<'_>,
+        need: &CapacityRequest<'_>,
         expected_ms: Option<u64>,
         tokens_per_s: u64,
     ) {
@@ -101,8 +101,8 @@
                 ("tokens_before", &need.tokens_before),
                 ("tokens_per_s", &tokens_per_s),
                 ("expected_ms", &expected),
-                ("in_time_ms", &need.in_time_ms),
-                ("busy_for_ms", &need.waited_for_ms),
+                ("in_time_ms", &need.start_within_ms),
+                ("busy_for_ms", &need.contended_for_ms),
             ],
         );
     }
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -7,7 +7,9 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_routing::{TurnNeed, Want, room_wait::LONGEST_WAIT_MS};
+use chestnutreach_routing::{
+    PermitDemand, TurnRequest, capacity_wait::MAX_WAIT_MS,
+};
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 
@@ -70,7 +72,7 @@
         // have the client look for the same.
         match self.is_head_sent {
             true => self.admitted.end_ms,
-            false => self.admitted.end_ms.min(now_ms() + LONGEST_WAIT_MS),
+            false => self.admitted.end_ms.min(now_ms() + MAX_WAIT_MS),
         }
     }
 
@@ -100,12 +102,12 @@
     }
 
     fn take_place(&self, until_ms: u64) -> Option<Place> {
-        let need = TurnNeed {
+        let need = TurnRequest {
             account: self.admitted.account.as_deref().unwrap_or(""),
             priority: priority_of(self.admitted.urgency),
             tokens: self.tokens,
-            in_time_until_ms: now_ms() + self.in_time_ms(),
-            until_ms,
+            start_by_ms: now_ms() + self.in_time_ms(),
+            wait_until_ms: until_ms,
         };
         let queues = &self.core.path_queues;
         queues.try_join(&self.admitted.service.name, &need).ok()
@@ -115,7 +117,7 @@
     pub(super) async fn look_until(&mut self, until_ms: u64) -> Look {
         // A stream that has begun waits for the shared bound to leave room,
         // rather than break off.
-        let mut needs_retry = self.attempts.made() > 0;
+        let mut needs_retry = self.attempts.count() > 0;
         let mut was_denied = false;
         loop {
             if let Some(path) = self.path_soon().await {
@@ -200,9 +202,9 @@
         other
     }
 
-    fn want(&self, is_waiting: bool) -> Want {
+    fn want(&self, is_waiting: bool) -> PermitDemand {
         let urgency = self.admitted.urgency;
-        Want { request: self.key, is_waiting, urgency }
+        PermitDemand { request: self.key, is_waiting, urgency }
     }
 
     /// Asks for a permit of any engine that could be first with one.
--- a/crates/direct/src/request/stream/told.rs
+++ b/crates/direct/src/request/stream/told.rs
@@ -23,7 +23,7 @@
             Event::RelaySent,
             &[
                 ("request", &self.admitted.id_text()),
-                ("attempt", &(self.attempts.made() + 1)),
+                ("attempt", &(self.attempts.count() + 1)),
                 ("backends", &self.path.names()),
                 ("tokens", &self.tokens),
                 ("waited_ms", &(now_ms - self.admitted.received_ms)),
@@ -42,7 +42,7 @@
             Event::RelayBroken,
             &[
                 ("request", &self.admitted.id_text()),
-                ("attempt", &self.attempts.made()),
+                ("attempt", &self.attempts.count()),
                 ("backend", &self.path.first().id),
                 ("error", &error),
                 ("suspects", &self.suspects()),
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -88,7 +88,7 @@
         }
         self.fruitless_count += 1;
         self.fruitless_count < self.entry.settings.max_attempts
-            && self.job.service.budget.take()
+            && self.job.service.budget.try_take()
     }
 
     fn shape(&self) -> Shape {
--- a/crates/entry/src/session/mod.rs
+++ b/crates/entry/src/session/mod.rs
@@ -143,7 +143,7 @@
     ) -> Session {
         let (sender, events) = async_channel::unbounded();
         entry.register(job.request, sender);
-        job.service.budget.note_request();
+        job.service.budget.record_request();
         Session {
             entry: entry.clone(),
             deadline: Timer::at(job.deadline),
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/feed_source.rs
@@ -15,11 +15,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::duty;
+use crate::rendezvous;
 
 /// Fewest entries of a data centre that share a feed: with fewer, little is
 /// saved for depending on another entry.
-pub const FEWEST: usize = 4;
+pub const MIN_SHARING_ENTRIES: usize = 4;
 /// How long an entry that failed is not asked.
 const AVOID_MS: u64 = 3_000;
 /// How long an entry that was asked goes on asking the store.
@@ -31,7 +31,7 @@
 
 /// Whom to ask.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Source {
+pub enum FeedSource {
     /// The store.
     Store,
     /// Another entry, by its boot id.
@@ -40,7 +40,7 @@
 
 /// What came of asking.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Outcome {
+pub enum FetchOutcome {
     /// An answer that the store gave or confirmed of late.
     Fresh,
     /// An answer of an entry that the store has not confirmed of late.
@@ -51,20 +51,20 @@
 
 /// Who asks, and whom it hears.
 #[derive(Clone, Copy, Debug)]
-pub struct Around<'a> {
+pub struct FeedPeers<'a> {
     /// Boot id of this entry.
     pub own: u64,
     /// Boot ids of the other entries of the data centre that are heard and go
     /// on.
-    pub others: &'a [u64],
+    pub peers: &'a [u64],
     /// Whether it must hear the store itself, as whoever plans does: it gives
     /// its lease up when it no longer reaches it.
-    pub must_read: bool,
+    pub must_read_store: bool,
 }
 
 /// What an entry knows of its sources for one feed.
 #[derive(Clone, Debug, Default)]
-pub struct Sources {
+pub struct FeedSources {
     /// Until when each entry that failed is not asked.
     avoided: BTreeMap<u64, u64>,
     /// When another entry last asked this one.
@@ -75,31 +75,31 @@
     stale: Option<u64>,
 }
 
-impl Sources {
+impl FeedSources {
     /// All may be asked.
-    pub fn new() -> Sources {
-        Sources::default()
+    pub fn new() -> FeedSources {
+        FeedSources::default()
     }
 
     /// Whom to ask next.
     pub fn choose(
         &mut self,
-        around: &Around<'_>,
+        around: &FeedPeers<'_>,
         feed: u64,
         now_ms: u64,
-    ) -> Source {
-        if around.others.len() + 1 < FEWEST {
-            return Source::Store;
+    ) -> FeedSource {
+        if around.peers.len() + 1 < MIN_SHARING_ENTRIES {
+            return FeedSource::Store;
         }
         self.avoided.retain(|_, until_ms| *until_ms > now_ms);
-        let all = around.others.iter().copied().chain([around.own]);
-        let ranked = duty::ranked(all, feed);
+        let all = around.peers.iter().copied().chain([around.own]);
+        let ranked = rendezvous::ranked(all, feed);
         let is_reader = ranked.first() == Some(&around.own)
-            || around.must_read
+            || around.must_read_store
             || self.is_asked(now_ms);
         let has_failed = self.has_failed_of_late(now_ms);
         if (is_reader || self.stale.is_some()) && !has_failed {
-            return Source::Store;
+            return FeedSource::Store;
         }
         // Whom the store fails asks anybody who may hear of it.
         let most = if has_failed { ranked.len() } else { READERS };
@@ -111,35 +111,40 @@
         // While the store is away for all, the first is as good as any.
         let first = others().find(|entry| *entry != around.own);
         let other = other.or(first.filter(|_| has_failed));
-        other.map_or(Source::Store, Source::Entry)
+        other.map_or(FeedSource::Store, FeedSource::Entry)
     }
 
     /// Another entry asks this one.
-    pub fn note_asked(&mut self, now_ms: u64) {
+    pub fn record_request(&mut self, now_ms: u64) {
         self.asked_ms = Some(now_ms);
     }
 
     /// What came of asking.
-    pub fn note(&mut self, source: Source, outcome: Outcome, now_ms: u64) {
+    pub fn record_outcome(
+        &mut self,
+        source: FeedSource,
+        outcome: FetchOutcome,
+        now_ms: u64,
+    ) {
         match (source, outcome) {
-            (Source::Store, Outcome::Failed) => {
+            (FeedSource::Store, FetchOutcome::Failed) => {
                 self.store_failed_ms = Some(now_ms);
                 self.avoid_stale(now_ms);
             }
-            (Source::Store, _) => {
+            (FeedSource::Store, _) => {
                 self.store_failed_ms = None;
                 self.avoid_stale(now_ms);
             }
-            (Source::Entry(entry), Outcome::Failed) => {
+            (FeedSource::Entry(entry), FetchOutcome::Failed) => {
                 self.avoided.insert(entry, now_ms + AVOID_MS);
             }
-            (Source::Entry(entry), Outcome::Stale) => {
+            (FeedSource::Entry(entry), FetchOutcome::Stale) => {
                 self.stale = Some(entry);
                 if self.has_failed_of_late(now_ms) {
                     self.avoid_stale(now_ms);
                 }
             }
-            (Source::Entry(_), Outcome::Fresh) => self.stale = None,
+            (FeedSource::Entry(_), FetchOutcome::Fresh) => self.stale = None,
         }
     }
 
--- a/crates/membership/src/telling.rs
+++ b/crates/membership/src/gossip.rs
@@ -11,7 +11,7 @@
 //! fall below a single message as entries become more.
 
 /// Time between messages to those that are told at once.
-pub const EVERY_MS: u64 = 200;
+pub const BASE_INTERVAL_MS: u64 = 200;
 /// Messages in a row that an entry misses before it no longer counts among
 /// those that share duties: one or two are lost now and then.
 const ABSENT_MESSAGES: f64 = 4.5;
@@ -22,58 +22,62 @@
 
 /// Who is told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Whom {
+pub enum PeerScope {
     /// Entries of the own data centre.
-    Near,
+    SameDataCentre,
     /// Entries of others.
-    Far,
+    OtherDataCentre,
     /// Any, by whoever plans.
-    ByPlanner,
+    FromPlanner,
 }
 
-impl Whom {
+impl PeerScope {
     /// How many are told at once. A message costs some 15 us of a core to
     /// send and as much to take.
-    pub fn at_once(self) -> usize {
+    pub fn fan_out(self) -> usize {
         match self {
-            Whom::Near => 24,
-            Whom::Far => 12,
-            Whom::ByPlanner => 96,
+            PeerScope::SameDataCentre => 24,
+            PeerScope::OtherDataCentre => 12,
+            PeerScope::FromPlanner => 96,
         }
     }
 
     /// Time between two messages to one of so many.
     pub fn interval_ms(self, count: usize) -> u64 {
-        EVERY_MS * count.div_ceil(self.at_once()).max(1) as u64
+        BASE_INTERVAL_MS * count.div_ceil(self.fan_out()).max(1) as u64
     }
 
     /// Silence after which one of so many no longer shares duties.
-    pub fn absent_ms(self, count: usize) -> u64 {
+    pub fn absence_timeout_ms(self, count: usize) -> u64 {
         (ABSENT_MESSAGES * self.interval_ms(count) as f64) as u64
     }
 
     /// Silence after which one of so many is forgotten.
-    pub fn forgotten_ms(self, count: usize) -> u64 {
+    pub fn expiry_ms(self, count: usize) -> u64 {
         (FORGOTTEN_MESSAGES * self.interval_ms(count) as f64) as u64
     }
 }
 
 /// Silence of the planner after which others look at its lease, among so
 /// many entries.
-pub fn planner_silent_ms(count: usize) -> u64 {
-    let interval_ms = Whom::ByPlanner.interval_ms(count);
+pub fn planner_timeout_ms(count: usize) -> u64 {
+    let interval_ms = PeerScope::FromPlanner.interval_ms(count);
     (PLANNER_SILENT_MESSAGES * interval_ms as f64) as u64
 }
 
 /// Whose turn it is to be told, in rounds over a list that may change.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rounds {
+pub struct RoundRobin {
     next: usize,
 }
 
-impl Rounds {
+impl RoundRobin {
     /// Those that are told now.
-    pub fn take<T: Copy>(&mut self, all: &[T], at_once: usize) -> Vec<T> {
+    pub fn next_batch<T: Copy>(
+        &mut self,
+        all: &[T],
+        at_once: usize,
+    ) -> Vec<T> {
         let count = all.len().min(at_once);
         let at = |offset| all[(self.next + offset) % all.len()];
         let taken = (0..count).map(at).collect();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -12,30 +12,30 @@
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`duty`] | whose duty something is |
+//! | [`rendezvous`] | whose duty something is |
 //! | [`issuer`] | who grants what all share, and which part of it |
-//! | [`source`] | where an entry asks for what the store holds |
-//! | [`telling`] | how often entries tell each other, what silence means |
+//! | [`feed_source`] | where an entry asks for what the store holds |
+//! | [`gossip`] | how often entries tell each other, what silence means |
 //! | [`table`] | a copy of a table that answers in place of the store |
 //!
 //! # Example
 //!
 //! ```
-//! use chestnutreach_membership::duty;
+//! use chestnutreach_membership::rendezvous;
 //!
 //! let entries = [11, 12, 13];
-//! let holders = duty::ranked(entries, 7);
+//! let holders = rendezvous::ranked(entries, 7);
 //! let without_first: Vec<u64> =
 //!     entries.into_iter().filter(|e| *e != holders[0]).collect();
 //! // Who is left keeps its rank, so that one loss moves only what was its.
-//! assert_eq!(duty::ranked(without_first, 7), holders[1..]);
+//! assert_eq!(rendezvous::ranked(without_first, 7), holders[1..]);
 //! ```
 
-pub mod duty;
+pub mod feed_source;
+pub mod gossip;
 pub mod issuer;
-pub mod source;
+pub mod rendezvous;
 pub mod table;
-pub mod telling;
 
-pub use source::{Around, Outcome, Source, Sources};
-pub use table::{Change, TableCopy};
+pub use feed_source::{FeedPeers, FeedSource, FeedSources, FetchOutcome};
+pub use table::{RowChange, TableCopy};
--- a/crates/membership/src/duty.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -7,28 +7,32 @@
 //! the duties of the entry that was lost.
 
 /// Entries by their rank for a duty, the first of them its holder.
-pub fn ranked(entries: impl IntoIterator<Item = u64>, duty: u64) -> Vec<u64> {
+pub fn ranked(
+    entries: impl IntoIterator<Item = u64>,
+    assignment: u64,
+) -> Vec<u64> {
     let mut ranked: Vec<u64> = entries.into_iter().collect();
-    ranked.sort_unstable_by_key(|entry| (score(*entry, duty), *entry));
+    ranked.sort_unstable_by_key(|entry| (score(*entry, assignment), *entry));
     ranked.dedup();
     ranked
 }
 
 /// Whether an entry is among the first `holders` for a duty.
-pub fn holds(
+pub fn is_assigned(
     entry: u64,
     others: impl IntoIterator<Item = u64>,
-    duty: u64,
+    assignment: u64,
     holders: usize,
 ) -> bool {
-    let own = (score(entry, duty), entry);
-    let goes_before =
-        |other: &u64| *other != entry && (score(*other, duty), *other) < own;
+    let own = (score(entry, assignment), entry);
+    let goes_before = |other: &u64| {
+        *other != entry && (score(*other, assignment), *other) < own
+    };
     others.into_iter().filter(goes_before).take(holders).count() < holders
 }
 
-fn score(entry: u64, duty: u64) -> u64 {
-    mixed(entry ^ mixed(duty))
+fn score(entry: u64, assignment: u64) -> u64 {
+    mixed(entry ^ mixed(assignment))
 }
 
 /// The finalizer of SplitMix64: every bit of the result depends on all.
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -14,7 +14,7 @@
 
 /// A row as of its last change.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Change {
+pub struct RowChange {
     /// Its key.
     pub key: String,
     /// Its bytes; none for one that was dropped.
@@ -26,7 +26,7 @@
 /// What the store held in a table as of a version.
 #[derive(Clone, Debug, Default)]
 pub struct TableCopy {
-    rows: BTreeMap<String, Change>,
+    rows: BTreeMap<String, RowChange>,
     version: Option<u64>,
     /// Changes up to this version may be missing.
     complete_after: u64,
@@ -46,7 +46,7 @@
 
     /// Takes the whole table as of a version; false for an older one than is
     /// known.
-    pub fn replace(&mut self, rows: Vec<Change>, version: u64) -> bool {
+    pub fn replace(&mut self, rows: Vec<RowChange>, version: u64) -> bool {
         if self.version.is_some_and(|known| version < known) {
             return false;
         }
@@ -57,7 +57,7 @@
     }
 
     /// Takes changes after the version that is known, up to another.
-    pub fn extend(&mut self, changes: Vec<Change>, version: u64) {
+    pub fn apply(&mut self, changes: Vec<RowChange>, version: u64) {
         for change in changes {
             let known = self.rows.get(&change.key);
             if known.is_none_or(|known| known.version <= change.version) {
@@ -69,25 +69,25 @@
     }
 
     /// Rows that are there.
-    pub fn all(&self) -> impl Iterator<Item = &Change> {
+    pub fn rows(&self) -> impl Iterator<Item = &RowChange> {
         self.rows.values().filter(|row| row.value.is_some())
     }
 
     /// What changed after a version, in the order of the changes; none where
     /// that can't be told, so that all must be read.
-    pub fn after(&self, version: u64) -> Option<Vec<&Change>> {
+    pub fn changes_after(&self, version: u64) -> Option<Vec<&RowChange>> {
         if version < self.complete_after {
             return None;
         }
-        let is_later = |change: &&Change| change.version > version;
-        let mut changes: Vec<&Change> =
+        let is_later = |change: &&RowChange| change.version > version;
+        let mut changes: Vec<&RowChange> =
             self.rows.values().filter(is_later).collect();
         changes.sort_by_key(|change| change.version);
         Some(changes)
     }
 
     /// Whether something changed after a version.
-    pub fn has_news(&self, version: u64) -> bool {
+    pub fn has_changes_after(&self, version: u64) -> bool {
         version < self.complete_after
             || self.rows.values().any(|row| row.version > version)
     }
--- a/crates/membership/tests/sources.rs
+++ b/crates/membership/tests/feed_source.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeSet;
 
-use chestnutreach_membership::{Around, Outcome, Source, Sources};
+use chestnutreach_membership::{
+    FeedPeers, FeedSource, FeedSources, FetchOutcome,
+};
 use rstest::rstest;
 
 const FEED: u64 = 1;
@@ -44,7 +46,7 @@
 #[derive(Debug)]
 struct Entry {
     boot_id: u64,
-    sources: Sources,
+    sources: FeedSources,
     confirmed_ms: u64,
     asking: Option<Asking>,
     next_ms: u64,
@@ -54,7 +56,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Asking {
-    source: Source,
+    source: FeedSource,
     until_ms: u64,
     result: Option<u64>,
 }
@@ -73,7 +75,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let entry = |_| Entry {
             boot_id: rng.u64(1..),
-            sources: Sources::new(),
+            sources: FeedSources::new(),
             confirmed_ms: 0,
             asking: None,
             next_ms: rng.u64(..500),
@@ -82,7 +84,7 @@
         };
         let entries: Vec<Entry> = (0..count).map(entry).collect();
         let ids = entries.iter().map(|e| e.boot_id);
-        let ranked = chestnutreach_membership::duty::ranked(ids, FEED);
+        let ranked = chestnutreach_membership::rendezvous::ranked(ids, FEED);
         World { fault, stale_ms: STALE_MS, entries, ranked }
     }
 
@@ -151,7 +153,7 @@
         }
         let asked = self.entries.iter_mut().find(|e| e.boot_id == at);
         let asked = asked.expect("only entries are asked");
-        asked.sources.note_asked(now_ms);
+        asked.sources.record_request(now_ms);
         (now_ms + wait_ms, Some(asked.confirmed_ms))
     }
 
@@ -165,15 +167,15 @@
         let others: Vec<u64> =
             self.entries.iter().filter(is_heard).map(|e| e.boot_id).collect();
         let around =
-            Around { own: boot_id, others: &others, must_read: false };
+            FeedPeers { own: boot_id, peers: &others, must_read_store: false };
         let source = self.entries[at].sources.choose(&around, FEED, now_ms);
         let (until_ms, result) = match source {
-            Source::Store => {
+            FeedSource::Store => {
                 self.entries[at].store_calls += 1;
                 let (until_ms, is_ok) = self.ask_store(boot_id, now_ms);
                 (until_ms, is_ok.then_some(until_ms))
             }
-            Source::Entry(entry) => {
+            FeedSource::Entry(entry) => {
                 let age_ms = now_ms - self.entries[at].confirmed_ms;
                 self.ask_entry(entry, age_ms, now_ms)
             }
@@ -183,7 +185,7 @@
 
     fn end(&mut self, at: usize, mut asking: Asking, now_ms: u64) {
         // The answer of an entry is made at the end of the wait.
-        if let Source::Entry(asked) = asking.source
+        if let FeedSource::Entry(asked) = asking.source
             && asking.result.is_some()
         {
             let is_there = !self.has_ended(asked, now_ms)
@@ -196,19 +198,19 @@
         entry.asking = None;
         entry.next_ms = now_ms;
         let outcome = match asking.result {
-            None => Outcome::Failed,
+            None => FetchOutcome::Failed,
             Some(confirmed_ms) => {
                 entry.confirmed_ms = entry.confirmed_ms.max(confirmed_ms);
                 match now_ms - confirmed_ms > self.stale_ms {
-                    true => Outcome::Stale,
-                    false => Outcome::Fresh,
+                    true => FetchOutcome::Stale,
+                    false => FetchOutcome::Fresh,
                 }
             }
         };
-        if outcome == Outcome::Failed {
+        if outcome == FetchOutcome::Failed {
             entry.next_ms = now_ms + RETRY_PAUSE_MS;
         }
-        entry.sources.note(asking.source, outcome, now_ms);
+        entry.sources.record_outcome(asking.source, outcome, now_ms);
     }
 
     fn play(mut self) -> World {
--- a/crates/membership/tests/issuer.rs
+++ b/crates/membership/tests/issuer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnutreach_membership::issuer::{View, sharing};
+use chestnutreach_membership::issuer::{IssuerView, sharing_count};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -31,10 +31,10 @@
         let none = BTreeMap::new();
         let choice = |own: usize| {
             let live = live_of(own);
-            let known = entries - 1;
+            let known_count = entries - 1;
             let view =
-                View { own: id(own), is_leaving: false, live: &live, known, choices: &none };
-            view.issuer(duty, &[])
+                IssuerView { own: id(own), is_leaving: false, live: &live, known_count, choices: &none };
+            view.choose_issuer(duty, &[])
         };
         let choices: BTreeMap<u64, u64> =
             (0..entries).map(|own| (id(own), choice(own))).collect();
@@ -44,10 +44,10 @@
                 continue;
             }
             let live = live_of(own);
-            let known = entries - 1;
+            let known_count = entries - 1;
             let choices = &choices;
-            let view = View { own: id(own), is_leaving: false, live: &live, known, choices };
-            whole += view.part();
+            let view = IssuerView { own: id(own), is_leaving: false, live: &live, known_count, choices };
+            whole += view.share();
         }
         prop_assert!(whole <= 1.0 + 1e-9, "parts add up to {}", whole);
     }
@@ -60,14 +60,14 @@
     let chosen = entries.map(|own| {
         let live: Vec<u64> =
             entries.into_iter().filter(|e| *e != own).collect();
-        let view = View {
+        let view = IssuerView {
             own,
             is_leaving: false,
             live: &live,
-            known: 3,
+            known_count: 3,
             choices: &choices,
         };
-        view.issuer(DUTY, &[])
+        view.choose_issuer(DUTY, &[])
     });
     assert!(chosen.iter().all(|c| *c == chosen[0]), "{chosen:?}");
 }
@@ -76,29 +76,29 @@
 fn one_that_does_not_answer_is_not_chosen() {
     let choices = BTreeMap::new();
     let live = [8, 11, 40];
-    let view = View {
+    let view = IssuerView {
         own: 3,
         is_leaving: false,
         live: &live,
-        known: 3,
+        known_count: 3,
         choices: &choices,
     };
-    let first = view.issuer(DUTY, &[]);
-    assert_ne!(view.issuer(DUTY, &[first]), first);
+    let first = view.choose_issuer(DUTY, &[]);
+    assert_ne!(view.choose_issuer(DUTY, &[first]), first);
 }
 
 #[test]
 fn an_entry_that_was_lost_still_counts() {
     let choices = BTreeMap::new();
     let live = [8, 11];
-    let view = View {
+    let view = IssuerView {
         own: 3,
         is_leaving: false,
         live: &live,
-        known: 3,
+        known_count: 3,
         choices: &choices,
     };
-    assert!((view.part() - 0.75).abs() < 1e-9);
+    assert!((view.share() - 0.75).abs() < 1e-9);
 }
 
 /// Entries that were cut into two groups.
@@ -116,14 +116,14 @@
         let choices = BTreeMap::new();
         let live: Vec<u64> = (1..own as u64).collect();
         let lost_for_ms = std::iter::repeat_n(self.age_ms, others);
-        let view = View {
+        let view = IssuerView {
             own: 0,
             is_leaving: false,
             live: &live,
-            known: sharing(own - 1, lost_for_ms),
+            known_count: sharing_count(own - 1, lost_for_ms),
             choices: &choices,
         };
-        view.part()
+        view.share()
     }
 }
 
@@ -148,8 +148,8 @@
 /// Those that are left take the whole limit.
 #[test]
 fn a_lost_entry_counts_for_a_while_only() {
-    assert_eq!(sharing(2, [29_000]), 3);
-    assert_eq!(sharing(2, [31_000]), 2);
-    assert_eq!(sharing(0, [31_000, 31_000]), 2);
-    assert_eq!(sharing(0, [601_000, 601_000]), 0);
+    assert_eq!(sharing_count(2, [29_000]), 3);
+    assert_eq!(sharing_count(2, [31_000]), 2);
+    assert_eq!(sharing_count(0, [31_000, 31_000]), 2);
+    assert_eq!(sharing_count(0, [601_000, 601_000]), 0);
 }
--- a/crates/membership/tests/duties.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnutreach_membership::duty::{holds, ranked};
+use chestnutreach_membership::rendezvous::{is_assigned, ranked};
 use proptest::prelude::*;
 
 proptest! {
@@ -30,7 +30,7 @@
         for entry in &entries {
             let others = entries.iter().copied();
             let is_among = ranked.iter().take(holders).any(|e| e == entry);
-            prop_assert_eq!(holds(*entry, others, duty, holders), is_among);
+            prop_assert_eq!(is_assigned(*entry, others, duty, holders), is_among);
         }
     }
 }
--- a/crates/membership/tests/table_copies.rs
+++ b/crates/membership/tests/table_copies.rs
@@ -4,20 +4,20 @@
 
 use std::collections::BTreeMap;
 
-use chestnutreach_membership::{Change, TableCopy};
+use chestnutreach_membership::{RowChange, TableCopy};
 use proptest::prelude::*;
 
 /// The table and its history.
 #[derive(Default)]
 struct Store {
     version: u64,
-    history: Vec<Change>,
+    history: Vec<RowChange>,
 }
 
 impl Store {
     fn change(&mut self, key: u8, value: Option<u8>) {
         self.version += 1;
-        self.history.push(Change {
+        self.history.push(RowChange {
             key: key.to_string(),
             value: value.map(|byte| vec![byte]),
             version: self.version,
@@ -36,7 +36,7 @@
         rows
     }
 
-    fn after(&self, version: u64) -> Vec<Change> {
+    fn after(&self, version: u64) -> Vec<RowChange> {
         let later = self.history.iter().filter(|c| c.version > version);
         // The feed tells the last change of each row.
         let mut last = BTreeMap::new();
@@ -46,7 +46,7 @@
         last.into_values().collect()
     }
 
-    fn all(&self) -> Vec<Change> {
+    fn all(&self) -> Vec<RowChange> {
         let mut last = BTreeMap::new();
         for change in &self.history {
             last.insert(change.key.clone(), change.clone());
@@ -64,8 +64,8 @@
 }
 
 impl Entry {
-    fn take_all(&mut self, rows: Vec<Change>, version: u64) {
-        let bytes = |c: &Change| (c.key.clone(), c.value.clone());
+    fn take_all(&mut self, rows: Vec<RowChange>, version: u64) {
+        let bytes = |c: &RowChange| (c.key.clone(), c.value.clone());
         let told: Vec<_> = rows.iter().map(bytes).collect();
         if self.copy.replace(rows, version) {
             let told = told.into_iter();
@@ -74,7 +74,7 @@
         self.after = self.after.max(Some(version));
     }
 
-    fn take_changes(&mut self, changes: Vec<Change>, version: u64) {
+    fn take_changes(&mut self, changes: Vec<RowChange>, version: u64) {
         for change in &changes {
             match &change.value {
                 Some(value) => {
@@ -85,7 +85,7 @@
                 }
             }
         }
-        self.copy.extend(changes, version);
+        self.copy.apply(changes, version);
         self.after = self.after.max(Some(version));
     }
 
@@ -100,14 +100,14 @@
 
     fn ask(&mut self, other: &TableCopy) {
         let Some(version) = other.version() else { return };
-        let changes = self.after.and_then(|after| other.after(after));
+        let changes = self.after.and_then(|after| other.changes_after(after));
         match changes {
             Some(changes) => {
                 let changes = changes.into_iter().cloned().collect();
                 self.take_changes(changes, version);
             }
             None => {
-                let all = other.all().cloned().collect();
+                let all = other.rows().cloned().collect();
                 self.take_all(all, version);
             }
         }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -23,7 +23,7 @@
 
 /// Learned speeds of one backend server through its own layers.
 #[derive(Clone, Debug)]
-pub struct Speed {
+pub struct LearnedSpeed {
     guess: Pair,
     places: u32,
     prompt: [Option<f64>; CLASS_COUNT],
@@ -38,15 +38,18 @@
     output: f64,
 }
 
-impl Speed {
+impl LearnedSpeed {
     /// A first guess: prompt tokens a second, and output tokens a second of
     /// all sequences together.
-    pub fn new(prompt_tokens_per_s: f64, output_tokens_per_s: f64) -> Speed {
+    pub fn new(
+        prompt_tokens_per_s: f64,
+        output_tokens_per_s: f64,
+    ) -> LearnedSpeed {
         let guess = Pair {
             prompt: prompt_tokens_per_s.max(MIN_TOKENS_PER_S),
             output: output_tokens_per_s.max(MIN_TOKENS_PER_S),
         };
-        Speed {
+        LearnedSpeed {
             guess,
             places: 1,
             prompt: [None; CLASS_COUNT],
@@ -56,7 +59,7 @@
     }
 
     /// How many requests the server runs at the same time; 0 counts as 1.
-    pub fn places(mut self, max_running: u32) -> Speed {
+    pub fn slots(mut self, max_running: u32) -> LearnedSpeed {
         self.places = max_running.max(1);
         self
     }
@@ -146,13 +149,13 @@
 }
 
 /// Wait behind `pending_tokens` of work of the learned mix.
-pub fn expected_wait_ms(pending_tokens: u64, speed: &Speed) -> u64 {
+pub fn expected_wait_ms(pending_tokens: u64, speed: &LearnedSpeed) -> u64 {
     (pending_tokens as f64 * speed.mean_token_ms()).ceil() as u64
 }
 
 /// Time that a request takes on a server of which the share `in_use`, 0 to
 /// 1, is taken.
-pub fn run_ms(shape: &Shape, speed: &Speed, in_use: f64) -> u64 {
+pub fn run_ms(shape: &Shape, speed: &LearnedSpeed, in_use: f64) -> u64 {
     let prompt_tokens = shape.prompt_tokens;
     let prompt_s =
         f64::from(prompt_tokens) / speed.prompt_tokens_per_s(prompt_tokens);
@@ -165,18 +168,18 @@
 
 /// A request that cannot finish within its deadline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TooLate {
+pub struct DeadlineTooShort {
     /// What it would need.
     pub needed_ms: u64,
 }
 
-impl fmt::Display for TooLate {
+impl fmt::Display for DeadlineTooShort {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the request needs {} ms", self.needed_ms)
     }
 }
 
-impl std::error::Error for TooLate {}
+impl std::error::Error for DeadlineTooShort {}
 
 /// Whether a request that waits for `wait_ms` and runs for `run_ms` can
 /// finish within the `deadline_ms` that are left to it.
@@ -184,10 +187,10 @@
     run_ms: u64,
     wait_ms: u64,
     deadline_ms: u64,
-) -> Result<(), TooLate> {
+) -> Result<(), DeadlineTooShort> {
     let needed_ms = wait_ms.saturating_add(run_ms);
     if needed_ms > deadline_ms {
-        return Err(TooLate { needed_ms });
+        return Err(DeadlineTooShort { needed_ms });
     }
     Ok(())
 }
@@ -196,7 +199,7 @@
 /// done, and spread over as long again so that callers don't come together.
 pub fn retry_after_ms(
     pending_tokens: u64,
-    speed: &Speed,
+    speed: &LearnedSpeed,
     rng: &mut fastrand::Rng,
 ) -> u64 {
     let half_ms = expected_wait_ms(pending_tokens, speed) / 2;
--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -10,9 +10,9 @@
 
 /// Which backend servers the bound of a route counts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Counted {
+pub enum CountedBackends {
     /// All to which the request was handed.
-    Handed,
+    Contacted,
     /// Those that may have run it.
     MayHaveRun,
 }
@@ -22,7 +22,7 @@
 pub struct Attempts {
     may_repeat: bool,
     most_backends: usize,
-    counted: Counted,
+    counted: CountedBackends,
     may_have_run: bool,
     /// Backend servers that count.
     counting: BTreeSet<String>,
@@ -43,7 +43,7 @@
     pub fn new(
         may_repeat: bool,
         most_backends: usize,
-        counted: Counted,
+        counted: CountedBackends,
     ) -> Attempts {
         Attempts {
             may_repeat,
@@ -57,13 +57,13 @@
     }
 
     /// Whether another attempt may be made.
-    pub fn may_go_on(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         let is_safe = self.may_repeat || !self.may_have_run;
         is_safe && self.counting.len() < self.most_backends
     }
 
     /// How many were made.
-    pub fn made(&self) -> u32 {
+    pub fn count(&self) -> u32 {
         self.made
     }
 
@@ -85,17 +85,17 @@
     }
 
     /// The backend server of the last attempt states that it did not run it.
-    pub fn did_not_run(&mut self) {
+    pub fn record_not_run(&mut self) {
         let Some(before) = self.before.take() else { return };
         self.may_have_run = before.may_have_run;
-        if self.counted == Counted::MayHaveRun && !before.did_count {
+        if self.counted == CountedBackends::MayHaveRun && !before.did_count {
             self.counting.remove(&before.backend);
         }
     }
 
     /// The process of a backend server has ended.
-    pub fn has_ended(&mut self, backend: &str) {
-        if self.counted == Counted::MayHaveRun {
+    pub fn record_backend_exit(&mut self, backend: &str) {
+        if self.counted == CountedBackends::MayHaveRun {
             self.counting.remove(backend);
         }
     }
--- a/crates/routing/src/room_wait.rs
+++ b/crates/routing/src/capacity_wait.rs
@@ -11,28 +11,28 @@
 //!
 //! A queue that short gives each account its share no more: who asks most
 //! would get most. So an account that has had its share of late waits no more
-//! while others ask for more than they get ([`Shares`]).
+//! while others ask for more than they get ([`FairShares`]).
 //!
 //! In a short peak, or while a part of the engines is away, room comes back:
 //! then all may wait, those that can still begin in time first
-//! (see [`Turns`]).
+//! (see [`SearchTurns`]).
 //!
 //! Who is refused comes back once what runs now has ended, which is when there
 //! is room: what runs, over the rate at which room is taken, and spread over
 //! as long again, so that those who are refused together do not come back
 //! together.
 //!
-//! [`Turns`]: crate::Turns
+//! [`SearchTurns`]: crate::SearchTurns
 
 use std::collections::VecDeque;
 
-use crate::shares::Shares;
+use crate::fair_shares::FairShares;
 
 /// Waiting for room that a peak explains: as long as a request may wait.
-pub const PEAK_MS: u64 = LONGEST_WAIT_MS;
+pub const PEAK_MS: u64 = MAX_WAIT_MS;
 /// Longest wait for room: clients leave 2 s after they asked, and what begins
 /// needs some of that.
-pub const LONGEST_WAIT_MS: u64 = 1_500;
+pub const MAX_WAIT_MS: u64 = 1_500;
 /// Time over which the rate is taken: some tens of requests at an entry that
 /// is full, and less than what is refused for it may wait.
 const RATE_WINDOW_MS: u64 = 1_000;
@@ -46,7 +46,7 @@
 
 /// A request that finds no room.
 #[derive(Clone, Copy, Debug)]
-pub struct RoomNeed<'a> {
+pub struct CapacityRequest<'a> {
     /// Whose it is.
     pub account: &'a str,
     /// Tokens that it will hold.
@@ -54,14 +54,14 @@
     /// Tokens of requests that go before it.
     pub tokens_before: u64,
     /// How long it may wait to begin in time, in milliseconds.
-    pub in_time_ms: u64,
+    pub start_within_ms: u64,
     /// For how long others have waited without a break, in milliseconds.
-    pub waited_for_ms: u64,
+    pub contended_for_ms: u64,
 }
 
 /// Whether a request may wait.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RoomWait {
+pub enum CapacityWait {
     /// It may, for so long in milliseconds.
     UpTo(u64),
     /// It would begin late, or its account has had its share; the expected
@@ -71,26 +71,26 @@
 
 /// What was asked for and began of late at an entry, and what runs.
 #[derive(Clone, Debug, Default)]
-pub struct RoomWaits {
+pub struct CapacityWaits {
     /// When each began, and its tokens.
     begun: VecDeque<(u64, u64)>,
-    shares: Shares,
+    shares: FairShares,
     running_tokens: u64,
 }
 
-impl RoomWaits {
+impl CapacityWaits {
     /// Nothing has begun yet.
-    pub fn new() -> RoomWaits {
-        RoomWaits::default()
+    pub fn new() -> CapacityWaits {
+        CapacityWaits::default()
     }
 
     /// A request has come.
-    pub fn ask(&mut self, account: &str, tokens: u64, now_ms: u64) {
+    pub fn record_request(&mut self, account: &str, tokens: u64, now_ms: u64) {
         self.shares.ask(account, tokens, now_ms);
     }
 
     /// A request has found room.
-    pub fn begin(&mut self, account: &str, tokens: u64, now_ms: u64) {
+    pub fn record_start(&mut self, account: &str, tokens: u64, now_ms: u64) {
         self.forget(now_ms);
         self.shares.begin(account, tokens, now_ms);
         self.begun.push_back((now_ms, tokens));
@@ -98,7 +98,7 @@
     }
 
     /// A request has given its room back.
-    pub fn end(&mut self, tokens: u64) {
+    pub fn record_end(&mut self, tokens: u64) {
         self.running_tokens = self.running_tokens.saturating_sub(tokens);
     }
 
@@ -110,25 +110,29 @@
     }
 
     /// Whether a request may wait.
-    pub fn wait(&mut self, need: &RoomNeed<'_>, now_ms: u64) -> RoomWait {
-        if need.waited_for_ms < PEAK_MS {
-            return RoomWait::UpTo(LONGEST_WAIT_MS);
+    pub fn decide(
+        &mut self,
+        need: &CapacityRequest<'_>,
+        now_ms: u64,
+    ) -> CapacityWait {
+        if need.contended_for_ms < PEAK_MS {
+            return CapacityWait::UpTo(MAX_WAIT_MS);
         }
         let tokens = need.tokens_before + need.tokens;
         let expected_ms = wait_ms(tokens, self.tokens_per_s(now_ms));
         let is_over = self.shares.is_over(need.account, now_ms);
-        let most_ms = EXPECTED_SHARE * need.in_time_ms as f64;
+        let most_ms = EXPECTED_SHARE * need.start_within_ms as f64;
         match expected_ms {
             Some(ms) if !is_over && ms as f64 <= most_ms => {
-                RoomWait::UpTo(need.in_time_ms)
+                CapacityWait::UpTo(need.start_within_ms)
             }
-            expected_ms => RoomWait::Refused(expected_ms),
+            expected_ms => CapacityWait::Refused(expected_ms),
         }
     }
 
     /// Time after which a request that is refused now is to come back, in
     /// milliseconds.
-    pub fn come_back_ms(
+    pub fn retry_after_ms(
         &mut self,
         now_ms: u64,
         rng: &mut fastrand::Rng,
--- a/crates/routing/src/rest_wait.rs
+++ b/crates/routing/src/cooldown_wait.rs
@@ -14,24 +14,24 @@
 
 /// What a request does.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RestWait {
+pub enum CooldownWait {
     /// It waits: a server is ready in time.
-    Waits,
+    Wait,
     /// It is refused; its client is to come back after so many milliseconds.
-    Refused(u64),
+    Refuse(u64),
 }
 
 /// Decides by the time until the first server is ready, and the time that the
 /// request may wait, in milliseconds.
-pub fn rest_wait(
+pub fn cooldown_wait(
     ready_in_ms: u64,
     may_wait_ms: u64,
     rng: &mut fastrand::Rng,
-) -> RestWait {
+) -> CooldownWait {
     if ready_in_ms <= may_wait_ms {
-        return RestWait::Waits;
+        return CooldownWait::Wait;
     }
     let spread_ms = (SPREAD_SHARE * ready_in_ms as f64) as u64;
     let spread_ms = rng.u64(0..=spread_ms.min(MOST_SPREAD_MS));
-    RestWait::Refused(ready_in_ms + spread_ms)
+    CooldownWait::Refuse(ready_in_ms + spread_ms)
 }
--- a/crates/routing/src/drain.rs
+++ b/crates/routing/src/drain_rate.rs
@@ -11,14 +11,14 @@
 
 /// Tokens of work that leave a server's places while others wait for one.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Drain {
+pub(crate) struct DrainRate {
     tokens: f64,
     ms: f64,
     /// When work last left while others waited.
     last_ms: Option<u64>,
 }
 
-impl Drain {
+impl DrainRate {
     /// Notes work that leaves.
     pub(crate) fn note(
         &mut self,
--- a/crates/routing/src/end_proof.rs
+++ b/crates/routing/src/exit_detection.rs
@@ -8,7 +8,7 @@
 
 /// What speaks for a backend server being dead or out of reach.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Evidence {
+pub enum FailureEvidence {
     /// It refuses connections: its process has ended.
     Refused,
     /// It does not answer at all.
@@ -17,40 +17,43 @@
     Stalled,
 }
 
-impl Evidence {
+impl FailureEvidence {
     /// Its name in logs.
-    pub fn name(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Evidence::Refused => "refused",
-            Evidence::Silent => "silent",
-            Evidence::Stalled => "stalled",
+            FailureEvidence::Refused => "refused",
+            FailureEvidence::Silent => "silent",
+            FailureEvidence::Stalled => "stalled",
         }
     }
 }
 
 /// Silence that has lasted so long proves an end: twelve times the time that
 /// a dial is given, and an entry that is only busy hears answers before.
-pub const SILENCE_PROVES_MS: u64 = 300;
+pub const SILENCE_TIMEOUT_MS: u64 = 300;
 
 /// What evidence proves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum EndProof {
+pub enum ExitStatus {
     /// The process has ended, or is out of reach of everybody.
-    Ended,
-    /// Nothing yet; a dial of [`SILENCE_PROVES_MS`] would.
-    Unsure,
+    Exited,
+    /// Nothing yet; a dial of [`SILENCE_TIMEOUT_MS`] would.
+    Unknown,
     /// It may go on.
-    Lives,
+    Alive,
 }
 
 /// What evidence proves that has stood for so long.
-pub fn end_proof(evidence: Option<Evidence>, lasted_ms: u64) -> EndProof {
+pub fn detect_exit(
+    evidence: Option<FailureEvidence>,
+    lasted_ms: u64,
+) -> ExitStatus {
     match evidence {
-        Some(Evidence::Refused) => EndProof::Ended,
-        Some(Evidence::Silent) if lasted_ms >= SILENCE_PROVES_MS => {
-            EndProof::Ended
+        Some(FailureEvidence::Refused) => ExitStatus::Exited,
+        Some(FailureEvidence::Silent) if lasted_ms >= SILENCE_TIMEOUT_MS => {
+            ExitStatus::Exited
         }
-        Some(Evidence::Silent) => EndProof::Unsure,
-        Some(Evidence::Stalled) | None => EndProof::Lives,
+        Some(FailureEvidence::Silent) => ExitStatus::Unknown,
+        Some(FailureEvidence::Stalled) | None => ExitStatus::Alive,
     }
 }
--- a/crates/routing/src/fair.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -22,7 +22,7 @@
 //! # Bound
 //!
 //! The queue is bounded in tokens of work. An account may hold at most
-//! [`SHARE_OF_FREE`] times what is still free, so that one account's flood
+//! [`FREE_SPACE_FACTOR`] times what is still free, so that one account's flood
 //! leaves room for others and the room it may take shrinks as the queue
 //! fills (dynamic thresholds, as for shared switch memory).
 //!
@@ -30,19 +30,19 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use crate::fair_account::LEAD_TOKENS;
+pub use crate::queue_account::LEAD_TOKENS;
 use crate::{
-    fair_account::{
+    priority::Priority,
+    push_error::{PushError, PushErrorReason},
+    queue_account::{
         Account, DEFAULT_WEIGHT, LEVEL_COUNT, Sequence, VirtualTime,
     },
-    fair_refusal::{PushRefusal, PushRefusalReason},
-    priority::Priority,
 };
 
 /// Waiting that raises an item by one level within its account.
 pub const PROMOTE_MS: u64 = 5_000;
 /// An account may hold this many times the free room.
-pub const SHARE_OF_FREE: u64 = 8;
+pub const FREE_SPACE_FACTOR: u64 = 8;
 
 type AccountIndex = usize;
 
@@ -125,10 +125,10 @@
         deadline_ms: u64,
         item: T,
         now_ms: u64,
-    ) -> Result<(), PushRefusal<T>> {
+    ) -> Result<(), PushError<T>> {
         let at = self.account(account);
         if let Err(reason) = self.check(at, cost_tokens, deadline_ms, now_ms) {
-            return Err(PushRefusal { item, reason });
+            return Err(PushError { item, reason });
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -252,24 +252,24 @@
         cost_tokens: u64,
         deadline_ms: u64,
         now_ms: u64,
-    ) -> Result<(), PushRefusalReason> {
+    ) -> Result<(), PushErrorReason> {
         if deadline_ms <= now_ms {
-            return Err(PushRefusalReason::Expired);
+            return Err(PushErrorReason::Expired);
         }
         if self.is_empty() {
             return Ok(());
         }
         let free = self.limit_tokens.saturating_sub(self.pending_tokens);
         if cost_tokens > free {
-            return Err(PushRefusalReason::Full {
+            return Err(PushErrorReason::Full {
                 pending_tokens: self.pending_tokens,
                 limit_tokens: self.limit_tokens,
             });
         }
-        let allowed_tokens = free.saturating_mul(SHARE_OF_FREE);
+        let allowed_tokens = free.saturating_mul(FREE_SPACE_FACTOR);
         let pending_tokens = self.accounts[at].pending_tokens;
         if pending_tokens > allowed_tokens {
-            return Err(PushRefusalReason::AccountFull {
+            return Err(PushErrorReason::AccountFull {
                 pending_tokens,
                 allowed_tokens,
             });
--- a/crates/routing/src/shares.rs
+++ b/crates/routing/src/fair_shares.rs
@@ -32,12 +32,12 @@
 
 /// What accounts asked for and got of late.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Shares {
+pub(crate) struct FairShares {
     recent: VecDeque<Recent>,
     tallies: BTreeMap<String, Tally>,
 }
 
-impl Shares {
+impl FairShares {
     /// An account asks for so many tokens.
     pub(crate) fn ask(&mut self, account: &str, tokens: u64, now_ms: u64) {
         self.note(account, Tally { asked: tokens, begun: 0 }, now_ms);
--- a/crates/routing/src/first_wait.rs
+++ b/crates/routing/src/first_event_wait.rs
@@ -19,19 +19,19 @@
 
 /// Waits of the requests of a service that began last.
 #[derive(Clone, Debug, Default)]
-pub struct FirstWaits {
+pub struct FirstEventWaits {
     /// When each was sent, and how long it waited.
     last: VecDeque<(u64, u64)>,
 }
 
-impl FirstWaits {
+impl FirstEventWaits {
     /// None yet.
-    pub fn new() -> FirstWaits {
-        FirstWaits::default()
+    pub fn new() -> FirstEventWaits {
+        FirstEventWaits::default()
     }
 
     /// A request that was sent then has its first event.
-    pub fn note(&mut self, sent_ms: u64, now_ms: u64) {
+    pub fn record(&mut self, sent_ms: u64, now_ms: u64) {
         if self.last.len() == REMEMBERED {
             self.last.pop_front();
         }
@@ -40,7 +40,7 @@
 
     /// How long requests of late waited once they were sent, the middle one;
     /// none before any.
-    pub fn usual_ms(&self) -> Option<u64> {
+    pub fn median_ms(&self) -> Option<u64> {
         let mut waits: Vec<u64> = self.last.iter().map(|l| l.1).collect();
         waits.sort_unstable();
         waits.get(waits.len() / 2).copied()
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,19 +10,19 @@
 //! | [`live`], [`health`] | what this process knows of each one now |
 //! | [`policy`], [`shape`], [`chain`], [`mod@explain`] | the chain of a request, why |
 //! | [`attempts`] | whether a request may be handed to a backend again |
-//! | [`mod@rest_wait`] | whether a request waits where all servers are at rest |
-//! | [`retry`] | whether a failure may be tried again |
+//! | [`mod@cooldown_wait`] | whether a request waits where all servers are at rest |
+//! | [`retry_budget`] | whether a failure may be tried again |
 //! | [`retry_window`] | the same where all entries share a bound in time |
 //! | [`assumed_use`] | what entries that have not told yet are taken to use |
 //! | [`layer_path`] | which engines run which layers of a request |
-//! | [`fair`], [`admission`] | who goes next, and who can finish in time |
-//! | [`gate`] | who may run on one server now, and who waits |
-//! | [`turns`] | who may seek a path now, and who waits |
-//! | [`first_read`] | how long a request waits for the first configuration |
-//! | [`first_wait`] | whether a stream will hardly begin any more |
-//! | [`pause_look`] | when a stream that pauses is looked at |
+//! | [`fair_queue`], [`admission`] | who goes next, and who can finish in time |
+//! | [`slot_queue`] | who may run on one server now, and who waits |
+//! | [`search_turns`] | who may seek a path now, and who waits |
+//! | [`startup_wait`] | how long a request waits for the first configuration |
+//! | [`first_event_wait`] | whether a stream will hardly begin any more |
+//! | [`stall_check`] | when a stream that pauses is looked at |
 //! | [`permits`] | who may send to a server that named a limit |
-//! | [`server_limit`] | which limit on its requests a server has named |
+//! | [`rate_limit`] | which limit on its requests a server has named |
 //! | [`quarantine`] | which requests crash servers, and may not run |
 //! | [`flow`] | the most tokens a second the hardware allows |
 //!
@@ -66,22 +66,21 @@
 pub mod attempts;
 mod backend_spec;
 mod candidate;
+pub mod capacity_wait;
 pub mod chain;
+pub mod cooldown_wait;
 mod cost;
 pub mod crossing;
-mod drain;
-pub mod end_proof;
+mod drain_rate;
+pub mod exit_detection;
 pub mod explain;
-pub mod fair;
-mod fair_account;
-mod fair_refusal;
+pub mod fair_queue;
+mod fair_shares;
 mod fingerprint;
-pub mod first_read;
-pub mod first_wait;
+pub mod first_event_wait;
 pub mod fleet;
 mod fleet_error;
 pub mod flow;
-pub mod gate;
 pub mod health;
 mod label;
 pub mod layer_path;
@@ -90,38 +89,40 @@
 mod memory;
 pub mod network;
 mod no_chain;
-pub mod pause_look;
 pub mod permits;
 pub mod policy;
 pub mod priority;
+mod push_error;
 pub mod quarantine;
-pub mod rest_wait;
-pub mod retry;
+mod queue_account;
+pub mod rate_limit;
+pub mod retry_budget;
 pub mod retry_window;
-pub mod room_wait;
 mod search;
+pub mod search_turns;
 mod server;
-pub mod server_limit;
 pub mod shape;
-mod shares;
-pub mod turns;
+pub mod slot_queue;
+pub mod stall_check;
+pub mod startup_wait;
 
 pub use admission::{
-    Speed, TooLate, can_finish, expected_wait_ms, retry_after_ms,
+    DeadlineTooShort, LearnedSpeed, can_finish, expected_wait_ms,
+    retry_after_ms,
 };
 pub use assumed_use::KnownUse;
-pub use attempts::{Attempts, Counted};
+pub use attempts::{Attempts, CountedBackends};
 pub use candidate::{Candidate, LeftOut};
+pub use capacity_wait::{CapacityRequest, CapacityWait, CapacityWaits};
 pub use chain::{ChainNeed, Choice, Chooser, choose};
+pub use cooldown_wait::{CooldownWait, cooldown_wait};
 pub use cost::CostParts;
 pub use crossing::{CrossingBounds, CrossingPart};
-pub use end_proof::{EndProof, Evidence, end_proof};
+pub use exit_detection::{ExitStatus, FailureEvidence, detect_exit};
 pub use explain::{Explanation, explain};
-pub use fair::{FairQueue, Popped};
-pub use fair_refusal::{PushRefusal, PushRefusalReason};
+pub use fair_queue::{FairQueue, Popped};
 pub use fingerprint::Fingerprint;
-pub use first_read::FirstRead;
-pub use first_wait::FirstWaits;
+pub use first_event_wait::FirstEventWaits;
 pub use fleet::{BackendIndex, BackendSpec, Fleet};
 pub use fleet_error::{FleetError, FleetFinding};
 pub use flow::{Mix, throughput_bound};
@@ -130,15 +131,17 @@
 pub use live::{Ended, Live, LoadReport, Presence};
 pub use network::Network;
 pub use no_chain::{NoChain, NoChainReason};
-pub use pause_look::PauseLook;
-pub use permits::{Ask, Grant, PermitIssuer, PermitStock, Want};
+pub use permits::{
+    PermitDemand, PermitGrant, PermitHolder, PermitIssuer, PermitRequest,
+};
 pub use policy::Policy;
 pub use priority::Priority;
-pub use quarantine::{RunStart, SuspectNews, Suspects, Trials, Verdict};
-pub use rest_wait::{RestWait, rest_wait};
-pub use retry::RetryBudget;
-pub use retry_window::{RetryBounds, RetryWindow, Sent};
-pub use room_wait::{RoomNeed, RoomWait, RoomWaits};
-pub use server_limit::{NamedLimit, ServerLimit};
+pub use push_error::{PushError, PushErrorReason};
+pub use quarantine::{RunProgress, SuspectReport, Suspects, Trials, Verdict};
+pub use rate_limit::{AnnouncedLimit, ServerRateLimit};
+pub use retry_budget::RetryBudget;
+pub use retry_window::{RetryLimit, RetryWindow, SentCounts};
+pub use search_turns::{SearchTurns, TurnRequest};
 pub use shape::Shape;
-pub use turns::{TurnNeed, Turns};
+pub use stall_check::StallCheck;
+pub use startup_wait::StartupWait;
--- a/crates/routing/src/permits.rs
+++ b/crates/routing/src/permits.rs
@@ -5,7 +5,7 @@
 //! request a second among seventy entries each could send once in 70 s, and
 //! what one does not use would be lost. So one entry, the issuer, grants
 //! permits at the rate of the limit to those that want one, and a request is
-//! sent only with a permit ([`PermitStock`]). Who issues is chosen by all in
+//! sent only with a permit ([`PermitHolder`]). Who issues is chosen by all in
 //! the same way (`membership::issuer`); here is how much is granted to whom.
 //!
 //! What bounds the requests in any span is that permits granted and not
@@ -16,22 +16,22 @@
 //! lost one costs a moment, never a permit too many. Totals belong to a
 //! series, which begins anew where a holder has asked another issuer since.
 
+mod holder;
 mod issuer;
-mod stock;
 
-pub use issuer::{Grant, PermitIssuer};
-pub use stock::{PermitStock, Want};
+pub use holder::{PermitDemand, PermitHolder};
+pub use issuer::{PermitGrant, PermitIssuer};
 
 /// How long a request that has another server looks for a permit: as long as
 /// an ask and its answer take.
-pub const PASSING_WANT_MS: u64 = 15;
+pub const REROUTABLE_WAIT_MS: u64 = 15;
 
 /// What a holder of permits tells its issuer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Ask {
+pub struct PermitRequest {
     /// When it was sent, in milliseconds of the holder's clock; orders its
     /// asks and the grants that answer them.
-    pub number: u64,
+    pub sent_ms: u64,
     /// Series of grants to which the totals belong; 0 before the first grant.
     pub series: u32,
     /// Requests that would be sent to the server now.
--- a/crates/routing/src/permits/stock.rs
+++ b/crates/routing/src/permits/holder.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::{Ask, Grant, PASSING_WANT_MS};
+use super::{PermitGrant, PermitRequest, REROUTABLE_WAIT_MS};
 
 /// How long a permit is kept for the next request.
 const KEPT_MS: u64 = 100;
@@ -29,7 +29,7 @@
 
 /// A request that would be sent to the server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Want {
+pub struct PermitDemand {
     /// Tells it from others.
     pub request: u64,
     /// Whether no other server takes it.
@@ -40,17 +40,17 @@
 
 /// Permits of one entry for one server.
 #[derive(Clone, Debug, Default)]
-pub struct PermitStock {
+pub struct PermitHolder {
     /// Who grants them.
     issuer: u64,
     /// Until when each may be used.
     kept_until_ms: VecDeque<u64>,
     granted: u64,
     /// The last ask, with the totals as they are now.
-    totals: Ask,
+    totals: PermitRequest,
     /// The last ask that was answered.
     answered: u64,
-    wants: BTreeMap<u64, (u64, Want)>,
+    wants: BTreeMap<u64, (u64, PermitDemand)>,
     has_new_want: bool,
     changed_ms: u64,
     is_untold: bool,
@@ -62,15 +62,15 @@
     pause_until_ms: u64,
 }
 
-impl PermitStock {
+impl PermitHolder {
     /// None are there.
-    pub fn new() -> PermitStock {
-        PermitStock::default()
+    pub fn new() -> PermitHolder {
+        PermitHolder::default()
     }
 
     /// Notes a request that would be sent if there were a permit; whether it
     /// is worth its while to look again in a moment.
-    pub fn want(&mut self, want: Want, now_ms: u64) -> bool {
+    pub fn add_demand(&mut self, want: PermitDemand, now_ms: u64) -> bool {
         let is_paused = !want.is_waiting && now_ms < self.pause_until_ms;
         if is_paused || self.wants.len() >= MOST_WANTS {
             return false;
@@ -88,7 +88,7 @@
     }
 
     /// Whether a request may be sent.
-    pub fn has_some(&mut self, now_ms: u64) -> bool {
+    pub fn has_permit(&mut self, now_ms: u64) -> bool {
         self.give_back(now_ms);
         !self.kept_until_ms.is_empty()
     }
@@ -108,20 +108,20 @@
     /// Takes what an issuer grants; what it granted before holds no more
     /// where it is another one, or counts anew. Where that is nothing, what
     /// has another server does not ask again for the pause.
-    pub fn hear(
+    pub fn apply_grant(
         &mut self,
         issuer: u64,
-        grant: Grant,
+        grant: PermitGrant,
         pause_ms: u64,
         now_ms: u64,
     ) {
-        let is_late = grant.answers < self.answered
-            || grant.answers.saturating_add(ANSWER_HOLDS_MS) < now_ms;
+        let is_late = grant.answered_ms < self.answered
+            || grant.answered_ms.saturating_add(ANSWER_HOLDS_MS) < now_ms;
         if is_late {
             return;
         }
-        self.answered = grant.answers;
-        self.change_issuer();
+        self.answered = grant.answered_ms;
+        self.reset_issuer();
         let is_new =
             (issuer, grant.series) != (self.issuer, self.totals.series);
         if is_new {
@@ -132,7 +132,7 @@
         for _ in 0..new.min(MOST_KEPT) {
             self.kept_until_ms.push_back(now_ms + KEPT_MS);
         }
-        if self.totals.wanted > 0 && !self.has_some(now_ms) {
+        if self.totals.wanted > 0 && !self.has_permit(now_ms) {
             self.pause_until_ms = now_ms + pause_ms;
         }
     }
@@ -141,16 +141,17 @@
         self.issuer = issuer;
         self.kept_until_ms.clear();
         self.granted = 0;
-        self.totals = Ask { series, used: 0, returned: 0, ..self.totals };
+        self.totals =
+            PermitRequest { series, used: 0, returned: 0, ..self.totals };
     }
 
     /// What is to be told now; none where nothing is wanted and all is told.
-    pub fn ask(&mut self, now_ms: u64) -> Option<Ask> {
+    pub fn next_request(&mut self, now_ms: u64) -> Option<PermitRequest> {
         self.give_back(now_ms);
-        let is_fresh = |at_ms: u64, want: &Want| {
+        let is_fresh = |at_ms: u64, want: &PermitDemand| {
             let holds_ms = match want.is_waiting {
                 true => WAITING_WANT_MS,
-                false => PASSING_WANT_MS,
+                false => REROUTABLE_WAIT_MS,
             };
             at_ms + holds_ms >= now_ms
         };
@@ -164,8 +165,8 @@
         self.unanswered += 1;
         let waiting = self.wants.values().filter(|want| want.1.is_waiting);
         let urgency = waiting.map(|want| want.1.urgency).min();
-        self.totals = Ask {
-            number: now_ms,
+        self.totals = PermitRequest {
+            sent_ms: now_ms,
             wanted: self.wants.len() as u32,
             is_waiting: urgency.is_some(),
             urgency: urgency.unwrap_or_default(),
@@ -182,7 +183,7 @@
             true if !is_telling => return false,
             _ => ASK_EVERY_MS,
         };
-        now_ms.saturating_sub(self.totals.number) >= every_ms
+        now_ms.saturating_sub(self.totals.sent_ms) >= every_ms
     }
 
     fn may_be_lost(&self) -> bool {
@@ -190,14 +191,14 @@
     }
 
     /// Whether the issuer does not answer.
-    pub fn is_unanswered(&self, now_ms: u64) -> bool {
+    pub fn is_issuer_unresponsive(&self, now_ms: u64) -> bool {
         let is_long = |at| now_ms.saturating_sub(at) >= UNANSWERED_MS;
         self.unanswered >= UNANSWERED_ASKS
             && self.unanswered_since_ms.is_some_and(is_long)
     }
 
     /// Another issuer is asked from now on.
-    pub fn change_issuer(&mut self) {
+    pub fn reset_issuer(&mut self) {
         self.unanswered_since_ms = None;
         self.unanswered = 0;
     }
--- a/crates/routing/src/permits/issuer.rs
+++ b/crates/routing/src/permits/issuer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Ask, PASSING_WANT_MS};
+use super::{PermitRequest, REROUTABLE_WAIT_MS};
 
 /// Share of the limit that is granted: what was granted before a span began
 /// is sent within it.
@@ -41,7 +41,7 @@
     series: u32,
     /// Series of which it told when that one began.
     series_before: u32,
-    ask: Ask,
+    ask: PermitRequest,
     asked_ms: u64,
     granted: u64,
     /// Of those, how many are no longer out.
@@ -54,9 +54,9 @@
 
 /// What a holder is told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Grant {
+pub struct PermitGrant {
     /// The last ask that was heard.
-    pub answers: u64,
+    pub answered_ms: u64,
     /// Series of which the total is.
     pub series: u32,
     /// Permits granted, in all.
@@ -69,7 +69,7 @@
     }
 
     /// Takes its totals; how many it gave back.
-    fn settle(&mut self, ask: &Ask) -> u64 {
+    fn settle(&mut self, ask: &PermitRequest) -> u64 {
         let told = ask.used.saturating_add(ask.returned).min(self.granted);
         let newly = told.saturating_sub(self.settled);
         let returned = ask.returned.saturating_sub(self.returned).min(newly);
@@ -90,7 +90,7 @@
     fn wants(&self, now_ms: u64) -> bool {
         let holds_ms = match self.ask.is_waiting {
             true => ASK_HOLDS_MS,
-            false => PASSING_WANT_MS,
+            false => REROUTABLE_WAIT_MS,
         };
         let is_fresh = now_ms.saturating_sub(self.asked_ms) <= holds_ms;
         is_fresh && u64::from(self.ask.wanted) > self.out()
@@ -120,12 +120,17 @@
 
     /// Takes what a holder tells. What is older than what it told before
     /// changes nothing.
-    pub fn hear(&mut self, holder: u64, ask: Ask, now_ms: u64) {
+    pub fn handle_request(
+        &mut self,
+        holder: u64,
+        ask: PermitRequest,
+        now_ms: u64,
+    ) {
         if self.holders.len() >= MOST_HOLDERS {
             *self = PermitIssuer::new(now_ms, &mut fastrand::Rng::new());
         }
         let known = self.holders.entry(holder).or_default();
-        if ask.number < known.ask.number {
+        if ask.sent_ms < known.ask.sent_ms {
             return;
         }
         let is_other = known.series == 0
@@ -149,7 +154,7 @@
     }
 
     /// Lets permits come at a rate, up to the burst.
-    pub fn fill(&mut self, limit_per_s: f64, now_ms: u64) {
+    pub fn refill(&mut self, limit_per_s: f64, now_ms: u64) {
         for holder in self.holders.values_mut() {
             if now_ms.saturating_sub(holder.asked_ms) > SILENT_MS {
                 holder.forget_out();
@@ -191,17 +196,17 @@
     }
 
     /// What a holder is told.
-    pub fn grant(&self, holder: u64) -> Grant {
+    pub fn grant_for(&self, holder: u64) -> PermitGrant {
         let holder = self.holders.get(&holder).copied().unwrap_or_default();
-        Grant {
-            answers: holder.ask.number,
+        PermitGrant {
+            answered_ms: holder.ask.sent_ms,
             series: holder.series,
             granted: holder.granted,
         }
     }
 
     /// Permits that are out, by holder.
-    pub fn out(&self) -> impl Iterator<Item = (u64, u64)> {
+    pub fn outstanding(&self) -> impl Iterator<Item = (u64, u64)> {
         let holders = self.holders.iter();
         holders.map(|(name, h)| (*name, h.out())).filter(|h| h.1 > 0)
     }
--- a/crates/routing/src/fair_refusal.rs
+++ b/crates/routing/src/push_error.rs
@@ -4,17 +4,17 @@
 
 /// An item that was not taken.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PushRefusal<T> {
+pub struct PushError<T> {
     /// What was pushed.
     pub item: T,
     /// Why it was not taken.
-    pub reason: PushRefusalReason,
+    pub reason: PushErrorReason,
 }
 
 /// Why an item was not taken.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[non_exhaustive]
-pub enum PushRefusalReason {
+pub enum PushErrorReason {
     /// The queue is full.
     Full {
         /// Work that is queued.
@@ -33,16 +33,16 @@
     Expired,
 }
 
-impl fmt::Display for PushRefusalReason {
+impl fmt::Display for PushErrorReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PushRefusalReason::Full { pending_tokens, limit_tokens } => {
+            PushErrorReason::Full { pending_tokens, limit_tokens } => {
                 write!(
                     f,
                     "the queue holds {pending_tokens} of {limit_tokens} tokens"
                 )
             }
-            PushRefusalReason::AccountFull {
+            PushErrorReason::AccountFull {
                 pending_tokens,
                 allowed_tokens,
             } => write!(
@@ -50,7 +50,7 @@
                 "the account holds {pending_tokens} of {allowed_tokens} \
                  tokens"
             ),
-            PushRefusalReason::Expired => f.write_str("the deadline passed"),
+            PushErrorReason::Expired => f.write_str("the deadline passed"),
         }
     }
 }
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! id is known.
 //!
 //! A request is known again by its [`Fingerprint`](crate::Fingerprint). What
-//! had only just begun when a server crashed is a suspect ([`RunStart`]).
+//! had only just begun when a server crashed is a suspect ([`RunProgress`]).
 //! A suspect runs in a trial ([`Trials`]): one copy of it at a time in the
 //! whole fleet, on a server where no other suspect is on trial. A run that
 //! lasts shows that it is harmless; crashes in trials send it to quarantine
@@ -16,13 +16,13 @@
 //! until it expires, and marks on them that are only ever set. So news may
 //! come in any order, twice, or through others.
 
-mod run_start;
+mod run_progress;
 mod suspects;
 mod trials;
 
-pub use run_start::RunStart;
+pub use run_progress::RunProgress;
 pub use suspects::{
-    CrashNews, MAX_SUSPECTS, QUARANTINE_CRASHES, QUARANTINE_MS, SuspectNews,
-    Suspects, Verdict,
+    CrashReport, MAX_SUSPECTS, QUARANTINE_CRASHES, QUARANTINE_MS,
+    SuspectReport, Suspects, Verdict,
 };
 pub use trials::{TRIAL_MS, Trials};
--- a/crates/routing/src/quarantine/run_start.rs
+++ b/crates/routing/src/quarantine/run_progress.rs
@@ -7,24 +7,24 @@
 
 /// The start of a run at a server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct RunStart {
+pub struct RunProgress {
     began_ms: Option<u64>,
     events: u64,
 }
 
-impl RunStart {
+impl RunProgress {
     /// A run that has not begun: it was sent on, or is queued.
-    pub fn new() -> RunStart {
-        RunStart::default()
+    pub fn new() -> RunProgress {
+        RunProgress::default()
     }
 
     /// The server has begun to answer.
-    pub fn note_begun(&mut self, now_ms: u64) {
+    pub fn record_start(&mut self, now_ms: u64) {
         self.began_ms = Some(now_ms);
     }
 
     /// An event of this run has come.
-    pub fn note_event(&mut self) {
+    pub fn record_event(&mut self) {
         self.events += 1;
     }
 
@@ -40,13 +40,13 @@
     }
 
     /// Whether it has lasted so long that it would have crashed its server.
-    pub fn has_lasted(&self, now_ms: u64) -> bool {
+    pub fn has_survived(&self, now_ms: u64) -> bool {
         let age_ms = self.age_ms(now_ms);
         age_ms.is_some_and(|ms| ms >= YOUNG_MS) && self.events >= YOUNG_EVENTS
     }
 
     /// Whether a crash of its server now may be its doing.
-    pub fn may_crash(&self, now_ms: u64) -> bool {
-        self.began_ms.is_some() && !self.has_lasted(now_ms)
+    pub fn may_have_crashed_server(&self, now_ms: u64) -> bool {
+        self.began_ms.is_some() && !self.has_survived(now_ms)
     }
 }
--- a/crates/routing/src/quarantine/suspects.rs
+++ b/crates/routing/src/quarantine/suspects.rs
@@ -41,7 +41,7 @@
 
 /// A crash as entries tell it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct CrashNews {
+pub struct CrashReport {
     /// Short hash of the server's start.
     pub server: u32,
     /// How long ago it was.
@@ -54,11 +54,11 @@
 
 /// What entries tell of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SuspectNews {
+pub struct SuspectReport {
     /// Which request.
     pub fingerprint: Fingerprint,
     /// Servers that crashed under it.
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// What may be done with a request.
@@ -178,15 +178,15 @@
         }
     }
 
-    fn news(&self, fingerprint: Fingerprint, now_ms: u64) -> SuspectNews {
-        let news = |(server, crash): (&u32, &Crash)| CrashNews {
+    fn news(&self, fingerprint: Fingerprint, now_ms: u64) -> SuspectReport {
+        let news = |(server, crash): (&u32, &Crash)| CrashReport {
             server: *server,
             age_ms: now_ms.saturating_sub(crash.at_ms),
             is_in_trial: crash.is_in_trial,
             is_void: crash.is_void,
         };
         let crashes = self.crashes.iter().map(news).collect();
-        SuspectNews { fingerprint, crashes }
+        SuspectReport { fingerprint, crashes }
     }
 }
 
@@ -255,7 +255,7 @@
     }
 
     /// A server crashed under a request; true if that is news.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         request: Fingerprint,
         server: u32,
@@ -283,8 +283,8 @@
     }
 
     /// Takes what another entry tells; true if something of it is news.
-    pub fn hear(&mut self, news: &SuspectNews, now_ms: u64) -> bool {
-        let crash = |told: &CrashNews| {
+    pub fn apply_report(&mut self, news: &SuspectReport, now_ms: u64) -> bool {
+        let crash = |told: &CrashReport| {
             let crash = Crash {
                 at_ms: now_ms.saturating_sub(told.age_ms),
                 is_in_trial: told.is_in_trial,
@@ -338,33 +338,33 @@
     }
 
     /// Forgets what has expired.
-    pub fn forget(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.requests.retain(|_, evidence| !evidence.is_expired(now_ms));
     }
 
     /// What is told of one request; none if nothing is known of it.
-    pub fn news_of(
+    pub fn report_of(
         &self,
         request: Fingerprint,
         now_ms: u64,
-    ) -> Option<SuspectNews> {
+    ) -> Option<SuspectReport> {
         let evidence = self.requests.get(&request)?;
         Some(evidence.news(request, now_ms))
     }
 
     /// What is told with the next message, of which each entry hears so many a
     /// second: news, and some older ones in turn that still matter.
-    pub fn news(
+    pub fn next_reports(
         &mut self,
         now_ms: u64,
         messages_per_s: f64,
         rng: &mut fastrand::Rng,
-    ) -> Vec<SuspectNews> {
+    ) -> Vec<SuspectReport> {
         let is_new = |evidence: &Evidence| {
             now_ms.saturating_sub(evidence.changed_ms) < NEWS_MS
         };
         let new = self.requests.iter().filter(|(_, e)| is_new(e));
-        let mut told: Vec<SuspectNews> =
+        let mut told: Vec<SuspectReport> =
             new.take(MAX_NEWS).map(|(r, e)| e.news(*r, now_ms)).collect();
         let from = self.next_told.unwrap_or(Fingerprint(0));
         let matters = |(_, evidence): &(&Fingerprint, &Evidence)| {
@@ -386,7 +386,7 @@
     }
 
     /// All that are remembered, for operators.
-    pub fn requests(&self) -> impl Iterator<Item = Fingerprint> {
+    pub fn fingerprints(&self) -> impl Iterator<Item = Fingerprint> {
         self.requests.keys().copied()
     }
 }
--- a/crates/routing/src/quarantine/trials.rs
+++ b/crates/routing/src/quarantine/trials.rs
@@ -43,7 +43,7 @@
     ) -> bool {
         self.forget(now_ms);
         let is_taken = self.by_request.contains_key(&request)
-            || self.servers(now_ms).contains(&server);
+            || self.servers_on_trial(now_ms).contains(&server);
         if is_taken {
             return false;
         }
@@ -52,7 +52,7 @@
     }
 
     /// Takes that another entry begins a trial.
-    pub fn hear(
+    pub fn apply_remote(
         &mut self,
         request: Fingerprint,
         server: u32,
@@ -89,7 +89,7 @@
     }
 
     /// Whether the trial of a request is this holder's.
-    pub fn is_held(
+    pub fn is_held_by(
         &self,
         request: Fingerprint,
         holder: u64,
@@ -108,7 +108,7 @@
     }
 
     /// Servers at which a suspect is on trial.
-    pub fn servers(&self, now_ms: u64) -> BTreeSet<u32> {
+    pub fn servers_on_trial(&self, now_ms: u64) -> BTreeSet<u32> {
         let open = self.by_request.values().filter(|t| now_ms < t.until_ms);
         open.map(|trial| trial.server).collect()
     }
--- a/crates/routing/src/server_limit.rs
+++ b/crates/routing/src/rate_limit.rs
@@ -11,13 +11,13 @@
 
 /// Lowest limit that is kept, in requests a second: of a server that gets
 /// nothing nobody would learn that its need is over.
-pub const LEAST_PER_S: f64 = 0.25;
+pub const MIN_PER_S: f64 = 0.25;
 /// Highest limit that is kept, beyond what any server takes.
 const MOST_PER_S: f64 = 1e6;
 
 /// A limit that was named.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NamedLimit {
+pub struct AnnouncedLimit {
     /// Requests a second.
     pub per_s: f64,
     /// When its answer was received, in milliseconds.
@@ -26,49 +26,49 @@
 
 /// What is known of a server's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ServerLimit {
-    named: Option<NamedLimit>,
-    unnamed_sent_ms: Option<u64>,
+pub struct ServerRateLimit {
+    named: Option<AnnouncedLimit>,
+    absent_sent_ms: Option<u64>,
 }
 
-impl ServerLimit {
+impl ServerRateLimit {
     /// No answer is known.
-    pub fn new() -> ServerLimit {
-        ServerLimit::default()
+    pub fn new() -> ServerRateLimit {
+        ServerRateLimit::default()
     }
 
     /// An answer named a limit. Of two that were received at the same time
     /// the lower counts, whichever comes to be known first.
-    pub fn note_named(&mut self, per_s: f64, received_ms: u64) {
-        let per_s = per_s.clamp(LEAST_PER_S, MOST_PER_S);
+    pub fn record_announced(&mut self, per_s: f64, received_ms: u64) {
+        let per_s = per_s.clamp(MIN_PER_S, MOST_PER_S);
         let is_newer = self.named.is_none_or(|old| {
             received_ms > old.received_ms
                 || (received_ms == old.received_ms && per_s < old.per_s)
         });
         if is_newer {
-            self.named = Some(NamedLimit { per_s, received_ms });
+            self.named = Some(AnnouncedLimit { per_s, received_ms });
         }
     }
 
     /// An answer to a request that was sent then named no limit.
-    pub fn note_unnamed(&mut self, sent_ms: u64) {
-        self.unnamed_sent_ms = self.unnamed_sent_ms.max(Some(sent_ms));
+    pub fn record_absent(&mut self, sent_ms: u64) {
+        self.absent_sent_ms = self.absent_sent_ms.max(Some(sent_ms));
     }
 
     /// The limit that was named last, also if it has ended.
-    pub fn last_named(&self) -> Option<NamedLimit> {
+    pub fn last_announced(&self) -> Option<AnnouncedLimit> {
         self.named
     }
 
     /// When the request of an answer without one was last sent.
-    pub fn unnamed_sent_ms(&self) -> Option<u64> {
-        self.unnamed_sent_ms
+    pub fn absent_sent_ms(&self) -> Option<u64> {
+        self.absent_sent_ms
     }
 
     /// The limit that holds.
-    pub fn in_force(&self) -> Option<NamedLimit> {
-        let is_over = |named: &NamedLimit| {
-            self.unnamed_sent_ms.is_some_and(|sent| sent > named.received_ms)
+    pub fn current(&self) -> Option<AnnouncedLimit> {
+        let is_over = |named: &AnnouncedLimit| {
+            self.absent_sent_ms.is_some_and(|sent| sent > named.received_ms)
         };
         self.named.filter(|named| !is_over(named))
     }
--- a/crates/routing/src/retry_window.rs
+++ b/crates/routing/src/retry_window.rs
@@ -27,35 +27,35 @@
 
 /// The bound that all entries share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBounds {
+pub struct RetryLimit {
     /// Further arrivals for each request.
     pub ratio: f64,
     /// Further arrivals that are free in each window.
-    pub slack: f64,
+    pub free_retries: f64,
     /// Length of the window.
     pub window_ms: u64,
 }
 
-impl RetryBounds {
+impl RetryLimit {
     /// Further arrivals for so many requests.
     fn of(&self, requests: f64) -> f64 {
-        self.slack + self.ratio * requests
+        self.free_retries + self.ratio * requests
     }
 }
 
 /// What an entry may use whatever the others do.
-fn own_part(bounds: &RetryBounds, entries: usize, sent: &Sent) -> f64 {
-    let slack = bounds.slack / entries.max(1) as f64;
+fn own_part(bounds: &RetryLimit, entries: usize, sent: &SentCounts) -> f64 {
+    let slack = bounds.free_retries / entries.max(1) as f64;
     OWN * (slack + bounds.ratio * f64::from(sent.requests))
 }
 
 /// What an entry sent to a service in the window.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Sent {
+pub struct SentCounts {
     /// Requests of clients.
     pub requests: u32,
     /// Further arrivals.
-    pub further: u32,
+    pub retries: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -80,22 +80,22 @@
     }
 
     /// Counts a request of a client.
-    pub fn note_request(&mut self, bounds: &RetryBounds, now_ms: u64) {
+    pub fn record_request(&mut self, bounds: &RetryLimit, now_ms: u64) {
         self.cell(bounds, now_ms).requests += 1;
     }
 
     /// Takes one further arrival, where there is one. `entries` share the
     /// bound; `others` is what each other one told, where all have.
-    pub fn take(
+    pub fn try_take(
         &mut self,
-        bounds: &RetryBounds,
+        bounds: &RetryLimit,
         entries: usize,
-        others: &[Sent],
+        others: &[SentCounts],
         now_ms: u64,
     ) -> bool {
-        let sent = self.sent(bounds, now_ms);
+        let sent = self.counts(bounds, now_ms);
         let own = own_part(bounds, entries, &sent);
-        let is_allowed = f64::from(sent.further) + 1.0 <= own
+        let is_allowed = f64::from(sent.retries) + 1.0 <= own
             || self.borrow(bounds, entries, others, now_ms);
         if is_allowed {
             self.cell(bounds, now_ms).further += 1;
@@ -104,44 +104,44 @@
     }
 
     /// Further arrivals that are left of the own part.
-    pub fn left(
+    pub fn remaining(
         &mut self,
-        bounds: &RetryBounds,
+        bounds: &RetryLimit,
         entries: usize,
         now_ms: u64,
     ) -> f64 {
-        let sent = self.sent(bounds, now_ms);
+        let sent = self.counts(bounds, now_ms);
         let own = own_part(bounds, entries, &sent);
-        (own - f64::from(sent.further)).max(0.0)
+        (own - f64::from(sent.retries)).max(0.0)
     }
 
     /// What was sent in the window.
-    pub fn sent(&mut self, bounds: &RetryBounds, now_ms: u64) -> Sent {
+    pub fn counts(&mut self, bounds: &RetryLimit, now_ms: u64) -> SentCounts {
         self.forget(bounds, now_ms);
-        Sent {
+        SentCounts {
             requests: self.cells.iter().map(|c| c.requests).sum(),
-            further: self.cells.iter().map(|c| c.further).sum(),
+            retries: self.cells.iter().map(|c| c.further).sum(),
         }
     }
 
     /// Takes one further arrival of the common part.
     fn borrow(
         &mut self,
-        bounds: &RetryBounds,
+        bounds: &RetryLimit,
         entries: usize,
-        others: &[Sent],
+        others: &[SentCounts],
         now_ms: u64,
     ) -> bool {
         // Without word of all others nothing is known to be left.
         if others.len() + 1 < entries {
             return false;
         }
-        let sent = self.sent(bounds, now_ms);
+        let sent = self.counts(bounds, now_ms);
         let all = || others.iter().chain([&sent]);
         let requests: u32 = all().map(|s| s.requests).sum();
         let common = COMMON * bounds.of(f64::from(requests));
-        let borrowed = |s: &Sent| {
-            (f64::from(s.further) - own_part(bounds, entries, s)).max(0.0)
+        let borrowed = |s: &SentCounts| {
+            (f64::from(s.retries) - own_part(bounds, entries, s)).max(0.0)
         };
         let left = common - all().map(borrowed).sum::<f64>();
         let part = BORROWED * left / entries.max(1) as f64;
@@ -155,7 +155,7 @@
         is_allowed
     }
 
-    fn cell(&mut self, bounds: &RetryBounds, now_ms: u64) -> &mut Cell {
+    fn cell(&mut self, bounds: &RetryLimit, now_ms: u64) -> &mut Cell {
         self.forget(bounds, now_ms);
         let start_ms = now_ms - now_ms % CELL_MS;
         if self.cells.back().is_none_or(|c| c.start_ms != start_ms) {
@@ -165,7 +165,7 @@
         self.cells.back_mut().expect("one was just added")
     }
 
-    fn forget(&mut self, bounds: &RetryBounds, now_ms: u64) {
+    fn forget(&mut self, bounds: &RetryLimit, now_ms: u64) {
         let kept_ms = bounds.window_ms + CELL_MS;
         while let Some(cell) = self.cells.front()
             && cell.start_ms + kept_ms < now_ms
--- a/crates/routing/src/turns.rs
+++ b/crates/routing/src/search_turns.rs
@@ -7,7 +7,7 @@
 //!
 //! A few turns are held at the same time, so that small requests go on
 //! beside a large one that waits for its room. Once a turn has lasted
-//! [`HELD_BACK_MS`], no further ones are granted: what becomes free then adds
+//! [`HOLD_BACK_AFTER_MS`], no further ones are granted: what becomes free then adds
 //! up for the request that has waited, which is the bound on starvation by
 //! size. The bound by urgency and by account is that of the queue.
 //!
@@ -18,24 +18,24 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    fair::FairQueue, fair_refusal::PushRefusalReason, priority::Priority,
+    fair_queue::FairQueue, priority::Priority, push_error::PushErrorReason,
 };
 
 /// Turns at the same time: enough for small requests to go on beside a large
 /// one, few enough that looking costs little.
-pub const MOST_TURNS: usize = 4;
+pub const MAX_TURNS: usize = 4;
 /// A turn that has lasted so long holds back further ones; a fifth of the
 /// longest wait, so that several large requests in a row get theirs.
-pub const HELD_BACK_MS: u64 = 300;
+pub const HOLD_BACK_AFTER_MS: u64 = 300;
 
 /// Nobody waits for so long before it counts as a break: a queue that lets in
 /// only what begins in time is empty now and then while more is asked for than
 /// fits.
-pub const BREAK_MS: u64 = 500;
+pub const IDLE_GAP_MS: u64 = 500;
 
 /// A request that asks for a turn.
 #[derive(Clone, Copy, Debug)]
-pub struct TurnNeed<'a> {
+pub struct TurnRequest<'a> {
     /// Whose it is.
     pub account: &'a str,
     /// How urgent it is.
@@ -43,9 +43,9 @@
     /// Tokens that it will hold.
     pub tokens: u64,
     /// Until when it can begin in time.
-    pub in_time_until_ms: u64,
+    pub start_by_ms: u64,
     /// When it stops waiting.
-    pub until_ms: u64,
+    pub wait_until_ms: u64,
 }
 
 /// A request that waits for a turn.
@@ -67,7 +67,7 @@
 
 /// Who seeks a path now, and who waits to.
 #[derive(Debug)]
-pub struct Turns {
+pub struct SearchTurns {
     /// Those that can begin in time.
     waiting: FairQueue<Waiter>,
     /// Those that can't any more.
@@ -79,10 +79,10 @@
     next_key: u64,
 }
 
-impl Turns {
+impl SearchTurns {
     /// Nobody waits; at most so many tokens may.
-    pub fn new(limit_tokens: u64) -> Turns {
-        Turns {
+    pub fn new(limit_tokens: u64) -> SearchTurns {
+        SearchTurns {
             waiting: FairQueue::new(limit_tokens),
             late: FairQueue::new(limit_tokens),
             busy_ms: None,
@@ -97,11 +97,11 @@
     }
 
     /// For how long somebody has sought or waited, without a break of
-    /// [`BREAK_MS`].
-    pub fn busy_for_ms(&self, now_ms: u64) -> u64 {
+    /// [`IDLE_GAP_MS`].
+    pub fn contended_for_ms(&self, now_ms: u64) -> u64 {
         let Some((since_ms, until_ms)) = self.busy_ms else { return 0 };
         let is_over =
-            self.is_idle() && now_ms.saturating_sub(until_ms) >= BREAK_MS;
+            self.is_idle() && now_ms.saturating_sub(until_ms) >= IDLE_GAP_MS;
         if is_over { 0 } else { now_ms.saturating_sub(since_ms) }
     }
 
@@ -124,19 +124,19 @@
     /// The queue has no room for it, or its time is over.
     pub fn try_join(
         &mut self,
-        need: &TurnNeed<'_>,
+        need: &TurnRequest<'_>,
         now_ms: u64,
-    ) -> Result<u64, PushRefusalReason> {
+    ) -> Result<u64, PushErrorReason> {
         let key = self.next_key;
         let waiter = Waiter {
             key,
             account: need.account.to_owned(),
             priority: need.priority,
             tokens: need.tokens,
-            until_ms: need.until_ms,
+            until_ms: need.wait_until_ms,
         };
-        let in_time_until_ms = need.in_time_until_ms.min(need.until_ms);
-        push(&mut self.waiting, waiter, in_time_until_ms, now_ms)?;
+        let start_by_ms = need.start_by_ms.min(need.wait_until_ms);
+        push(&mut self.waiting, waiter, start_by_ms, now_ms)?;
         self.next_key += 1;
         self.note_busy(now_ms);
         Ok(key)
@@ -167,7 +167,7 @@
 
     /// Somebody seeks or waits now.
     fn note_busy(&mut self, now_ms: u64) {
-        let since_ms = now_ms - self.busy_for_ms(now_ms);
+        let since_ms = now_ms - self.contended_for_ms(now_ms);
         self.busy_ms = Some((since_ms, now_ms));
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Ends a turn, or the wait for one.
-    pub fn end(&mut self, key: u64) {
+    pub fn leave(&mut self, key: u64) {
         if self.held.remove(&key).is_none() {
             self.waiting.remove(|waiter| waiter.key == key);
             self.late.remove(|waiter| waiter.key == key);
@@ -186,9 +186,10 @@
     }
 
     fn may_grant(&self, now_ms: u64) -> bool {
-        let is_old =
-            |held: &Held| now_ms.saturating_sub(held.since_ms) >= HELD_BACK_MS;
-        self.held.len() < MOST_TURNS && !self.held.values().any(is_old)
+        let is_old = |held: &Held| {
+            now_ms.saturating_sub(held.since_ms) >= HOLD_BACK_AFTER_MS
+        };
+        self.held.len() < MAX_TURNS && !self.held.values().any(is_old)
     }
 }
 
@@ -197,7 +198,7 @@
     waiter: Waiter,
     until_ms: u64,
     now_ms: u64,
-) -> Result<(), PushRefusalReason> {
+) -> Result<(), PushErrorReason> {
     let account = waiter.account.clone();
     let (priority, tokens) = (waiter.priority, waiter.tokens);
     queue
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/slot_queue.rs
@@ -8,28 +8,28 @@
 //!
 //! The places of a backend server, the fair queue before them and the learned
 //! speed, in one. A request waits at the first stage of its chain, and at a
-//! later one for a while ([`Gate::offer_later`]). A request that waits holds
+//! later one for a while ([`SlotQueue::request_later_stage`]). A request that waits holds
 //! its earlier stages, so a chain has to ask its stages in the order of their
 //! layers: then whoever waits holds only servers with lower first layers, and
 //! no two requests can wait for each other.
 //!
-//! [`Gate::try_take`] takes or refuses instead, so that all later stages could
+//! [`SlotQueue::try_acquire`] takes or refuses instead, so that all later stages could
 //! be asked at the same time; only the benchmark of decisions uses it, to
 //! compare the two ways.
 
 use crate::{
-    admission::{self, Speed},
-    drain::Drain,
-    fair::FairQueue,
+    admission::{self, LearnedSpeed},
+    drain_rate::DrainRate,
+    fair_queue::FairQueue,
     shape::Shape,
 };
 
 /// Longest wait for a later stage: the earlier ones stand idle meanwhile.
-pub const LATER_WAIT_LIMIT_MS: u64 = 500;
+pub const LATER_STAGE_MAX_WAIT_MS: u64 = 500;
 
 /// What the manifest says of a backend server's size.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Places {
+pub struct ServerCapacity {
     /// Requests it runs at once.
     pub max_running: u32,
     /// First guess through its own layers.
@@ -38,16 +38,16 @@
     pub output_tokens_per_s: f64,
 }
 
-impl Places {
-    fn speed(&self) -> Speed {
-        Speed::new(self.prompt_tokens_per_s, self.output_tokens_per_s)
-            .places(self.max_running)
+impl ServerCapacity {
+    fn speed(&self) -> LearnedSpeed {
+        LearnedSpeed::new(self.prompt_tokens_per_s, self.output_tokens_per_s)
+            .slots(self.max_running)
     }
 }
 
 /// A request for a place.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct SlotRequest<'a> {
     /// Whose it is.
     pub account: &'a str,
     /// What it takes.
@@ -62,7 +62,7 @@
 
 /// What became of a request at the gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Offer {
+pub enum SlotAdmission {
     /// It holds a place.
     Admitted,
     /// It waits for a place.
@@ -81,7 +81,7 @@
 
 /// Load of a gate.
 #[derive(Clone, Copy, Debug)]
-pub struct GateLoad {
+pub struct SlotQueueLoad {
     /// Requests that hold a place.
     pub running: u32,
     /// Requests that wait for one.
@@ -98,31 +98,31 @@
 
 /// Places and queue of one backend server; used by one thread at a time.
 #[derive(Debug)]
-pub struct Gate<T> {
+pub struct SlotQueue<T> {
     running: u32,
-    places: Places,
+    places: ServerCapacity,
     running_tokens: u64,
     queue: FairQueue<T>,
-    speed: Speed,
-    drain: Drain,
+    speed: LearnedSpeed,
+    drain: DrainRate,
 }
 
-impl<T> Gate<T> {
-    /// A gate without places; see [`Gate::set_places`].
-    pub fn new(queue_limit_tokens: u64) -> Gate<T> {
-        Gate {
+impl<T> SlotQueue<T> {
+    /// A gate without places; see [`SlotQueue::set_capacity`].
+    pub fn new(queue_limit_tokens: u64) -> SlotQueue<T> {
+        SlotQueue {
             running: 0,
-            places: Places::default(),
+            places: ServerCapacity::default(),
             running_tokens: 0,
             queue: FairQueue::new(queue_limit_tokens),
-            speed: Places::default().speed(),
-            drain: Drain::default(),
+            speed: ServerCapacity::default().speed(),
+            drain: DrainRate::default(),
         }
     }
 
     /// Sets the count of places and the first guess of the speed. What has
     /// been learned is kept while neither changes.
-    pub fn set_places(&mut self, places: Places) {
+    pub fn set_capacity(&mut self, places: ServerCapacity) {
         if self.places != places {
             self.speed = places.speed();
             self.places = places;
@@ -135,23 +135,23 @@
     }
 
     /// Gives a request a place, lets it wait or refuses it.
-    pub fn offer(
+    pub fn request(
         &mut self,
-        asked: &Asked<'_>,
+        asked: &SlotRequest<'_>,
         item: T,
         now_ms: u64,
         rng: &mut fastrand::Rng,
-    ) -> Offer {
+    ) -> SlotAdmission {
         let run_ms = self.run_ms(asked);
         let wait_ms = self.wait_ms_of(asked);
         let rest_ms = asked.deadline_at_ms.saturating_sub(now_ms);
         if admission::can_finish(run_ms, wait_ms, rest_ms).is_err() {
             let retry_after_ms = self.retry_after_ms(rng);
-            return Offer::TooLate { retry_after_ms };
+            return SlotAdmission::TooLate { retry_after_ms };
         }
         if self.running < self.places.max_running && self.queue.is_empty() {
             self.take(asked.cost_tokens);
-            return Offer::Admitted;
+            return SlotAdmission::Admitted;
         }
         let pushed = self.queue.push(
             asked.account,
@@ -162,14 +162,16 @@
             now_ms,
         );
         match pushed {
-            Ok(()) => Offer::Queued,
-            Err(_) => Offer::Full { retry_after_ms: self.retry_after_ms(rng) },
+            Ok(()) => SlotAdmission::Queued,
+            Err(_) => SlotAdmission::Full {
+                retry_after_ms: self.retry_after_ms(rng),
+            },
         }
     }
 
     /// Takes a place for a later stage; the time until one is expected if
     /// there is none.
-    pub fn try_take(
+    pub fn try_acquire(
         &mut self,
         cost_tokens: u64,
         rng: &mut fastrand::Rng,
@@ -182,22 +184,24 @@
     }
 
     /// Gives a request that holds its earlier stages a place, lets it wait
-    /// for up to [`LATER_WAIT_LIMIT_MS`] or refuses it.
-    pub fn offer_later(
+    /// for up to [`LATER_STAGE_MAX_WAIT_MS`] or refuses it.
+    pub fn request_later_stage(
         &mut self,
-        asked: &Asked<'_>,
+        asked: &SlotRequest<'_>,
         item: T,
         now_ms: u64,
         rng: &mut fastrand::Rng,
-    ) -> Offer {
-        if self.wait_ms_of(asked) > LATER_WAIT_LIMIT_MS {
-            return Offer::Full { retry_after_ms: self.retry_after_ms(rng) };
+    ) -> SlotAdmission {
+        if self.wait_ms_of(asked) > LATER_STAGE_MAX_WAIT_MS {
+            return SlotAdmission::Full {
+                retry_after_ms: self.retry_after_ms(rng),
+            };
         }
-        self.offer(asked, item, now_ms, rng)
+        self.request(asked, item, now_ms, rng)
     }
 
     /// Gives a place back; what waited and may run now, if any.
-    pub fn give_back(&mut self, cost_tokens: u64, now_ms: u64) -> Option<T> {
+    pub fn release(&mut self, cost_tokens: u64, now_ms: u64) -> Option<T> {
         self.drain.note(cost_tokens, !self.queue.is_empty(), now_ms);
         self.running = self.running.saturating_sub(1);
         self.running_tokens = self.running_tokens.saturating_sub(cost_tokens);
@@ -235,8 +239,8 @@
     }
 
     /// Load at this moment.
-    pub fn load(&self) -> GateLoad {
-        GateLoad {
+    pub fn load(&self) -> SlotQueueLoad {
+        SlotQueueLoad {
             running: self.running,
             queued: self.queue.len() as u32,
             pending_tokens: self.queue.pending_tokens() + self.running_tokens,
@@ -252,7 +256,7 @@
     }
 
     /// Time that a request takes over all stages of its chain.
-    fn run_ms(&self, asked: &Asked<'_>) -> u64 {
+    fn run_ms(&self, asked: &SlotRequest<'_>) -> u64 {
         let places = f64::from(self.places.max_running.max(1));
         let in_use = f64::from(self.running) / places;
         let stage_ms = admission::run_ms(asked.shape, &self.speed, in_use);
@@ -260,8 +264,8 @@
     }
 
     /// Wait of a request, behind its account's own and its share of others.
-    fn wait_ms_of(&self, asked: &Asked<'_>) -> u64 {
-        let Asked { account, cost_tokens, .. } = *asked;
+    fn wait_ms_of(&self, asked: &SlotRequest<'_>) -> u64 {
+        let SlotRequest { account, cost_tokens, .. } = *asked;
         self.wait_behind_ms(self.queue.tokens_before(account, cost_tokens))
     }
 
--- a/crates/routing/src/pause_look.rs
+++ b/crates/routing/src/stall_check.rs
@@ -21,27 +21,27 @@
 
 /// Pauses of the streams of a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PauseLook {
+pub struct StallCheck {
     least_ms: u64,
 }
 
-impl PauseLook {
+impl StallCheck {
     /// Of a route with this longest pause that is in time, in milliseconds.
-    pub fn new(gap_target_ms: Option<u64>) -> PauseLook {
+    pub fn new(gap_target_ms: Option<u64>) -> StallCheck {
         let part = |target_ms: u64| (target_ms as f64 * LOOK_SHARE) as u64;
         let (least_ms, most_ms) = LEAST_LOOK_MS;
         let part_ms = gap_target_ms.map_or(most_ms, part);
-        PauseLook { least_ms: part_ms.clamp(least_ms, most_ms) }
+        StallCheck { least_ms: part_ms.clamp(least_ms, most_ms) }
     }
 
     /// The shortest pause that is worth a look.
-    pub fn least_ms(&self) -> u64 {
+    pub fn min_gap_ms(&self) -> u64 {
         self.least_ms
     }
 
     /// The pause from which on a stream that makes usual ones of so many
     /// milliseconds is looked at.
-    pub fn after_ms(&self, usual_gap_ms: f64) -> u64 {
+    pub fn gap_ms(&self, usual_gap_ms: f64) -> u64 {
         let look_ms = LOOK_FACTOR * usual_gap_ms + LOOK_SLACK_MS;
         (look_ms as u64).clamp(self.least_ms, MOST_LOOK_MS)
     }
--- a/crates/routing/src/first_read.rs
+++ b/crates/routing/src/startup_wait.rs
@@ -15,24 +15,24 @@
 
 /// What an entry without a configuration knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct FirstRead {
+pub struct StartupWait {
     /// Time since the entry started.
-    pub age_ms: u64,
+    pub uptime_ms: u64,
     /// Whether the store has failed to answer.
-    pub is_store_lost: bool,
+    pub is_store_unavailable: bool,
     /// Time that the client still waits.
-    pub client_left_ms: u64,
+    pub client_remaining_ms: u64,
 }
 
-impl FirstRead {
+impl StartupWait {
     /// How long the request waits, in milliseconds; none if it is to be
     /// refused at once.
-    pub fn wait_ms(&self) -> Option<u64> {
-        if self.is_store_lost {
+    pub fn max_wait_ms(&self) -> Option<u64> {
+        if self.is_store_unavailable {
             return None;
         }
-        let left_ms = LONGEST_MS.saturating_sub(self.age_ms);
-        let wait_ms = left_ms.min(self.client_left_ms / CLIENT_SHARE);
+        let left_ms = LONGEST_MS.saturating_sub(self.uptime_ms);
+        let wait_ms = left_ms.min(self.client_remaining_ms / CLIENT_SHARE);
         (wait_ms > 0).then_some(wait_ms)
     }
 }
--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chestnutreach_routing::{Attempts, Counted};
+use chestnutreach_routing::{Attempts, CountedBackends};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -46,7 +46,7 @@
 struct Case {
     may_repeat: bool,
     most: usize,
-    counted: Counted,
+    counted: CountedBackends,
     steps: Vec<Step>,
 }
 
@@ -57,7 +57,7 @@
     let mut ran_at: BTreeSet<usize> = BTreeSet::new();
     let mut handed: BTreeMap<usize, u32> = BTreeMap::new();
     for step in &case.steps {
-        let may_go_on = attempts.may_go_on()
+        let may_go_on = attempts.may_retry()
             || variant == Variant::NoBound
                 && (case.may_repeat || !attempts.may_have_run());
         if !may_go_on {
@@ -75,13 +75,13 @@
         if step.fate == Fate::Refused
             || is_lost && variant == Variant::LostIsRefused
         {
-            attempts.did_not_run();
+            attempts.record_not_run();
         }
         if step.ends {
-            attempts.has_ended(&name);
+            attempts.record_backend_exit(&name);
             ran_at.remove(&step.backend);
         } else if variant == Variant::EndsAreForeseen && is_lost {
-            attempts.has_ended(&name);
+            attempts.record_backend_exit(&name);
         }
     }
     if !case.may_repeat && runs > 1 {
@@ -91,8 +91,8 @@
         return Err("it ran and may not have".to_owned());
     }
     let counted = match case.counted {
-        Counted::Handed => handed.len(),
-        Counted::MayHaveRun => ran_at.len(),
+        CountedBackends::Contacted => handed.len(),
+        CountedBackends::MayHaveRun => ran_at.len(),
     };
     if counted > case.most {
         return Err(format!(
@@ -112,8 +112,10 @@
     ]);
     let step = (0..BACKENDS, fate, prop::bool::weighted(0.2))
         .prop_map(|(backend, fate, ends)| Step { backend, fate, ends });
-    let counted =
-        prop::sample::select(vec![Counted::Handed, Counted::MayHaveRun]);
+    let counted = prop::sample::select(vec![
+        CountedBackends::Contacted,
+        CountedBackends::MayHaveRun,
+    ]);
     let steps = prop::collection::vec(step, 1..12);
     (any::<bool>(), 1_usize..4, counted, steps).prop_map(
         |(may_repeat, most, counted, steps)| Case {
@@ -158,18 +160,18 @@
 
 #[test]
 fn a_backend_that_refuses_again_does_not_count() {
-    let mut attempts = Attempts::new(true, 1, Counted::MayHaveRun);
+    let mut attempts = Attempts::new(true, 1, CountedBackends::MayHaveRun);
     attempts.begin("a");
-    attempts.did_not_run();
-    assert!(attempts.may_go_on());
+    attempts.record_not_run();
+    assert!(attempts.may_retry());
     assert!(!attempts.may_have_run());
     attempts.begin("a");
     // It may have run there, and a refusal of the next one changes nothing.
-    assert!(!attempts.may_go_on());
-    attempts.has_ended("a");
+    assert!(!attempts.may_retry());
+    attempts.record_backend_exit("a");
     attempts.begin("b");
-    attempts.did_not_run();
+    attempts.record_not_run();
     assert!(attempts.may_have_run());
-    assert!(attempts.may_go_on());
-    assert_eq!(attempts.made(), 3);
+    assert!(attempts.may_retry());
+    assert_eq!(attempts.count(), 3);
 }
--- a/crates/routing/tests/room_wait.rs
+++ b/crates/routing/tests/capacity_wait.rs
@@ -3,8 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use chestnutreach_routing::{
-    Priority, RoomNeed, RoomWait, RoomWaits, TurnNeed, Turns,
-    room_wait::{LONGEST_WAIT_MS, PEAK_MS},
+    CapacityRequest, CapacityWait, CapacityWaits, Priority, SearchTurns,
+    TurnRequest,
+    capacity_wait::{MAX_WAIT_MS, PEAK_MS},
 };
 use rstest::rstest;
 
@@ -23,7 +24,7 @@
 /// Who may wait.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Way {
-    /// As decided by [`RoomWaits`].
+    /// As decided by [`CapacityWaits`].
     InTime,
     /// All, for as long as clients stay.
     All,
@@ -61,8 +62,8 @@
 
 struct World {
     way: Way,
-    turns: Turns,
-    waits: RoomWaits,
+    turns: SearchTurns,
+    waits: CapacityWaits,
     waiting: Vec<Waiting>,
     running: VecDeque<(u64, u64)>,
     figures: Figures,
@@ -85,7 +86,7 @@
         now_ms: u64,
     ) {
         self.running.push_back((now_ms + RUNS_MS, tokens));
-        self.waits.begin(&account.to_string(), tokens, now_ms);
+        self.waits.record_start(&account.to_string(), tokens, now_ms);
         match waited_ms <= IN_TIME_MS {
             true => {
                 self.figures.in_time += 1;
@@ -98,23 +99,23 @@
     fn ask(&mut self, account: usize, tokens: u64, now_ms: u64) {
         self.figures.asked += 1;
         self.figures.by_account.entry(account).or_default().0 += 1;
-        self.waits.ask(&account.to_string(), tokens, now_ms);
+        self.waits.record_request(&account.to_string(), tokens, now_ms);
         if self.turns.is_idle() && self.has_room(tokens) {
             return self.run(account, tokens, 0, now_ms);
         }
         let name = account.to_string();
-        let need = RoomNeed {
+        let need = CapacityRequest {
             account: &name,
             tokens,
             tokens_before: self.turns.tokens_before(&name, tokens),
-            in_time_ms: IN_TIME_MS,
-            waited_for_ms: self.turns.busy_for_ms(now_ms),
+            start_within_ms: IN_TIME_MS,
+            contended_for_ms: self.turns.contended_for_ms(now_ms),
         };
         let wait = match self.way {
-            Way::InTime => self.waits.wait(&need, now_ms),
-            Way::All => RoomWait::UpTo(LONGEST_WAIT_MS),
+            Way::InTime => self.waits.decide(&need, now_ms),
+            Way::All => CapacityWait::UpTo(MAX_WAIT_MS),
         };
-        let RoomWait::UpTo(wait_ms) = wait else {
+        let CapacityWait::UpTo(wait_ms) = wait else {
             self.figures.refused_after_ms.push(0);
             return;
         };
@@ -123,12 +124,12 @@
             Way::InTime => IN_TIME_MS,
             Way::All => wait_ms,
         };
-        let need = TurnNeed {
+        let need = TurnRequest {
             account: &name,
             priority: Priority::Normal,
             tokens,
-            in_time_until_ms: now_ms + in_time_ms,
-            until_ms,
+            start_by_ms: now_ms + in_time_ms,
+            wait_until_ms: until_ms,
         };
         let key = self.turns.try_join(&need, now_ms).expect("there is room");
         self.waiting.push(Waiting {
@@ -146,10 +147,10 @@
             && end_ms <= now_ms
         {
             self.running.pop_front();
-            self.waits.end(tokens);
+            self.waits.record_end(tokens);
         }
         for waiting in self.waiting.extract_if(.., |w| w.until_ms <= now_ms) {
-            self.turns.end(waiting.key);
+            self.turns.leave(waiting.key);
             let held_ms = now_ms - waiting.since_ms;
             self.figures.refused_after_ms.push(held_ms);
         }
@@ -163,7 +164,7 @@
                 return;
             };
             let next = self.waiting.swap_remove(next);
-            self.turns.end(next.key);
+            self.turns.leave(next.key);
             let waited_ms = now_ms - next.since_ms;
             self.run(next.account, next.tokens, waited_ms, now_ms);
         }
@@ -175,8 +176,8 @@
     let mut rng = fastrand::Rng::with_seed(load.seed);
     let mut world = World {
         way,
-        turns: Turns::new(LIMIT_TOKENS),
-        waits: RoomWaits::new(),
+        turns: SearchTurns::new(LIMIT_TOKENS),
+        waits: CapacityWaits::new(),
         waiting: Vec::new(),
         running: VecDeque::new(),
         figures: Figures::default(),
@@ -259,17 +260,17 @@
 
 #[test]
 fn who_is_refused_comes_back_spread_over_what_runs() {
-    let mut waits = RoomWaits::new();
+    let mut waits = CapacityWaits::new();
     let mut rng = fastrand::Rng::with_seed(8);
     // 20 requests of 1,000 tokens a second that run for 1.5 s.
     for number in 0..60 {
-        waits.begin("a", 1_000, number * 50);
+        waits.record_start("a", 1_000, number * 50);
         if number >= 30 {
-            waits.end(1_000);
+            waits.record_end(1_000);
         }
     }
     let times: Vec<u64> =
-        (0..1_000).map(|_| waits.come_back_ms(3_000, &mut rng)).collect();
+        (0..1_000).map(|_| waits.retry_after_ms(3_000, &mut rng)).collect();
     assert!(times.iter().all(|ms| (1_400..=3_200).contains(ms)), "{times:?}");
     let tenths = times.iter().fold([0; 10], |mut tenths, ms| {
         tenths[(ms.saturating_sub(1_430) / 150).min(9) as usize] += 1;
@@ -280,15 +281,15 @@
 
 #[test]
 fn nothing_that_begins_is_expected_to_come_where_nothing_runs() {
-    let mut waits = RoomWaits::new();
-    let need = RoomNeed {
+    let mut waits = CapacityWaits::new();
+    let need = CapacityRequest {
         account: "a",
         tokens: 1_000,
         tokens_before: 0,
-        in_time_ms: IN_TIME_MS,
-        waited_for_ms: PEAK_MS,
+        start_within_ms: IN_TIME_MS,
+        contended_for_ms: PEAK_MS,
     };
-    assert_eq!(waits.wait(&need, 5_000), RoomWait::Refused(None));
-    let need = RoomNeed { waited_for_ms: PEAK_MS - 1, ..need };
-    assert_eq!(waits.wait(&need, 5_000), RoomWait::UpTo(LONGEST_WAIT_MS));
+    assert_eq!(waits.decide(&need, 5_000), CapacityWait::Refused(None));
+    let need = CapacityRequest { contended_for_ms: PEAK_MS - 1, ..need };
+    assert_eq!(waits.decide(&need, 5_000), CapacityWait::UpTo(MAX_WAIT_MS));
 }
--- a/crates/routing/tests/rest_wait.rs
+++ b/crates/routing/tests/cooldown_wait.rs
@@ -1,6 +1,6 @@
 //! Requests that only find servers at rest.
 
-use chestnutreach_routing::{RestWait, rest_wait};
+use chestnutreach_routing::{CooldownWait, cooldown_wait};
 use proptest::prelude::*;
 
 proptest! {
@@ -11,9 +11,9 @@
         seed in any::<u64>(),
     ) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        match rest_wait(ready_in_ms, may_wait_ms, &mut rng) {
-            RestWait::Waits => prop_assert!(ready_in_ms <= may_wait_ms),
-            RestWait::Refused(ms) => {
+        match cooldown_wait(ready_in_ms, may_wait_ms, &mut rng) {
+            CooldownWait::Wait => prop_assert!(ready_in_ms <= may_wait_ms),
+            CooldownWait::Refuse(ms) => {
                 prop_assert!(ready_in_ms > may_wait_ms);
                 prop_assert!((ready_in_ms..=ready_in_ms + 1_000).contains(&ms));
             }
@@ -28,7 +28,8 @@
     let mut rng = fastrand::Rng::with_seed(4);
     let mut counts = [0; 40];
     for _ in 0..100 {
-        let RestWait::Refused(ms) = rest_wait(3_000, 1_500, &mut rng) else {
+        let CooldownWait::Refuse(ms) = cooldown_wait(3_000, 1_500, &mut rng)
+        else {
             panic!("a rest of 3 s is longer than 1.5 s");
         };
         counts[(ms / 100) as usize] += 1;
--- a/crates/routing/tests/fair.rs
+++ b/crates/routing/tests/fair_queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnutreach_routing::{FairQueue, Popped, Priority, PushRefusalReason};
+use chestnutreach_routing::{FairQueue, Popped, Priority, PushErrorReason};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -254,12 +254,12 @@
             refusal.reason
         })
     };
-    assert_eq!(push("a", 10, 50), Err(PushRefusalReason::Expired));
+    assert_eq!(push("a", 10, 50), Err(PushErrorReason::Expired));
     assert_eq!(push("a", 900, 60), Ok(()));
     let full =
-        PushRefusalReason::Full { pending_tokens: 900, limit_tokens: 1_000 };
+        PushErrorReason::Full { pending_tokens: 900, limit_tokens: 1_000 };
     assert_eq!(push("b", 101, 60), Err(full));
-    let account_full = PushRefusalReason::AccountFull {
+    let account_full = PushErrorReason::AccountFull {
         pending_tokens: 900,
         allowed_tokens: 800,
     };
--- a/crates/routing/tests/first_wait.rs
+++ b/crates/routing/tests/first_event_wait.rs
@@ -1,6 +1,6 @@
 //! When a stream without an event is overdue.
 
-use chestnutreach_routing::FirstWaits;
+use chestnutreach_routing::FirstEventWaits;
 use rstest::rstest;
 
 const LEAST_MS: u64 = 350;
@@ -55,9 +55,9 @@
     now_ms: 2_400, is_overdue: false,
 })]
 fn a_stream_is_overdue(#[case] case: Case) {
-    let mut waits = FirstWaits::new();
+    let mut waits = FirstEventWaits::new();
     for (sent_ms, waited_ms) in case.begun {
-        waits.note(*sent_ms, sent_ms + waited_ms);
+        waits.record(*sent_ms, sent_ms + waited_ms);
     }
     let is_overdue = waits.is_overdue(1_000, LEAST_MS, case.now_ms);
     assert_eq!(is_overdue, case.is_overdue, "{}", case.name);
--- a/crates/routing/tests/guards.rs
+++ b/crates/routing/tests/guards.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use chestnutreach_routing::{
-    Health, HealthState, Live, Mix, Presence, RetryBudget, Shape, Speed,
-    admission::run_ms, can_finish, expected_wait_ms, health, retry,
-    retry_after_ms, throughput_bound,
+    Health, HealthState, LearnedSpeed, Live, Mix, Presence, RetryBudget,
+    Shape, admission::run_ms, can_finish, expected_wait_ms, health,
+    retry_after_ms, retry_budget, throughput_bound,
 };
 use common::{fleet, numbered, serving, spec};
 use rstest::rstest;
@@ -20,24 +20,24 @@
     let (mut requests, mut retries) = (0_u64, 0_u64);
     for _ in 0..20_000 {
         if rng.bool() {
-            budget.note_request();
+            budget.record_request();
             requests += 1;
         }
         // Everything fails: ask for more than there is.
         for _ in 0..rng.u32(0..3) {
-            retries += u64::from(budget.take());
+            retries += u64::from(budget.try_take());
         }
         let earned = requests * u64::from(percent) / 100;
-        assert!(retries <= retry::FLOOR_ATTEMPTS + earned);
+        assert!(retries <= retry_budget::INITIAL_RETRIES + earned);
     }
 }
 
 #[test]
 fn a_calm_hour_does_not_pay_for_a_storm() {
     let budget = RetryBudget::new(100);
-    (0..100_000).for_each(|_| budget.note_request());
-    let retries = (0..100_000).filter(|_| budget.take()).count() as u64;
-    assert_eq!(retries, retry::CAPACITY_ATTEMPTS);
+    (0..100_000).for_each(|_| budget.record_request());
+    let retries = (0..100_000).filter(|_| budget.try_take()).count() as u64;
+    assert_eq!(retries, retry_budget::MAX_RETRIES);
 }
 
 #[test]
@@ -86,9 +86,9 @@
 
 #[test]
 fn admission_follows_the_learned_speed() {
-    let mut speed = Speed::new(1_000.0, 100.0).places(4);
+    let mut speed = LearnedSpeed::new(1_000.0, 100.0).slots(4);
     let shape = Shape::new(1_000, 100);
-    let alone_ms = |speed: &Speed| run_ms(&shape, speed, 0.0);
+    let alone_ms = |speed: &LearnedSpeed| run_ms(&shape, speed, 0.0);
     assert_eq!(expected_wait_ms(1_000, &speed), 10_000);
     // 1 s of prompt and 100 steps of 20 ms on an empty server.
     assert_eq!(can_finish(alone_ms(&speed), 0, 3_000), Ok(()));
@@ -143,7 +143,7 @@
     least_long_prompt_per_s: 100_000.0,
 })]
 fn few_requests_do_not_make_a_server_look_slow(#[case] case: LearnedCase) {
-    let mut speed = Speed::new(100_000.0, 2_000.0).places(32);
+    let mut speed = LearnedSpeed::new(100_000.0, 2_000.0).slots(32);
     for _ in 0..200 {
         speed.learn_step(0, case.batch, case.held, case.step_ms);
         let tokens = case.prompt_tokens;
@@ -158,7 +158,7 @@
 /// A full stage of a chain of two has half of its tokens elsewhere.
 #[test]
 fn a_stage_of_a_chain_does_not_look_faster_than_it_is() {
-    let mut speed = Speed::new(100_000.0, 2_000.0).places(32);
+    let mut speed = LearnedSpeed::new(100_000.0, 2_000.0).slots(32);
     for _ in 0..200 {
         speed.learn_step(0, 16, 32, 8.0);
     }
@@ -168,7 +168,7 @@
 
 #[test]
 fn refused_callers_come_back_apart() {
-    let speed = Speed::new(1_000.0, 100.0);
+    let speed = LearnedSpeed::new(1_000.0, 100.0);
     let mut rng = fastrand::Rng::with_seed(2);
     let mut times_ms: Vec<u64> =
         (0..200).map(|_| retry_after_ms(2_000, &speed, &mut rng)).collect();
