--- a/crates/routing/tests/permits.rs
+++ b/crates/routing/tests/permits.rs
@@ -6,8 +6,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chestnutreach_membership::issuer::View;
-use chestnutreach_routing::{Ask, Grant, PermitIssuer, PermitStock, Want};
+use chestnutreach_membership::issuer::IssuerView;
+use chestnutreach_routing::{
+    PermitDemand, PermitGrant, PermitHolder, PermitIssuer, PermitRequest,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -67,13 +69,13 @@
 #[derive(Clone, Debug)]
 enum Message {
     State { choice: u64 },
-    Ask(Ask),
-    Grant(Grant),
+    Ask(PermitRequest),
+    Grant(PermitGrant),
 }
 
 struct Entry {
     boot_id: u64,
-    stock: PermitStock,
+    stock: PermitHolder,
     issuer: Option<PermitIssuer>,
     choice: u64,
     avoided: Option<(u64, u64)>,
@@ -100,7 +102,7 @@
         let mut rng = fastrand::Rng::with_seed(play.seed);
         let entry = |_| Entry {
             boot_id: rng.u64(1..),
-            stock: PermitStock::new(),
+            stock: PermitHolder::new(),
             issuer: None,
             choice: 0,
             avoided: None,
@@ -154,7 +156,7 @@
             Fault::Restarted => {
                 entry.down_until_ms = now_ms + 1_000;
                 entry.boot_id = self.rng.u64(1..);
-                entry.stock = PermitStock::new();
+                entry.stock = PermitHolder::new();
                 entry.issuer = None;
                 entry.choices.clear();
                 entry.waiting.clear();
@@ -213,7 +215,7 @@
             }
             Message::Grant(grant) if entry.choice == sender => {
                 let pause_ms = (PAUSE_MS * entries).min(500);
-                entry.stock.hear(sender, grant, pause_ms, now_ms);
+                entry.stock.apply_grant(sender, grant, pause_ms, now_ms);
             }
             Message::Grant(_) => {}
             Message::Ask(ask) => {
@@ -222,7 +224,7 @@
                     return;
                 }
                 if let Some(issuer) = &mut entry.issuer {
-                    issuer.hear(sender, ask, now_ms);
+                    issuer.handle_request(sender, ask, now_ms);
                 }
                 self.issue(to, Some(from), now_ms);
             }
@@ -247,24 +249,24 @@
 
     fn issue(&mut self, at: usize, asker: Option<usize>, now_ms: u64) {
         let live = self.live(at, now_ms);
-        let known = self.known(at, now_ms);
+        let known_count = self.known(at, now_ms);
         let play = self.play;
         let entry = &mut self.entries[at];
         let own = entry.boot_id;
-        let view = View {
+        let view = IssuerView {
             own,
             is_leaving: false,
             live: &live,
-            known,
+            known_count,
             choices: &entry.choices,
         };
-        let part = if play.is_part_whole { 1.0 } else { view.part() };
+        let part = if play.is_part_whole { 1.0 } else { view.share() };
         let rng = &mut self.rng;
         let issuer =
             entry.issuer.get_or_insert_with(|| PermitIssuer::new(now_ms, rng));
-        issuer.fill(play.limit_per_s * part, now_ms);
+        issuer.refill(play.limit_per_s * part, now_ms);
         let served: BTreeSet<u64> = issuer.issue(now_ms).into_iter().collect();
-        let grants: Vec<(usize, Grant)> = (0..self.entries.len())
+        let grants: Vec<(usize, PermitGrant)> = (0..self.entries.len())
             .filter(|peer| {
                 Some(*peer) == asker
                     || served.contains(&self.entries[*peer].boot_id)
@@ -272,7 +274,7 @@
             .map(|peer| {
                 let issuer = self.entries[at].issuer.as_ref();
                 let issuer = issuer.expect("it was just there");
-                (peer, issuer.grant(self.entries[peer].boot_id))
+                (peer, issuer.grant_for(self.entries[peer].boot_id))
             })
             .collect();
         for (peer, grant) in grants {
@@ -304,21 +306,28 @@
     fn choose(&mut self, at: usize, now_ms: u64) {
         let live = self.live(at, now_ms);
         let entry = &mut self.entries[at];
-        if entry.stock.is_unanswered(now_ms) {
+        if entry.stock.is_issuer_unresponsive(now_ms) {
             entry.avoided = Some((entry.choice, now_ms + AVOIDED_MS));
-            entry.stock.change_issuer();
+            entry.stock.reset_issuer();
         }
         let avoided = entry.avoided.filter(|(_, until_ms)| *until_ms > now_ms);
         let avoided: Vec<u64> = avoided.map(|a| a.0).into_iter().collect();
         let choices = &entry.choices;
         let own = entry.boot_id;
-        let view =
-            View { own, is_leaving: false, live: &live, known: 0, choices };
-        entry.choice = view.issuer(DUTY, &avoided);
+        let view = IssuerView {
+            own,
+            is_leaving: false,
+            live: &live,
+            known_count: 0,
+            choices,
+        };
+        entry.choice = view.choose_issuer(DUTY, &avoided);
     }
 
     fn ask(&mut self, at: usize, now_ms: u64) {
-        let Some(ask) = self.entries[at].stock.ask(now_ms) else { return };
+        let Some(ask) = self.entries[at].stock.next_request(now_ms) else {
+            return;
+        };
         let choice = self.entries[at].choice;
         let is_it = |entry: &Entry| entry.boot_id == choice;
         if let Some(to) = self.entries.iter().position(is_it) {
@@ -349,15 +358,15 @@
                 self.arrivals.push(now_ms + self.rng.u64(1..=3));
                 continue;
             }
-            let want = Want { request, is_waiting: waits, urgency: 1 };
+            let want = PermitDemand { request, is_waiting: waits, urgency: 1 };
             let stays = match waits {
                 true => {
                     if is_look {
-                        entry.stock.want(want, now_ms);
+                        entry.stock.add_demand(want, now_ms);
                     }
                     age_ms < 1_000
                 }
-                false if age_ms == 0 => entry.stock.want(want, now_ms),
+                false if age_ms == 0 => entry.stock.add_demand(want, now_ms),
                 false => age_ms < 15 && !entry.stock.is_denied(request),
             };
             if stays {
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use chestnutreach_routing::{
-    Fingerprint, RunStart, SuspectNews, Suspects, Trials, Verdict,
+    Fingerprint, RunProgress, SuspectReport, Suspects, Trials, Verdict,
     quarantine::{
-        CrashNews, MAX_SUSPECTS, QUARANTINE_CRASHES, QUARANTINE_MS, TRIAL_MS,
+        CrashReport, MAX_SUSPECTS, QUARANTINE_CRASHES, QUARANTINE_MS, TRIAL_MS,
     },
 };
 use proptest::prelude::*;
@@ -39,13 +39,13 @@
     age_ms: Some(300), events: 4, may_crash: false, has_lasted: true,
 })]
 fn a_run_that_has_just_begun_may_crash(#[case] case: Run) {
-    let mut run = RunStart::new();
+    let mut run = RunProgress::new();
     if let Some(age_ms) = case.age_ms {
-        run.note_begun(NOW_MS - age_ms);
+        run.record_start(NOW_MS - age_ms);
     }
-    (0..case.events).for_each(|_| run.note_event());
-    assert_eq!(run.may_crash(NOW_MS), case.may_crash);
-    assert_eq!(run.has_lasted(NOW_MS), case.has_lasted);
+    (0..case.events).for_each(|_| run.record_event());
+    assert_eq!(run.may_have_crashed_server(NOW_MS), case.may_crash);
+    assert_eq!(run.has_survived(NOW_MS), case.has_lasted);
 }
 
 struct Crashes {
@@ -90,7 +90,7 @@
 fn crashes_and_those_in_trials_quarantine(#[case] case: Crashes) {
     let mut suspects = Suspects::new();
     for (server, is_in_trial) in case.crashes {
-        suspects.note_crash(REQUEST, *server, *is_in_trial, NOW_MS);
+        suspects.record_crash(REQUEST, *server, *is_in_trial, NOW_MS);
     }
     let counted = suspects.verdict(REQUEST, NOW_MS).crashes();
     assert_eq!(counted, case.counted);
@@ -102,10 +102,10 @@
     let mut suspects = quarantined(NOW_MS);
     let other = Fingerprint(8);
     // It was on trial at the last server as well.
-    suspects.note_crash(other, QUARANTINE_CRASHES as u32, true, NOW_MS);
+    suspects.record_crash(other, QUARANTINE_CRASHES as u32, true, NOW_MS);
     let suspect = Verdict::Suspect { crashes: QUARANTINE_CRASHES };
     assert_eq!(suspects.verdict(REQUEST, NOW_MS), suspect);
-    suspects.note_crash(REQUEST, 40, true, NOW_MS);
+    suspects.record_crash(REQUEST, 40, true, NOW_MS);
     assert!(is_quarantined(&suspects, NOW_MS));
 }
 
@@ -113,7 +113,7 @@
 fn quarantined(at_ms: u64) -> Suspects {
     let mut suspects = Suspects::new();
     for server in 1..=QUARANTINE_CRASHES as u32 {
-        suspects.note_crash(REQUEST, server, server > 1, at_ms);
+        suspects.record_crash(REQUEST, server, server > 1, at_ms);
     }
     suspects
 }
@@ -125,7 +125,7 @@
     assert!(is_quarantined(&suspects, over_ms - 1));
     let suspect = Verdict::Suspect { crashes: QUARANTINE_CRASHES };
     assert_eq!(suspects.verdict(REQUEST, over_ms), suspect);
-    suspects.note_crash(REQUEST, 99, true, over_ms);
+    suspects.record_crash(REQUEST, 99, true, over_ms);
     assert!(is_quarantined(&suspects, over_ms + QUARANTINE_MS));
     assert!(!is_quarantined(&suspects, over_ms + 2 * QUARANTINE_MS));
 }
@@ -139,22 +139,22 @@
 fn what_is_old_is_forgotten_and_not_learnt_again() {
     let mut suspects = quarantined(NOW_MS);
     let late_ms = NOW_MS + 3 * QUARANTINE_MS;
-    let news = suspects.news_of(REQUEST, late_ms).unwrap();
-    suspects.forget(late_ms);
+    let news = suspects.report_of(REQUEST, late_ms).unwrap();
+    suspects.remove_expired(late_ms);
     assert!(suspects.is_empty());
-    assert!(!suspects.hear(&news, late_ms));
+    assert!(!suspects.apply_report(&news, late_ms));
     assert!(suspects.is_empty());
 }
 
 #[test]
 fn a_request_that_is_cleared_is_free_also_after_late_news() {
     let mut suspects = quarantined(NOW_MS);
-    let before = suspects.news_of(REQUEST, NOW_MS).unwrap();
+    let before = suspects.report_of(REQUEST, NOW_MS).unwrap();
     assert!(suspects.clear(REQUEST, NOW_MS));
     assert!(!suspects.clear(REQUEST, NOW_MS));
-    suspects.hear(&before, NOW_MS);
+    suspects.apply_report(&before, NOW_MS);
     assert_eq!(suspects.verdict(REQUEST, NOW_MS), Verdict::Free);
-    suspects.note_crash(REQUEST, 50, true, NOW_MS);
+    suspects.record_crash(REQUEST, 50, true, NOW_MS);
     let suspect = Verdict::Suspect { crashes: 1 };
     assert_eq!(suspects.verdict(REQUEST, NOW_MS), suspect);
 }
@@ -164,7 +164,7 @@
     let mut suspects = quarantined(NOW_MS);
     for number in 1_000..1_000 + 4 * MAX_SUSPECTS as u64 {
         let request = Fingerprint(number);
-        suspects.note_crash(request, number as u32, false, NOW_MS + number);
+        suspects.record_crash(request, number as u32, false, NOW_MS + number);
     }
     assert_eq!(suspects.len(), MAX_SUSPECTS);
     assert!(is_quarantined(&suspects, NOW_MS));
@@ -178,7 +178,7 @@
         for server in 0..3 {
             let request = Fingerprint(number);
             let server = number as u32 * 10 + server;
-            suspects.note_crash(request, server, true, NOW_MS);
+            suspects.record_crash(request, server, true, NOW_MS);
         }
     }
     let mut started = Suspects::new();
@@ -187,8 +187,8 @@
     let per_s = 3 * 5;
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..per_s * 3 {
-        for news in suspects.news(later_ms, per_s.into(), &mut rng) {
-            started.hear(&news, later_ms);
+        for news in suspects.next_reports(later_ms, per_s.into(), &mut rng) {
+            started.apply_report(&news, later_ms);
         }
     }
     assert_eq!(started.len(), count as usize);
@@ -201,33 +201,34 @@
     let mut rng = fastrand::Rng::with_seed(5);
     // Each of hundreds of entries hears 180 messages a second.
     let per_s = 180.0;
-    let told = (0..180).flat_map(|_| suspects.news(later_ms, per_s, &mut rng));
+    let told = (0..180)
+        .flat_map(|_| suspects.next_reports(later_ms, per_s, &mut rng));
     let told = told.count();
     assert!((1..=9).contains(&told), "{told} times a second");
 }
 
-fn any_news() -> impl Strategy<Value = SuspectNews> {
+fn any_news() -> impl Strategy<Value = SuspectReport> {
     let crash = (0_u32..6, 0_u64..5_000, any::<bool>(), any::<bool>());
     let crash = crash.prop_map(|(server, age_ms, is_in_trial, is_void)| {
-        CrashNews { server, age_ms, is_in_trial, is_void }
+        CrashReport { server, age_ms, is_in_trial, is_void }
     });
     let crashes = prop::collection::vec(crash, 0..4);
-    (0_u64..3, crashes).prop_map(|(request, crashes)| SuspectNews {
+    (0_u64..3, crashes).prop_map(|(request, crashes)| SuspectReport {
         fingerprint: Fingerprint(request),
         crashes,
     })
 }
 
-fn heard<'a>(news: impl IntoIterator<Item = &'a SuspectNews>) -> Suspects {
+fn heard<'a>(news: impl IntoIterator<Item = &'a SuspectReport>) -> Suspects {
     let mut suspects = Suspects::new();
     for news in news {
-        suspects.hear(news, NOW_MS);
+        suspects.apply_report(news, NOW_MS);
     }
     suspects
 }
 
-fn known(suspects: &Suspects) -> Vec<Option<SuspectNews>> {
-    let of = |request| suspects.news_of(Fingerprint(request), NOW_MS);
+fn known(suspects: &Suspects) -> Vec<Option<SuspectReport>> {
+    let of = |request| suspects.report_of(Fingerprint(request), NOW_MS);
     (0..3).map(of).collect()
 }
 
@@ -237,12 +238,12 @@
         news in prop::collection::vec(any_news(), 1..20),
         order in any::<u64>(),
     ) {
-        let mut mixed: Vec<&SuspectNews> = news.iter().chain(&news).collect();
+        let mut mixed: Vec<&SuspectReport> = news.iter().chain(&news).collect();
         fastrand::Rng::with_seed(order).shuffle(&mut mixed);
         let direct = heard(&news);
         prop_assert_eq!(known(&direct), known(&heard(mixed)));
         // Through another entry as well.
-        let told: Vec<SuspectNews> =
+        let told: Vec<SuspectReport> =
             known(&direct).into_iter().flatten().collect();
         prop_assert_eq!(known(&direct), known(&heard(&told)));
     }
@@ -254,7 +255,7 @@
         let mut suspects = Suspects::new();
         let mut servers = BTreeMap::new();
         for (server, is_in_trial) in crashes {
-            suspects.note_crash(REQUEST, server, is_in_trial, NOW_MS);
+            suspects.record_crash(REQUEST, server, is_in_trial, NOW_MS);
             servers.insert(server, ());
         }
         let counted = suspects.verdict(REQUEST, NOW_MS).crashes();
@@ -270,11 +271,11 @@
     let mut at_high = Trials::new();
     assert!(at_low.try_begin(REQUEST, 1, low, NOW_MS));
     assert!(at_high.try_begin(other, 1, high, NOW_MS));
-    at_low.hear(other, 1, high, NOW_MS);
-    at_high.hear(REQUEST, 1, low, NOW_MS);
+    at_low.apply_remote(other, 1, high, NOW_MS);
+    at_high.apply_remote(REQUEST, 1, low, NOW_MS);
     for trials in [&at_low, &at_high] {
-        assert!(trials.is_held(REQUEST, low, NOW_MS));
-        assert!(!trials.is_held(other, high, NOW_MS));
+        assert!(trials.is_held_by(REQUEST, low, NOW_MS));
+        assert!(!trials.is_held_by(other, high, NOW_MS));
     }
 }
 
@@ -285,7 +286,7 @@
     assert!(!trials.try_begin(REQUEST, 2, 5, NOW_MS));
     assert!(!trials.try_begin(Fingerprint(9), 1, 5, NOW_MS));
     trials.end(REQUEST, 6);
-    assert!(trials.is_held(REQUEST, 5, NOW_MS));
+    assert!(trials.is_held_by(REQUEST, 5, NOW_MS));
     trials.end(REQUEST, 5);
     assert!(trials.try_begin(REQUEST, 2, 5, NOW_MS));
     // A holder that has gone can't end it.
--- a/crates/routing/tests/quarantine_replay.rs
+++ b/crates/routing/tests/quarantine_replay.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chestnutreach_routing::{
-    Fingerprint, RunStart, SuspectNews, Suspects, Trials, Verdict,
+    Fingerprint, RunProgress, SuspectReport, Suspects, Trials, Verdict,
 };
 use rstest::rstest;
 
@@ -48,7 +48,7 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    News(SuspectNews),
+    News(SuspectReport),
     Trial(Fingerprint, Option<u32>, u64),
 }
 
@@ -69,7 +69,7 @@
     entry: usize,
     attempts: u32,
     server: usize,
-    run: RunStart,
+    run: RunProgress,
     sent_ms: u64,
     /// Events until it has ended or crashes its server.
     crashes_at_ms: Option<u64>,
@@ -211,7 +211,7 @@
             }
             (Verdict::Free, _) => {
                 let trials = &self.entries[entry].trials;
-                let mut up = self.up(&trials.servers(self.now_ms));
+                let mut up = self.up(&trials.servers_on_trial(self.now_ms));
                 if up.is_empty() {
                     up = self.up(&BTreeSet::new());
                 }
@@ -221,7 +221,7 @@
             (Verdict::Suspect { .. }, Some(server)) => {
                 let trials = &self.entries[entry].trials;
                 let is_held =
-                    trials.is_held(request, entry as u64, self.now_ms);
+                    trials.is_held_by(request, entry as u64, self.now_ms);
                 let is_up = self.servers[server].up_at_ms <= self.now_ms;
                 seeker.claimed = None;
                 let server = (is_held && is_up).then_some(server);
@@ -234,7 +234,7 @@
     fn claim(&mut self, mut seeker: Seeker) {
         let (entry, request, now_ms) =
             (seeker.entry, seeker.request, self.now_ms);
-        let taken = self.entries[entry].trials.servers(now_ms);
+        let taken = self.entries[entry].trials.servers_on_trial(now_ms);
         let free = self.up(&taken);
         let server = self.rng.choice(free);
         let trials = &mut self.entries[entry].trials;
@@ -269,7 +269,7 @@
             entry: seeker.entry,
             attempts: seeker.attempts + 1,
             server,
-            run: RunStart::new(),
+            run: RunProgress::new(),
             sent_ms: self.now_ms,
             crashes_at_ms: None,
             is_in_trial,
@@ -292,7 +292,7 @@
         for attempt in &mut self.running {
             let age_ms = now_ms - attempt.sent_ms;
             if age_ms == READ_MS {
-                attempt.run.note_begun(now_ms);
+                attempt.run.record_start(now_ms);
                 if is_crashing(attempt.request) {
                     let after_ms = self.rng.u64(20..150);
                     attempt.crashes_at_ms = Some(now_ms + after_ms);
@@ -303,12 +303,12 @@
                 && age_ms.is_multiple_of(EVENT_MS)
                 && !is_crashing
             {
-                attempt.run.note_event();
+                attempt.run.record_event();
             }
             if attempt.crashes_at_ms == Some(now_ms) {
                 lost.push((attempt.request, attempt.server));
             }
-            if !attempt.has_lasted && attempt.run.has_lasted(now_ms) {
+            if !attempt.has_lasted && attempt.run.has_survived(now_ms) {
                 attempt.has_lasted = true;
                 lasted.push((attempt.entry, attempt.request));
             }
@@ -355,10 +355,10 @@
     fn break_off(&mut self, attempt: Attempt, start: u32) {
         let (entry, request) = (attempt.entry, attempt.request);
         let now_ms = self.now_ms;
-        if !attempt.has_lasted && attempt.run.may_crash(now_ms) {
+        if !attempt.has_lasted && attempt.run.may_have_crashed_server(now_ms) {
             let suspects = &mut self.entries[entry].suspects;
             let is_in_trial = attempt.is_in_trial;
-            suspects.note_crash(request, start, is_in_trial, now_ms);
+            suspects.record_crash(request, start, is_in_trial, now_ms);
             self.tell_news(entry, request);
         }
         if attempt.is_in_trial {
@@ -383,7 +383,7 @@
 
     fn tell_news(&mut self, entry: usize, request: Fingerprint) {
         let suspects = &self.entries[entry].suspects;
-        if let Some(news) = suspects.news_of(request, self.now_ms) {
+        if let Some(news) = suspects.report_of(request, self.now_ms) {
             self.tell(entry, Message::News(news));
         }
     }
@@ -393,7 +393,9 @@
             let now_ms = self.now_ms;
             let suspects = &mut self.entries[entry].suspects;
             let heard_per_s = (ENTRIES as f64 - 1.0) * 5.0;
-            for news in suspects.news(now_ms, heard_per_s, &mut self.rng) {
+            for news in
+                suspects.next_reports(now_ms, heard_per_s, &mut self.rng)
+            {
                 self.tell(entry, Message::News(news));
             }
         }
@@ -419,10 +421,10 @@
             let entry = &mut self.entries[to];
             match message {
                 Message::News(news) => {
-                    entry.suspects.hear(&news, now_ms);
+                    entry.suspects.apply_report(&news, now_ms);
                 }
                 Message::Trial(request, Some(start), holder) => {
-                    entry.trials.hear(request, start, holder, now_ms);
+                    entry.trials.apply_remote(request, start, holder, now_ms);
                 }
                 Message::Trial(request, None, holder) => {
                     entry.trials.end(request, holder);
--- a/crates/routing/tests/server_limit.rs
+++ b/crates/routing/tests/rate_limit.rs
@@ -1,6 +1,6 @@
 //! The limit that a server names in its answers.
 
-use chestnutreach_routing::{ServerLimit, server_limit::LEAST_PER_S};
+use chestnutreach_routing::{ServerRateLimit, rate_limit::MIN_PER_S};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -11,12 +11,12 @@
     Unnamed { sent_ms: u64 },
 }
 
-fn take(limit: &mut ServerLimit, answer: Answer) {
+fn take(limit: &mut ServerRateLimit, answer: Answer) {
     match answer {
         Answer::Named { per_s, received_ms } => {
-            limit.note_named(per_s, received_ms);
+            limit.record_announced(per_s, received_ms);
         }
-        Answer::Unnamed { sent_ms } => limit.note_unnamed(sent_ms),
+        Answer::Unnamed { sent_ms } => limit.record_absent(sent_ms),
     }
 }
 
@@ -55,14 +55,14 @@
 })]
 #[case::zero_lets_some_through(Case {
     answers: &[Answer::Named { per_s: 0.0, received_ms: 100 }],
-    in_force: Some(LEAST_PER_S),
+    in_force: Some(MIN_PER_S),
 })]
 fn a_limit_holds_until_a_later_answer_names_none(#[case] case: Case) {
-    let mut limit = ServerLimit::new();
+    let mut limit = ServerRateLimit::new();
     for answer in case.answers {
         take(&mut limit, *answer);
     }
-    let in_force = limit.in_force().map(|named| named.per_s);
+    let in_force = limit.current().map(|named| named.per_s);
     assert_eq!(in_force, case.in_force);
 }
 
@@ -82,7 +82,7 @@
         answers in prop::collection::vec(answer(), 0..12),
         shuffled in any::<prop::sample::Index>(),
     ) {
-        let mut limit = ServerLimit::new();
+        let mut limit = ServerRateLimit::new();
         answers.iter().for_each(|answer| take(&mut limit, *answer));
         let mut other = answers.clone();
         if !other.is_empty() {
@@ -91,7 +91,7 @@
             other.push(other[at]);
             other.reverse();
         }
-        let mut changed = ServerLimit::new();
+        let mut changed = ServerRateLimit::new();
         other.iter().for_each(|answer| take(&mut changed, *answer));
         prop_assert_eq!(limit, changed);
     }
@@ -101,7 +101,7 @@
     fn only_a_request_sent_after_the_last_named_answer_ends_it(
         answers in prop::collection::vec(answer(), 1..12),
     ) {
-        let mut limit = ServerLimit::new();
+        let mut limit = ServerRateLimit::new();
         answers.iter().for_each(|answer| take(&mut limit, *answer));
         let named = answers.iter().filter_map(|answer| match answer {
             Answer::Named { received_ms, .. } => Some(*received_ms),
@@ -115,6 +115,6 @@
             (None, _) => false,
             (Some(named), unnamed) => unnamed.is_none_or(|at| at <= named),
         };
-        prop_assert_eq!(limit.in_force().is_some(), holds);
+        prop_assert_eq!(limit.current().is_some(), holds);
     }
 }
--- a/crates/routing/tests/retry_window.rs
+++ b/crates/routing/tests/retry_window.rs
@@ -1,17 +1,17 @@
 //! The bound on further arrivals that all entries share.
 
-use chestnutreach_routing::{RetryBounds, RetryWindow, Sent};
+use chestnutreach_routing::{RetryLimit, RetryWindow, SentCounts};
 use proptest::prelude::*;
 
-const BOUNDS: RetryBounds =
-    RetryBounds { ratio: 0.2, slack: 40.0, window_ms: 10_000 };
+const BOUNDS: RetryLimit =
+    RetryLimit { ratio: 0.2, free_retries: 40.0, window_ms: 10_000 };
 /// Time between two tellings of an entry.
 const TOLD_EVERY_MS: u64 = 200;
 
 /// Entries that tell each other what they sent, some time late.
 struct Entries {
     windows: Vec<RetryWindow>,
-    told: Vec<Sent>,
+    told: Vec<SentCounts>,
     told_ms: u64,
     /// Requests and further arrivals with their times.
     requests: Vec<u64>,
@@ -22,7 +22,7 @@
     fn new(count: usize) -> Entries {
         Entries {
             windows: (0..count).map(|_| RetryWindow::new()).collect(),
-            told: vec![Sent::default(); count],
+            told: vec![SentCounts::default(); count],
             told_ms: 0,
             requests: Vec::new(),
             further: Vec::new(),
@@ -35,17 +35,17 @@
         }
         self.told_ms = now_ms;
         for (window, told) in self.windows.iter_mut().zip(&mut self.told) {
-            *told = window.sent(&BOUNDS, now_ms);
+            *told = window.counts(&BOUNDS, now_ms);
         }
     }
 
-    fn others(&self, own: usize) -> Vec<Sent> {
+    fn others(&self, own: usize) -> Vec<SentCounts> {
         let others = self.told.iter().enumerate().filter(|t| t.0 != own);
         others.map(|(_, told)| *told).collect()
     }
 
     fn request(&mut self, entry: usize, now_ms: u64) {
-        self.windows[entry].note_request(&BOUNDS, now_ms);
+        self.windows[entry].record_request(&BOUNDS, now_ms);
         self.requests.push(now_ms);
     }
 
@@ -53,7 +53,7 @@
         let others = self.others(entry);
         let count = self.windows.len();
         let window = &mut self.windows[entry];
-        let is_allowed = window.take(&BOUNDS, count, &others, now_ms);
+        let is_allowed = window.try_take(&BOUNDS, count, &others, now_ms);
         if is_allowed {
             self.further.push(now_ms);
         }
@@ -69,7 +69,7 @@
         };
         let excess = |end: &u64| {
             let requests = within(&self.requests, *end);
-            let bound = BOUNDS.slack + BOUNDS.ratio * requests;
+            let bound = BOUNDS.free_retries + BOUNDS.ratio * requests;
             within(&self.further, *end) - bound
         };
         self.further.iter().map(excess).fold(f64::MIN, f64::max)
@@ -84,7 +84,7 @@
         entries.tell(now_ms);
         allowed += u32::from(entries.further(0, now_ms));
     }
-    let own_part = 0.4 * BOUNDS.slack / 5.0;
+    let own_part = 0.4 * BOUNDS.free_retries / 5.0;
     assert!(f64::from(allowed) > 2.0 * own_part, "{allowed}");
     assert!(entries.worst_excess() <= 0.0);
 }
@@ -92,17 +92,18 @@
 #[test]
 fn without_word_of_the_others_only_the_own_part_is_used() {
     let mut window = RetryWindow::new();
-    let taken =
-        (0..200).filter(|at| window.take(&BOUNDS, 5, &[], at * 10)).count();
-    assert_eq!(taken, (0.4 * BOUNDS.slack / 5.0) as usize);
+    let taken = (0..200)
+        .filter(|at| window.try_take(&BOUNDS, 5, &[], at * 10))
+        .count();
+    assert_eq!(taken, (0.4 * BOUNDS.free_retries / 5.0) as usize);
 }
 
 #[test]
 fn what_was_sent_long_ago_no_longer_counts() {
     let mut window = RetryWindow::new();
-    while window.take(&BOUNDS, 2, &[], 0) {}
-    assert!(!window.take(&BOUNDS, 2, &[], 9_000));
-    assert!(window.take(&BOUNDS, 2, &[], 21_000));
+    while window.try_take(&BOUNDS, 2, &[], 0) {}
+    assert!(!window.try_take(&BOUNDS, 2, &[], 9_000));
+    assert!(window.try_take(&BOUNDS, 2, &[], 21_000));
 }
 
 #[derive(Clone, Debug)]
@@ -150,7 +151,7 @@
 fn a_broken_variant_is_caught() {
     let mut entries = Entries::new(6);
     for entry in 0..6 {
-        while entries.windows[entry].take(&BOUNDS, 1, &[], 0) {
+        while entries.windows[entry].try_take(&BOUNDS, 1, &[], 0) {
             entries.further.push(0);
         }
     }
--- a/crates/routing/tests/turns.rs
+++ b/crates/routing/tests/search_turns.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use chestnutreach_routing::{
-    Priority, TurnNeed, Turns,
-    turns::{HELD_BACK_MS, MOST_TURNS},
+    Priority, SearchTurns, TurnRequest,
+    search_turns::{HOLD_BACK_AFTER_MS, MAX_TURNS},
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -58,7 +58,7 @@
 
 struct World {
     way: Way,
-    turns: Turns,
+    turns: SearchTurns,
     waiting: Vec<Asker>,
     granted: Vec<u64>,
     /// Ends and tokens of what runs.
@@ -70,7 +70,7 @@
     fn new(way: Way) -> World {
         World {
             way,
-            turns: Turns::new(LIMIT_TOKENS),
+            turns: SearchTurns::new(LIMIT_TOKENS),
             waiting: Vec::new(),
             granted: Vec::new(),
             running: Vec::new(),
@@ -80,12 +80,12 @@
 
     fn join(&mut self, account: usize, tokens: u64, now_ms: u64) {
         let until_ms = now_ms + WAITS_MS;
-        let need = TurnNeed {
+        let need = TurnRequest {
             account: &account.to_string(),
             priority: Priority::Normal,
             tokens,
-            in_time_until_ms: until_ms,
-            until_ms,
+            start_by_ms: until_ms,
+            wait_until_ms: until_ms,
         };
         let key = self.turns.try_join(&need, now_ms).unwrap();
         self.waiting.push(Asker { account, tokens, until_ms, key });
@@ -125,7 +125,7 @@
     }
 
     fn end(&mut self, key: u64) {
-        self.turns.end(key);
+        self.turns.leave(key);
         self.waiting.retain(|asker| asker.key != key);
         self.granted.retain(|granted| *granted != key);
     }
@@ -195,14 +195,14 @@
 
 #[test]
 fn an_old_turn_holds_back_further_ones() {
-    let mut turns = Turns::new(LIMIT_TOKENS);
-    let join = |turns: &mut Turns, at_ms| {
-        let need = TurnNeed {
+    let mut turns = SearchTurns::new(LIMIT_TOKENS);
+    let join = |turns: &mut SearchTurns, at_ms| {
+        let need = TurnRequest {
             account: "a",
             priority: Priority::Normal,
             tokens: 10,
-            in_time_until_ms: 10_000,
-            until_ms: 10_000,
+            start_by_ms: 10_000,
+            wait_until_ms: 10_000,
         };
         turns.try_join(&need, at_ms).unwrap()
     };
@@ -210,11 +210,11 @@
     assert_eq!(turns.grant(0), [large]);
     let small = join(&mut turns, 10);
     assert_eq!(turns.grant(10), [small]);
-    turns.end(small);
-    let later = join(&mut turns, HELD_BACK_MS);
-    assert!(turns.grant(HELD_BACK_MS).is_empty());
-    turns.end(large);
-    assert_eq!(turns.grant(HELD_BACK_MS), [later]);
+    turns.leave(small);
+    let later = join(&mut turns, HOLD_BACK_AFTER_MS);
+    assert!(turns.grant(HOLD_BACK_AFTER_MS).is_empty());
+    turns.leave(large);
+    assert_eq!(turns.grant(HOLD_BACK_AFTER_MS), [later]);
 }
 
 struct Order {
@@ -244,24 +244,24 @@
     next: 5,
 })]
 fn turns_come_in_order(#[case] order: Order) {
-    let mut turns = Turns::new(LIMIT_TOKENS);
-    let (first, later) = order.joined.split_at(MOST_TURNS);
+    let mut turns = SearchTurns::new(LIMIT_TOKENS);
+    let (first, later) = order.joined.split_at(MAX_TURNS);
     let mut keys = Vec::new();
     for (part, now_ms) in [(first, 0), (later, 1)] {
         for (account, priority) in part {
-            let need = TurnNeed {
+            let need = TurnRequest {
                 account,
                 priority: *priority,
                 tokens: 100,
-                in_time_until_ms: 10_000,
-                until_ms: 10_000,
+                start_by_ms: 10_000,
+                wait_until_ms: 10_000,
             };
             keys.push(turns.try_join(&need, now_ms).unwrap());
         }
         let granted = turns.grant(now_ms);
-        assert_eq!(granted.len(), if now_ms == 0 { MOST_TURNS } else { 0 });
+        assert_eq!(granted.len(), if now_ms == 0 { MAX_TURNS } else { 0 });
     }
-    turns.end(keys[0]);
+    turns.leave(keys[0]);
     assert_eq!(turns.grant(2), [keys[order.next]], "{}", order.name);
 }
 
@@ -272,7 +272,7 @@
     fn turns_are_granted_once(
         steps in prop::collection::vec((0_u8..4, 0_usize..3, 1_u64..50), 1..200)
     ) {
-        let mut turns = Turns::new(LIMIT_TOKENS);
+        let mut turns = SearchTurns::new(LIMIT_TOKENS);
         let mut open: Vec<u64> = Vec::new();
         let mut held: Vec<u64> = Vec::new();
         let mut ended: Vec<u64> = Vec::new();
@@ -281,23 +281,23 @@
             now_ms += pause_ms;
             match step {
                 0 | 1 => {
-                    let need = TurnNeed {
+                    let need = TurnRequest {
                         account: &account.to_string(),
                         priority: Priority::Normal,
                         tokens: 100,
-                        in_time_until_ms: now_ms + 100_000,
-                        until_ms: now_ms + 100_000,
+                        start_by_ms: now_ms + 100_000,
+                        wait_until_ms: now_ms + 100_000,
                     };
                     open.push(turns.try_join(&need, now_ms).unwrap());
                 }
                 2 if !held.is_empty() => {
                     let key = held.remove(0);
-                    turns.end(key);
+                    turns.leave(key);
                     ended.push(key);
                 }
                 3 if !open.is_empty() => {
                     let key = open.remove(open.len() / 2);
-                    turns.end(key);
+                    turns.leave(key);
                     ended.push(key);
                     held.retain(|held| *held != key);
                 }
@@ -309,7 +309,7 @@
                 open.retain(|open| *open != key);
                 held.push(key);
             }
-            prop_assert!(held.len() <= MOST_TURNS);
+            prop_assert!(held.len() <= MAX_TURNS);
             let is_idle = open.is_empty() && held.is_empty();
             prop_assert_eq!(turns.is_idle(), is_idle);
         }
--- a/crates/routing/tests/gate.rs
+++ b/crates/routing/tests/slot_queue.rs
@@ -2,7 +2,10 @@
 
 use chestnutreach_routing::{
     Shape,
-    gate::{Asked, Gate, LATER_WAIT_LIMIT_MS, Offer, Places},
+    slot_queue::{
+        LATER_STAGE_MAX_WAIT_MS, ServerCapacity, SlotAdmission, SlotQueue,
+        SlotRequest,
+    },
 };
 use rstest::rstest;
 
@@ -12,23 +15,23 @@
 /// four requests at 400 tokens a second together.
 const RUN_MS: u64 = 1_100;
 
-fn full_gate() -> Gate<u32> {
-    let mut gate = Gate::new(1_000_000);
-    gate.set_places(Places {
+fn full_gate() -> SlotQueue<u32> {
+    let mut gate = SlotQueue::new(1_000_000);
+    gate.set_capacity(ServerCapacity {
         max_running: PLACES,
         prompt_tokens_per_s: 1_000.0,
         output_tokens_per_s: 400.0,
     });
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..PLACES {
-        gate.try_take(COST_TOKENS, &mut rng).expect("a free place");
+        gate.try_acquire(COST_TOKENS, &mut rng).expect("a free place");
     }
     gate
 }
 
 /// Of one stage, in good time.
-fn asked<'a>(shape: &'a Shape, account: &'a str) -> Asked<'a> {
-    Asked {
+fn asked<'a>(shape: &'a Shape, account: &'a str) -> SlotRequest<'a> {
+    SlotRequest {
         account,
         shape,
         cost_tokens: COST_TOKENS,
@@ -37,8 +40,8 @@
     }
 }
 
-fn offer(gate: &mut Gate<u32>, asked: &Asked<'_>) -> Offer {
-    gate.offer(asked, 0, 0, &mut fastrand::Rng::with_seed(2))
+fn offer(gate: &mut SlotQueue<u32>, asked: &SlotRequest<'_>) -> SlotAdmission {
+    gate.request(asked, 0, 0, &mut fastrand::Rng::with_seed(2))
 }
 
 /// The account "flood" has 40 requests queued, 20 s of work.
@@ -70,13 +73,13 @@
     let mut gate = full_gate();
     for _ in 0..40 {
         let offer = offer(&mut gate, &asked(&shape, "flood"));
-        assert_eq!(offer, Offer::Queued);
+        assert_eq!(offer, SlotAdmission::Queued);
     }
     let TimeCase { account, stage_count, deadline_at_ms, .. } = case;
     let request =
-        Asked { stage_count, deadline_at_ms, ..asked(&shape, account) };
+        SlotRequest { stage_count, deadline_at_ms, ..asked(&shape, account) };
     let offer = offer(&mut gate, &request);
-    assert_eq!(offer == Offer::Queued, case.is_taken, "{offer:?}");
+    assert_eq!(offer == SlotAdmission::Queued, case.is_taken, "{offer:?}");
 }
 
 #[test]
@@ -84,8 +87,8 @@
     let shape = Shape::new(100, 100);
     let mut gate = full_gate();
     let deadline_at_ms = 5_000;
-    let request = Asked { deadline_at_ms, ..asked(&shape, "a") };
-    assert_eq!(offer(&mut gate, &request), Offer::Queued);
+    let request = SlotRequest { deadline_at_ms, ..asked(&shape, "a") };
+    assert_eq!(offer(&mut gate, &request), SlotAdmission::Queued);
     let last_start_ms = deadline_at_ms - RUN_MS;
     assert!(gate.expire(last_start_ms - 1).is_empty());
     assert_eq!(gate.expire(last_start_ms), [0]);
@@ -99,14 +102,14 @@
     let mut waiting = 0;
     loop {
         let request = asked(&shape, "a");
-        match gate.offer_later(&request, 0, 0, &mut rng) {
-            Offer::Queued => waiting += 1,
-            Offer::Full { .. } => break,
+        match gate.request_later_stage(&request, 0, 0, &mut rng) {
+            SlotAdmission::Queued => waiting += 1,
+            SlotAdmission::Full { .. } => break,
             other => panic!("{other:?}"),
         }
     }
     // 200 tokens at 400 a second for each that waits.
-    assert_eq!(waiting, LATER_WAIT_LIMIT_MS / 500 + 1);
+    assert_eq!(waiting, LATER_STAGE_MAX_WAIT_MS / 500 + 1);
 }
 
 #[test]
@@ -119,7 +122,7 @@
     let guess_ms = gate.load().queue_wait_ms;
     // One leaves in 5 s: ten times slower than the guess.
     for turn in 0..5 {
-        gate.give_back(COST_TOKENS, turn * 5_000);
+        gate.release(COST_TOKENS, turn * 5_000);
     }
     let left_tokens = 15 * COST_TOKENS;
     assert_eq!(guess_ms, 20 * 500);
--- a/crates/routing/tests/pause_look.rs
+++ b/crates/routing/tests/stall_check.rs
@@ -1,7 +1,7 @@
 //! Looks at pauses: bounds by the route's target, and streams of an engine
 //! that dies, replayed.
 
-use chestnutreach_routing::PauseLook;
+use chestnutreach_routing::StallCheck;
 use rstest::rstest;
 
 struct Case {
@@ -30,8 +30,8 @@
     gap_target_ms: Some(250), usual_gap_ms: 900.0, after_ms: 600,
 })]
 fn a_pause_is_looked_at_after(#[case] case: Case) {
-    let look = PauseLook::new(case.gap_target_ms);
-    assert_eq!(look.after_ms(case.usual_gap_ms), case.after_ms);
+    let look = StallCheck::new(case.gap_target_ms);
+    assert_eq!(look.gap_ms(case.usual_gap_ms), case.after_ms);
 }
 
 /// Time until dials show that the engine is dead.
@@ -47,11 +47,11 @@
 /// that all pass through dies. Whoever looks first tells the others.
 fn longest_pause_ms(target_ms: u64, gap_ms: u64, seed: u64) -> u64 {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let look = PauseLook::new(Some(target_ms));
+    let look = StallCheck::new(Some(target_ms));
     // Time from the last event of each to the loss.
     let before: Vec<u64> = (0..STREAMS).map(|_| rng.u64(..gap_ms)).collect();
     let first = before.iter().copied().max().unwrap_or(0);
-    let looked_ms = look.after_ms(gap_ms as f64).saturating_sub(first);
+    let looked_ms = look.gap_ms(gap_ms as f64).saturating_sub(first);
     let paused = before.iter().map(|before_ms| {
         let read_ms = rng.u64(READ_MS.0..=READ_MS.1);
         before_ms + looked_ms + DIALS_MS + ORDER_MS + read_ms
--- a/crates/routing/tests/first_read.rs
+++ b/crates/routing/tests/startup_wait.rs
@@ -1,7 +1,7 @@
 //! Requests that come before the first configuration, replayed: clients of
 //! cut streams come back at once, new ones at a steady rate.
 
-use chestnutreach_routing::FirstRead;
+use chestnutreach_routing::StartupWait;
 use rstest::rstest;
 
 struct Case {
@@ -55,12 +55,14 @@
     let new = (0..NEW).map(|at| at * EVERY_MS);
     let mut served = 0;
     for came_ms in back.chain(new) {
-        let read = FirstRead {
-            age_ms: came_ms,
-            is_store_lost: case.lost_ms.is_some_and(|lost| came_ms >= lost),
-            client_left_ms: case.client_ms,
+        let read = StartupWait {
+            uptime_ms: came_ms,
+            is_store_unavailable: case
+                .lost_ms
+                .is_some_and(|lost| came_ms >= lost),
+            client_remaining_ms: case.client_ms,
         };
-        let until_ms = came_ms + read.wait_ms().unwrap_or(0);
+        let until_ms = came_ms + read.max_wait_ms().unwrap_or(0);
         let until_ms = case.lost_ms.map_or(until_ms, |l| l.min(until_ms));
         let ends_ms = until_ms.max(came_ms);
         if came_ms >= case.read_ms || case.read_ms <= ends_ms {
--- a/crates/side/src/backend.rs
+++ b/crates/side/src/backend.rs
@@ -25,7 +25,7 @@
 use futures_lite::FutureExt as _;
 
 use crate::{
-    gate::{Gate, Places},
+    gate::{Gate, ServerCapacity},
     node::Shared,
     rest::Rest,
     steps::{Batch, Owner, QueuedStep, StepQueue},
@@ -165,7 +165,7 @@
         let kind = kind.and_then(|k| manifest.accelerators.get(k));
         let share = layer_share(manifest, server);
         let guess = |whole: u32| f64::from(whole) / share;
-        self.gate.set_places(Places {
+        self.gate.set_places(ServerCapacity {
             max_running: server.max_running,
             prompt_tokens_per_s: kind
                 .map_or(UNKNOWN, |kind| guess(kind.prompt_tokens_per_s)),
--- a/crates/side/src/gate.rs
+++ b/crates/side/src/gate.rs
@@ -1,11 +1,13 @@
 //! Who may run on a backend server now, and who waits.
 //!
-//! The decisions are those of [`chestnutreach_routing::gate`], under a lock.
+//! The decisions are those of [`chestnutreach_routing::slot_queue`], under a lock.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use chestnutreach_routing::gate::{self, Asked, GateLoad};
-pub(crate) use chestnutreach_routing::gate::{Offer, Places};
+use chestnutreach_routing::slot_queue::{self, SlotQueueLoad, SlotRequest};
+pub(crate) use chestnutreach_routing::slot_queue::{
+    ServerCapacity, SlotAdmission,
+};
 
 use crate::{run::Run, seat::Seat};
 
@@ -20,18 +22,20 @@
 
 /// Places and queue of one backend server.
 pub(crate) struct Gate {
-    inner: Mutex<gate::Gate<Waiting>>,
+    inner: Mutex<slot_queue::SlotQueue<Waiting>>,
 }
 
 impl Gate {
     /// A gate without places; see [`Gate::set_places`].
     pub(crate) fn new(queue_limit_tokens: u64) -> Gate {
-        Gate { inner: Mutex::new(gate::Gate::new(queue_limit_tokens)) }
+        Gate {
+            inner: Mutex::new(slot_queue::SlotQueue::new(queue_limit_tokens)),
+        }
     }
 
     /// Sets the count of places and the first guess of the speed.
-    pub(crate) fn set_places(&self, places: Places) {
-        self.lock().set_places(places);
+    pub(crate) fn set_places(&self, places: ServerCapacity) {
+        self.lock().set_capacity(places);
     }
 
     /// Sets an account's share.
@@ -40,8 +44,8 @@
     }
 
     /// Gives a request a place, lets it wait or refuses it.
-    pub(crate) fn offer(&self, run: &Arc<Run>, now_ms: u64) -> Offer {
-        let asked = Asked {
+    pub(crate) fn offer(&self, run: &Arc<Run>, now_ms: u64) -> SlotAdmission {
+        let asked = SlotRequest {
             account: &run.account,
             shape: &run.shape,
             cost_tokens: run.cost_tokens,
@@ -50,12 +54,16 @@
         };
         let mut rng = fastrand::Rng::new();
         let item = Waiting::Run(run.clone());
-        self.lock().offer(&asked, item, now_ms, &mut rng)
+        self.lock().request(&asked, item, now_ms, &mut rng)
     }
 
     /// Likewise for a later stage, unless the wait would be long.
-    pub(crate) fn offer_later(&self, seat: &Arc<Seat>, now_ms: u64) -> Offer {
-        let asked = Asked {
+    pub(crate) fn offer_later(
+        &self,
+        seat: &Arc<Seat>,
+        now_ms: u64,
+    ) -> SlotAdmission {
+        let asked = SlotRequest {
             account: &seat.account,
             shape: &seat.shape,
             cost_tokens: seat.cost_tokens,
@@ -64,7 +72,7 @@
         };
         let mut rng = fastrand::Rng::new();
         let item = Waiting::Seat(seat.clone());
-        self.lock().offer_later(&asked, item, now_ms, &mut rng)
+        self.lock().request_later_stage(&asked, item, now_ms, &mut rng)
     }
 
     /// When a refused caller should come back.
@@ -78,7 +86,7 @@
         cost_tokens: u64,
         now_ms: u64,
     ) -> Option<Waiting> {
-        self.lock().give_back(cost_tokens, now_ms)
+        self.lock().release(cost_tokens, now_ms)
     }
 
     /// Takes a request out of the queue.
@@ -121,11 +129,11 @@
     }
 
     /// Load at this moment.
-    pub(crate) fn load(&self) -> GateLoad {
+    pub(crate) fn load(&self) -> SlotQueueLoad {
         self.lock().load()
     }
 
-    fn lock(&self) -> MutexGuard<'_, gate::Gate<Waiting>> {
+    fn lock(&self) -> MutexGuard<'_, slot_queue::SlotQueue<Waiting>> {
         self.inner.lock().expect("no holder panics")
     }
 }
--- a/crates/side/src/run/admit.rs
+++ b/crates/side/src/run/admit.rs
@@ -16,7 +16,7 @@
 use super::{Phase, Run, State, Work};
 use crate::{
     backend::Backend,
-    gate::Offer,
+    gate::SlotAdmission,
     node::Shared,
     priority::{to_priority, to_wire_priority},
     target::Target,
@@ -150,12 +150,12 @@
     fn offer(self: &Arc<Self>, run: &Arc<Run>) {
         let now_ms = self.clock.now_ms();
         match run.backend.gate.offer(run, now_ms) {
-            Offer::Admitted => self.reserve(run),
-            Offer::Queued => {}
-            Offer::Full { retry_after_ms } => {
+            SlotAdmission::Admitted => self.reserve(run),
+            SlotAdmission::Queued => {}
+            SlotAdmission::Full { retry_after_ms } => {
                 self.refuse(run, RefusalReason::Full, "", retry_after_ms);
             }
-            Offer::TooLate { retry_after_ms } => {
+            SlotAdmission::TooLate { retry_after_ms } => {
                 self.refuse(run, RefusalReason::TooLate, "", retry_after_ms);
             }
         }
--- a/crates/side/src/seat/reserve.rs
+++ b/crates/side/src/seat/reserve.rs
@@ -6,13 +6,13 @@
     Link, RequestId,
     wire::{self, RefusalReason, Stage, frame::Body},
 };
-use chestnutreach_routing::{Shape, gate::LATER_WAIT_LIMIT_MS};
+use chestnutreach_routing::{Shape, slot_queue::LATER_STAGE_MAX_WAIT_MS};
 use chestnutreach_state::{Admission, StepGate};
 
 use super::{Place, Seat, State};
 use crate::{
     backend::Backend,
-    gate::Offer,
+    gate::SlotAdmission,
     node::Shared,
     priority::{step_priority, to_priority},
     target::Target,
@@ -92,7 +92,8 @@
             account: m.account,
             shape,
             cost_tokens,
-            wait_until_ms: deadline_at_ms.min(now_ms + LATER_WAIT_LIMIT_MS),
+            wait_until_ms: deadline_at_ms
+                .min(now_ms + LATER_STAGE_MAX_WAIT_MS),
             deadline_at_ms,
             backend,
             first: link.clone(),
@@ -107,14 +108,14 @@
     fn offer_seat(self: &Arc<Self>, seat: &Arc<Seat>) {
         let now_ms = self.clock.now_ms();
         match seat.backend.gate.offer_later(seat, now_ms) {
-            Offer::Admitted => self.seat_placed(seat),
-            Offer::Queued => {}
-            Offer::Full { retry_after_ms } => {
+            SlotAdmission::Admitted => self.seat_placed(seat),
+            SlotAdmission::Queued => {}
+            SlotAdmission::Full { retry_after_ms } => {
                 let reason = RefusalReason::Full;
                 let name = &seat.stage.backend;
                 self.refuse_seat(seat, reason, name, retry_after_ms);
             }
-            Offer::TooLate { retry_after_ms } => {
+            SlotAdmission::TooLate { retry_after_ms } => {
                 let reason = RefusalReason::TooLate;
                 let name = &seat.stage.backend;
                 self.refuse_seat(seat, reason, name, retry_after_ms);
