--- a/crates/direct/src/placement/orders.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -23,7 +23,7 @@
 use crate::{
     clock::now_ms,
     cluster::{
-        engine::{Engine, Evidence},
+        engine::{Engine, FailureEvidence},
         probe,
     },
     core::Core,
@@ -263,7 +263,9 @@
     // Its process may go on: nothing but silence speaks against it.
     let may_return = state.row.state == BackendState::Ready
         && !state.is_removed
-        && state.suspicion.is_some_and(|s| s.evidence != Evidence::Refused);
+        && state
+            .suspicion
+            .is_some_and(|s| s.evidence != FailureEvidence::Refused);
     ObservedEngine {
         id: &engine.incarnation,
         may_return,
