--- a/crates/direct/src/known/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -15,7 +15,9 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_adapter::store::{StoreClient, StoreError};
-use chestnutreach_membership::telling::{EVERY_MS, Rounds, Whom};
+use chestnutreach_membership::gossip::{
+    BASE_INTERVAL_MS, PeerScope, RoundRobin,
+};
 use chestnutreach_protocol::peers::{
     EngineUse, PeerState, ServiceUse, SuspectRequest,
 };
@@ -26,17 +28,17 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         alerts::percent,
-        engine::{Engine, Use},
+        engine::{Engine, EngineUsage},
         peer_table::{Heard, Silent},
         permits, probe, suspects,
     },
+    core::Core,
 };
 
 /// Time between messages.
-const TELL_EVERY: Duration = Duration::from_millis(EVERY_MS);
+const TELL_EVERY: Duration = Duration::from_millis(BASE_INTERVAL_MS);
 /// Time for a call of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time before the table is read again after a failure.
@@ -84,7 +86,7 @@
 
 async fn tell(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     let mut sequence = 0;
-    let mut rounds = [Rounds::default(), Rounds::default()];
+    let mut rounds = [RoundRobin::default(), RoundRobin::default()];
     loop {
         sequence += 1;
         let bytes = own_state(&core, sequence).encode_to_vec();
@@ -98,13 +100,14 @@
 }
 
 /// Who is told now: some of this data centre, fewer of the others.
-fn told_now(core: &Core, rounds: &mut [Rounds; 2]) -> Vec<SocketAddr> {
+fn told_now(core: &Core, rounds: &mut [RoundRobin; 2]) -> Vec<SocketAddr> {
     let is_planner = core.is_planner.load(Relaxed);
-    let turn = |(whom, rounds): (Whom, &mut Rounds)| {
-        let told = if is_planner { Whom::ByPlanner } else { whom };
-        rounds.take(&core.peers.addresses_of(whom), told.at_once())
+    let turn = |(whom, rounds): (PeerScope, &mut RoundRobin)| {
+        let told = if is_planner { PeerScope::FromPlanner } else { whom };
+        rounds.next_batch(&core.peers.addresses_of(whom), told.fan_out())
     };
-    let whom = [Whom::Near, Whom::Far].into_iter();
+    let whom =
+        [PeerScope::SameDataCentre, PeerScope::OtherDataCentre].into_iter();
     whom.zip(rounds).flat_map(turn).collect()
 }
 
@@ -137,14 +140,15 @@
 
 fn own_state(core: &Core, sequence: u64) -> PeerState {
     let engine_use = |engine: Arc<Engine>| {
-        let used = engine.own_use(now_ms());
+        let used = engine.own_usage(now_ms());
         let (is_suspect, slowness) = {
             let state = engine.lock();
             (state.suspicion.is_some(), state.slowness)
         };
         // Who watches it repeats how slow it is, for those who missed it.
         let is_told_slow = slowness > 1.0 && engine.is_watched.load(Relaxed);
-        let is_told = used != Use::default() || is_suspect || is_told_slow;
+        let is_told =
+            used != EngineUsage::default() || is_suspect || is_told_slow;
         is_told.then_some(EngineUse {
             engine: engine.hash,
             used_kilo_token_layers: used.kilo_token_layers,
@@ -159,11 +163,11 @@
         })
     };
     let engines = core.fleet.all().into_iter().filter_map(engine_use);
-    let sent = core.sent_to_services().into_iter();
+    let sent = core.sent_by_service().into_iter();
     let services = sent.map(|(service, sent)| ServiceUse {
         service,
         requests: sent.requests,
-        further: sent.further,
+        further: sent.retries,
     });
     PeerState {
         boot_id: core.boot_id,
@@ -173,9 +177,9 @@
         engines: engines.collect(),
         services: services.collect(),
         is_planner: core.is_planner.load(Relaxed),
-        crossing_kilobytes_per_s: (core.crossing.own_bytes_per_s() / 1e3)
+        crossing_kilobytes_per_s: (core.interconnect.own_bytes_per_s() / 1e3)
             as u32,
-        resigned: core.resigned.load(Relaxed),
+        resigned: core.released_lease_number.load(Relaxed),
         is_stopping: core.stopping_for_ms().is_some(),
         open_moves: core.open_moves(),
         data_centre: core.settings.data_centre.clone(),
@@ -196,11 +200,11 @@
 
 /// States that an entry hears in a second, about as many as it sends.
 fn states_per_s(core: &Core) -> f64 {
-    let at_once = [Whom::Near, Whom::Far]
+    let at_once = [PeerScope::SameDataCentre, PeerScope::OtherDataCentre]
         .into_iter()
-        .map(|whom| core.peers.addresses_of(whom).len().min(whom.at_once()));
+        .map(|whom| core.peers.addresses_of(whom).len().min(whom.fan_out()));
     let at_once: usize = at_once.sum();
-    at_once as f64 * 1e3 / EVERY_MS as f64
+    at_once as f64 * 1e3 / BASE_INTERVAL_MS as f64
 }
 
 fn take(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
@@ -224,33 +228,33 @@
     }
     core.peers.take_sent(state, core.settings.bounds.retry_window_ms);
     if state.is_planner {
-        core.take_moves(&state.open_moves);
+        core.apply_moves(&state.open_moves);
     }
     take_use(core, state);
 }
 
 fn take_use(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     let told: BTreeSet<u32> = state.engines.iter().map(|u| u.engine).collect();
-    for hash in core.told_use.replace(state.boot_id, told) {
+    for hash in core.peer_usage.replace(state.boot_id, told) {
         if let Some(engine) = listed.by_hash.get(&hash) {
-            engine.set_other(state.boot_id, None);
+            engine.set_peer_usage(state.boot_id, None);
         }
     }
     for used in &state.engines {
         let Some(engine) = listed.by_hash.get(&used.engine) else { continue };
-        let told_use = Use {
+        let told_use = EngineUsage {
             kilo_token_layers: used.used_kilo_token_layers,
             first_count: used.first_count,
             work_ms_per_s: used.work_ms_per_s,
         };
-        engine.set_other(state.boot_id, Some(told_use));
+        engine.set_peer_usage(state.boot_id, Some(told_use));
         take_news(core, engine, used);
     }
 }
 
 fn take_alert(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     for told in &state.engines {
         let Some(engine) = listed.by_hash.get(&told.engine) else { continue };
         engine.lock().alerted_ms = now_ms();
@@ -312,10 +316,10 @@
 }
 
 fn forget_use(core: &Core, boot_id: u64) {
-    let listed = core.fleet.listed();
-    for hash in core.told_use.replace(boot_id, BTreeSet::new()) {
+    let listed = core.fleet.index();
+    for hash in core.peer_usage.replace(boot_id, BTreeSet::new()) {
         if let Some(engine) = listed.by_hash.get(&hash) {
-            engine.set_other(boot_id, None);
+            engine.set_peer_usage(boot_id, None);
         }
     }
 }
--- a/crates/direct/src/known/permits.rs
+++ b/crates/direct/src/cluster/permits.rs
@@ -17,16 +17,16 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use chestnutreach_protocol::peers::{EngineNotice, PeerState};
-use chestnutreach_routing::permits::PASSING_WANT_MS;
-use chestnutreach_routing::{PermitIssuer, Want};
+use chestnutreach_routing::permits::REROUTABLE_WAIT_MS;
+use chestnutreach_routing::{PermitDemand, PermitIssuer};
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 use prost::Message as _;
 
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, notices},
     core::Core,
-    known::{engine::Engine, notices},
 };
 
 mod messages;
@@ -124,7 +124,7 @@
     pub(crate) fn status(&self) -> Vec<serde_json::Value> {
         let state = self.lock();
         let of_server = |(engine, issuer): (&u32, &PermitIssuer)| {
-            let out = issuer.out().map(|(entry, out)| {
+            let out = issuer.outstanding().map(|(entry, out)| {
                 serde_json::json!({"entry": entry.to_string(), "out": out})
             });
             serde_json::json!({
@@ -138,20 +138,20 @@
 
 /// What is told of what a server said.
 pub(crate) fn news_of(engine: &Engine, now_ms: u64) -> Option<EngineNotice> {
-    let news = engine.notices.news(now_ms)?;
+    let news = engine.notices.peer_notice(now_ms)?;
     Some(EngineNotice { engine: engine.hash, ..news })
 }
 
 /// Waits a moment for a permit for a request that has another server as
 /// well; whether there is one.
-pub(crate) async fn passing(
+pub(crate) async fn await_permit(
     core: &Core,
     engine: &Engine,
     id: &str,
-    want: Want,
+    want: PermitDemand,
 ) -> bool {
     let asked_ms = now_ms();
-    let has_permit = engine.notices.want(want, asked_ms)
+    let has_permit = engine.notices.request_permit(want, asked_ms)
         && comes_soon(core, engine, want, asked_ms).await;
     note_sought(engine, id, asked_ms, has_permit);
     has_permit
@@ -160,12 +160,12 @@
 async fn comes_soon(
     core: &Core,
     engine: &Engine,
-    want: Want,
+    want: PermitDemand,
     asked_ms: u64,
 ) -> bool {
     let notices = &engine.notices;
     core.permits.wake();
-    while now_ms() < asked_ms + PASSING_WANT_MS {
+    while now_ms() < asked_ms + REROUTABLE_WAIT_MS {
         Timer::after(PASSING_LOOK).await;
         if notices.may_send(now_ms()) {
             return true;
@@ -251,10 +251,10 @@
     if is_silent && core.permits.is_idle() {
         return;
     }
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     for notice in &told.notices {
         if let Some(engine) = listed.by_hash.get(&notice.engine) {
-            notices::hear(core, engine, notice);
+            notices::apply_peer_notice(core, engine, notice);
         }
     }
     let round = Round::new(core);
@@ -284,7 +284,7 @@
     /// Takes servers that said something new, and forgets those of which
     /// nothing is told any more.
     fn take_changes(&mut self, core: &Core, now_ms: u64) {
-        let listed = core.fleet.listed();
+        let listed = core.fleet.index();
         for hash in std::mem::take(&mut self.changed) {
             if let Some(engine) = listed.by_hash.get(&hash) {
                 self.told.insert(hash, engine.clone());
@@ -292,7 +292,7 @@
         }
         self.told.retain(|hash, engine| {
             listed.by_hash.contains_key(hash)
-                && engine.notices.news(now_ms).is_some()
+                && engine.notices.peer_notice(now_ms).is_some()
         });
         let limited: BTreeSet<u32> =
             self.limited().iter().map(|engine| engine.hash).collect();
--- a/crates/direct/src/known/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -18,15 +18,15 @@
     EngineCrash, PeerState, RequestTrial, SuspectRequest,
 };
 use chestnutreach_routing::{
-    Fingerprint, RunStart, SuspectNews, Suspects, Trials, Verdict,
-    quarantine::CrashNews,
+    Fingerprint, RunProgress, SuspectReport, Suspects, Trials, Verdict,
+    quarantine::CrashReport,
 };
 use chestnutreach_telemetry::{Event, emit};
 
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, probe},
     core::Core,
-    known::{engine::Engine, probe},
 };
 
 /// Pauses before looks at whether an engine has crashed.
@@ -58,44 +58,44 @@
 
 /// A run that broke off when it had just begun.
 #[derive(Clone, Debug)]
-pub(crate) struct BrokenRun {
+pub(crate) struct FailedRun {
     /// Id of the request.
     pub(crate) request: String,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) engine: Arc<Engine>,
-    pub(crate) start: RunStart,
+    pub(crate) start: RunProgress,
     pub(crate) is_in_trial: bool,
 }
 
 /// A trial of a request of this entry, until it is dropped.
-pub(crate) struct TrialHold {
+pub(crate) struct TrialGuard {
     core: Arc<Core>,
     fingerprint: Fingerprint,
     /// Short hash of the engine.
     engine: u32,
 }
 
-impl TrialHold {
+impl TrialGuard {
     /// Tells the other entries of it.
-    pub(crate) fn tell(&self) {
-        self.core.alerts.tell_trial(self.fingerprint, Some(self.engine));
+    pub(crate) fn announce(&self) {
+        self.core.alerts.queue_trial(self.fingerprint, Some(self.engine));
     }
 
     /// Whether no trial of another entry goes before it.
     pub(crate) fn is_held(&self) -> bool {
         let holder = self.core.boot_id;
         let trials = &self.core.suspects.lock().trials;
-        trials.is_held(self.fingerprint, holder, now_ms())
+        trials.is_held_by(self.fingerprint, holder, now_ms())
     }
 }
 
-impl Drop for TrialHold {
+impl Drop for TrialGuard {
     fn drop(&mut self) {
         let core = &self.core;
         let mut state = core.suspects.lock();
         state.trials.end(self.fingerprint, core.boot_id);
         drop(state);
-        core.alerts.tell_trial(self.fingerprint, None);
+        core.alerts.queue_trial(self.fingerprint, None);
     }
 }
 
@@ -135,7 +135,7 @@
         if self.is_empty() {
             return BTreeSet::new();
         }
-        self.lock().trials.servers(now_ms())
+        self.lock().trials.servers_on_trial(now_ms())
     }
 
     /// What is told of requests with the next state, of which each entry hears
@@ -145,15 +145,15 @@
         let mut rng = fastrand::Rng::new();
         let mut state = self.lock();
         let suspects = &mut state.suspects;
-        suspects.forget(now_ms);
+        suspects.remove_expired(now_ms);
         self.count.store(suspects.len(), Relaxed);
-        let news = suspects.news(now_ms, states_per_s, &mut rng);
+        let news = suspects.next_reports(now_ms, states_per_s, &mut rng);
         news.into_iter().map(to_message).collect()
     }
 
     /// What is told at once of a request.
     pub(crate) fn news_of(&self, of: Fingerprint) -> Option<SuspectRequest> {
-        let news = self.lock().suspects.news_of(of, now_ms());
+        let news = self.lock().suspects.report_of(of, now_ms());
         news.map(to_message)
     }
 
@@ -163,7 +163,7 @@
         let state = self.lock();
         let suspects = &state.suspects;
         let of_request = |request| {
-            let news = suspects.news_of(request, now_ms)?;
+            let news = suspects.report_of(request, now_ms)?;
             let verdict = suspects.verdict(request, now_ms);
             let name = match verdict {
                 Verdict::Free => "free",
@@ -178,12 +178,12 @@
                 "crashes": crashes_json(&news),
             }))
         };
-        suspects.requests().filter_map(of_request).collect()
+        suspects.fingerprints().filter_map(of_request).collect()
     }
 }
 
-fn crashes_json(news: &SuspectNews) -> Vec<serde_json::Value> {
-    let crash = |crash: &CrashNews| {
+fn crashes_json(news: &SuspectReport) -> Vec<serde_json::Value> {
+    let crash = |crash: &CrashReport| {
         serde_json::json!({
             "backend_hash": format!("{:08x}", crash.server),
             "age_ms": crash.age_ms,
@@ -194,8 +194,8 @@
     news.crashes.iter().map(crash).collect()
 }
 
-fn to_message(news: SuspectNews) -> SuspectRequest {
-    let crash = |crash: CrashNews| EngineCrash {
+fn to_message(news: SuspectReport) -> SuspectRequest {
+    let crash = |crash: CrashReport| EngineCrash {
         engine: crash.server,
         age_ms: crash.age_ms,
         is_in_trial: crash.is_in_trial,
@@ -207,14 +207,14 @@
     }
 }
 
-fn from_message(told: &SuspectRequest) -> SuspectNews {
-    let crash = |crash: &EngineCrash| CrashNews {
+fn from_message(told: &SuspectRequest) -> SuspectReport {
+    let crash = |crash: &EngineCrash| CrashReport {
         server: crash.engine,
         age_ms: crash.age_ms,
         is_in_trial: crash.is_in_trial,
         is_void: crash.is_void,
     };
-    SuspectNews {
+    SuspectReport {
         fingerprint: Fingerprint(told.fingerprint),
         crashes: told.crashes.iter().map(crash).collect(),
     }
@@ -224,10 +224,10 @@
 /// has. The connection may end before the port is closed, so that is looked
 /// at again, the last time without the request waiting for it. One that is
 /// silent is not waited for.
-pub(crate) async fn note_broken(core: &Arc<Core>, run: BrokenRun) -> bool {
+pub(crate) async fn check_crash(core: &Arc<Core>, run: FailedRun) -> bool {
     for pause in CRASH_LOOKS {
         Timer::after(pause).await;
-        if probe::dial_shows_crash(core, &run.engine).await {
+        if probe::confirm_crash(core, &run.engine).await {
             note_crash(core, &run);
             return true;
         }
@@ -235,17 +235,17 @@
             break;
         }
     }
-    look_later(core, run);
+    check_crash_later(core, run);
     false
 }
 
 /// Finds a moment later whether the engine of a run has crashed that broke
 /// off, or was left.
-pub(crate) fn look_later(core: &Arc<Core>, run: BrokenRun) {
+pub(crate) fn check_crash_later(core: &Arc<Core>, run: FailedRun) {
     let core_here = core.clone();
     let look = async move {
         Timer::after(LAST_CRASH_LOOK).await;
-        if probe::dial_shows_crash(&core_here, &run.engine).await {
+        if probe::confirm_crash(&core_here, &run.engine).await {
             note_crash(&core_here, &run);
         }
     };
@@ -253,11 +253,11 @@
 }
 
 /// Takes that an engine crashed under a run that had only just begun.
-fn note_crash(core: &Core, run: &BrokenRun) {
+fn note_crash(core: &Core, run: &FailedRun) {
     let fingerprint = run.fingerprint;
     let changed = core.suspects.change(fingerprint, |suspects, now_ms| {
         let server = run.engine.hash;
-        suspects.note_crash(fingerprint, server, run.is_in_trial, now_ms)
+        suspects.record_crash(fingerprint, server, run.is_in_trial, now_ms)
     });
     let begun_ms = run.start.age_ms(now_ms());
     let begun_ms = begun_ms.map_or_else(String::new, |ms| ms.to_string());
@@ -274,13 +274,17 @@
         ],
     );
     if changed.is_news {
-        core.alerts.tell_suspect(fingerprint);
+        core.alerts.queue_suspect(fingerprint);
         note_change(core, fingerprint, &changed, "own");
     }
 }
 
 /// Takes that a run of a request has lasted: it crashes nothing.
-pub(crate) fn note_lasted(core: &Core, fingerprint: Fingerprint, id: &str) {
+pub(crate) fn record_survived(
+    core: &Core,
+    fingerprint: Fingerprint,
+    id: &str,
+) {
     if core.suspects.verdict(fingerprint) != Verdict::Free {
         clear(core, fingerprint, id, "lasted");
     }
@@ -308,7 +312,7 @@
             ("cause", &cause),
         ],
     );
-    core.alerts.tell_suspect(fingerprint);
+    core.alerts.queue_suspect(fingerprint);
     true
 }
 
@@ -335,7 +339,7 @@
             ("source", &source),
         ],
     );
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
 }
 
 /// Begins a trial of a request at an engine, unless one of them is on trial.
@@ -343,15 +347,15 @@
     core: &Arc<Core>,
     fingerprint: Fingerprint,
     engine: &Engine,
-) -> Option<TrialHold> {
+) -> Option<TrialGuard> {
     let mut state = core.suspects.lock();
     let (server, holder) = (engine.hash, core.boot_id);
     if !state.trials.try_begin(fingerprint, server, holder, now_ms()) {
         return None;
     }
     drop(state);
-    let hold = TrialHold { core: core.clone(), fingerprint, engine: server };
-    hold.tell();
+    let hold = TrialGuard { core: core.clone(), fingerprint, engine: server };
+    hold.announce();
     Some(hold)
 }
 
@@ -360,8 +364,9 @@
     for suspect in &told.suspects {
         let news = from_message(suspect);
         let fingerprint = news.fingerprint;
-        let hear =
-            |suspects: &mut Suspects, now_ms| suspects.hear(&news, now_ms);
+        let hear = |suspects: &mut Suspects, now_ms| {
+            suspects.apply_report(&news, now_ms)
+        };
         let changed = core.suspects.change(fingerprint, hear);
         if changed.is_news {
             note_change(core, fingerprint, &changed, "told");
@@ -377,6 +382,6 @@
     let trials = &mut core.suspects.lock().trials;
     match told.engine {
         0 => trials.end(fingerprint, holder),
-        server => trials.hear(fingerprint, server, holder, now_ms()),
+        server => trials.apply_remote(fingerprint, server, holder, now_ms()),
     }
 }
--- a/crates/direct/src/orders/place.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -17,21 +17,21 @@
     OrderScope, OrderTracker, order_tracker::ORDER_EXPIRY_MS, replica_counts,
 };
 use chestnutreach_protocol::peers;
-use chestnutreach_site::{BackendState, Model, Passing};
+use chestnutreach_site::{BackendState, Model, StreamPolicy};
 use chestnutreach_telemetry::{Event, emit};
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
-        engine::{Engine, Evidence},
+    cluster::{
+        engine::{Engine, FailureEvidence},
         probe,
     },
-    orders::{
+    core::Core,
+    placement::{
+        authority::{Authority, note_mandate},
         lease::Lease,
-        mandate::{Mandate, note_mandate},
     },
-    request::exchange::{self, within},
+    request::exchange::{self, with_timeout},
 };
 
 /// Time between plans.
@@ -48,7 +48,7 @@
     let mut last = None;
     loop {
         Timer::after(PLAN_EVERY).await;
-        let mandate = Mandate::of(&core, &lease);
+        let mandate = Authority::of(&core, &lease);
         if mandate != last {
             planner = Planner::default();
             note_mandate(last, mandate);
@@ -60,7 +60,7 @@
                 core.set_open_moves(planner.open_moves(&core));
             }
         }
-        core.orders_waiting.store(planner.open_count(), Relaxed);
+        core.pending_orders.store(planner.open_count(), Relaxed);
     }
 }
 
@@ -91,7 +91,7 @@
             book.open_moves().map(move |open| (service, open))
         });
         let told = |(service, open): (&String, OpenMove)| {
-            let engine = core.fleet.incarnation(&open.engine)?;
+            let engine = core.fleet.by_incarnation(&open.engine)?;
             let told = peers::OpenMove {
                 service: service.clone(),
                 engine: engine.hash,
@@ -105,7 +105,7 @@
         moves.filter_map(told).collect()
     }
 
-    fn round(&mut self, core: &Arc<Core>, lease: &Lease, mandate: Mandate) {
+    fn round(&mut self, core: &Arc<Core>, lease: &Lease, mandate: Authority) {
         let Some(configuration) = core.configuration() else {
             return;
         };
@@ -148,7 +148,7 @@
         &mut self,
         core: &Arc<Core>,
         lease: &Lease,
-        mandate: Mandate,
+        mandate: Authority,
         service: &str,
         model: &Model,
     ) {
@@ -171,7 +171,7 @@
         let scope = mandate.scope();
         for due in book.due_orders(&layout_model, &known, scope, now_ms()) {
             // Deciding took time; another one may plan by now.
-            if Mandate::of(core, lease) != Some(mandate) {
+            if Authority::of(core, lease) != Some(mandate) {
                 return;
             }
             let engine = engines.all[due.engine].clone();
@@ -235,7 +235,7 @@
     };
     let now_ms = now_ms();
     let told = core.peers.told_moves(service).into_iter();
-    let own = core.own_moves(service).into_iter();
+    let own = core.issued_moves(service).into_iter();
     let recent = told
         .chain(own)
         .filter(|(given_ms, _)| now_ms - given_ms < ORDER_EXPIRY_MS);
@@ -257,13 +257,15 @@
     let kind = state.row.kind.as_ref();
     let kind = kind.and_then(|kind| model.kinds.get(kind));
     let is_sound = state.row.state == BackendState::Ready
-        && !state.is_gone
+        && !state.is_removed
         && !state.is_row_unusable
         && state.suspicion.is_none();
     // Its process may go on: nothing but silence speaks against it.
     let may_return = state.row.state == BackendState::Ready
-        && !state.is_gone
-        && state.suspicion.is_some_and(|s| s.evidence != Evidence::Refused);
+        && !state.is_removed
+        && state
+            .suspicion
+            .is_some_and(|s| s.evidence != FailureEvidence::Refused);
     ObservedEngine {
         id: &engine.incarnation,
         may_return,
@@ -304,15 +306,15 @@
     service: &str,
     engine: &Engine,
     range: LayerRange,
-) -> Passing {
+) -> StreamPolicy {
     let configuration = core.configuration();
     let may_go_on =
         configuration.is_some_and(|c| c.streams_may_go_on(service));
     let held = engine.lock().row.held;
     let is_first = held.is_some_and(|held| held.first_layer == 0);
     match may_go_on && (!is_first || range.first_layer == 0) {
-        true => Passing::IsCut,
-        false => Passing::Ends,
+        true => StreamPolicy::Abort,
+        false => StreamPolicy::Finish,
     }
 }
 
@@ -320,7 +322,7 @@
 struct GivenOrder {
     engine: Arc<Engine>,
     due: DueOrder,
-    mandate: Mandate,
+    mandate: Authority,
     service: String,
     accepted: Accepted,
 }
@@ -341,8 +343,8 @@
     let passing = passing(&core, &service, &engine, due.range);
     let body =
         place_body(due.range, mandate.fence(), due.orders_begun, passing);
-    let call = exchange::order(&engine, &body);
-    let reason = match within(ORDER, call).await {
+    let call = exchange::send_order(&engine, &body);
+    let reason = match with_timeout(ORDER, call).await {
         Ok(Ok((200..=299, _))) => {
             let order = (engine.incarnation.clone(), due.orders_begun);
             accepted.lock().expect("no holder panics").push(order);
@@ -350,7 +352,7 @@
         }
         Ok(Ok((409, body))) => {
             // It has begun orders that the list does not count.
-            probe::ask(core, engine.clone()).await;
+            probe::request_report(core, engine.clone()).await;
             String::from_utf8_lossy(&body).into_owned()
         }
         Ok(Ok((status, body))) => {
--- a/crates/direct/src/request/plain/seek.rs
+++ b/crates/direct/src/request/plain/seek.rs
@@ -7,14 +7,16 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_routing::{RoomNeed, RoomWait, RoomWaits, TurnNeed, Want};
+use chestnutreach_routing::{
+    CapacityRequest, CapacityWait, CapacityWaits, PermitDemand, TurnRequest,
+};
 use futures_lite::FutureExt as _;
 
 use super::Run;
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, fleet::accepts_requests, permits},
     core::Core,
-    known::{engine::Engine, fleet::may_be_asked, permits},
     request::{
         admit::Admitted,
         answer::{Reason, rest_come_back_ms},
@@ -68,7 +70,7 @@
         match self.suspicion.turn(until_ms, choose).await {
             Turn::Free => Some((self.wait_for_engine(until_ms).await?, None)),
             Turn::Trial(trial) => {
-                let may_begin = trial.engine.try_begin(self.key, now_ms());
+                let may_begin = trial.engine.try_admit(self.key, now_ms());
                 may_begin.then(|| (trial.engine.clone(), Some(trial)))
             }
             Turn::None => None,
@@ -113,19 +115,19 @@
         let Some(engine) = look(false).apart_from_trials() else {
             return Looked::None;
         };
-        if engine.try_begin(self.key, now_ms()) {
+        if engine.try_admit(self.key, now_ms()) {
             return Looked::Found(engine);
         }
         let (id, want) = (self.admitted.id_text(), self.want(false));
         if is_first_look
-            && permits::passing(self.core, &engine, id, want).await
-            && engine.try_begin(self.key, now_ms())
+            && permits::await_permit(self.core, &engine, id, want).await
+            && engine.try_admit(self.key, now_ms())
         {
             return Looked::Found(engine);
         }
         let other = look(true).apart_from_trials();
         match other {
-            Some(other) if other.try_begin(self.key, now_ms()) => {
+            Some(other) if other.try_admit(self.key, now_ms()) => {
                 Looked::Found(other)
             }
             _ => {
@@ -141,7 +143,7 @@
         let engines = self.core.fleet.of_service(&self.admitted.service.name);
         let is_fresh = |e: &&Arc<Engine>| !self.tried.contains(&e.incarnation);
         let engines = engines.all.iter().filter(is_fresh);
-        let ready_in_ms = self.core.fleet.ready_in_ms(engines, now_ms);
+        let ready_in_ms = self.core.fleet.cooldown_left_ms(engines, now_ms);
         let may_wait_ms = until_ms.saturating_sub(now_ms);
         let come_back_ms = rest_come_back_ms(ready_in_ms, may_wait_ms);
         let refusal = come_back_ms.map(|ms| (Reason::ServersRest, ms));
@@ -149,16 +151,16 @@
         refusal.is_some()
     }
 
-    fn want(&self, is_waiting: bool) -> Want {
+    fn want(&self, is_waiting: bool) -> PermitDemand {
         let urgency = self.admitted.urgency;
-        Want { request: self.key, is_waiting, urgency }
+        PermitDemand { request: self.key, is_waiting, urgency }
     }
 
     /// Asks for a permit of any that takes work.
     fn want_any(&self, look: &Look<'_>) {
         let now_ms = now_ms();
         for engine in look.takers(&BTreeSet::new()) {
-            engine.notices.want(self.want(true), now_ms);
+            engine.notices.request_permit(self.want(true), now_ms);
         }
         self.core.permits.wake();
     }
@@ -171,31 +173,32 @@
         let queues = &self.core.path_queues;
         let before = queues.before(service, account, TOKENS);
         let now_ms = now_ms();
-        let need = RoomNeed {
+        let need = CapacityRequest {
             account,
             tokens: TOKENS,
             tokens_before: before.tokens,
-            in_time_ms: until_ms.saturating_sub(now_ms),
-            waited_for_ms: before.busy_for_ms,
-        };
-        let decide = |waits: &mut RoomWaits| match waits.wait(&need, now_ms) {
-            RoomWait::UpTo(_) => None,
-            RoomWait::Refused(_) => {
-                let mut rng = fastrand::Rng::new();
-                Some(waits.come_back_ms(now_ms, &mut rng))
-            }
+            start_within_ms: until_ms.saturating_sub(now_ms),
+            contended_for_ms: before.busy_for_ms,
         };
+        let decide =
+            |waits: &mut CapacityWaits| match waits.decide(&need, now_ms) {
+                CapacityWait::UpTo(_) => None,
+                CapacityWait::Refused(_) => {
+                    let mut rng = fastrand::Rng::new();
+                    Some(waits.retry_after_ms(now_ms, &mut rng))
+                }
+            };
         let come_back_ms = self.core.room_waits.change(service, decide);
         self.refusal = come_back_ms.map(|ms| (Reason::NoRoom, ms));
         if self.refusal.is_some() {
             return None;
         }
-        let need = TurnNeed {
+        let need = TurnRequest {
             account,
             priority: priority_of(self.admitted.urgency),
             tokens: TOKENS,
-            in_time_until_ms: until_ms,
-            until_ms,
+            start_by_ms: until_ms,
+            wait_until_ms: until_ms,
         };
         queues.try_join(service, &need).ok()
     }
@@ -211,7 +214,9 @@
     /// Counts that it asks for a backend server.
     pub(super) fn note_asked(&self) {
         let account = self.admitted.account.as_deref().unwrap_or("");
-        let ask = |waits: &mut RoomWaits| waits.ask(account, TOKENS, now_ms());
+        let ask = |waits: &mut CapacityWaits| {
+            waits.record_request(account, TOKENS, now_ms())
+        };
         self.core.room_waits.change(&self.admitted.service.name, ask);
     }
 
@@ -234,7 +239,7 @@
 
     /// The least busy outside of a set of short hashes.
     fn least_busy(&self, outside: &BTreeSet<u32>) -> Option<Arc<Engine>> {
-        let own = self.core.own_data_centre();
+        let own = self.core.own_data_centre_index();
         let rank = |e: &Arc<Engine>| {
             let slots = u64::from(e.lock().row.slots.max(1));
             let load = e.first_count() * 100 / slots;
@@ -250,7 +255,7 @@
         let takes = |e: &&Arc<Engine>| {
             !self.tried.contains(&e.incarnation)
                 && !outside.contains(&e.hash)
-                && may_be_asked(&e.lock(), now_ms)
+                && accepts_requests(&e.lock(), now_ms)
                 && (!self.is_permit_needed || e.notices.may_send(now_ms))
         };
         engines.all.iter().filter(takes).cloned().collect()
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -14,18 +14,17 @@
 use chestnutreach_http::relay::{
     AnswerHead, Inbound, LAST_CHUNK, RelayRequest,
 };
-use chestnutreach_routing::{Attempts, Counted, RunStart};
+use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::Model;
 use futures_lite::FutureExt as _;
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
-        engine::{Engine, Hold},
+    cluster::{
+        engine::{Engine, Reservation},
         probe,
     },
-    nudges::Listed,
+    core::Core,
     request::{
         admit::Admitted,
         answer::{Framing, Reason, passed_head, promises_not_run},
@@ -34,6 +33,7 @@
         path::Path,
         room::RunningTokens,
     },
+    subscribers::Subscription,
 };
 
 mod attempt;
@@ -80,7 +80,7 @@
     is_last: bool,
     /// Tokens of the prompt and of what the client has already.
     tokens: u64,
-    listed: Listed,
+    listed: Subscription,
     /// Engines that may not be used for this request, by incarnation.
     without: BTreeSet<String>,
     /// Engines at which others are on trial, by their short hashes.
@@ -91,7 +91,7 @@
     /// First engines that it left and that may live.
     left: Vec<Arc<Engine>>,
     path: Path,
-    holds: Vec<Hold>,
+    reservations: Vec<Reservation>,
     running: Option<RunningTokens>,
     suspicion: Suspicion<'a>,
     /// Its trial, if this attempt is one.
@@ -138,14 +138,14 @@
         model,
         is_last,
         tokens: needed_tokens(request, model),
-        listed: core.streams.list(),
+        listed: core.stream_subscribers.subscribe(),
         without: BTreeSet::new(),
         not_first: BTreeSet::new(),
-        attempts: admitted.attempts(Counted::MayHaveRun),
+        attempts: admitted.attempts(CountedBackends::MayHaveRun),
         malformed: 0,
         left: Vec::new(),
         path: Path::default(),
-        holds: Vec::new(),
+        reservations: Vec::new(),
         running: None,
         suspicion: Suspicion::new(core, request, admitted),
         trial: None,
@@ -166,7 +166,7 @@
     metrics.requests_in_flight.inc();
     stream.note_asked();
     let after = stream.run(inbound).await;
-    stream.ended.attempts = stream.attempts.made();
+    stream.ended.attempts = stream.attempts.count();
     metrics.requests_in_flight.dec();
     stream.note_waiting();
     (stream.ended, after)
@@ -232,7 +232,7 @@
             }
             self.release_path();
             self.trial = None;
-            self.pace.run = RunStart::new();
+            self.pace.run = RunProgress::new();
         }
     }
 
@@ -242,20 +242,20 @@
         let first = self.path.first();
         match end {
             AttemptEnd::Failed(head, _) if head.status >= 500 => {
-                first.answers.note_failure(now_ms());
+                first.circuit.record_failure(now_ms());
             }
             // One further on that died speaks against no first engine.
             AttemptEnd::Broken
                 if !self.pace.has_begun && !self.has_dead_stage() =>
             {
-                first.answers.note_failure(now_ms());
+                first.circuit.record_failure(now_ms());
             }
-            _ => first.answers.note_neutral(),
+            _ => first.circuit.record_neutral(),
         }
     }
 
     fn note_caller_gone(&mut self) -> After {
-        if self.pace.run.may_crash(now_ms()) {
+        if self.pace.run.may_have_crashed_server(now_ms()) {
             let (first, is_in_trial) =
                 (self.path.first(), self.trial.is_some());
             self.suspicion.note_left(first, self.pace.run, is_in_trial);
@@ -266,7 +266,7 @@
 
     /// Whether it may go to another first engine.
     fn can_move(&self) -> bool {
-        self.admitted.left_ms(now_ms()) > 0 && self.attempts.may_go_on()
+        self.admitted.left_ms(now_ms()) > 0 && self.attempts.may_retry()
     }
 
     /// Takes that the first engine no longer answers this request. It does
@@ -278,10 +278,10 @@
         let first = self.path.first().clone();
         self.without.insert(first.incarnation.clone());
         self.cause = "resumed";
-        let may_crash = self.pace.run.may_crash(now_ms())
+        let may_crash = self.pace.run.may_have_crashed_server(now_ms())
             && (self.is_cut || first.is_suspect());
         match probe::has_ended(self.core, &first, false).await {
-            true => self.attempts.has_ended(&first.incarnation),
+            true => self.attempts.record_backend_exit(&first.incarnation),
             false => self.left.push(first.clone()),
         }
         if may_crash {
@@ -289,12 +289,12 @@
             let run = self.pace.run;
             self.suspicion.note_broken(&first, run, is_in_trial).await;
         }
-        if self.attempts.may_go_on() {
+        if self.attempts.may_retry() {
             return;
         }
         for left in std::mem::take(&mut self.left) {
             if probe::has_ended(self.core, &left, true).await {
-                self.attempts.has_ended(&left.incarnation);
+                self.attempts.record_backend_exit(&left.incarnation);
             }
         }
     }
@@ -303,14 +303,14 @@
     fn avoid(&mut self, at: Option<SocketAddr>) {
         self.cause = "refused";
         let first = self.path.first();
-        let named = at.and_then(|at| self.core.fleet.at(at));
+        let named = at.and_then(|at| self.core.fleet.by_address(at));
         let engine = named.unwrap_or_else(|| first.clone());
         let now_ms = now_ms();
         let mut state = engine.lock();
-        if state.is_at_rest(now_ms) {
+        if state.is_in_cooldown(now_ms) {
             return;
         }
-        state.avoid_longer(now_ms, AVOID_MS);
+        state.back_off(now_ms, AVOID_MS);
         drop(state);
         self.without.insert(engine.incarnation.clone());
     }
--- a/crates/direct/src/request/stream/told.rs
+++ b/crates/direct/src/request/stream/told.rs
@@ -5,7 +5,7 @@
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Stream;
-use crate::{clock::now_ms, known::engine::Engine, request::path::Path};
+use crate::{clock::now_ms, cluster::engine::Engine, request::path::Path};
 
 impl Stream<'_> {
     pub(super) fn note_sent(&self) {
@@ -23,7 +23,7 @@
             Event::RelaySent,
             &[
                 ("request", &self.admitted.id_text()),
-                ("attempt", &(self.attempts.made() + 1)),
+                ("attempt", &(self.attempts.count() + 1)),
                 ("backends", &self.path.names()),
                 ("tokens", &self.tokens),
                 ("waited_ms", &(now_ms - self.admitted.received_ms)),
@@ -42,7 +42,7 @@
             Event::RelayBroken,
             &[
                 ("request", &self.admitted.id_text()),
-                ("attempt", &self.attempts.made()),
+                ("attempt", &self.attempts.count()),
                 ("backend", &self.path.first().id),
                 ("error", &error),
                 ("suspects", &self.suspects()),
--- a/crates/entry/src/session/mod.rs
+++ b/crates/entry/src/session/mod.rs
@@ -35,7 +35,9 @@
 use async_io::Timer;
 use chestnutreach_platform::claims::Claim;
 use chestnutreach_protocol::{Link, RequestId, link::BusyGuard, wire};
-use chestnutreach_routing::{Priority, fleet::BackendIndex, live::Ended};
+use chestnutreach_routing::{
+    Priority, fleet::BackendIndex, live_state::RequestOutcome,
+};
 use chestnutreach_state::{NotRunReason, Outcome};
 
 pub(crate) use crate::ending::{Cause, Ending};
@@ -143,7 +145,7 @@
     ) -> Session {
         let (sender, events) = async_channel::unbounded();
         entry.register(job.request, sender);
-        job.service.budget.note_request();
+        job.service.budget.record_request();
         Session {
             entry: entry.clone(),
             deadline: Timer::at(job.deadline),
@@ -285,7 +287,7 @@
         if matches!(self.phase, Phase::Waiting | Phase::Lost) {
             self.cancel();
             if let Some(attempt) = &self.attempt {
-                self.note_ended(attempt, &Ended::Cancelled, None);
+                self.note_ended(attempt, &RequestOutcome::Cancelled, None);
             }
         }
     }
