--- a/crates/state/src/generation.rs
+++ b/crates/state/src/generation.rs
@@ -1,51 +1,51 @@
-//! Which generation of the manifest a node has in force.
+//! Decides which generation of the manifest is in force on a node.
 //!
-//! A node hears of generations from the table service and on every message
-//! of its peers, in any order and often late. It applies only a higher one
-//! than it has, and only after it has fetched and checked the whole of it;
-//! until then the one in force stays. A fetch that ends after a higher
-//! generation was heard of is of no more use.
+//! A node learns of generations from the table service and from every message
+//! of its peers, in any order and often late. The node applies only a higher
+//! generation than the one in force, after fetching and checking the whole
+//! manifest; until then, the generation in force stays. The result of a fetch
+//! is discarded if a higher generation was observed in the meantime.
 //!
-//! A node keeps nothing over a restart. It then takes the highest generation
-//! of the table service and the peers that it asked; when the table service
-//! is down, it waits for every peer's answer or failure, since the first
-//! answer may be that of a peer that lags.
+//! A node keeps no state over a restart. It then adopts the highest generation
+//! that the table service and the polled peers report. While the table service
+//! is unavailable, the node waits until every peer has responded or failed,
+//! because the first response may come from a peer that lags behind.
 
-/// How far a node is with the generation that comes next.
+/// Progress of a node towards the next generation.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Applying {
+pub enum NextGeneration {
     /// No higher generation is known.
     #[default]
-    Nothing,
-    /// It was heard of.
-    Seen(u64),
-    /// Its manifest is being fetched.
+    Unknown,
+    /// A higher generation is known.
+    Known(u64),
+    /// The manifest of the generation is being fetched.
     Fetching(u64),
-    /// Its manifest is here, whole and checked.
+    /// The manifest of the generation is complete and checked.
     Checked(u64),
 }
 
-impl Applying {
-    /// The generation; none where no higher one is known.
+impl NextGeneration {
+    /// The next generation; `None` if no higher one is known.
     pub fn generation(self) -> Option<u64> {
         match self {
-            Applying::Nothing => None,
-            Applying::Seen(generation)
-            | Applying::Fetching(generation)
-            | Applying::Checked(generation) => Some(generation),
+            NextGeneration::Unknown => None,
+            NextGeneration::Known(generation)
+            | NextGeneration::Fetching(generation)
+            | NextGeneration::Checked(generation) => Some(generation),
         }
     }
 }
 
-/// Lets a node's generation only rise.
+/// Ensures that the generation of a node only increases.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GenerationGate {
     in_force: Option<u64>,
-    applying: Applying,
+    next: NextGeneration,
 }
 
 impl GenerationGate {
-    /// A node without a generation.
+    /// The gate of a node without a generation.
     pub fn new() -> GenerationGate {
         GenerationGate::default()
     }
@@ -55,135 +55,138 @@
         self.in_force
     }
 
-    /// How far the next generation is.
-    pub fn applying(&self) -> Applying {
-        self.applying
+    /// Progress towards the next generation.
+    pub fn next_generation(&self) -> NextGeneration {
+        self.next
     }
 
-    /// Notes that a generation exists; true when it is the highest so far.
-    pub fn hear(&mut self, generation: u64) -> bool {
-        let known = self.in_force.max(self.applying.generation());
-        let is_news = Some(generation) > known;
-        if is_news {
-            self.applying = Applying::Seen(generation);
+    /// Records that a generation exists, and returns whether it is the highest
+    /// known one.
+    pub fn observe(&mut self, generation: u64) -> bool {
+        let known = self.in_force.max(self.next.generation());
+        let is_new = Some(generation) > known;
+        if is_new {
+            self.next = NextGeneration::Known(generation);
         }
-        is_news
+        is_new
     }
 
-    /// The generation to fetch now; none while one is being fetched.
+    /// Starts the fetch of the next generation and returns the generation;
+    /// `None` if there is nothing to fetch or a fetch is in progress.
     pub fn begin_fetch(&mut self) -> Option<u64> {
-        let Applying::Seen(generation) = self.applying else {
+        let NextGeneration::Known(generation) = self.next else {
             return None;
         };
-        self.applying = Applying::Fetching(generation);
+        self.next = NextGeneration::Fetching(generation);
         Some(generation)
     }
 
-    /// Notes that the manifest of a generation is here and sound; false when
-    /// it is not the one that was being fetched.
-    pub fn fetched(&mut self, generation: u64) -> bool {
-        let is_wanted = self.applying == Applying::Fetching(generation);
-        if is_wanted {
-            self.applying = Applying::Checked(generation);
+    /// Records that a manifest was fetched and is valid. Returns false if this
+    /// generation was not being fetched.
+    pub fn fetch_succeeded(&mut self, generation: u64) -> bool {
+        let is_expected = self.next == NextGeneration::Fetching(generation);
+        if is_expected {
+            self.next = NextGeneration::Checked(generation);
         }
-        is_wanted
+        is_expected
     }
 
-    /// Notes that a manifest could not be fetched, or was not sound; it is
-    /// to be fetched again, from elsewhere.
+    /// Records that a manifest could not be fetched or was not valid. The
+    /// manifest is to be fetched again from another source.
     pub fn fetch_failed(&mut self, generation: u64) {
-        if self.applying == Applying::Fetching(generation) {
-            self.applying = Applying::Seen(generation);
+        if self.next == NextGeneration::Fetching(generation) {
+            self.next = NextGeneration::Known(generation);
         }
     }
 
-    /// Gives up a generation that nobody can give, so that a lower one that
-    /// is still higher than the one in force can be heard of again.
-    pub fn give_up(&mut self, generation: u64) {
-        if self.applying.generation() == Some(generation) {
-            self.applying = Applying::Nothing;
+    /// Discards a generation that no source can provide, so that a lower one
+    /// above the generation in force can be observed again.
+    pub fn abandon(&mut self, generation: u64) {
+        if self.next.generation() == Some(generation) {
+            self.next = NextGeneration::Unknown;
         }
     }
 
-    /// Puts the checked generation in force; false when it is not the
-    /// checked one.
+    /// Puts a checked generation in force. Returns false if this generation
+    /// has not been checked.
     pub fn put_in_force(&mut self, generation: u64) -> bool {
-        let is_ready = self.applying == Applying::Checked(generation);
-        if is_ready {
+        let is_checked = self.next == NextGeneration::Checked(generation);
+        if is_checked {
             self.in_force = Some(generation);
-            self.applying = Applying::Nothing;
+            self.next = NextGeneration::Unknown;
         }
-        is_ready
+        is_checked
     }
 }
 
-/// What a restarted node is to do.
+/// What a restarted node is to do next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum StartOutcome {
-    /// Answers are still to come.
-    Waiting,
-    /// Hear of this generation; it is the highest that anyone named.
-    Take(u64),
-    /// Nobody named one: ask again.
-    Nothing,
+pub enum StartupDecision {
+    /// Wait for more responses.
+    Wait,
+    /// Adopt this generation, the highest one reported.
+    Adopt(u64),
+    /// No generation was reported: start a new poll.
+    PollAgain,
 }
 
-/// The questions of a restarted node: one to the table service, one to each
-/// of several peers.
+/// The poll of a restarted node: one request to the table service, and one to
+/// each of several peers.
 #[derive(Clone, Copy, Debug)]
-pub struct StartPoll {
-    is_store_open: bool,
-    has_store_answered: bool,
-    open_peers: usize,
+pub struct StartupPoll {
+    is_store_pending: bool,
+    has_store_responded: bool,
+    pending_peers: usize,
     highest: Option<u64>,
 }
 
-impl StartPoll {
-    /// Questions to the table service and to `peers` peers.
-    pub fn new(peers: usize) -> StartPoll {
-        StartPoll {
-            is_store_open: true,
-            has_store_answered: false,
-            open_peers: peers,
+impl StartupPoll {
+    /// A poll of the table service and of this number of peers.
+    pub fn new(peers: usize) -> StartupPoll {
+        StartupPoll {
+            is_store_pending: true,
+            has_store_responded: false,
+            pending_peers: peers,
             highest: None,
         }
     }
 
-    /// The table service named its generation; none where it has no
+    /// Records the generation of the table service; `None` if it has no
     /// manifest.
-    pub fn store_answered(&mut self, generation: Option<u64>) {
-        self.is_store_open = false;
-        self.has_store_answered = true;
+    pub fn store_responded(&mut self, generation: Option<u64>) {
+        self.is_store_pending = false;
+        self.has_store_responded = true;
         self.highest = self.highest.max(generation);
     }
 
-    /// The table service did not answer in its time.
+    /// Records that the table service did not respond by the deadline.
     pub fn store_failed(&mut self) {
-        self.is_store_open = false;
+        self.is_store_pending = false;
     }
 
-    /// A peer named the generation it has in force; none where it has none.
-    pub fn peer_answered(&mut self, generation: Option<u64>) {
-        self.open_peers = self.open_peers.saturating_sub(1);
+    /// Records the generation in force on a peer; `None` if it has none.
+    pub fn peer_responded(&mut self, generation: Option<u64>) {
+        self.pending_peers = self.pending_peers.saturating_sub(1);
         self.highest = self.highest.max(generation);
     }
 
-    /// A peer did not answer in its time.
+    /// Records that a peer did not respond by the deadline.
     pub fn peer_failed(&mut self) {
-        self.open_peers = self.open_peers.saturating_sub(1);
+        self.pending_peers = self.pending_peers.saturating_sub(1);
     }
 
-    /// What to do now. The table service's answer is enough alone, for no
-    /// peer has a generation that was not accepted there.
-    pub fn outcome(&self) -> StartOutcome {
-        let has_all = !self.is_store_open && self.open_peers == 0;
-        if !has_all && !self.has_store_answered {
-            return StartOutcome::Waiting;
+    /// What to do next. The response of the table service alone is enough,
+    /// because no peer has a generation that the table service has not
+    /// accepted.
+    pub fn decision(&self) -> StartupDecision {
+        let has_all = !self.is_store_pending && self.pending_peers == 0;
+        if !has_all && !self.has_store_responded {
+            return StartupDecision::Wait;
         }
         match self.highest {
-            Some(generation) => StartOutcome::Take(generation),
-            None if has_all => StartOutcome::Nothing,
-            None => StartOutcome::Waiting,
+            Some(generation) => StartupDecision::Adopt(generation),
+            None if has_all => StartupDecision::PollAgain,
+            None => StartupDecision::Wait,
         }
     }
 }
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -1,120 +1,122 @@
-//! The lease of whoever plans a service's orders to engines.
+//! The lease that entitles one process to plan a service's orders to engines.
 //!
-//! The lease is one row of the platform's table service, changed only by
-//! compare-and-set. No clock is shared: a candidate takes the row over when
-//! it has seen it unchanged for the row's duration by its own clock, and a
-//! holder counts its time from before it sent the write, so that it stops
-//! first. The margin covers clocks that run at different rates.
+//! The lease is one row of the platform's table service, and is written only
+//! by compare-and-set. Processes share no clock: a candidate takes the lease
+//! over once the row has not changed for the row's duration by the candidate's
+//! own clock. A holder counts its time from before it sends the write, so that
+//! it stops first. The margin covers clocks that run at different rates.
 //!
-//! Each take-over has a higher fencing number. An order carries the number,
-//! and whoever passes orders on refuses a lower one: see [`FencingGate`].
-//! That also covers what no clock shows to a paused holder, such as an order
-//! that was decided before the pause and sent after it, or a VM whose clock
-//! stood still with it.
+//! Each term has a higher fencing number than the one before. An order carries
+//! the number, and whoever forwards orders refuses a lower number: see
+//! [`FencingGate`]. The number also covers pauses that no clock of the holder
+//! shows, such as an order that was decided before the pause and sent after
+//! it, or a VM whose clock stood still during the pause.
 //!
-//! A write whose answer was lost is settled by reading the row back. Until
-//! then the holder has the time it had before. The same write sent again
-//! counts from when it was first sent, since either may have taken effect.
+//! A write whose response was lost is settled by reading the row. Until then,
+//! the holder keeps its earlier deadline. A repeated write counts from when
+//! the first copy was sent, because either copy may have taken effect.
 
 mod gate;
 mod message;
 mod options;
 
 pub use self::{
-    gate::{FencingGate, GateAnswer},
+    gate::{FencingDecision, FencingGate},
     message::{FencingNumber, LeaseCommand, LeaseRow, StoreResponse},
     options::{LeaseOptions, LeaseOptionsError},
 };
 
-/// A candidate reads the row this many times in a lease's duration.
+/// Number of reads by a candidate in the duration of a lease.
 const READS_PER_DURATION: u64 = 4;
-/// Holder of a row that was given back.
-const NOBODY: u64 = 0;
+/// Value of [`LeaseRow::holder`] once the lease is released.
+const NO_HOLDER: u64 = 0;
 
-/// Where a process stands with the lease.
+/// State of the lease as one process sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LeaseState {
-    /// It does not hold the lease.
+    /// The process does not hold the lease.
     Idle,
-    /// It has sent a write that would give it the lease.
+    /// The process has sent a write that would acquire the lease.
     Acquiring,
-    /// It holds the lease.
+    /// The process holds the lease.
     Held {
-        /// When it must stop, by its own clock.
+        /// When the process must stop, by its own clock.
         until_ms: u64,
-        /// The number its orders carry.
+        /// The number that its orders carry.
         fencing_number: FencingNumber,
     },
-    /// It held the lease and may not act on it any more.
+    /// The process held the lease and may not issue orders any more.
     Lost,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct ObservedRow {
     row: Option<LeaseRow>,
-    /// When the row was first seen so.
+    /// When the row was first read with this content.
     since_ms: u64,
     /// When the row was last read.
     read_ms: u64,
 }
 
-/// A write that is out, or whose answer was lost.
+/// A write that has no response yet, or whose response was lost.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingWrite {
     expected: Option<LeaseRow>,
     row: LeaseRow,
-    /// When it was first sent.
+    /// When the write was first sent.
     sent_ms: u64,
     is_ambiguous: bool,
 }
 
-/// One process's side of the lease.
+/// A process that holds the lease or tries to acquire it.
 #[derive(Debug)]
 pub struct LeaseParticipant {
     id: u64,
     options: LeaseOptions,
     state: LeaseState,
-    seen: Option<Seen>,
-    pending: Option<Pending>,
-    is_command_out: bool,
+    observed: Option<ObservedRow>,
+    pending: Option<PendingWrite>,
+    is_command_in_flight: bool,
     must_read: bool,
-    /// A write met a row that is not ours; a read will tell whose it is.
-    is_doubtful: bool,
+    /// Whether a write found an unexpected row, so that a read must show
+    /// whether the process still holds the lease.
+    is_holder_unknown: bool,
     is_released: bool,
-    /// Highest turn whose holder has said that it stopped.
-    resigned: Option<FencingNumber>,
+    /// Highest fencing number whose holder has announced that it stopped.
+    highest_resigned: Option<FencingNumber>,
 }
 
 impl LeaseParticipant {
-    /// A process without the lease; `id` is its boot id, never 0.
+    /// A process without the lease. `id` is its boot id, which is never 0.
     pub fn new(id: u64, options: LeaseOptions) -> LeaseParticipant {
-        debug_assert_ne!(id, NOBODY);
+        debug_assert_ne!(id, NO_HOLDER);
         LeaseParticipant {
             id,
             options,
             state: LeaseState::Idle,
-            seen: None,
+            observed: None,
             pending: None,
-            is_command_out: false,
+            is_command_in_flight: false,
             must_read: true,
-            is_doubtful: false,
+            is_holder_unknown: false,
             is_released: false,
-            resigned: None,
+            highest_resigned: None,
         }
     }
 
-    /// Where the process stood at the last event; to act, ask
+    /// State at the last event. Before issuing an order, call
     /// [`LeaseParticipant::active_fencing_number`].
     pub fn state(&self) -> LeaseState {
         self.state
     }
 
-    /// The number to act under at this moment. Ask again before each order
-    /// and after anything that may have paused the process.
+    /// The fencing number for orders that are issued now; `None` if the
+    /// process may not issue orders. Call it again before each order, and
+    /// after anything that may have paused the process.
     pub fn active_fencing_number(&self, now_ms: u64) -> Option<FencingNumber> {
         match self.state {
             LeaseState::Held { until_ms, fencing_number }
-                if now_ms < until_ms && !self.is_doubtful =>
+                if now_ms < until_ms && !self.is_holder_unknown =>
             {
                 Some(fencing_number)
             }
@@ -122,30 +124,30 @@
         }
     }
 
-    /// What to send now, if anything; call it a few times in a margin.
+    /// The command to send now, if any. Call it several times per margin.
     pub fn tick(&mut self, now_ms: u64) -> Option<LeaseCommand> {
-        // One that has lost the lease shows it until the next tick.
-        if self.expire(now_ms) || self.is_command_out {
+        // `LeaseState::Lost` stays visible until the next tick.
+        if self.expire(now_ms) || self.is_command_in_flight {
             return None;
         }
         let command = self.next_command(now_ms)?;
-        self.is_command_out = true;
+        self.is_command_in_flight = true;
         Some(command)
     }
 
-    /// Takes the answer to the command that is out.
-    pub fn handle_response(&mut self, answer: StoreResponse, now_ms: u64) {
-        self.is_command_out = false;
-        match answer {
-            StoreResponse::Row(row) => self.saw_row(row, now_ms),
+    /// Handles the response to the command in flight.
+    pub fn handle_response(&mut self, response: StoreResponse, now_ms: u64) {
+        self.is_command_in_flight = false;
+        match response {
+            StoreResponse::Row(row) => self.observe_row(row, now_ms),
             StoreResponse::Written => {
                 if let Some(pending) = self.pending {
-                    self.commit(pending, now_ms);
+                    self.complete_write(pending, now_ms);
                 }
             }
             StoreResponse::Conflict => {
                 self.must_read = true;
-                self.is_doubtful = true;
+                self.is_holder_unknown = true;
             }
             StoreResponse::Unavailable => {
                 self.pending = self.pending.filter(|p| p.is_ambiguous);
@@ -160,14 +162,14 @@
         self.expire(now_ms);
     }
 
-    /// The holder of a turn has said that it stopped acting: the row may be
-    /// taken over without waiting.
+    /// Records that the holder with this fencing number has stopped, so that
+    /// the lease can be taken over without waiting.
     pub fn holder_resigned(&mut self, number: FencingNumber) {
-        self.resigned = self.resigned.max(Some(number));
+        self.highest_resigned = self.highest_resigned.max(Some(number));
     }
 
-    /// Stops at once and keeps the number of its turn, to tell others; the
-    /// row stays as it is. None if it does not hold the lease.
+    /// Stops at once without changing the row, and returns the fencing number
+    /// of the term to announce to others; `None` without the lease.
     pub fn resign(&mut self, now_ms: u64) -> Option<FencingNumber> {
         let number = self.active_fencing_number(now_ms)?;
         self.state = LeaseState::Lost;
@@ -176,66 +178,68 @@
         Some(number)
     }
 
-    /// Stops at once, for good, and gives the lease back if that can be
-    /// told; otherwise it lapses.
+    /// Stops at once and permanently. Returns the write that releases the
+    /// lease; if there is none, the lease expires.
     pub fn release(&mut self, now_ms: u64) -> Option<LeaseCommand> {
         let is_held = self.active_fencing_number(now_ms).is_some();
         self.state = LeaseState::Idle;
         self.is_released = true;
-        let row = self.seen.and_then(|seen| seen.row);
-        let row = row.filter(|_| is_held && !self.is_command_out)?;
-        self.is_command_out = true;
-        Some(self.write(LeaseRow { holder: NOBODY, ..row }, now_ms))
+        let row = self.observed.and_then(|observed| observed.row);
+        let row = row.filter(|_| is_held && !self.is_command_in_flight)?;
+        self.is_command_in_flight = true;
+        Some(self.write(LeaseRow { holder: NO_HOLDER, ..row }, now_ms))
     }
 
-    /// Ends a turn whose time is over; true when it was this one's end.
+    /// Ends a term whose time is over, and returns whether it did.
     fn expire(&mut self, now_ms: u64) -> bool {
-        let is_over = matches!(
+        let has_expired = matches!(
             self.state,
             LeaseState::Held { until_ms, .. } if now_ms >= until_ms
         );
-        if is_over {
+        if has_expired {
             self.state = LeaseState::Lost;
         }
-        is_over
+        has_expired
     }
 
     fn next_command(&mut self, now_ms: u64) -> Option<LeaseCommand> {
         if self.is_released {
             return None;
         }
-        let Some(seen) = self.seen.filter(|_| !self.must_read) else {
+        let Some(observed) = self.observed.filter(|_| !self.must_read) else {
             return Some(LeaseCommand::Read);
         };
-        match (self.state, seen.row) {
+        match (self.state, observed.row) {
             (LeaseState::Held { until_ms, .. }, Some(row)) => {
                 let renew_ms = until_ms - self.options.renew_before_ms();
                 let renewal = row.renewal + 1;
                 (now_ms >= renew_ms)
                     .then(|| self.write(LeaseRow { renewal, ..row }, now_ms))
             }
-            _ if self.is_free(&seen, now_ms) => {
+            _ if self.can_take_over(&observed, now_ms) => {
                 self.state = LeaseState::Acquiring;
-                Some(self.write(self.next_turn(seen.row), now_ms))
+                Some(self.write(self.next_term(observed.row), now_ms))
             }
             _ => {
                 let pause_ms = self.options.duration_ms() / READS_PER_DURATION;
-                let is_due = now_ms >= seen.read_ms + pause_ms;
+                let is_due = now_ms >= observed.read_ms + pause_ms;
                 is_due.then_some(LeaseCommand::Read)
             }
         }
     }
 
-    fn is_free(&self, seen: &Seen, now_ms: u64) -> bool {
-        seen.row.is_none_or(|row| {
-            row.holder == NOBODY
+    fn can_take_over(&self, observed: &ObservedRow, now_ms: u64) -> bool {
+        observed.row.is_none_or(|row| {
+            row.holder == NO_HOLDER
                 || row.holder == self.id
-                || self.resigned.is_some_and(|n| n >= row.fencing_number)
-                || now_ms.saturating_sub(seen.since_ms) >= row.duration_ms
+                || self
+                    .highest_resigned
+                    .is_some_and(|n| n >= row.fencing_number)
+                || now_ms.saturating_sub(observed.since_ms) >= row.duration_ms
         })
     }
 
-    fn next_turn(&self, row: Option<LeaseRow>) -> LeaseRow {
+    fn next_term(&self, row: Option<LeaseRow>) -> LeaseRow {
         let last = row.map_or(0, |row| row.fencing_number.as_u64());
         LeaseRow {
             holder: self.id,
@@ -246,9 +250,9 @@
     }
 
     fn write(&mut self, row: LeaseRow, now_ms: u64) -> LeaseCommand {
-        let expected = self.seen.and_then(|seen| seen.row);
+        let expected = self.observed.and_then(|observed| observed.row);
         let earlier = self.pending.filter(|p| p.row == row);
-        let pending = earlier.unwrap_or(Pending {
+        let pending = earlier.unwrap_or(PendingWrite {
             expected,
             row,
             sent_ms: now_ms,
@@ -258,31 +262,31 @@
         LeaseCommand::Write { expected, row }
     }
 
-    fn saw_row(&mut self, row: Option<LeaseRow>, now_ms: u64) {
+    fn observe_row(&mut self, row: Option<LeaseRow>, now_ms: u64) {
         self.must_read = false;
-        self.is_doubtful = false;
-        let before = self.seen;
+        self.is_holder_unknown = false;
+        let before = self.observed;
         let since_ms = match before {
-            Some(seen) if seen.row == row => seen.since_ms,
+            Some(observed) if observed.row == row => observed.since_ms,
             _ => now_ms,
         };
-        self.seen = Some(Seen { row, since_ms, read_ms: now_ms });
+        self.observed = Some(ObservedRow { row, since_ms, read_ms: now_ms });
         match self.pending {
             Some(pending) if row == Some(pending.row) => {
-                self.commit(pending, now_ms);
+                self.complete_write(pending, now_ms);
             }
-            // It has not taken effect, and may yet.
+            // The write has not taken effect, and still may.
             Some(pending) if row == pending.expected => {}
             _ => {
                 self.pending = None;
-                if before.is_some_and(|seen| seen.row != row) {
+                if before.is_some_and(|observed| observed.row != row) {
                     self.step_down();
                 }
             }
         }
     }
 
-    /// The row has another writer.
+    /// Handles a row that another process has written.
     fn step_down(&mut self) {
         self.state = match self.state {
             LeaseState::Held { .. } | LeaseState::Lost => LeaseState::Lost,
@@ -290,13 +294,16 @@
         };
     }
 
-    fn commit(&mut self, write: Pending, now_ms: u64) {
+    fn complete_write(&mut self, write: PendingWrite, now_ms: u64) {
         let row = write.row;
-        let row_seen = Some(row);
-        self.seen =
-            Some(Seen { row: row_seen, since_ms: now_ms, read_ms: now_ms });
+        let new_row = Some(row);
+        self.observed = Some(ObservedRow {
+            row: new_row,
+            since_ms: now_ms,
+            read_ms: now_ms,
+        });
         self.pending = None;
-        self.is_doubtful = false;
+        self.is_holder_unknown = false;
         if self.is_released {
             return;
         }
--- a/crates/state/src/lease/gate.rs
+++ b/crates/state/src/lease/gate.rs
@@ -1,64 +1,64 @@
-//! The check of fencing numbers before an engine that ignores them.
+//! Checks fencing numbers on behalf of an engine that does not check them.
 //!
-//! An order that was passed on must have been answered, or its connection to
-//! the engine closed, before the next is passed on: the engine itself keeps
-//! no order between them.
+//! Before the next order is forwarded, the previous one must have a response,
+//! or its connection to the engine must be closed: the engine does not keep
+//! orders in sequence.
 
 use super::FencingNumber;
 
-/// What becomes of an order.
+/// What to do with an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum GateAnswer {
-    /// It may be passed on.
+pub enum FencingDecision {
+    /// Forward the order.
     Accepted,
-    /// A newer holder is known.
+    /// Refuse the order: a newer holder is known.
     Refused {
-        /// The highest number known.
+        /// The highest known fencing number.
         highest: FencingNumber,
     },
-    /// Nothing is known since the start: read the lease's row now, tell it
-    /// by [`FencingGate::confirm`] and ask again. Without the table service
-    /// the order is refused.
+    /// No number is known since the start. Read the row of the lease, pass
+    /// its number to [`FencingGate::confirm`] and check again. If the table
+    /// service is unavailable, refuse the order.
     NeedsConfirmation,
 }
 
-/// Keeps orders with an older fencing number from one engine.
+/// Refuses orders to one engine that carry an older fencing number.
 ///
-/// The number lives in memory. An order that took effect before a restart
-/// came from a holder that had written its number to the lease's row, so a
-/// row read after the restart has at least that number.
+/// The highest number is kept in memory only. An order that took effect before
+/// a restart came from a holder that had written its number to the row of the
+/// lease, so a row that is read after the restart has at least that number.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FencingGate {
     highest: Option<FencingNumber>,
 }
 
 impl FencingGate {
-    /// A gate that knows nothing yet.
+    /// A gate that knows no number yet.
     pub fn new() -> FencingGate {
         FencingGate::default()
     }
 
-    /// Judges an order by its number.
-    pub fn check(&mut self, number: FencingNumber) -> GateAnswer {
+    /// Checks the number of an order.
+    pub fn check(&mut self, number: FencingNumber) -> FencingDecision {
         match self.highest {
-            None => GateAnswer::NeedsConfirmation,
+            None => FencingDecision::NeedsConfirmation,
             Some(highest) if number < highest => {
-                GateAnswer::Refused { highest }
+                FencingDecision::Refused { highest }
             }
             Some(_) => {
                 self.highest = Some(number);
-                GateAnswer::Accepted
+                FencingDecision::Accepted
             }
         }
     }
 
-    /// Takes the number of the lease's row, as read after this gate was
-    /// made.
+    /// Records the number in the row of the lease, which must have been read
+    /// after this gate was created.
     pub fn confirm(&mut self, number: FencingNumber) {
         self.highest = self.highest.max(Some(number));
     }
 
-    /// The highest number known.
+    /// The highest known number.
     pub fn highest(&self) -> Option<FencingNumber> {
         self.highest
     }
--- a/crates/state/src/lease/message.rs
+++ b/crates/state/src/lease/message.rs
@@ -1,10 +1,10 @@
-//! The lease's row, and what passes between a process and the table service.
+//! The row of the lease, and commands and responses of the table service.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Orders holders of one lease: a later holder has a higher number.
+/// Number of a term of a lease; a later term has a higher number.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -12,12 +12,12 @@
 pub struct FencingNumber(u64);
 
 impl FencingNumber {
-    /// The number as orders carry it.
+    /// Creates the number that an order carries.
     pub fn from_u64(number: u64) -> FencingNumber {
         FencingNumber(number)
     }
 
-    /// The number itself.
+    /// The number as an integer.
     pub fn as_u64(self) -> u64 {
         self.0
     }
@@ -29,44 +29,45 @@
     }
 }
 
-/// The row in the table service; every write changes it.
+/// The row in the table service. Every write changes the row.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseRow {
-    /// Boot id of the holder's process; 0 once it was given back.
+    /// Boot id of the holder; 0 once the lease is released.
     pub holder: u64,
-    /// Number of this holder's turn.
+    /// Number of the term.
     pub fencing_number: FencingNumber,
-    /// Counts the writes of this turn.
+    /// Number of renewals in the term.
     pub renewal: u64,
-    /// How long the row must stand unchanged before another may take it.
+    /// Time for which the row must not change before another process may take
+    /// the lease over, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// What the table service is to do; one command is out at a time.
+/// A command to the table service. One command is in flight at a time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LeaseCommand {
     /// Read the row.
     Read,
-    /// Write `row` if the row is as expected; none where there is no row.
+    /// Write `row` if the stored row equals `expected`.
     Write {
-        /// The row as it must stand.
+        /// The expected row; `None` if there must not be a row.
         expected: Option<LeaseRow>,
         /// The row to write.
         row: LeaseRow,
     },
 }
 
-/// How the table service answered a command.
+/// Response of the table service to a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreResponse {
-    /// The row as read; none where there is none.
+    /// The row that was read; `None` if there is no row.
     Row(Option<LeaseRow>),
     /// The write took effect.
     Written,
-    /// The row was not as expected.
+    /// The stored row was not the expected one.
     Conflict,
-    /// The command did not take effect, and will not.
+    /// The command did not take effect and will not.
     Unavailable,
-    /// The command may have taken effect, or may yet.
+    /// The command may have taken effect, or may still do so.
     Ambiguous,
 }
--- a/crates/state/src/lease/options.rs
+++ b/crates/state/src/lease/options.rs
@@ -1,8 +1,8 @@
-//! Times of a lease.
+//! Durations of a lease.
 
 use std::{error, fmt};
 
-/// Times of a lease; all processes that share one may differ in them.
+/// Durations of a lease. Processes that share a lease may use different ones.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseOptions {
     duration_ms: u64,
@@ -21,12 +21,14 @@
 }
 
 impl LeaseOptions {
-    /// A lease of `duration_ms` whose holder stops `margin_ms` before its
-    /// end and renews it `renew_before_ms` before that.
+    /// A lease of `duration_ms`. The holder stops `margin_ms` before the end
+    /// of the lease, and renews the lease `renew_before_ms` before it would
+    /// stop.
     ///
     /// # Errors
     ///
-    /// The margin is 0, or no time is left before the first renewal.
+    /// Returns an error if the margin is 0 or no time is left before the first
+    /// renewal.
     pub fn new(
         duration_ms: u64,
         renew_before_ms: u64,
@@ -43,38 +45,40 @@
         Ok(options)
     }
 
-    /// How long the row must stand unchanged before another may take it.
+    /// Time for which the row must not change before another process may take
+    /// the lease over.
     pub fn duration_ms(&self) -> u64 {
         self.duration_ms
     }
 
-    /// How long before its end the holder renews its time.
+    /// Time between the first renewal and the time at which the holder would
+    /// stop.
     pub fn renew_before_ms(&self) -> u64 {
         self.renew_before_ms
     }
 
-    /// How long before the lease's end the holder stops.
+    /// Time between the stop of the holder and the end of the lease.
     pub fn margin_ms(&self) -> u64 {
         self.margin_ms
     }
 
-    /// How long a holder may act from when it sent its write.
+    /// Time for which the holder may issue orders after it has sent a write.
     pub(super) fn held_ms(&self) -> u64 {
         self.duration_ms - self.margin_ms
     }
 }
 
-/// Why times make no lease.
+/// Why durations are not valid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum LeaseOptionsError {
-    /// The holder would stop only when another may begin.
+    /// Without a margin, a holder stops only when another may begin.
     NoMargin,
-    /// The duration must be longer than margin and renewal together.
+    /// The duration is not longer than margin and renewal time together.
     TooShort {
         /// Duration of the lease.
         duration_ms: u64,
-        /// Margin and renewal together.
+        /// Margin and renewal time together.
         used_ms: u64,
     },
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,13 +1,13 @@
-//! State machines of the promises, without clock or I/O.
+//! State machines that keep the guarantees of a service, without clock or I/O.
 //!
 //! Time is passed in as milliseconds of a monotonic clock, so that tests can
-//! run every order of events.
+//! cover every order of events.
 //!
-//! | module | promise |
+//! | module | guarantee |
 //! |---|---|
-//! | [`generation`] | a manifest in force never reverts to an older one |
-//! | [`lease`] | one planner of orders at a time, and no older order after |
-//! | [`outcome`] | one of four outcomes for each request |
+//! | [`generation`] | the manifest in force is never replaced by an older one |
+//! | [`lease`] | one planner issues orders at a time, and no older order takes effect later |
+//! | [`outcome`] | each request has one of four outcomes |
 //! | [`run_once`] | a non-idempotent request runs at most once |
 //! | [`step_gate`] | each layer runs once for each token, in order |
 //!
@@ -20,7 +20,7 @@
 //! let admission = table.admit(7, 1, false, 0);
 //! assert_eq!(admission, Admission::Run { superseded: None });
 //! assert!(table.begin(7, 1));
-//! // It is non-idempotent and has begun: no later attempt may run.
+//! // A non-idempotent request that has begun gets no further attempt.
 //! assert_eq!(table.admit(7, 2, false, 5), Admission::AlreadyRun);
 //! assert_eq!(table.query(8, 1, 5), RunState::NeverSeen);
 //! ```
@@ -31,9 +31,11 @@
 pub mod run_once;
 pub mod step_gate;
 
-pub use generation::{Applying, GenerationGate, StartOutcome, StartPoll};
+pub use generation::{
+    GenerationGate, NextGeneration, StartupDecision, StartupPoll,
+};
 pub use lease::{
-    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseOptions,
+    FencingDecision, FencingGate, FencingNumber, LeaseCommand, LeaseOptions,
     LeaseParticipant, LeaseRow, LeaseState, StoreResponse,
 };
 pub use outcome::{NotRunReason, Outcome};
--- a/crates/state/src/outcome.rs
+++ b/crates/state/src/outcome.rs
@@ -1,27 +1,28 @@
-//! The closed set of outcomes of a request.
+//! The outcomes of a request.
 
 use std::fmt;
 
-/// What became of a request, as its caller is told.
+/// Outcome of a request, as reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The complete answer was delivered.
     Completed,
-    /// No backend server ran any of it; a fact, never a guess.
+    /// No backend server ran any part of the request. This is a fact, not an
+    /// assumption.
     NotRun {
-        /// Why.
+        /// Why the request was not run.
         reason: NotRunReason,
-        /// When to come back; none where it will not help.
+        /// Time after which a retry may succeed; `None` if a retry is useless.
         retry_after_ms: Option<u64>,
     },
-    /// It began, and no whole answer can be given.
+    /// The request began, and no complete answer can be delivered.
     Failed,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Word for headers, logs and metrics.
+    /// Label for headers, logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -35,28 +36,28 @@
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum NotRunReason {
-    /// The request is wrong; it will be wrong again.
+    /// The request is invalid, and would be invalid again.
     BadRequest,
-    /// No backend server has room for it.
+    /// No backend server has capacity for the request.
     Full,
-    /// Its account has used its share while others wait.
+    /// The client account has used its share while others wait.
     ShareUsed,
-    /// It could not finish within its time.
+    /// The request could not finish by its deadline.
     TooLate,
     /// No complete chain of backend servers is reachable.
     NoChain,
-    /// The platform's table service did not take its claim.
+    /// The platform's table service did not accept the claim of the request.
     StoreDown,
-    /// This VM is stopping.
+    /// This VM is shutting down.
     Stopping,
-    /// Its key was used with another request.
+    /// The idempotency key was used with another request.
     KeyReused,
-    /// The same request runs at this moment.
+    /// The same request is running.
     InProgress,
 }
 
 impl NotRunReason {
-    /// Word for the error object, logs and metrics.
+    /// Label for the error object, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             NotRunReason::BadRequest => "bad_request",
--- a/crates/state/src/run_once/record.rs
+++ b/crates/state/src/run_once/record.rs
@@ -1,27 +1,27 @@
-//! What the table holds of one request.
+//! The record of one request.
 
 use super::RunState;
 
 #[derive(Debug)]
 pub(super) struct Record {
     pub(super) attempt: u32,
-    /// Highest attempt that is not admitted any more.
+    /// Attempts up to this number are refused.
     pub(super) fence: u32,
     pub(super) state: RunState,
-    /// False once any attempt was non-idempotent.
+    /// Whether all attempts so far were idempotent.
     pub(super) is_idempotent: bool,
     /// Whether any attempt has begun.
     pub(super) has_begun: bool,
-    /// Whether an earlier attempt may have begun and been forgotten.
-    pub(super) is_blind: bool,
-    /// Whether a query was answered from it.
-    pub(super) is_asked: bool,
-    /// When it ended or, if later, was asked for last.
+    /// Whether an earlier attempt may have begun and been evicted.
+    pub(super) may_have_run: bool,
+    /// Whether a query was answered from this record.
+    pub(super) is_queried: bool,
+    /// When the request ended or, if later, was last queried.
     pub(super) ended_ms: u64,
 }
 
 impl Record {
-    /// A record of an idempotent request that has not begun.
+    /// The record of an idempotent request that has not begun.
     pub(super) fn new(attempt: u32, state: RunState, now_ms: u64) -> Record {
         Record {
             attempt,
@@ -29,18 +29,18 @@
             state,
             is_idempotent: true,
             has_begun: false,
-            is_blind: false,
-            is_asked: false,
+            may_have_run: false,
+            is_queried: false,
             ended_ms: now_ms,
         }
     }
 
-    pub(super) fn is_open(&self) -> bool {
+    pub(super) fn is_active(&self) -> bool {
         matches!(self.state, RunState::Admitted | RunState::Running)
     }
 
-    pub(super) fn must_be_kept(&self) -> bool {
-        self.is_asked || (self.has_begun && !self.is_idempotent)
+    pub(super) fn must_be_retained(&self) -> bool {
+        self.is_queried || (self.has_begun && !self.is_idempotent)
     }
 
     pub(super) fn begin(&mut self, attempt: u32) -> bool {
@@ -60,11 +60,11 @@
         self.is_idempotent &= is_idempotent;
     }
 
-    /// Ends the attempt, whole or early. A request that began in an earlier
-    /// attempt is not "refused": part of it has run.
-    pub(super) fn end(&mut self, is_whole: bool, now_ms: u64) {
-        self.has_begun |= is_whole;
-        self.state = match (is_whole, self.has_begun) {
+    /// Ends the attempt, completely or early. A request that began in an
+    /// earlier attempt is not "refused", because a part of it has run.
+    pub(super) fn end(&mut self, is_complete: bool, now_ms: u64) {
+        self.has_begun |= is_complete;
+        self.state = match (is_complete, self.has_begun) {
             (true, _) => RunState::Finished,
             (false, true) => RunState::Failed,
             (false, false) => RunState::Refused,
@@ -72,13 +72,13 @@
         self.ended_ms = self.ended_ms.max(now_ms);
     }
 
-    /// The answer to a query, which fences attempts up to `attempt`.
-    pub(super) fn ask(&mut self, attempt: u32, now_ms: u64) -> RunState {
+    /// The state for a query, which fences attempts up to `attempt`.
+    pub(super) fn query(&mut self, attempt: u32, now_ms: u64) -> RunState {
         self.fence = self.fence.max(attempt);
-        self.is_asked = true;
+        self.is_queried = true;
         self.ended_ms = self.ended_ms.max(now_ms);
         match self.state {
-            RunState::Refused if self.is_blind => RunState::CannotTell,
+            RunState::Refused if self.may_have_run => RunState::CannotTell,
             state => state,
         }
     }
--- a/crates/state/src/step_gate.rs
+++ b/crates/state/src/step_gate.rs
@@ -1,26 +1,26 @@
-//! The order of steps of one attempt at one stage.
+//! Keeps the steps of an attempt in order at one stage.
 //!
-//! A stage takes the steps of an attempt in order of position, each once. A
-//! repeat, a gap or another attempt's step is refused with a reason, so that
-//! no layer runs twice for a token and none is missed.
+//! A stage accepts the steps of an attempt once each, in order of position.
+//! Repeated steps, steps after a gap and steps of another attempt are refused
+//! with a reason, so that no layer runs twice for a token and none is skipped.
 
-/// Why a step is not taken.
+/// Why a step is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StepRefusal {
-    /// The position has been taken before.
+    /// The position was accepted before.
     Repeated,
-    /// Positions before it are missing.
+    /// Earlier positions are missing.
     Gap,
-    /// It comes from another attempt.
+    /// The step belongs to another attempt.
     OtherAttempt,
-    /// Its next layer is not the first one held here.
+    /// The next layer of the step is not the first layer of this stage.
     WrongLayer,
-    /// It covers no position, or positions past the last number.
+    /// The step covers no position, or positions beyond `u32::MAX`.
     BadSpan,
 }
 
 impl StepRefusal {
-    /// Word for logs and metrics.
+    /// Label for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             StepRefusal::Repeated => "repeated",
@@ -32,7 +32,7 @@
     }
 }
 
-/// The next step that an attempt may take at a stage.
+/// Accepts only the next step of an attempt at a stage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StepGate {
     attempt: u32,
@@ -41,16 +41,17 @@
 }
 
 impl StepGate {
-    /// A gate for an attempt at a stage that begins with `first_layer`.
+    /// The gate for an attempt at a stage whose first layer is `first_layer`.
     pub fn new(attempt: u32, first_layer: u32) -> StepGate {
         StepGate { attempt, first_layer, next_position: 0 }
     }
 
-    /// Takes the step for positions `position..position + span`.
+    /// Accepts the step for positions `position..position + span`.
     ///
     /// # Errors
     ///
-    /// The step is not the next one; the gate is unchanged.
+    /// Returns the reason if the step is not the next one, and leaves the gate
+    /// unchanged.
     pub fn take(
         &mut self,
         attempt: u32,
@@ -70,13 +71,13 @@
         if position > self.next_position {
             return Err(StepRefusal::Gap);
         }
-        // A step that does not move the gate on could be taken again.
+        // A step that does not advance the position could be repeated.
         let end = position.checked_add(span).filter(|end| *end > position);
         self.next_position = end.ok_or(StepRefusal::BadSpan)?;
         Ok(())
     }
 
-    /// The position that comes next.
+    /// The position of the next step.
     pub fn next_position(&self) -> u32 {
         self.next_position
     }
--- a/crates/state/tests/generation.rs
+++ b/crates/state/tests/generation.rs
@@ -1,11 +1,13 @@
-//! A node's generation: never back within a life, and after a restart at
-//! least that of the peers it asked.
+//! The generation of a node never decreases while the node runs, and after a
+//! restart it is at least that of the polled peers.
 
 mod support;
 
 use std::marker::PhantomData;
 
-use chestnutreach_state::{Applying, GenerationGate, StartOutcome, StartPoll};
+use chestnutreach_state::{
+    GenerationGate, NextGeneration, StartupDecision, StartupPoll,
+};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use rstest::rstest;
@@ -14,39 +16,39 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Hear(u64),
+    Observe(u64),
     BeginFetch,
-    Fetched(u64),
+    FetchSucceeded(u64),
     FetchFailed(u64),
-    GiveUp(u64),
+    Abandon(u64),
     PutInForce(u64),
 }
 
 #[derive(Clone, Debug)]
-struct Anything;
+struct NoReference;
 
-impl ReferenceStateMachine for Anything {
-    type State = Anything;
+impl ReferenceStateMachine for NoReference {
+    type State = NoReference;
     type Transition = Event;
 
-    fn init_state() -> BoxedStrategy<Anything> {
-        Just(Anything).boxed()
+    fn init_state() -> BoxedStrategy<NoReference> {
+        Just(NoReference).boxed()
     }
 
-    fn transitions(_: &Anything) -> BoxedStrategy<Event> {
+    fn transitions(_: &NoReference) -> BoxedStrategy<Event> {
         let generation = || 1..=MAX_GENERATION;
         prop_oneof![
-            generation().prop_map(Event::Hear),
+            generation().prop_map(Event::Observe),
             Just(Event::BeginFetch),
-            generation().prop_map(Event::Fetched),
+            generation().prop_map(Event::FetchSucceeded),
             generation().prop_map(Event::FetchFailed),
-            generation().prop_map(Event::GiveUp),
+            generation().prop_map(Event::Abandon),
             generation().prop_map(Event::PutInForce),
         ]
         .boxed()
     }
 
-    fn apply(state: Anything, _: &Event) -> Anything {
+    fn apply(state: NoReference, _: &Event) -> NoReference {
         state
     }
 }
@@ -60,17 +62,17 @@
 impl Node for GenerationGate {
     fn apply(&mut self, event: &Event) {
         match event {
-            Event::Hear(generation) => {
-                self.hear(*generation);
+            Event::Observe(generation) => {
+                self.observe(*generation);
             }
             Event::BeginFetch => {
                 self.begin_fetch();
             }
-            Event::Fetched(generation) => {
-                self.fetched(*generation);
+            Event::FetchSucceeded(generation) => {
+                self.fetch_succeeded(*generation);
             }
             Event::FetchFailed(generation) => self.fetch_failed(*generation),
-            Event::GiveUp(generation) => self.give_up(*generation),
+            Event::Abandon(generation) => self.abandon(*generation),
             Event::PutInForce(generation) => {
                 self.put_in_force(*generation);
             }
@@ -82,21 +84,21 @@
     }
 }
 
-/// Broken: puts in force whatever it heard of and fetched last.
+/// Deliberate fault: puts the generation that was fetched last in force.
 #[derive(Default)]
-struct TakesTheLast {
-    highest_heard: u64,
+struct LastFetched {
+    highest_observed: u64,
     in_force: Option<u64>,
 }
 
-impl Node for TakesTheLast {
+impl Node for LastFetched {
     fn apply(&mut self, event: &Event) {
         match event {
-            Event::Hear(generation) => {
-                self.highest_heard = self.highest_heard.max(*generation);
+            Event::Observe(generation) => {
+                self.highest_observed = self.highest_observed.max(*generation);
             }
-            Event::Fetched(generation)
-                if *generation <= self.highest_heard =>
+            Event::FetchSucceeded(generation)
+                if *generation <= self.highest_observed =>
             {
                 self.in_force = Some(*generation);
             }
@@ -112,221 +114,222 @@
 #[derive(Default)]
 struct Observed<N> {
     node: N,
-    highest_heard: Option<u64>,
+    highest_observed: Option<u64>,
 }
 
-struct Promise<N>(PhantomData<N>);
+struct Invariant<N>(PhantomData<N>);
 
-impl<N: Node> StateMachineTest for Promise<N> {
+impl<N: Node> StateMachineTest for Invariant<N> {
     type SystemUnderTest = Observed<N>;
-    type Reference = Anything;
+    type Reference = NoReference;
 
-    fn init_test(_: &Anything) -> Observed<N> {
+    fn init_test(_: &NoReference) -> Observed<N> {
         Observed::default()
     }
 
     fn apply(
         mut observed: Observed<N>,
-        _: &Anything,
+        _: &NoReference,
         event: Event,
     ) -> Observed<N> {
-        if let Event::Hear(generation) = event {
-            observed.highest_heard =
-                observed.highest_heard.max(Some(generation));
+        if let Event::Observe(generation) = event {
+            observed.highest_observed =
+                observed.highest_observed.max(Some(generation));
         }
         let before = observed.node.in_force();
         observed.node.apply(&event);
         let after = observed.node.in_force();
-        assert!(after >= before, "back from {before:?} to {after:?}");
-        assert!(after <= observed.highest_heard, "not heard of: {after:?}");
+        assert!(after >= before, "decreased from {before:?} to {after:?}");
+        assert!(after <= observed.highest_observed, "not observed: {after:?}");
         observed
     }
 }
 
 #[test]
-fn generation_never_goes_back() {
-    assert_eq!(support::failure::<Promise<GenerationGate>>(), None);
+fn generation_never_decreases() {
+    assert_eq!(support::find_failure::<Invariant<GenerationGate>>(), None);
 }
 
 #[test]
-fn taking_the_last_is_caught() {
-    let why = support::failure_of_broken::<Promise<TakesTheLast>>();
-    assert!(why.contains("back from"), "{why}");
+fn using_the_last_fetched_generation_is_detected() {
+    let why = support::find_failure_of_faulty::<Invariant<LastFetched>>();
+    assert!(why.contains("decreased from"), "{why}");
 }
 
 struct Case {
     events: &'static [Event],
     in_force: Option<u64>,
-    applying: Applying,
+    next: NextGeneration,
 }
 
 #[rstest]
-#[case::seen(Case {
-    events: &[Event::Hear(3)],
+#[case::known(Case {
+    events: &[Event::Observe(3)],
     in_force: None,
-    applying: Applying::Seen(3),
+    next: NextGeneration::Known(3),
 })]
 #[case::fetching(Case {
-    events: &[Event::Hear(3), Event::BeginFetch],
+    events: &[Event::Observe(3), Event::BeginFetch],
     in_force: None,
-    applying: Applying::Fetching(3),
+    next: NextGeneration::Fetching(3),
 })]
 #[case::checked(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::Fetched(3)],
+    events: &[Event::Observe(3), Event::BeginFetch, Event::FetchSucceeded(3)],
     in_force: None,
-    applying: Applying::Checked(3),
+    next: NextGeneration::Checked(3),
 })]
 #[case::in_force(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::Fetched(3),
+    events: &[Event::Observe(3), Event::BeginFetch, Event::FetchSucceeded(3),
         Event::PutInForce(3)],
     in_force: Some(3),
-    applying: Applying::Nothing,
+    next: NextGeneration::Unknown,
 })]
 #[case::unchecked(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::PutInForce(3)],
+    events: &[Event::Observe(3), Event::BeginFetch, Event::PutInForce(3)],
     in_force: None,
-    applying: Applying::Fetching(3),
+    next: NextGeneration::Fetching(3),
 })]
 #[case::fetch_failed(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::FetchFailed(3)],
+    events: &[Event::Observe(3), Event::BeginFetch, Event::FetchFailed(3)],
     in_force: None,
-    applying: Applying::Seen(3),
+    next: NextGeneration::Known(3),
 })]
-#[case::overtaken(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::Hear(4),
-        Event::Fetched(3), Event::PutInForce(3)],
+#[case::newer_during_the_fetch(Case {
+    events: &[Event::Observe(3), Event::BeginFetch, Event::Observe(4),
+        Event::FetchSucceeded(3), Event::PutInForce(3)],
     in_force: None,
-    applying: Applying::Seen(4),
+    next: NextGeneration::Known(4),
 })]
-#[case::overtaken_when_checked(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::Fetched(3),
-        Event::Hear(4), Event::PutInForce(3)],
+#[case::newer_after_the_check(Case {
+    events: &[Event::Observe(3), Event::BeginFetch, Event::FetchSucceeded(3),
+        Event::Observe(4), Event::PutInForce(3)],
     in_force: None,
-    applying: Applying::Seen(4),
+    next: NextGeneration::Known(4),
 })]
-#[case::given_up_for_a_lower_one(Case {
-    events: &[Event::Hear(4), Event::BeginFetch, Event::GiveUp(4),
-        Event::Hear(3)],
+#[case::lower_one_after_abandoning(Case {
+    events: &[Event::Observe(4), Event::BeginFetch, Event::Abandon(4),
+        Event::Observe(3)],
     in_force: None,
-    applying: Applying::Seen(3),
+    next: NextGeneration::Known(3),
 })]
-#[case::other_one_given_up(Case {
-    events: &[Event::Hear(4), Event::GiveUp(3)],
+#[case::abandons_another_one(Case {
+    events: &[Event::Observe(4), Event::Abandon(3)],
     in_force: None,
-    applying: Applying::Seen(4),
+    next: NextGeneration::Known(4),
 })]
-#[case::given_up_and_not_back(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::Fetched(3),
-        Event::PutInForce(3), Event::Hear(4), Event::GiveUp(4),
-        Event::Hear(2)],
+#[case::not_below_the_one_in_force(Case {
+    events: &[Event::Observe(3), Event::BeginFetch, Event::FetchSucceeded(3),
+        Event::PutInForce(3), Event::Observe(4), Event::Abandon(4),
+        Event::Observe(2)],
     in_force: Some(3),
-    applying: Applying::Nothing,
+    next: NextGeneration::Unknown,
 })]
-#[case::older_heard(Case {
-    events: &[Event::Hear(3), Event::BeginFetch, Event::Fetched(3),
-        Event::PutInForce(3), Event::Hear(2), Event::Hear(3)],
+#[case::older_observed(Case {
+    events: &[Event::Observe(3), Event::BeginFetch, Event::FetchSucceeded(3),
+        Event::PutInForce(3), Event::Observe(2), Event::Observe(3)],
     in_force: Some(3),
-    applying: Applying::Nothing,
+    next: NextGeneration::Unknown,
 })]
-fn applies_step_by_step(#[case] case: Case) {
+fn events_lead_to_state(#[case] case: Case) {
     let mut gate = GenerationGate::new();
     for event in case.events {
         gate.apply(event);
     }
     assert_eq!(gate.in_force(), case.in_force);
-    assert_eq!(gate.applying(), case.applying);
+    assert_eq!(gate.next_generation(), case.next);
 }
 
-/// What a restarted node hears from one it asked; none where it is down.
-type Heard = Option<Option<u64>>;
+/// The generation that one polled process reports; the outer `None` stands
+/// for a process that is down.
+type PollResult = Option<Option<u64>>;
 
 struct StartCase {
-    /// None while the table service has not answered yet.
-    store: Option<Heard>,
-    /// Peers that have answered or failed, of three.
-    peers: &'static [Heard],
-    outcome: StartOutcome,
+    /// `None` while the table service has not responded yet.
+    store: Option<PollResult>,
+    /// Results of the peers that have responded or failed, of three.
+    peers: &'static [PollResult],
+    outcome: StartupDecision,
 }
 
 #[rstest]
-#[case::store_alone(StartCase {
+#[case::store_response_alone(StartCase {
     store: Some(Some(Some(5))),
     peers: &[],
-    outcome: StartOutcome::Take(5),
+    outcome: StartupDecision::Adopt(5),
 })]
-#[case::peer_is_ahead_of_the_answer(StartCase {
+#[case::peer_ahead_of_store(StartCase {
     store: Some(Some(Some(5))),
     peers: &[Some(Some(6))],
-    outcome: StartOutcome::Take(6),
+    outcome: StartupDecision::Adopt(6),
 })]
-#[case::store_down_and_peers_open(StartCase {
+#[case::store_down_and_peers_pending(StartCase {
     store: Some(None),
     peers: &[Some(Some(6)), None],
-    outcome: StartOutcome::Waiting,
+    outcome: StartupDecision::Wait,
 })]
-#[case::store_open(StartCase {
+#[case::store_pending(StartCase {
     store: None,
     peers: &[Some(Some(6)), None, Some(None)],
-    outcome: StartOutcome::Waiting,
+    outcome: StartupDecision::Wait,
 })]
 #[case::store_down(StartCase {
     store: Some(None),
     peers: &[Some(Some(6)), None, Some(Some(4))],
-    outcome: StartOutcome::Take(6),
+    outcome: StartupDecision::Adopt(6),
 })]
-#[case::nobody_answers(StartCase {
+#[case::all_failed(StartCase {
     store: Some(None),
     peers: &[None, None, None],
-    outcome: StartOutcome::Nothing,
+    outcome: StartupDecision::PollAgain,
 })]
-#[case::nobody_has_one(StartCase {
+#[case::no_generation_reported(StartCase {
     store: Some(Some(None)),
     peers: &[Some(None), None, None],
-    outcome: StartOutcome::Nothing,
+    outcome: StartupDecision::PollAgain,
 })]
-fn start_takes_the_highest(#[case] case: StartCase) {
-    let mut poll = StartPoll::new(3);
+fn restarted_node_adopts_the_highest_generation(#[case] case: StartCase) {
+    let mut poll = StartupPoll::new(3);
     match case.store {
-        Some(Some(generation)) => poll.store_answered(generation),
+        Some(Some(generation)) => poll.store_responded(generation),
         Some(None) => poll.store_failed(),
         None => {}
     }
     for peer in case.peers {
         match peer {
-            Some(generation) => poll.peer_answered(*generation),
+            Some(generation) => poll.peer_responded(*generation),
             None => poll.peer_failed(),
         }
     }
-    assert_eq!(poll.outcome(), case.outcome);
+    assert_eq!(poll.decision(), case.outcome);
 }
 
-/// A peer: its generation, whether it answers, and how often a fetch from it
-/// fails first.
+/// A peer: its generation, whether it responds, and how many fetches from it
+/// fail first.
 type Peer = (u64, bool, usize);
 
-/// Restarts a node while the table service is down, and lets it fetch from
-/// any peer that has the generation it wants.
+/// Restarts a node while the table service is down. The node fetches from
+/// peers that have the next generation.
 fn restart(peers: &[Peer]) -> Option<u64> {
-    let mut poll = StartPoll::new(peers.len());
+    let mut poll = StartupPoll::new(peers.len());
     poll.store_failed();
     for (generation, is_up, _) in peers {
         match is_up {
-            true => poll.peer_answered(Some(*generation)),
+            true => poll.peer_responded(Some(*generation)),
             false => poll.peer_failed(),
         }
     }
     let mut gate = GenerationGate::new();
-    if let StartOutcome::Take(generation) = poll.outcome() {
-        gate.hear(generation);
+    if let StartupDecision::Adopt(generation) = poll.decision() {
+        gate.observe(generation);
     }
-    for (held, is_up, failures) in peers {
+    for (generation, is_up, failures) in peers {
         for round in 0..=*failures {
-            let Some(wanted) = gate.begin_fetch() else { break };
-            if *is_up && *held == wanted && round == *failures {
-                gate.fetched(wanted);
-                gate.put_in_force(wanted);
+            let Some(next) = gate.begin_fetch() else { break };
+            if *is_up && *generation == next && round == *failures {
+                gate.fetch_succeeded(next);
+                gate.put_in_force(next);
             } else {
-                gate.fetch_failed(wanted);
+                gate.fetch_failed(next);
             }
         }
     }
@@ -336,20 +339,20 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         failure_persistence: None,
-        // The same cases on every run.
+        // Use the same cases in every run.
         rng_seed: proptest::test_runner::RngSeed::Fixed(7),
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn restarted_node_is_not_behind_those_it_asked(
+    fn restarted_node_is_not_behind_polled_peers(
         peers in proptest::collection::vec(
             (1..=MAX_GENERATION, any::<bool>(), 0usize..3),
             1..6,
         )
     ) {
-        let answers = peers.iter().filter(|(_, is_up, _)| *is_up);
-        let highest = answers.map(|(generation, ..)| *generation).max();
+        let responses = peers.iter().filter(|(_, is_up, _)| *is_up);
+        let highest = responses.map(|(generation, ..)| *generation).max();
         prop_assert!(restart(&peers) >= highest);
     }
 }
--- a/crates/state/tests/lease.rs
+++ b/crates/state/tests/lease.rs
@@ -1,7 +1,7 @@
-//! Single paths of a lease, with a table service that answers at once.
+//! Sequences of lease events, with a table service that responds at once.
 
 use chestnutreach_state::{
-    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseOptions,
+    FencingDecision, FencingGate, FencingNumber, LeaseCommand, LeaseOptions,
     LeaseParticipant, LeaseRow, LeaseState, StoreResponse,
 };
 use rstest::rstest;
@@ -9,10 +9,10 @@
 const DURATION_MS: u64 = 1_000;
 const MARGIN_MS: u64 = 100;
 const RENEW_BEFORE_MS: u64 = 500;
-/// From when on a holder renews a write of time 0.
+/// Time of the first renewal after a write at time 0.
 const RENEW_MS: u64 = DURATION_MS - MARGIN_MS - RENEW_BEFORE_MS;
 
-fn holder(id: u64) -> LeaseParticipant {
+fn participant(id: u64) -> LeaseParticipant {
     let options = LeaseOptions::new(DURATION_MS, RENEW_BEFORE_MS, MARGIN_MS);
     LeaseParticipant::new(id, options.unwrap())
 }
@@ -21,12 +21,12 @@
     Some(FencingNumber::from_u64(number))
 }
 
-/// The row, and what the table service does wrong.
+/// The row of the lease, and faults of the table service.
 #[derive(Default)]
 struct Store {
     row: Option<LeaseRow>,
     is_down: bool,
-    loses_answers: bool,
+    loses_responses: bool,
 }
 
 impl Store {
@@ -41,7 +41,7 @@
             }
             LeaseCommand::Write { row, .. } => {
                 self.row = Some(row);
-                match self.loses_answers {
+                match self.loses_responses {
                     true => StoreResponse::Ambiguous,
                     false => StoreResponse::Written,
                 }
@@ -49,14 +49,19 @@
         }
     }
 
-    /// Ticks until the holder has nothing to send; the count of commands.
-    fn run(&mut self, holder: &mut LeaseParticipant, now_ms: u64) -> usize {
+    /// Ticks until the process has no command to send, and returns the number
+    /// of commands.
+    fn run(
+        &mut self,
+        participant: &mut LeaseParticipant,
+        now_ms: u64,
+    ) -> usize {
         let mut count = 0;
-        while let Some(command) = holder.tick(now_ms) {
-            let answer = self.execute(command);
-            holder.handle_response(answer, now_ms);
+        while let Some(command) = participant.tick(now_ms) {
+            let response = self.execute(command);
+            participant.handle_response(response, now_ms);
             count += 1;
-            if answer == StoreResponse::Unavailable {
+            if response == StoreResponse::Unavailable {
                 break;
             }
         }
@@ -65,9 +70,9 @@
 }
 
 #[test]
-fn first_comer_holds_and_renews() {
+fn first_candidate_acquires_and_renews() {
     let mut store = Store::default();
-    let mut holder = holder(1);
+    let mut holder = participant(1);
     assert_eq!(holder.state(), LeaseState::Idle);
     assert_eq!(store.run(&mut holder, 0), 2);
     assert_eq!(holder.active_fencing_number(0), number(1));
@@ -80,9 +85,9 @@
 }
 
 #[test]
-fn holder_stops_before_the_end() {
+fn holder_stops_before_the_lease_ends() {
     let mut store = Store::default();
-    let mut holder = holder(1);
+    let mut holder = participant(1);
     store.run(&mut holder, 0);
     let until_ms = DURATION_MS - MARGIN_MS;
     assert_eq!(holder.active_fencing_number(until_ms - 1), number(1));
@@ -90,30 +95,30 @@
     store.is_down = true;
     store.run(&mut holder, until_ms);
     assert_eq!(holder.state(), LeaseState::Lost);
-    // Its own row is free to it, under a new number.
+    // A process may take its own row over, with a new number.
     store.is_down = false;
     store.run(&mut holder, until_ms + 1);
     assert_eq!(holder.active_fencing_number(until_ms + 1), number(2));
 }
 
 #[test]
-fn time_counts_from_before_the_write() {
+fn lease_time_starts_when_the_write_is_sent() {
     let mut store = Store::default();
-    let mut holder = holder(1);
+    let mut holder = participant(1);
     let read = holder.tick(0).unwrap();
     holder.handle_response(store.execute(read), 0);
     let write = holder.tick(0).unwrap();
-    let answer = store.execute(write);
+    let response = store.execute(write);
     assert_eq!(holder.state(), LeaseState::Acquiring);
-    holder.handle_response(answer, DURATION_MS - MARGIN_MS);
+    holder.handle_response(response, DURATION_MS - MARGIN_MS);
     assert_eq!(holder.active_fencing_number(DURATION_MS - MARGIN_MS), None);
 }
 
-/// One that was paused and unaware finds out at its next question.
+/// The paused holder detects the take-over at its next read.
 #[test]
-fn another_takes_over_from_a_paused_holder() {
+fn candidate_takes_over_from_a_paused_holder() {
     let mut store = Store::default();
-    let (mut paused, mut other) = (holder(1), holder(2));
+    let (mut paused, mut other) = (participant(1), participant(2));
     store.run(&mut paused, 0);
     let mut took_over_ms = None;
     for now_ms in (0..3 * DURATION_MS).step_by(50) {
@@ -131,10 +136,10 @@
 }
 
 #[test]
-fn lost_answer_is_settled_by_reading() {
-    let mut store = Store { loses_answers: true, ..Store::default() };
-    let mut holder = holder(1);
-    // Read, write with a lost answer, read back.
+fn lost_response_is_settled_by_reading() {
+    let mut store = Store { loses_responses: true, ..Store::default() };
+    let mut holder = participant(1);
+    // A read, a write whose response is lost, and a read.
     assert_eq!(store.run(&mut holder, 0), 3);
     assert_eq!(holder.active_fencing_number(0), number(1));
     assert_eq!(store.run(&mut holder, RENEW_MS), 2);
@@ -146,12 +151,12 @@
     ));
 }
 
-/// The same write sent twice counts from the first, which may be the one
-/// that took effect.
+/// A repeated write counts from the first copy, which may be the one that took
+/// effect.
 #[test]
-fn repeated_write_counts_from_the_first() {
+fn repeated_write_counts_from_the_first_copy() {
     let mut store = Store::default();
-    let mut holder = holder(1);
+    let mut holder = participant(1);
     let read = holder.tick(0).unwrap();
     holder.handle_response(store.execute(read), 0);
     let late = holder.tick(0).unwrap();
@@ -169,9 +174,9 @@
 }
 
 #[test]
-fn released_lease_is_free_at_once() {
+fn released_lease_can_be_acquired_at_once() {
     let mut store = Store::default();
-    let (mut first, mut second) = (holder(1), holder(2));
+    let (mut first, mut second) = (participant(1), participant(2));
     store.run(&mut first, 0);
     store.run(&mut second, 10);
     let release = first.release(20).unwrap();
@@ -183,16 +188,16 @@
 }
 
 #[test]
-fn waiting_candidate_reads_a_few_times_only() {
+fn waiting_candidate_reads_rarely() {
     let mut store = Store::default();
-    let (mut first, mut second) = (holder(1), holder(2));
+    let (mut first, mut second) = (participant(1), participant(2));
     let mut reads = 0;
     for now_ms in 0..10 * DURATION_MS {
         store.run(&mut first, now_ms);
         reads += store.run(&mut second, now_ms);
     }
     assert!(second.active_fencing_number(10 * DURATION_MS).is_none());
-    assert!(reads <= 41, "{reads} reads in ten durations");
+    assert!(reads <= 41, "{reads} reads in ten lease durations");
 }
 
 struct OptionsCase {
@@ -224,7 +229,7 @@
          together, 10 ms",
     ),
 })]
-fn options_are_checked(#[case] case: OptionsCase) {
+fn options_are_validated(#[case] case: OptionsCase) {
     let options = LeaseOptions::new(
         case.duration_ms,
         case.renew_before_ms,
@@ -235,24 +240,24 @@
 }
 
 #[test]
-fn gate_needs_confirmation_once() {
+fn gate_needs_one_confirmation() {
     let [four, five, six] = [4, 5, 6].map(FencingNumber::from_u64);
     let mut gate = FencingGate::new();
-    assert_eq!(gate.check(five), GateAnswer::NeedsConfirmation);
+    assert_eq!(gate.check(five), FencingDecision::NeedsConfirmation);
     gate.confirm(five);
-    assert_eq!(gate.check(four), GateAnswer::Refused { highest: five });
-    assert_eq!(gate.check(five), GateAnswer::Accepted);
-    assert_eq!(gate.check(six), GateAnswer::Accepted);
-    assert_eq!(gate.check(five), GateAnswer::Refused { highest: six });
-    // A late confirmation does not lower it.
+    assert_eq!(gate.check(four), FencingDecision::Refused { highest: five });
+    assert_eq!(gate.check(five), FencingDecision::Accepted);
+    assert_eq!(gate.check(six), FencingDecision::Accepted);
+    assert_eq!(gate.check(five), FencingDecision::Refused { highest: six });
+    // A late confirmation does not lower the number.
     gate.confirm(five);
     assert_eq!(gate.highest(), Some(six));
 }
 
 #[test]
-fn a_turn_that_was_given_up_is_taken_over_at_once() {
+fn resigned_term_is_taken_over_at_once() {
     let mut store = Store::default();
-    let (mut old, mut new) = (holder(1), holder(2));
+    let (mut old, mut new) = (participant(1), participant(2));
     store.run(&mut old, 0);
     store.run(&mut new, 0);
     assert_eq!(new.active_fencing_number(1), None);
@@ -260,7 +265,7 @@
     assert_eq!(
         old.active_fencing_number(10),
         None,
-        "it stops before anyone is told"
+        "the holder stops before the announcement"
     );
     new.holder_resigned(resigned);
     store.run(&mut new, 11);
@@ -268,12 +273,12 @@
 }
 
 #[test]
-fn an_earlier_turn_that_was_given_up_says_nothing_of_the_next() {
+fn resignation_does_not_apply_to_a_later_term() {
     let mut store = Store::default();
-    let (mut old, mut new) = (holder(1), holder(2));
+    let (mut old, mut new) = (participant(1), participant(2));
     store.run(&mut old, 0);
     let first = old.resign(10).unwrap();
-    // It takes the lease again, in a turn of its own.
+    // The same process acquires the lease again, in a new term.
     store.run(&mut old, 20);
     assert_eq!(old.active_fencing_number(20), number(2));
     new.holder_resigned(first);
@@ -282,9 +287,9 @@
 }
 
 #[test]
-fn who_does_not_hold_the_lease_has_nothing_to_give_up() {
+fn process_without_the_lease_can_not_resign() {
     let mut store = Store::default();
-    let (mut old, mut new) = (holder(1), holder(2));
+    let (mut old, mut new) = (participant(1), participant(2));
     store.run(&mut old, 0);
     store.run(&mut new, 0);
     assert_eq!(new.resign(5), None);
--- a/crates/state/tests/lease_invariants.rs
+++ b/crates/state/tests/lease_invariants.rs
@@ -1,67 +1,72 @@
-//! Holders of one lease and the gate before one engine, whatever happens to
-//! them: pauses, lost answers, writes that take effect late, orders that are
-//! late or doubled, restarts of the gate, clocks of different rates.
+//! Invariants of several processes that share a lease, and of the fencing gate
+//! before one engine. Events include pauses, lost responses, writes that take
+//! effect late, late and duplicate orders and restarts of the gate. The clocks
+//! run at different rates.
 
 mod support;
 
 use std::marker::PhantomData;
 
 use chestnutreach_state::{
-    FencingGate, FencingNumber, GateAnswer, LeaseCommand, LeaseOptions,
+    FencingDecision, FencingGate, FencingNumber, LeaseCommand, LeaseOptions,
     LeaseParticipant, LeaseRow, StoreResponse,
 };
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-const HOLDERS: usize = 3;
+const PARTICIPANTS: usize = 3;
 const DURATION_MS: u64 = 1_000;
 const RENEW_BEFORE_MS: u64 = 500;
 const MARGIN_MS: u64 = 100;
-/// Rates of the holders' clocks, in parts of 100 of true time.
-const CLOCK_RATES: [u64; HOLDERS] = [97, 100, 103];
+/// Clock rates of the processes, in percent of real time.
+const CLOCK_RATES: [u64; PARTICIPANTS] = [97, 100, 103];
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// Time passes for all; who gets no other event is paused.
+    /// Time passes for all processes. A process without other events is
+    /// paused.
     Advance {
         ms: u64,
     },
     Tick {
-        holder: usize,
+        participant: usize,
     },
-    /// The table service does what it was told; no answer yet.
+    /// The table service executes the command and does not respond yet.
     TakeEffect {
-        holder: usize,
+        participant: usize,
     },
-    /// It is done if it was not, and answered.
-    Answer {
-        holder: usize,
+    /// The table service executes the command, if still necessary, and
+    /// responds.
+    Respond {
+        participant: usize,
     },
-    /// It is not done, and answered so.
+    /// The table service refuses the command.
     Refuse {
-        holder: usize,
+        participant: usize,
     },
-    /// The answer is lost; what was not done may be done later.
-    LoseAnswer {
-        holder: usize,
+    /// The response is lost. A command that was not executed may be executed
+    /// later.
+    LoseResponse {
+        participant: usize,
     },
-    /// A write whose answer was lost takes effect, if it still can.
+    /// A write whose response was lost is executed.
     LateEffect,
     Release {
-        holder: usize,
+        participant: usize,
     },
-    /// A tick that is answered at once.
+    /// A tick with an immediate response.
     Exchange {
-        holder: usize,
+        participant: usize,
     },
-    /// The holder sends an order if it may.
+    /// The process sends an order if it holds the lease.
     Order {
-        holder: usize,
+        participant: usize,
     },
-    /// An order that is under way reaches the gate, and may again.
+    /// An order in transit reaches the gate; if duplicated, a copy stays in
+    /// transit.
     Arrive {
         index: prop::sample::Index,
-        is_doubled: bool,
+        is_duplicated: bool,
     },
     RestartGate {
         is_store_up: bool,
@@ -69,34 +74,42 @@
 }
 
 #[derive(Clone, Debug)]
-struct Anything;
+struct NoReference;
 
-impl ReferenceStateMachine for Anything {
-    type State = Anything;
+impl ReferenceStateMachine for NoReference {
+    type State = NoReference;
     type Transition = Event;
 
-    fn init_state() -> BoxedStrategy<Anything> {
-        Just(Anything).boxed()
+    fn init_state() -> BoxedStrategy<NoReference> {
+        Just(NoReference).boxed()
     }
 
-    fn transitions(_: &Anything) -> BoxedStrategy<Event> {
-        let holder = || 0..HOLDERS;
+    fn transitions(_: &NoReference) -> BoxedStrategy<Event> {
+        let participant = || 0..PARTICIPANTS;
         let index = any::<prop::sample::Index>();
         prop_oneof![
             4 => (1..DURATION_MS / 2).prop_map(|ms| Event::Advance { ms }),
             2 => (DURATION_MS - 40..DURATION_MS + 40)
                 .prop_map(|ms| Event::Advance { ms }),
-            14 => holder().prop_map(|holder| Event::Exchange { holder }),
-            4 => holder().prop_map(|holder| Event::Tick { holder }),
-            2 => holder().prop_map(|holder| Event::TakeEffect { holder }),
-            4 => holder().prop_map(|holder| Event::Answer { holder }),
-            1 => holder().prop_map(|holder| Event::Refuse { holder }),
-            2 => holder().prop_map(|holder| Event::LoseAnswer { holder }),
+            14 => participant()
+                .prop_map(|participant| Event::Exchange { participant }),
+            4 => participant()
+                .prop_map(|participant| Event::Tick { participant }),
+            2 => participant()
+                .prop_map(|participant| Event::TakeEffect { participant }),
+            4 => participant()
+                .prop_map(|participant| Event::Respond { participant }),
+            1 => participant()
+                .prop_map(|participant| Event::Refuse { participant }),
+            2 => participant()
+                .prop_map(|participant| Event::LoseResponse { participant }),
             1 => Just(Event::LateEffect),
-            2 => holder().prop_map(|holder| Event::Release { holder }),
-            7 => holder().prop_map(|holder| Event::Order { holder }),
-            7 => (index, any::<bool>()).prop_map(|(index, is_doubled)| {
-                Event::Arrive { index, is_doubled }
+            2 => participant()
+                .prop_map(|participant| Event::Release { participant }),
+            7 => participant()
+                .prop_map(|participant| Event::Order { participant }),
+            7 => (index, any::<bool>()).prop_map(|(index, is_duplicated)| {
+                Event::Arrive { index, is_duplicated }
             }),
             2 => any::<bool>()
                 .prop_map(|is_store_up| Event::RestartGate { is_store_up }),
@@ -104,12 +117,12 @@
         .boxed()
     }
 
-    fn apply(state: Anything, _: &Event) -> Anything {
+    fn apply(state: NoReference, _: &Event) -> NoReference {
         state
     }
 }
 
-/// What differs between the sound code and those broken on purpose.
+/// Differences between the correct code and code with a deliberate fault.
 trait Variant {
     const MARGIN_MS: u64 = MARGIN_MS;
 
@@ -118,18 +131,19 @@
     }
 }
 
-struct Sound;
+struct Correct;
 
-impl Variant for Sound {}
+impl Variant for Correct {}
 
-/// Broken: a holder acts to the very end of its lease.
+/// Deliberate fault: a holder issues orders until the end of the lease.
 struct NoMargin;
 
 impl Variant for NoMargin {
     const MARGIN_MS: u64 = 1;
 }
 
-/// Broken: the gate takes the first number after a restart unconfirmed.
+/// Deliberate fault: after a restart, the gate accepts the first number
+/// without a confirmation.
 struct NoConfirmation;
 
 impl Variant for NoConfirmation {
@@ -140,46 +154,46 @@
     }
 }
 
-/// A command at the table service, and its result once it has effect.
+/// A command at the table service, with its response once it is executed.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     command: LeaseCommand,
-    result: Option<StoreResponse>,
+    response: Option<StoreResponse>,
 }
 
-struct World<V> {
-    true_ms: u64,
-    holders: Vec<LeaseParticipant>,
-    is_leaving: [bool; HOLDERS],
+struct Simulation<V> {
+    real_ms: u64,
+    participants: Vec<LeaseParticipant>,
+    is_released: [bool; PARTICIPANTS],
     next_id: u64,
-    requests: [Option<Request>; HOLDERS],
+    requests: [Option<Request>; PARTICIPANTS],
     row: Option<LeaseRow>,
     late_writes: Vec<LeaseCommand>,
     orders: Vec<FencingNumber>,
     gate: FencingGate,
     is_store_up: bool,
     /// Number of the last order that took effect.
-    effective: Option<FencingNumber>,
+    last_effective: Option<FencingNumber>,
     variant: PhantomData<V>,
 }
 
-impl<V: Variant> World<V> {
-    fn new() -> World<V> {
-        let options = World::<V>::options();
-        World {
-            true_ms: 0,
-            holders: (1..=HOLDERS as u64)
+impl<V: Variant> Simulation<V> {
+    fn new() -> Simulation<V> {
+        let options = Simulation::<V>::options();
+        Simulation {
+            real_ms: 0,
+            participants: (1..=PARTICIPANTS as u64)
                 .map(|id| LeaseParticipant::new(id, options))
                 .collect(),
-            is_leaving: [false; HOLDERS],
-            next_id: HOLDERS as u64 + 1,
-            requests: [None; HOLDERS],
+            is_released: [false; PARTICIPANTS],
+            next_id: PARTICIPANTS as u64 + 1,
+            requests: [None; PARTICIPANTS],
             row: None,
             late_writes: Vec::new(),
             orders: Vec::new(),
             gate: V::gate(),
             is_store_up: true,
-            effective: None,
+            last_effective: None,
             variant: PhantomData,
         }
     }
@@ -188,16 +202,20 @@
         LeaseOptions::new(DURATION_MS, RENEW_BEFORE_MS, V::MARGIN_MS).unwrap()
     }
 
-    /// Time of a holder's clock; each starts elsewhere.
-    fn clock_ms(&self, holder: usize) -> u64 {
-        let start_ms = 10_000 * holder as u64;
-        start_ms + self.true_ms * CLOCK_RATES[holder] / 100
+    /// Time of the clock of a process; each clock has its own start.
+    fn clock_ms(&self, participant: usize) -> u64 {
+        let start_ms = 10_000 * participant as u64;
+        start_ms + self.real_ms * CLOCK_RATES[participant] / 100
     }
 
-    fn send(&mut self, holder: usize, command: Option<LeaseCommand>) {
+    fn send(&mut self, participant: usize, command: Option<LeaseCommand>) {
         if let Some(command) = command {
-            assert!(self.requests[holder].is_none(), "two commands out");
-            self.requests[holder] = Some(Request { command, result: None });
+            assert!(
+                self.requests[participant].is_none(),
+                "two commands in flight"
+            );
+            self.requests[participant] =
+                Some(Request { command, response: None });
         }
     }
 
@@ -214,163 +232,178 @@
         }
     }
 
-    fn take_effect(&mut self, holder: usize) -> Option<StoreResponse> {
-        let mut request = self.requests[holder]?;
-        if request.result.is_none() {
-            request.result = Some(self.execute(request.command));
-            self.requests[holder] = Some(request);
+    fn take_effect(&mut self, participant: usize) -> Option<StoreResponse> {
+        let mut request = self.requests[participant]?;
+        if request.response.is_none() {
+            request.response = Some(self.execute(request.command));
+            self.requests[participant] = Some(request);
         }
-        request.result
+        request.response
     }
 
-    fn answer(&mut self, holder: usize, answer: StoreResponse) {
-        self.requests[holder] = None;
-        let now_ms = self.clock_ms(holder);
-        self.holders[holder].handle_response(answer, now_ms);
-        if self.is_leaving[holder] {
-            self.replace(holder);
+    fn respond(&mut self, participant: usize, response: StoreResponse) {
+        self.requests[participant] = None;
+        let now_ms = self.clock_ms(participant);
+        self.participants[participant].handle_response(response, now_ms);
+        if self.is_released[participant] {
+            self.replace(participant);
         }
     }
 
-    fn replace(&mut self, holder: usize) {
-        self.holders[holder] =
-            LeaseParticipant::new(self.next_id, World::<V>::options());
-        self.is_leaving[holder] = false;
+    fn replace(&mut self, participant: usize) {
+        self.participants[participant] =
+            LeaseParticipant::new(self.next_id, Simulation::<V>::options());
+        self.is_released[participant] = false;
         self.next_id += 1;
     }
 
-    fn tick(&mut self, holder: usize) {
-        let now_ms = self.clock_ms(holder);
-        let command = self.holders[holder].tick(now_ms);
-        self.send(holder, command);
+    fn tick(&mut self, participant: usize) {
+        let now_ms = self.clock_ms(participant);
+        let command = self.participants[participant].tick(now_ms);
+        self.send(participant, command);
     }
 
-    fn answer_now(&mut self, holder: usize) {
-        if let Some(answer) = self.take_effect(holder) {
-            self.answer(holder, answer);
+    fn respond_now(&mut self, participant: usize) {
+        if let Some(response) = self.take_effect(participant) {
+            self.respond(participant, response);
         }
     }
 
-    fn release(&mut self, holder: usize) {
-        let now_ms = self.clock_ms(holder);
-        let command = self.holders[holder].release(now_ms);
-        self.send(holder, command);
-        self.is_leaving[holder] = true;
-        if self.requests[holder].is_none() {
-            self.replace(holder);
+    fn release(&mut self, participant: usize) {
+        let now_ms = self.clock_ms(participant);
+        let command = self.participants[participant].release(now_ms);
+        self.send(participant, command);
+        self.is_released[participant] = true;
+        if self.requests[participant].is_none() {
+            self.replace(participant);
         }
     }
 
-    fn lose_answer(&mut self, holder: usize) {
-        let Some(request) = self.requests[holder] else { return };
-        if request.result.is_none() {
+    fn lose_response(&mut self, participant: usize) {
+        let Some(request) = self.requests[participant] else { return };
+        if request.response.is_none() {
             self.late_writes.push(request.command);
         }
-        self.answer(holder, StoreResponse::Ambiguous);
+        self.respond(participant, StoreResponse::Ambiguous);
     }
 
     fn arrive(&mut self, number: FencingNumber) {
-        let mut answer = self.gate.check(number);
-        if answer == GateAnswer::NeedsConfirmation {
+        let mut decision = self.gate.check(number);
+        if decision == FencingDecision::NeedsConfirmation {
             let Some(row) = self.row.filter(|_| self.is_store_up) else {
                 return;
             };
             self.gate.confirm(row.fencing_number);
-            answer = self.gate.check(number);
+            decision = self.gate.check(number);
         }
-        if answer == GateAnswer::Accepted {
-            assert!(Some(number) >= self.effective, "older order");
-            self.effective = Some(number);
+        if decision == FencingDecision::Accepted {
+            assert!(
+                Some(number) >= self.last_effective,
+                "older order takes effect"
+            );
+            self.last_effective = Some(number);
         }
     }
 
     fn check_acting(&self) {
-        let acting: Vec<FencingNumber> = (0..HOLDERS)
+        let acting: Vec<FencingNumber> = (0..PARTICIPANTS)
             .filter_map(|h| {
-                self.holders[h].active_fencing_number(self.clock_ms(h))
+                self.participants[h].active_fencing_number(self.clock_ms(h))
             })
             .collect();
-        assert!(acting.len() <= 1, "two may act: {acting:?}");
+        assert!(acting.len() <= 1, "two active participants: {acting:?}");
         if let (Some(number), Some(row)) = (acting.first(), self.row) {
-            assert!(*number <= row.fencing_number, "number not in the row");
+            assert!(
+                *number <= row.fencing_number,
+                "number is higher than in the row"
+            );
         }
     }
 }
 
-struct Promise<V>(PhantomData<V>);
+struct Invariants<V>(PhantomData<V>);
 
-impl<V: Variant> StateMachineTest for Promise<V> {
-    type SystemUnderTest = World<V>;
-    type Reference = Anything;
+impl<V: Variant> StateMachineTest for Invariants<V> {
+    type SystemUnderTest = Simulation<V>;
+    type Reference = NoReference;
 
-    fn init_test(_: &Anything) -> World<V> {
-        World::new()
+    fn init_test(_: &NoReference) -> Simulation<V> {
+        Simulation::new()
     }
 
-    fn apply(mut world: World<V>, _: &Anything, event: Event) -> World<V> {
+    fn apply(
+        mut simulation: Simulation<V>,
+        _: &NoReference,
+        event: Event,
+    ) -> Simulation<V> {
         match event {
-            Event::Advance { ms } => world.true_ms += ms,
-            Event::Tick { holder } => world.tick(holder),
-            Event::Exchange { holder } => {
-                world.tick(holder);
-                world.answer_now(holder);
+            Event::Advance { ms } => simulation.real_ms += ms,
+            Event::Tick { participant } => simulation.tick(participant),
+            Event::Exchange { participant } => {
+                simulation.tick(participant);
+                simulation.respond_now(participant);
             }
-            Event::TakeEffect { holder } => {
-                world.take_effect(holder);
+            Event::TakeEffect { participant } => {
+                simulation.take_effect(participant);
             }
-            Event::Answer { holder } => world.answer_now(holder),
-            Event::Refuse { holder } => {
-                let request = world.requests[holder];
-                if request.is_some_and(|r| r.result.is_none()) {
-                    world.answer(holder, StoreResponse::Unavailable);
+            Event::Respond { participant } => {
+                simulation.respond_now(participant)
+            }
+            Event::Refuse { participant } => {
+                let request = simulation.requests[participant];
+                if request.is_some_and(|r| r.response.is_none()) {
+                    simulation
+                        .respond(participant, StoreResponse::Unavailable);
                 }
             }
-            Event::LoseAnswer { holder } => world.lose_answer(holder),
+            Event::LoseResponse { participant } => {
+                simulation.lose_response(participant)
+            }
             Event::LateEffect => {
-                if let Some(command) = world.late_writes.pop() {
-                    world.execute(command);
+                if let Some(command) = simulation.late_writes.pop() {
+                    simulation.execute(command);
                 }
             }
-            Event::Release { holder } => world.release(holder),
-            Event::Order { holder } => {
-                let now_ms = world.clock_ms(holder);
-                let number =
-                    world.holders[holder].active_fencing_number(now_ms);
-                world.orders.extend(number);
+            Event::Release { participant } => simulation.release(participant),
+            Event::Order { participant } => {
+                let now_ms = simulation.clock_ms(participant);
+                let number = simulation.participants[participant]
+                    .active_fencing_number(now_ms);
+                simulation.orders.extend(number);
             }
-            Event::Arrive { index, is_doubled } => {
-                if !world.orders.is_empty() {
-                    let at = index.index(world.orders.len());
-                    let number = world.orders[at];
-                    if !is_doubled {
-                        world.orders.remove(at);
+            Event::Arrive { index, is_duplicated } => {
+                if !simulation.orders.is_empty() {
+                    let at = index.index(simulation.orders.len());
+                    let number = simulation.orders[at];
+                    if !is_duplicated {
+                        simulation.orders.remove(at);
                     }
-                    world.arrive(number);
+                    simulation.arrive(number);
                 }
             }
             Event::RestartGate { is_store_up } => {
-                world.gate = V::gate();
-                world.is_store_up = is_store_up;
+                simulation.gate = V::gate();
+                simulation.is_store_up = is_store_up;
             }
         }
-        world.check_acting();
-        world
+        simulation.check_acting();
+        simulation
     }
 }
 
 #[test]
-fn promise_holds() {
-    assert_eq!(support::failure::<Promise<Sound>>(), None);
+fn invariants_hold() {
+    assert_eq!(support::find_failure::<Invariants<Correct>>(), None);
 }
 
 #[test]
-fn missing_margin_is_caught() {
-    let why = support::failure_of_broken::<Promise<NoMargin>>();
-    assert!(why.contains("two may act"), "{why}");
+fn missing_margin_is_detected() {
+    let why = support::find_failure_of_faulty::<Invariants<NoMargin>>();
+    assert!(why.contains("two active participants"), "{why}");
 }
 
 #[test]
-fn missing_confirmation_is_caught() {
-    let why = support::failure_of_broken::<Promise<NoConfirmation>>();
-    assert!(why.contains("older order"), "{why}");
+fn missing_confirmation_is_detected() {
+    let why = support::find_failure_of_faulty::<Invariants<NoConfirmation>>();
+    assert!(why.contains("older order takes effect"), "{why}");
 }
--- a/crates/state/tests/run_once.rs
+++ b/crates/state/tests/run_once.rs
@@ -1,4 +1,4 @@
-//! Single rules of the run-once table.
+//! Rules of the run-once table.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 const RETENTION_MS: u64 = 1_000;
 const REQUEST: u128 = 7;
 
-/// What is done to the request, at time 0.
+/// An operation on the request, at time 0.
 #[derive(Clone, Copy)]
 enum Step {
     Admit { attempt: u32, is_idempotent: bool },
@@ -21,9 +21,9 @@
 
 use Step::{Admit, Begin, Fail, Finish, Query, Refuse};
 
-const ONCE_1: Step = Admit { attempt: 1, is_idempotent: false };
-const AGAIN_1: Step = Admit { attempt: 1, is_idempotent: true };
-const AGAIN_2: Step = Admit { attempt: 2, is_idempotent: true };
+const ADMIT_ONCE_1: Step = Admit { attempt: 1, is_idempotent: false };
+const ADMIT_IDEMPOTENT_1: Step = Admit { attempt: 1, is_idempotent: true };
+const ADMIT_IDEMPOTENT_2: Step = Admit { attempt: 2, is_idempotent: true };
 
 fn apply(table: &mut RunOnceTable, step: Step) {
     match step {
@@ -55,43 +55,43 @@
     admission: Admission::Run { superseded: None },
 })]
 #[case::repeated(Case {
-    before: &[ONCE_1],
+    before: &[ADMIT_ONCE_1],
     attempt: 1,
     is_idempotent: false,
     admission: Admission::Fenced,
 })]
-#[case::supersedes_one_that_waits(Case {
-    before: &[ONCE_1],
+#[case::supersedes_a_waiting_attempt(Case {
+    before: &[ADMIT_ONCE_1],
     attempt: 2,
     is_idempotent: false,
     admission: Admission::Run { superseded: Some(1) },
 })]
-#[case::has_begun(Case {
-    before: &[ONCE_1, Begin(1)],
+#[case::after_it_began(Case {
+    before: &[ADMIT_ONCE_1, Begin(1)],
     attempt: 2,
     is_idempotent: false,
     admission: Admission::AlreadyRun,
 })]
-#[case::has_failed(Case {
-    before: &[ONCE_1, Begin(1), Fail(1)],
+#[case::after_it_failed(Case {
+    before: &[ADMIT_ONCE_1, Begin(1), Fail(1)],
     attempt: 2,
     is_idempotent: false,
     admission: Admission::AlreadyRun,
 })]
-#[case::flag_does_not_turn(Case {
-    before: &[ONCE_1, Begin(1), Fail(1)],
+#[case::stays_non_idempotent(Case {
+    before: &[ADMIT_ONCE_1, Begin(1), Fail(1)],
     attempt: 2,
     is_idempotent: true,
     admission: Admission::AlreadyRun,
 })]
-#[case::flag_does_not_turn_by_a_refusal(Case {
-    before: &[ONCE_1, Refuse(1), AGAIN_2, Begin(2), Fail(2)],
+#[case::stays_non_idempotent_after_a_refusal(Case {
+    before: &[ADMIT_ONCE_1, Refuse(1), ADMIT_IDEMPOTENT_2, Begin(2), Fail(2)],
     attempt: 3,
     is_idempotent: true,
     admission: Admission::AlreadyRun,
 })]
 #[case::after_a_refusal(Case {
-    before: &[ONCE_1, Refuse(1)],
+    before: &[ADMIT_ONCE_1, Refuse(1)],
     attempt: 2,
     is_idempotent: false,
     admission: Admission::Run { superseded: None },
@@ -102,8 +102,8 @@
     is_idempotent: false,
     admission: Admission::Fenced,
 })]
-#[case::fenced_while_open(Case {
-    before: &[ONCE_1, Query(2)],
+#[case::fenced_while_admitted(Case {
+    before: &[ADMIT_ONCE_1, Query(2)],
     attempt: 2,
     is_idempotent: false,
     admission: Admission::Fenced,
@@ -115,18 +115,18 @@
     admission: Admission::Run { superseded: None },
 })]
 #[case::idempotent_runs_again(Case {
-    before: &[AGAIN_1, Begin(1)],
+    before: &[ADMIT_IDEMPOTENT_1, Begin(1)],
     attempt: 2,
     is_idempotent: true,
     admission: Admission::Run { superseded: Some(1) },
 })]
 #[case::idempotent_after_a_query(Case {
-    before: &[Query(0), AGAIN_1, Begin(1), Fail(1)],
+    before: &[Query(0), ADMIT_IDEMPOTENT_1, Begin(1), Fail(1)],
     attempt: 2,
     is_idempotent: true,
     admission: Admission::Run { superseded: None },
 })]
-fn admits(#[case] case: Case) {
+fn attempts_are_admitted(#[case] case: Case) {
     let mut table = RunOnceTable::new(4, RETENTION_MS);
     for step in case.before {
         apply(&mut table, *step);
@@ -137,53 +137,53 @@
 
 struct QueryCase {
     before: &'static [Step],
-    answer: RunState,
+    state: RunState,
 }
 
 #[rstest]
-#[case::never_seen(QueryCase { before: &[], answer: RunState::NeverSeen })]
-#[case::asked_before(QueryCase {
+#[case::never_seen(QueryCase { before: &[], state: RunState::NeverSeen })]
+#[case::queried_before(QueryCase {
     before: &[Query(1)],
-    answer: RunState::Refused,
+    state: RunState::Refused,
 })]
 #[case::admitted(QueryCase {
-    before: &[ONCE_1],
-    answer: RunState::Admitted,
+    before: &[ADMIT_ONCE_1],
+    state: RunState::Admitted,
 })]
 #[case::refused(QueryCase {
-    before: &[ONCE_1, Refuse(1)],
-    answer: RunState::Refused,
+    before: &[ADMIT_ONCE_1, Refuse(1)],
+    state: RunState::Refused,
 })]
 #[case::running(QueryCase {
-    before: &[ONCE_1, Begin(1)],
-    answer: RunState::Running,
+    before: &[ADMIT_ONCE_1, Begin(1)],
+    state: RunState::Running,
 })]
 #[case::finished(QueryCase {
-    before: &[ONCE_1, Begin(1), Finish(1)],
-    answer: RunState::Finished,
+    before: &[ADMIT_ONCE_1, Begin(1), Finish(1)],
+    state: RunState::Finished,
 })]
 #[case::failed_before_it_began(QueryCase {
-    before: &[ONCE_1, Fail(1)],
-    answer: RunState::Refused,
+    before: &[ADMIT_ONCE_1, Fail(1)],
+    state: RunState::Refused,
 })]
 #[case::failed(QueryCase {
-    before: &[ONCE_1, Begin(1), Fail(1)],
-    answer: RunState::Failed,
+    before: &[ADMIT_ONCE_1, Begin(1), Fail(1)],
+    state: RunState::Failed,
 })]
 #[case::refused_after_it_began(QueryCase {
-    before: &[ONCE_1, Begin(1), Refuse(1)],
-    answer: RunState::Failed,
+    before: &[ADMIT_ONCE_1, Begin(1), Refuse(1)],
+    state: RunState::Failed,
 })]
 #[case::later_attempt_refused(QueryCase {
-    before: &[AGAIN_1, Begin(1), AGAIN_2, Refuse(2)],
-    answer: RunState::Failed,
+    before: &[ADMIT_IDEMPOTENT_1, Begin(1), ADMIT_IDEMPOTENT_2, Refuse(2)],
+    state: RunState::Failed,
 })]
-fn answers(#[case] case: QueryCase) {
+fn queries_return_the_state(#[case] case: QueryCase) {
     let mut table = RunOnceTable::new(4, RETENTION_MS);
     for step in case.before {
         apply(&mut table, *step);
     }
-    assert_eq!(table.query(REQUEST, 1, 0), case.answer);
+    assert_eq!(table.query(REQUEST, 1, 0), case.state);
 }
 
 #[test]
@@ -198,9 +198,9 @@
 }
 
 #[test]
-fn retained_records_go_after_their_time() {
+fn retained_records_are_evicted_after_the_retention_time() {
     let mut table = RunOnceTable::new(1, RETENTION_MS);
-    apply(&mut table, ONCE_1);
+    apply(&mut table, ADMIT_ONCE_1);
     apply(&mut table, Begin(1));
     apply(&mut table, Finish(1));
     let early = table.admit(8, 1, false, RETENTION_MS - 1);
@@ -210,11 +210,12 @@
     assert_eq!(late, Admission::Run { superseded: None });
 }
 
-/// A run that had to be forgotten early must not look like one never seen.
+/// A request whose record was evicted early must not be reported as never
+/// seen.
 #[test]
-fn forgotten_run_is_not_told_as_not_run() {
+fn evicted_run_is_not_reported_as_not_run() {
     let mut table = RunOnceTable::new(1, RETENTION_MS);
-    apply(&mut table, AGAIN_1);
+    apply(&mut table, ADMIT_IDEMPOTENT_1);
     apply(&mut table, Begin(1));
     apply(&mut table, Finish(1));
     table.admit(8, 1, true, 10);
@@ -223,9 +224,9 @@
     assert_eq!(table.query(9, 1, RETENTION_MS), RunState::NeverSeen);
 }
 
-/// A full table of records that must be kept answers each refusal at once.
+/// A table full of retained records refuses new requests without a scan.
 #[test]
-fn full_table_refuses_without_a_walk() {
+fn full_table_refuses_without_a_scan() {
     const RECORDS: u128 = 50_000;
     let mut table = RunOnceTable::new(RECORDS as usize, RETENTION_MS);
     for request in 0..RECORDS {
@@ -238,6 +239,6 @@
         let admission = table.admit(request, 1, false, 1);
         assert_eq!(admission, Admission::TableFull);
     }
-    // Walks over all records would take 2.5 thousand million steps.
+    // Scans of all records would take 2.5 billion steps.
     assert!(start.elapsed() < Duration::from_secs(5));
 }
--- a/crates/state/tests/run_once_invariants.rs
+++ b/crates/state/tests/run_once_invariants.rs
@@ -1,7 +1,7 @@
-//! The promise of the run-once table, whatever the order of events.
+//! Invariants of the run-once table for any order of events.
 //!
-//! Each request lives for less than the retention time, as the table demands
-//! of it. An observer keeps the whole history and judges every answer.
+//! Each request lasts for less than the retention time, as the table requires.
+//! An observer keeps the complete history and checks every response.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 const CAPACITY: usize = 3;
 const RETENTION_MS: u64 = 100;
-/// Requests of one lifetime; more than fit the table.
+/// Requests per retention time, more than the capacity of the table.
 const SLOTS: u128 = 5;
 const MAX_ATTEMPT: u32 = 4;
 
@@ -28,7 +28,7 @@
     Wait { ms: u64 },
 }
 
-/// Time alone; it decides which request a slot stands for.
+/// The reference state is the time, which determines the request of a slot.
 #[derive(Clone, Debug, Default)]
 struct Clock {
     now_ms: u64,
@@ -74,82 +74,89 @@
     }
 }
 
-/// What really happened to a request.
+/// The actual events of a request.
 #[derive(Debug, Default)]
 struct History {
-    /// The attempt that is open, and whether it has begun.
-    open: Option<(u32, bool)>,
+    /// The active attempt, and whether it has begun.
+    active: Option<(u32, bool)>,
     begun_count: usize,
     has_finished: bool,
-    /// Highest attempt that was admitted or asked for.
+    /// Highest attempt that was admitted or queried.
     highest_attempt: u32,
-    /// Highest attempt that a "not run" answer speaks for.
+    /// Highest attempt that a response reported as not run.
     not_run_up_to: u32,
 }
 
 impl History {
-    fn saw_admission(
+    fn record_admission(
         &mut self,
-        answer: Admission,
+        admission: Admission,
         attempt: u32,
         is_idempotent: bool,
         is_full: bool,
     ) {
         let has_run = self.begun_count > 0 && !is_idempotent;
-        match answer {
+        match admission {
             Admission::Run { superseded } => {
-                assert!(!has_run, "admitted though it has run");
-                assert!(attempt > self.not_run_up_to, "fence forgotten");
-                let open = self.open.map(|(open, _)| open);
-                assert_eq!(superseded, open, "wrong attempt superseded");
-                assert!(open.is_none_or(|open| attempt > open));
-                self.open = Some((attempt, false));
+                assert!(!has_run, "admitted though the request has run");
+                assert!(attempt > self.not_run_up_to, "fence was lost");
+                let active = self.active.map(|(active, _)| active);
+                assert_eq!(superseded, active, "wrong attempt superseded");
+                assert!(active.is_none_or(|active| attempt > active));
+                self.active = Some((attempt, false));
                 self.highest_attempt = self.highest_attempt.max(attempt);
             }
             Admission::Fenced => assert!(attempt <= self.highest_attempt),
             Admission::AlreadyRun => assert!(has_run),
-            Admission::TableFull => assert!(is_full && self.open.is_none()),
+            Admission::TableFull => assert!(is_full && self.active.is_none()),
         }
     }
 
-    fn saw_begin(&mut self, attempt: u32, is_idempotent: bool) {
-        assert_eq!(self.open, Some((attempt, false)), "begins unadmitted");
-        assert!(attempt > self.not_run_up_to, "begins though not run");
+    fn record_begin(&mut self, attempt: u32, is_idempotent: bool) {
+        assert_eq!(
+            self.active,
+            Some((attempt, false)),
+            "begins without admission"
+        );
+        assert!(
+            attempt > self.not_run_up_to,
+            "begins though reported as not run"
+        );
         assert!(is_idempotent || self.begun_count == 0, "begins twice");
-        self.open = Some((attempt, true));
+        self.active = Some((attempt, true));
         self.begun_count += 1;
     }
 
-    fn saw_end(&mut self, attempt: u32, is_whole: bool) {
-        if self.open.is_some_and(|(open, _)| open == attempt) {
-            self.open = None;
-            self.has_finished = is_whole;
-            self.begun_count += usize::from(is_whole);
+    fn record_end(&mut self, attempt: u32, is_complete: bool) {
+        if self.active.is_some_and(|(active, _)| active == attempt) {
+            self.active = None;
+            self.has_finished = is_complete;
+            self.begun_count += usize::from(is_complete);
         }
     }
 
-    fn saw_answer(&mut self, answer: RunState, attempt: u32, is_full: bool) {
-        match answer {
+    fn record_state(&mut self, state: RunState, attempt: u32, is_full: bool) {
+        match state {
             RunState::NeverSeen | RunState::Refused => {
-                assert_eq!(self.begun_count, 0, "it has run");
-                assert_eq!(self.open, None, "it may still run");
+                assert_eq!(self.begun_count, 0, "the request has run");
+                assert_eq!(self.active, None, "the request may still run");
                 self.not_run_up_to = self.not_run_up_to.max(attempt);
             }
             RunState::Admitted => {
-                assert!(self.open.is_some_and(|(_, has_begun)| !has_begun));
+                assert!(self.active.is_some_and(|(_, has_begun)| !has_begun));
             }
             RunState::Running => {
-                assert!(self.open.is_some_and(|(_, has_begun)| has_begun));
+                assert!(self.active.is_some_and(|(_, has_begun)| has_begun));
             }
             RunState::Finished => {
-                assert!(self.open.is_none() && self.has_finished);
+                assert!(self.active.is_none() && self.has_finished);
             }
             RunState::Failed => {
-                assert!(self.open.is_none() && self.begun_count > 0);
+                assert!(self.active.is_none() && self.begun_count > 0);
             }
-            RunState::CannotTell => assert!(self.open.is_none() && is_full),
+            RunState::CannotTell => assert!(self.active.is_none() && is_full),
         }
-        if answer != RunState::CannotTell {
+        if state != RunState::CannotTell {
             self.highest_attempt = self.highest_attempt.max(attempt);
         }
     }
@@ -169,11 +176,11 @@
     }
 }
 
-struct Sound(RunOnceTable);
+struct Correct(RunOnceTable);
 
-impl Table for Sound {
-    fn new() -> Sound {
-        Sound(RunOnceTable::new(CAPACITY, RETENTION_MS))
+impl Table for Correct {
+    fn new() -> Correct {
+        Correct(RunOnceTable::new(CAPACITY, RETENTION_MS))
     }
 
     fn table(&mut self) -> &mut RunOnceTable {
@@ -181,12 +188,12 @@
     }
 }
 
-/// Broken: forgets every ended record as soon as its place is needed.
-struct Forgetful(RunOnceTable);
+/// Deliberate fault: evicts any ended record if the space is needed.
+struct WithoutRetention(RunOnceTable);
 
-impl Table for Forgetful {
-    fn new() -> Forgetful {
-        Forgetful(RunOnceTable::new(CAPACITY, 0))
+impl Table for WithoutRetention {
+    fn new() -> WithoutRetention {
+        WithoutRetention(RunOnceTable::new(CAPACITY, 0))
     }
 
     fn table(&mut self) -> &mut RunOnceTable {
@@ -194,12 +201,12 @@
     }
 }
 
-/// Broken: answers a query without fencing.
-struct Unfenced(RunOnceTable);
+/// Deliberate fault: a query does not fence.
+struct WithoutFence(RunOnceTable);
 
-impl Table for Unfenced {
-    fn new() -> Unfenced {
-        Unfenced(RunOnceTable::new(CAPACITY, RETENTION_MS))
+impl Table for WithoutFence {
+    fn new() -> WithoutFence {
+        WithoutFence(RunOnceTable::new(CAPACITY, RETENTION_MS))
     }
 
     fn table(&mut self) -> &mut RunOnceTable {
@@ -211,12 +218,12 @@
     }
 }
 
-/// Broken: treats every request as idempotent.
-struct Careless(RunOnceTable);
+/// Deliberate fault: treats every request as idempotent.
+struct AllIdempotent(RunOnceTable);
 
-impl Table for Careless {
-    fn new() -> Careless {
-        Careless(RunOnceTable::new(CAPACITY, RETENTION_MS))
+impl Table for AllIdempotent {
+    fn new() -> AllIdempotent {
+        AllIdempotent(RunOnceTable::new(CAPACITY, RETENTION_MS))
     }
 
     fn table(&mut self) -> &mut RunOnceTable {
@@ -231,7 +238,7 @@
 struct Observed<T> {
     table: T,
     histories: BTreeMap<u128, History>,
-    /// Whether the table has been full, so that it may have forgotten.
+    /// Whether the table has been full, so that it may have evicted records.
     has_been_full: bool,
 }
 
@@ -245,31 +252,35 @@
         let table = self.table.table();
         let is_full = table.len() == CAPACITY;
         let may_repeat = !T::must_run_once(request);
-        let answer = table.admit(request, attempt, may_repeat, now_ms);
+        let admission = table.admit(request, attempt, may_repeat, now_ms);
         let history = self.history(request);
-        history.saw_admission(answer, attempt, is_idempotent, is_full);
+        history.record_admission(admission, attempt, is_idempotent, is_full);
     }
 
     fn begin(&mut self, request: u128, attempt: u32) {
         if self.table.table().begin(request, attempt) {
             let is_idempotent = is_idempotent(request);
-            self.history(request).saw_begin(attempt, is_idempotent);
+            self.history(request).record_begin(attempt, is_idempotent);
         } else {
-            let open = self.history(request).open;
-            assert_ne!(open, Some((attempt, false)), "admitted in vain");
+            let active = self.history(request).active;
+            assert_ne!(
+                active,
+                Some((attempt, false)),
+                "admitted attempt can't begin"
+            );
         }
     }
 
     fn query(&mut self, request: u128, attempt: u32, now_ms: u64) {
-        let answer = self.table.query(request, attempt, now_ms);
-        let may_forget = self.has_been_full;
-        self.history(request).saw_answer(answer, attempt, may_forget);
+        let state = self.table.query(request, attempt, now_ms);
+        let may_have_evicted = self.has_been_full;
+        self.history(request).record_state(state, attempt, may_have_evicted);
     }
 }
 
-struct Promise<T>(PhantomData<T>);
+struct Invariants<T>(PhantomData<T>);
 
-impl<T: Table> StateMachineTest for Promise<T> {
+impl<T: Table> StateMachineTest for Invariants<T> {
     type SystemUnderTest = Observed<T>;
     type Reference = Clock;
 
@@ -297,17 +308,17 @@
             Event::Refuse { slot, attempt } => {
                 let request = clock.request(slot);
                 observed.table.table().refuse(request, attempt, now_ms);
-                observed.history(request).saw_end(attempt, false);
+                observed.history(request).record_end(attempt, false);
             }
             Event::Finish { slot, attempt } => {
                 let request = clock.request(slot);
                 observed.table.table().finish(request, attempt, now_ms);
-                observed.history(request).saw_end(attempt, true);
+                observed.history(request).record_end(attempt, true);
             }
             Event::Fail { slot, attempt } => {
                 let request = clock.request(slot);
                 observed.table.table().fail(request, attempt, now_ms);
-                observed.history(request).saw_end(attempt, false);
+                observed.history(request).record_end(attempt, false);
             }
             Event::Query { slot, attempt } => {
                 observed.query(clock.request(slot), attempt, now_ms);
@@ -322,24 +333,25 @@
 }
 
 #[test]
-fn promise_holds() {
-    assert_eq!(support::failure::<Promise<Sound>>(), None);
+fn invariants_hold() {
+    assert_eq!(support::find_failure::<Invariants<Correct>>(), None);
 }
 
 #[test]
-fn early_forgetting_is_caught() {
-    let why = support::failure_of_broken::<Promise<Forgetful>>();
-    assert!(why.contains("fence forgotten"), "{why}");
+fn early_eviction_is_detected() {
+    let why =
+        support::find_failure_of_faulty::<Invariants<WithoutRetention>>();
+    assert!(why.contains("fence was lost"), "{why}");
 }
 
 #[test]
-fn missing_fence_is_caught() {
-    let why = support::failure_of_broken::<Promise<Unfenced>>();
-    assert!(why.contains("fence forgotten"), "{why}");
+fn missing_fence_is_detected() {
+    let why = support::find_failure_of_faulty::<Invariants<WithoutFence>>();
+    assert!(why.contains("fence was lost"), "{why}");
 }
 
 #[test]
-fn second_run_is_caught() {
-    let why = support::failure_of_broken::<Promise<Careless>>();
-    assert!(why.contains("though it has run"), "{why}");
+fn second_run_is_detected() {
+    let why = support::find_failure_of_faulty::<Invariants<AllIdempotent>>();
+    assert!(why.contains("though the request has run"), "{why}");
 }
--- a/crates/state/tests/step_gate.rs
+++ b/crates/state/tests/step_gate.rs
@@ -1,4 +1,4 @@
-//! The order of steps at a stage.
+//! Order of the steps at a stage.
 
 use chestnutreach_state::{StepGate, StepRefusal};
 use proptest::prelude::*;
@@ -8,8 +8,8 @@
 const FIRST_LAYER: u32 = 8;
 
 struct Case {
-    /// Spans of the steps that were taken before.
-    taken: &'static [u32],
+    /// Spans of the steps that were accepted before.
+    accepted: &'static [u32],
     /// Attempt, first layer, position and span of the next step.
     step: (u32, u32, u32, u32),
     outcome: Result<(), StepRefusal>,
@@ -18,74 +18,74 @@
 
 #[rstest]
 #[case::first(Case {
-    taken: &[],
+    accepted: &[],
     step: (ATTEMPT, FIRST_LAYER, 0, 5),
     outcome: Ok(()),
     next_position: 5,
 })]
 #[case::next(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT, FIRST_LAYER, 5, 1),
     outcome: Ok(()),
     next_position: 6,
 })]
 #[case::repeated(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT, FIRST_LAYER, 0, 5),
     outcome: Err(StepRefusal::Repeated),
     next_position: 5,
 })]
 #[case::overlapping(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT, FIRST_LAYER, 4, 2),
     outcome: Err(StepRefusal::Repeated),
     next_position: 5,
 })]
 #[case::gap(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT, FIRST_LAYER, 6, 1),
     outcome: Err(StepRefusal::Gap),
     next_position: 5,
 })]
 #[case::older_attempt(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT - 1, FIRST_LAYER, 5, 1),
     outcome: Err(StepRefusal::OtherAttempt),
     next_position: 5,
 })]
 #[case::newer_attempt(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT + 1, FIRST_LAYER, 5, 1),
     outcome: Err(StepRefusal::OtherAttempt),
     next_position: 5,
 })]
 #[case::wrong_layer(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT, FIRST_LAYER + 1, 5, 1),
     outcome: Err(StepRefusal::WrongLayer),
     next_position: 5,
 })]
 #[case::empty(Case {
-    taken: &[5],
+    accepted: &[5],
     step: (ATTEMPT, FIRST_LAYER, 5, 0),
     outcome: Err(StepRefusal::BadSpan),
     next_position: 5,
 })]
 #[case::last_position(Case {
-    taken: &[u32::MAX - 1],
+    accepted: &[u32::MAX - 1],
     step: (ATTEMPT, FIRST_LAYER, u32::MAX - 1, 1),
     outcome: Ok(()),
     next_position: u32::MAX,
 })]
-#[case::past_the_last_position(Case {
-    taken: &[u32::MAX],
+#[case::beyond_the_last_position(Case {
+    accepted: &[u32::MAX],
     step: (ATTEMPT, FIRST_LAYER, u32::MAX, 1),
     outcome: Err(StepRefusal::BadSpan),
     next_position: u32::MAX,
 })]
-fn takes_the_next_step_only(#[case] case: Case) {
+fn only_the_next_step_is_accepted(#[case] case: Case) {
     let mut gate = StepGate::new(ATTEMPT, FIRST_LAYER);
-    for span in case.taken {
+    for span in case.accepted {
         let position = gate.next_position();
         gate.take(ATTEMPT, FIRST_LAYER, position, *span).unwrap();
     }
@@ -98,25 +98,25 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         failure_persistence: None,
-        // The same cases on every run.
+        // Use the same cases in every run.
         rng_seed: proptest::test_runner::RngSeed::Fixed(7),
         ..ProptestConfig::default()
     })]
 
-    /// Whatever arrives, each position is taken once and in order.
+    /// Each position is accepted once and in order, whatever steps arrive.
     #[test]
-    fn no_position_is_taken_twice_or_missed(
+    fn no_position_is_repeated_or_skipped(
         steps in proptest::collection::vec((0u32..3, 0u32..12, 0u32..4), 0..60)
     ) {
         let mut gate = StepGate::new(1, FIRST_LAYER);
-        let mut taken = Vec::new();
+        let mut accepted = Vec::new();
         for (attempt, position, span) in steps {
             if gate.take(attempt, FIRST_LAYER, position, span).is_ok() {
                 prop_assert_eq!(attempt, 1);
-                taken.extend(position..position + span);
+                accepted.extend(position..position + span);
             }
         }
         let expected: Vec<u32> = (0..gate.next_position()).collect();
-        prop_assert_eq!(taken, expected);
+        prop_assert_eq!(accepted, expected);
     }
 }
--- a/crates/state/tests/support/mod.rs
+++ b/crates/state/tests/support/mod.rs
@@ -1,33 +1,33 @@
-//! Runs a state machine test with a fixed seed and reports its failure.
+//! Runs a state machine test with a fixed seed and returns its failure.
 
 use proptest::test_runner::{
     Config, RngAlgorithm, TestError, TestRng, TestRunner,
 };
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-/// Most transitions of one case.
+/// Maximum number of transitions in one case.
 const MAX_TRANSITIONS: usize = 120;
 
-/// Cases after which code broken on purpose must have been caught.
-const CASES_OF_BROKEN: u32 = 5_000;
+/// Number of cases in which a deliberate fault must be detected.
+const CASES_FOR_FAULTY: u32 = 5_000;
 
-/// Runs the cases and tells the first failure, if any. `PROPTEST_CASES` sets
-/// their number.
-pub fn failure<T>() -> Option<String>
+/// Returns the first failure, if any. `PROPTEST_CASES` sets the number of
+/// cases.
+pub fn find_failure<T>() -> Option<String>
 where
     T: StateMachineTest,
 {
     run::<T>(Config::default())
 }
 
-/// Runs code broken on purpose until it fails, and tells how.
-pub fn failure_of_broken<T>() -> String
+/// Returns the failure of code with a deliberate fault.
+pub fn find_failure_of_faulty<T>() -> String
 where
     T: StateMachineTest,
 {
-    let cases = CASES_OF_BROKEN;
+    let cases = CASES_FOR_FAULTY;
     let failure = run::<T>(Config { cases, ..Config::default() });
-    failure.expect("the broken code is caught")
+    failure.expect("the deliberate fault is detected")
 }
 
 fn run<T>(config: Config) -> Option<String>
@@ -47,6 +47,8 @@
         Err(TestError::Fail(why, (_, transitions, _))) => {
             Some(format!("{why}, after {transitions:?}"))
         }
-        Err(TestError::Abort(why)) => panic!("no cases: {why}"),
+        Err(TestError::Abort(why)) => {
+            panic!("cases can't be generated: {why}")
+        }
     }
 }
