--- a/crates/planner/src/layout.rs
+++ b/crates/planner/src/layout.rs
@@ -3,12 +3,12 @@
 //! Memory beside the layers holds the KV cache of requests, so engines are not
 //! filled with layers. Each data centre gets a complete copy of the model with
 //! the same KV capacity on every layer, and some layers get several replicas
-//! ([`EngineGroups`]). The layout of an empty data centre is computed at once.
+//! (`EngineGroups`). The layout of an empty data centre is computed at once.
 //! Later, an empty engine takes a gap of its data centre; without a gap, the
 //! layers with the lowest KV capacity; and if no layer lacks capacity, the
 //! layers with the fewest replicas.
 //!
-//! [`repair`] closes gaps without an empty engine.
+//! [`repair`] closes gaps for which no empty engine is left.
 //!
 //! [`repair`]: crate::repair
 //!
@@ -97,7 +97,7 @@
                 placements.push(placement);
             }
         }
-        // Large engines first: the remaining gaps then fit small engines.
+        // Large engines first: the short ranges of small engines fit anywhere.
         empty.sort_by(|a, b| {
             engines[*b].memory_mb.total_cmp(&engines[*a].memory_mb)
         });
@@ -162,9 +162,10 @@
 
 /// Layers for an empty engine in a data centre where others hold layers.
 ///
-/// If there is a gap, the engine takes as much of it as fits. Otherwise the
-/// engine adds a replica: it keeps its share of the KV capacity, and takes the
-/// layers that lack most capacity or, if none does, have the fewest replicas.
+/// If there is a gap, the engine takes as much of the gap as fits. Otherwise,
+/// the engine adds replicas and keeps its share of the KV capacity. It takes
+/// the layers that lack most capacity or, if no layer does, the layers with
+/// the fewest replicas.
 fn range_for_empty(
     model: &LayoutModel,
     engines: &[LayoutEngine],
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -12,7 +12,7 @@
 //! | `draft` | a plan under construction |
 //! | `chain_repair` | orders that restore a complete chain |
 //! | `scale_up` | orders that add capacity at the bottleneck |
-//! | [`plan`] | the orders for a service |
+//! | [`mod@plan`] | the orders for a service |
 //! | [`order`] | an order and its reason |
 //! | [`layout`] | layers for engines that hold none, by memory |
 //! | [`repair`] | extensions and moves that close gaps |
--- a/crates/planner/src/order_tracker.rs
+++ b/crates/planner/src/order_tracker.rs
@@ -30,7 +30,7 @@
 
 /// Time after which an order that no engine has accepted is sent again: longer
 /// than the timeout of its response, 0.6 s. Of two copies that both arrive,
-/// one takes effect, because they carry the same number of orders.
+/// one takes effect, because both carry the same number of begun orders.
 pub const RESEND_AFTER_MS: u64 = 750;
 /// Age of a gap from which other engines extend into the gap, if the engine
 /// that held the layers may only be slow to respond: longer than such an
--- a/crates/planner/src/repair.rs
+++ b/crates/planner/src/repair.rs
@@ -84,7 +84,7 @@
     as_placements(extended)
 }
 
-/// The move of an engine that holds layers with the highest gain; `None` if
+/// The move with the highest gain, among engines that hold layers; `None` if
 /// no move fills a gap.
 pub fn best_move(
     model: &LayoutModel,
