--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -168,7 +168,7 @@
             Chooser::choose
         };
         let start = Instant::now();
-        let need = ChainRequest::new(
+        let request = ChainRequest::new(
             &case.fleet,
             &case.live,
             &shape,
@@ -176,7 +176,7 @@
             NOW_MS,
         )
         .avoid(&avoid);
-        let choice = choose(chooser, &need, rng);
+        let choice = choose(chooser, &request, rng);
         let elapsed = start.elapsed();
         case.cost_sum += black_box(choice).expect("a chain").cost;
         case.times_ns.push(elapsed.as_nanos() as u64);
--- a/crates/routing/src/backend_spec.rs
+++ b/crates/routing/src/backend_spec.rs
@@ -9,7 +9,7 @@
 pub struct BackendIndex(pub u32);
 
 impl BackendIndex {
-    pub(crate) fn at(self) -> usize {
+    pub(crate) fn as_usize(self) -> usize {
         self.0 as usize
     }
 }
--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -39,23 +39,23 @@
 }
 
 impl Candidate {
-    pub(crate) fn left_out(
+    pub(crate) fn excluded(
         index: BackendIndex,
         spec: &BackendSpec,
         reason: ExclusionReason,
     ) -> Candidate {
-        Candidate { left_out: Some(reason), ..Candidate::bare(index, spec) }
+        Candidate { left_out: Some(reason), ..Candidate::new(index, spec) }
     }
 
-    pub(crate) fn weighed(
+    pub(crate) fn evaluated(
         index: BackendIndex,
         spec: &BackendSpec,
         cost: CostBreakdown,
     ) -> Candidate {
-        Candidate { cost: Some(cost), ..Candidate::bare(index, spec) }
+        Candidate { cost: Some(cost), ..Candidate::new(index, spec) }
     }
 
-    fn bare(index: BackendIndex, spec: &BackendSpec) -> Candidate {
+    fn new(index: BackendIndex, spec: &BackendSpec) -> Candidate {
         Candidate {
             index,
             backend: spec.name.clone(),
--- a/crates/routing/src/chain.rs
+++ b/crates/routing/src/chain.rs
@@ -15,13 +15,13 @@
 //! | that one is too late as well | [`NoChainReason::TooLate`] |
 
 use crate::{
-    cost::Pricing,
+    cost::CostContext,
     fleet::{BackendIndex, Fleet},
     live_state::LiveState,
     no_chain::{NoChain, NoChainReason, no_chain},
-    policy::{Policy, Weights},
+    policy::{CostWeights, Policy},
     request_shape::RequestShape,
-    search::{Found, Reach, Search},
+    search::{FoundChain, Search, SearchScope},
 };
 
 /// What a chain is chosen for, and from what.
@@ -72,9 +72,9 @@
         self.fleet
     }
 
-    fn pricing(&self) -> Pricing<'a> {
+    fn context(&self) -> CostContext<'a> {
         let ChainRequest { fleet, live, shape, policy, now_ms, .. } = *self;
-        Pricing::new(fleet, live, shape, policy, now_ms)
+        CostContext::new(fleet, live, shape, policy, now_ms)
     }
 }
 
@@ -99,10 +99,10 @@
 ///
 /// When `live` is of another fleet and shorter.
 pub fn choose(
-    need: &ChainRequest<'_>,
+    request: &ChainRequest<'_>,
     rng: &mut fastrand::Rng,
 ) -> Result<Choice, NoChain> {
-    Chooser::new().choose(need, rng)
+    Chooser::new().choose(request, rng)
 }
 
 /// Chooses with buffers that are kept between choices.
@@ -120,11 +120,11 @@
     /// Like [`choose`].
     pub fn choose(
         &mut self,
-        need: &ChainRequest<'_>,
+        request: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Choice, NoChain> {
-        let choice = self.run(need, rng)?;
-        remember(need.fleet, need.live, &choice.stages);
+        let choice = self.run(request, rng)?;
+        record_choice(request.fleet, request.live, &choice.stages);
         Ok(choice)
     }
 
@@ -132,12 +132,18 @@
     /// against. Its cost grows with the fleet.
     pub fn choose_by_full_scan(
         &mut self,
-        need: &ChainRequest<'_>,
+        request: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Choice, NoChain> {
-        let pricing = need.pricing();
-        let entry = need.entry_data_centre;
-        match self.search.run(&pricing, need.avoid, entry, Reach::All, rng) {
+        let ctx = request.context();
+        let entry = request.entry_data_centre;
+        match self.search.run(
+            &ctx,
+            request.avoid,
+            entry,
+            SearchScope::All,
+            rng,
+        ) {
             Ok(found) => Ok(self.choice(&found)),
             Err(reason) => Err(no_chain(reason, rng)),
         }
@@ -149,20 +155,20 @@
 
     pub(crate) fn run(
         &mut self,
-        need: &ChainRequest<'_>,
+        request: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Choice, NoChain> {
-        let mut pricing = need.pricing();
-        let deadline_ms = pricing.shape.deadline_ms;
+        let mut ctx = request.context();
+        let deadline_ms = ctx.shape.deadline_ms;
         let found = self
-            .find(&pricing, need, rng)
+            .find(&ctx, request, rng)
             .map_err(|reason| no_chain(reason, rng))?;
         if found.total_ms <= deadline_ms as f64 {
             return Ok(self.choice(&found));
         }
-        pricing.weights = Weights::fastest();
+        ctx.weights = CostWeights::fastest();
         let found = self
-            .find(&pricing, need, rng)
+            .find(&ctx, request, rng)
             .map_err(|reason| no_chain(reason, rng))?;
         if found.total_ms <= deadline_ms as f64 {
             return Ok(self.choice(&found));
@@ -173,19 +179,18 @@
 
     fn find(
         &mut self,
-        pricing: &Pricing<'_>,
-        need: &ChainRequest<'_>,
+        ctx: &CostContext<'_>,
+        request: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
-    ) -> Result<Found, NoChainReason> {
-        let (avoid, entry) = (need.avoid, need.entry_data_centre);
-        let mut run =
-            |reach| self.search.run(pricing, avoid, entry, reach, rng);
-        run(Reach::Sampled)
-            .or_else(|_| run(Reach::All))
-            .or_else(|_| run(Reach::AllAndSuspect))
+    ) -> Result<FoundChain, NoChainReason> {
+        let (avoid, entry) = (request.avoid, request.entry_data_centre);
+        let mut run = |scope| self.search.run(ctx, avoid, entry, scope, rng);
+        run(SearchScope::Sampled)
+            .or_else(|_| run(SearchScope::All))
+            .or_else(|_| run(SearchScope::AllIncludingSuspect))
     }
 
-    fn choice(&self, found: &Found) -> Choice {
+    fn choice(&self, found: &FoundChain) -> Choice {
         Choice {
             stages: self.search.stages(found),
             first_token_ms: found.first_token_ms.ceil() as u64,
@@ -197,10 +202,10 @@
 }
 
 /// The next choice looks at the same servers again.
-fn remember(fleet: &Fleet, live: &LiveState, stages: &[BackendIndex]) {
+fn record_choice(fleet: &Fleet, live: &LiveState, stages: &[BackendIndex]) {
     let mut boundary = 0;
     for &index in stages {
-        live.memory().note(boundary, index);
-        boundary = fleet.facts(index).next_boundary as usize;
+        live.recent_choices().record(boundary, index);
+        boundary = fleet.cost_inputs(index).next_boundary as usize;
     }
 }
--- a/crates/routing/src/circuit_breaker.rs
+++ b/crates/routing/src/circuit_breaker.rs
@@ -22,13 +22,13 @@
 /// Successes in a row that close a half-open circuit.
 pub const SUCCESS_LIMIT: u32 = 2;
 /// First wait of an open circuit.
-pub const FIRST_BACKOFF_MS: u64 = 500;
+pub const INITIAL_BACKOFF_MS: u64 = 500;
 /// Longest wait of an open circuit.
 pub const MAX_BACKOFF_MS: u64 = 30_000;
 /// After this a trial that never ended no longer bars the next one.
-pub const TRIAL_LIMIT_MS: u64 = 10_000;
+pub const TRIAL_TIMEOUT_MS: u64 = 10_000;
 
-const MAX_DOUBLINGS: u32 = 16;
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 /// Never a time: `open_until_ms` of a closed circuit.
 const CLOSED: u64 = 0;
 const NO_TRIAL: u64 = 0;
@@ -63,7 +63,7 @@
 pub struct CircuitBreaker {
     failures: AtomicU32,
     successes: AtomicU32,
-    doublings: AtomicU32,
+    backoff_doublings: AtomicU32,
     open_until_ms: AtomicU64,
     trial_since_ms: AtomicU64,
 }
@@ -128,7 +128,7 @@
             // Sent before it opened: tells nothing new.
             CircuitState::Open { .. } => {}
             CircuitState::HalfOpen => {
-                self.doublings.fetch_add(1, Relaxed);
+                self.backoff_doublings.fetch_add(1, Relaxed);
                 self.open(now_ms);
             }
         }
@@ -142,13 +142,15 @@
     fn has_trial(&self, now_ms: u64) -> bool {
         match self.trial_since_ms.load(Relaxed) {
             NO_TRIAL => false,
-            since_ms => now_ms.saturating_sub(since_ms) < TRIAL_LIMIT_MS,
+            since_ms => now_ms.saturating_sub(since_ms) < TRIAL_TIMEOUT_MS,
         }
     }
 
     fn open(&self, now_ms: u64) {
-        let doublings = self.doublings.load(Relaxed).min(MAX_DOUBLINGS);
-        let backoff_ms = (FIRST_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
+        let backoff_doublings =
+            self.backoff_doublings.load(Relaxed).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff_ms =
+            (INITIAL_BACKOFF_MS << backoff_doublings).min(MAX_BACKOFF_MS);
         self.successes.store(0, Relaxed);
         self.open_until_ms.store(now_ms + backoff_ms, Relaxed);
     }
@@ -156,7 +158,7 @@
     fn close(&self) {
         self.failures.store(0, Relaxed);
         self.successes.store(0, Relaxed);
-        self.doublings.store(0, Relaxed);
+        self.backoff_doublings.store(0, Relaxed);
         self.open_until_ms.store(CLOSED, Relaxed);
     }
 }
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -6,7 +6,7 @@
 //! * The price of a token is the server's time for the step over all that
 //!   share it: a server in use gives it for less than an empty one.
 //! * Load counts little until a server is nearly full and then fast, see
-//!   [`load_ms`]: what is full refuses, and what has room is not slower.
+//!   [`load_cost_ms`]: what is full refuses, and what has room is not slower.
 //! * A prompt is slowed by the share of the server that is in use.
 //! * A cached prefix leaves [`UNCACHED_SHARE`] of the prompt to compute.
 //! * A plain service has no tokens: its stage takes the smoothed time of its
@@ -15,11 +15,11 @@
 use serde::Serialize;
 
 use crate::{
-    fleet::{BackendIndex, Facts, Fleet},
-    live_state::{LiveState, Presence, TypicalLoad},
-    policy::{Policy, Weights},
+    fleet::{BackendIndex, CostInputs, Fleet},
+    live_state::{LiveState, MeanLoad, Presence},
+    policy::{CostWeights, Policy},
     request_shape::RequestShape,
-    server::Reading,
+    server_state::ServerSnapshot,
 };
 
 const MS_PER_S: f64 = 1_000.0;
@@ -27,20 +27,20 @@
 /// Time of a step on an empty server, as a share of one on a full server.
 const EMPTY_STEP_SHARE: f64 = 0.5;
 /// Weight of the part of the load's cost that grows fast.
-const CROWDING: f64 = 30.0;
+const SATURATION_WEIGHT: f64 = 30.0;
 /// Part of a prompt that is computed although its prefix is cached.
 const UNCACHED_SHARE: f64 = 0.25;
 
 /// What stays the same for all candidates of one choice.
-pub(crate) struct Pricing<'a> {
+pub(crate) struct CostContext<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) live: &'a LiveState,
     pub(crate) shape: &'a RequestShape,
     pub(crate) policy: &'a Policy,
-    pub(crate) weights: Weights,
+    pub(crate) weights: CostWeights,
     pub(crate) now_ms: u64,
-    typical: TypicalLoad,
-    ms_per_micro: f64,
+    fleet_mean: MeanLoad,
+    ms_per_price_micro: f64,
 }
 
 /// Parts of a stage's cost.
@@ -94,46 +94,47 @@
     }
 }
 
-impl<'a> Pricing<'a> {
+impl<'a> CostContext<'a> {
     pub(crate) fn new(
         fleet: &'a Fleet,
         live: &'a LiveState,
         shape: &'a RequestShape,
         policy: &'a Policy,
         now_ms: u64,
-    ) -> Pricing<'a> {
+    ) -> CostContext<'a> {
         let mean = fleet.mean_price_micros_per_ms();
-        Pricing {
+        CostContext {
             fleet,
             live,
             shape,
             policy,
             weights: policy.weights(shape.priority),
             now_ms,
-            typical: live.typical(),
-            ms_per_micro: if mean > 0.0 { 1.0 / mean } else { 0.0 },
+            fleet_mean: live.mean_load(),
+            ms_per_price_micro: if mean > 0.0 { 1.0 / mean } else { 0.0 },
         }
     }
 
     /// Cost of a stage on a server. `jitter` in 0..1 moves it within the
     /// band of near-equal costs.
     pub(crate) fn stage(&self, index: BackendIndex, jitter: f64) -> StageCost {
-        let facts = self.fleet.facts(index);
-        let reading = self.live.server(index).read();
-        let load = self.load(index, facts, &reading);
-        let work = self.work(index, facts, &reading, &load);
+        let inputs = self.fleet.cost_inputs(index);
+        let snapshot = self.live.server(index).snapshot();
+        let load = self.load(index, inputs, &snapshot);
+        let times = self.stage_times(index, inputs, &snapshot, &load);
         let weights = &self.weights;
         let output = f64::from(self.shape.output_tokens);
-        let time_ms = work.prompt_ms + output * work.step_ms;
-        let price_micros = work.busy_ms * facts.price_micros_per_ms;
-        let weighted_price = weights.price * price_micros * self.ms_per_micro;
+        let time_ms = times.prompt_ms + output * times.step_ms;
+        let price_micros = times.server_ms * inputs.price_micros_per_ms;
+        let weighted_price =
+            weights.price * price_micros * self.ms_per_price_micro;
         let weighted_load =
-            weights.load * load_ms(work.lone_ms, load.utilisation);
+            weights.load * load_cost_ms(times.unloaded_ms, load.utilisation);
         let weighted = weights.time * time_ms + weighted_price + weighted_load;
         StageCost {
             wait_ms: load.wait_ms,
-            prompt_ms: work.prompt_ms,
-            step_ms: work.step_ms,
+            prompt_ms: times.prompt_ms,
+            step_ms: times.step_ms,
             price_micros,
             utilisation: load.utilisation,
             weighted: weighted * (1.0 + weights.band * jitter),
@@ -145,48 +146,49 @@
     fn load(
         &self,
         index: BackendIndex,
-        facts: &Facts,
-        reading: &Reading,
+        inputs: &CostInputs,
+        snapshot: &ServerSnapshot,
     ) -> Load {
-        let is_recent = reading.reported_ms.is_some_and(|at| {
+        let is_recent = snapshot.reported_ms.is_some_and(|at| {
             self.now_ms.saturating_sub(at) <= self.policy.max_report_age_ms
         });
         if !is_recent {
-            self.live.leave_mean(index);
+            self.live.remove_stale_from_mean(index);
         }
-        let told = f64::from(reading.reported_requests);
-        let change = f64::from(reading.request_change);
-        let known = (told + change).max(f64::from(reading.in_flight));
-        let typical = self.typical.requests * facts.max_running
+        let reported = f64::from(snapshot.reported_requests);
+        let change = f64::from(snapshot.request_delta);
+        let known = (reported + change).max(f64::from(snapshot.in_flight));
+        let expected = self.fleet_mean.requests * inputs.max_running
             / self.fleet.mean_max_running();
-        let requests = if is_recent { known } else { known.max(typical) };
-        let told_wait_ms = f64::from(reading.queue_wait_ms);
+        let requests = if is_recent { known } else { known.max(expected) };
+        let reported_wait_ms = f64::from(snapshot.queue_wait_ms);
         let wait_ms = if is_recent {
-            told_wait_ms
+            reported_wait_ms
         } else {
-            told_wait_ms.max(self.typical.wait_ms)
+            reported_wait_ms.max(self.fleet_mean.wait_ms)
         };
-        let excess_ms = if requests > facts.max_running {
-            reading.token_change.max(0) as f64
-                / output_tokens_per_ms(facts, reading)
+        let excess_ms = if requests > inputs.max_running {
+            snapshot.token_delta.max(0) as f64
+                / output_tokens_per_ms(inputs, snapshot)
         } else {
             0.0
         };
-        let others = f64::from(self.policy.entry_count - 1);
-        let unseen = others * f64::from(reading.sent.min(reading.in_flight));
-        let synthetic = typical.max(1.0) * self.ramp_left(index);
-        let ramped = requests + synthetic;
-        let share = (ramped + unseen) / facts.max_running;
-        let cache = f64::from(reading.cache_used_permille) / PERMILLE;
+        let other_entries = f64::from(self.policy.entry_count - 1);
+        let unreported = other_entries
+            * f64::from(snapshot.sent_since_report.min(snapshot.in_flight));
+        let ramp_load = expected.max(1.0) * self.remaining_ramp(index);
+        let with_ramp = requests + ramp_load;
+        let share = (with_ramp + unreported) / inputs.max_running;
+        let cache = f64::from(snapshot.cache_used_permille) / PERMILLE;
         Load {
-            in_use: (ramped / facts.max_running).min(1.0),
+            in_use: (with_ramp / inputs.max_running).min(1.0),
             utilisation: if is_recent { share.max(cache) } else { share },
             wait_ms: wait_ms + excess_ms,
         }
     }
 
     /// Part of the synthetic load that a joining server still carries.
-    fn ramp_left(&self, index: BackendIndex) -> f64 {
+    fn remaining_ramp(&self, index: BackendIndex) -> f64 {
         let Presence::Joining { since_ms } = self.live.presence(index) else {
             return 0.0;
         };
@@ -197,25 +199,25 @@
         1.0 - age_ms as f64 / self.policy.ramp_ms as f64
     }
 
-    fn work(
+    fn stage_times(
         &self,
         index: BackendIndex,
-        facts: &Facts,
-        reading: &Reading,
+        inputs: &CostInputs,
+        snapshot: &ServerSnapshot,
         load: &Load,
-    ) -> Work {
+    ) -> StageTimes {
         let server = self.live.server(index);
-        let answer_ms = f64::from(server.answer_ms());
-        if self.fleet.is_plain() && answer_ms > 0.0 {
-            return Work {
-                prompt_ms: answer_ms,
+        let response_ms = f64::from(server.response_ms());
+        if self.fleet.is_plain() && response_ms > 0.0 {
+            return StageTimes {
+                prompt_ms: response_ms,
                 step_ms: 0.0,
-                lone_ms: answer_ms,
-                busy_ms: answer_ms / facts.max_running,
+                unloaded_ms: response_ms,
+                server_ms: response_ms / inputs.max_running,
             };
         }
-        let prompt_rate = prompt_tokens_per_ms(facts, reading);
-        let output_rate = output_tokens_per_ms(facts, reading);
+        let prompt_rate = prompt_tokens_per_ms(inputs, snapshot);
+        let output_rate = output_tokens_per_ms(inputs, snapshot);
         let is_cached = self
             .shape
             .prefix
@@ -224,33 +226,35 @@
         let prompt = f64::from(self.shape.prompt_tokens) * uncached;
         let output = f64::from(self.shape.output_tokens);
         let prompt_ms = prompt / prompt_rate;
-        let full_step_ms = facts.max_running / output_rate;
-        let places = facts.max_running;
-        let sharers = ((load.in_use * places + 1.0) / places).min(1.0);
-        let token_ms = step_share(places, sharers) / sharers / output_rate;
-        let empty_step_ms = full_step_ms * step_share(facts.max_running, 0.0);
-        Work {
+        let full_step_ms = inputs.max_running / output_rate;
+        let slots = inputs.max_running;
+        let batch_fill = ((load.in_use * slots + 1.0) / slots).min(1.0);
+        let shared_token_ms =
+            step_share(slots, batch_fill) / batch_fill / output_rate;
+        let empty_step_ms = full_step_ms * step_share(inputs.max_running, 0.0);
+        StageTimes {
             prompt_ms: prompt_ms * (1.0 + load.in_use),
-            step_ms: full_step_ms * step_share(facts.max_running, load.in_use),
-            lone_ms: prompt_ms + output * empty_step_ms,
-            busy_ms: prompt_ms + output * token_ms,
+            step_ms: full_step_ms
+                * step_share(inputs.max_running, load.in_use),
+            unloaded_ms: prompt_ms + output * empty_step_ms,
+            server_ms: prompt_ms + output * shared_token_ms,
         }
     }
 }
 
-/// What the load of a server costs a request that takes `lone_ms` on an empty
+/// What the load of a server costs a request that takes `unloaded_ms` on an empty
 /// one. Up to three quarters in use it is about as much as the share in use;
-/// a full server costs [`CROWDING`] times more than one that has room.
-fn load_ms(lone_ms: f64, utilisation: f64) -> f64 {
+/// a full server costs [`SATURATION_WEIGHT`] times more than one that has room.
+fn load_cost_ms(unloaded_ms: f64, utilisation: f64) -> f64 {
     let square = utilisation * utilisation;
-    let eighth = square * square * square * square;
-    lone_ms * (utilisation + CROWDING * eighth)
+    let eighth_power = square * square * square * square;
+    unloaded_ms * (utilisation + SATURATION_WEIGHT * eighth_power)
 }
 
 /// Time of a step as a share of one over a full batch of `places`.
-pub(crate) fn step_share(places: f64, in_use: f64) -> f64 {
-    let grown = EMPTY_STEP_SHARE + (1.0 - EMPTY_STEP_SHARE) * in_use;
-    grown.max(1.0 / places)
+pub(crate) fn step_share(slots: f64, in_use: f64) -> f64 {
+    let linear = EMPTY_STEP_SHARE + (1.0 - EMPTY_STEP_SHARE) * in_use;
+    linear.max(1.0 / slots)
 }
 
 /// How loaded a server is.
@@ -265,29 +269,35 @@
 }
 
 /// What a stage takes.
-struct Work {
+struct StageTimes {
     prompt_ms: f64,
     step_ms: f64,
     /// Time on an empty server.
-    lone_ms: f64,
+    unloaded_ms: f64,
     /// Time of the whole server that the request uses up.
-    busy_ms: f64,
+    server_ms: f64,
 }
 
 /// Prompt speed: as reported, else the first guess.
-pub(crate) fn prompt_tokens_per_ms(facts: &Facts, reading: &Reading) -> f64 {
-    if reading.prompt_tokens_per_s > 0.0 {
-        f64::from(reading.prompt_tokens_per_s) / MS_PER_S
+pub(crate) fn prompt_tokens_per_ms(
+    inputs: &CostInputs,
+    snapshot: &ServerSnapshot,
+) -> f64 {
+    if snapshot.prompt_tokens_per_s > 0.0 {
+        f64::from(snapshot.prompt_tokens_per_s) / MS_PER_S
     } else {
-        facts.prompt_tokens_per_ms
+        inputs.prompt_tokens_per_ms
     }
 }
 
 /// Output speed: as reported, else the first guess.
-pub(crate) fn output_tokens_per_ms(facts: &Facts, reading: &Reading) -> f64 {
-    if reading.output_tokens_per_s > 0.0 {
-        f64::from(reading.output_tokens_per_s) / MS_PER_S
+pub(crate) fn output_tokens_per_ms(
+    inputs: &CostInputs,
+    snapshot: &ServerSnapshot,
+) -> f64 {
+    if snapshot.output_tokens_per_s > 0.0 {
+        f64::from(snapshot.output_tokens_per_s) / MS_PER_S
     } else {
-        facts.output_tokens_per_ms
+        inputs.output_tokens_per_ms
     }
 }
--- a/crates/routing/src/explain.rs
+++ b/crates/routing/src/explain.rs
@@ -40,24 +40,25 @@
 
 /// Like [`crate::choose`], with what it looked at.
 pub fn explain(
-    need: &ChainRequest<'_>,
+    request: &ChainRequest<'_>,
     rng: &mut fastrand::Rng,
 ) -> Explanation {
     let mut chooser = Chooser::new();
     chooser.search_mut().record = Some(Vec::new());
-    let result = chooser.run(need, rng);
+    let result = chooser.run(request, rng);
     let record = chooser.search_mut().record.take().unwrap_or_default();
     match result {
         Ok(choice) => {
-            let name = |&i: &BackendIndex| need.fleet().spec(i).name.clone();
+            let name =
+                |&i: &BackendIndex| request.fleet().spec(i).name.clone();
             Explanation {
                 stages: choice.stages.iter().map(name).collect(),
                 first_token_ms: choice.first_token_ms,
                 total_ms: choice.total_ms,
                 price_micros: choice.price_micros,
                 cost: choice.cost,
-                candidates: mark(record, &choice.stages),
-                ..nothing()
+                candidates: mark_chosen(record, &choice.stages),
+                ..empty_explanation()
             }
         }
         Err(no_chain) => without_chain(no_chain, record),
@@ -74,11 +75,11 @@
         retry_after_ms: Some(no_chain.retry_after_ms),
         needed_ms,
         candidates: record,
-        ..nothing()
+        ..empty_explanation()
     }
 }
 
-fn mark(
+fn mark_chosen(
     mut record: Vec<Candidate>,
     stages: &[BackendIndex],
 ) -> Vec<Candidate> {
@@ -89,7 +90,7 @@
     record
 }
 
-fn nothing() -> Explanation {
+fn empty_explanation() -> Explanation {
     Explanation {
         stages: Vec::new(),
         first_token_ms: 0,
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -27,7 +27,7 @@
 pub struct Fleet {
     layer_count: u32,
     specs: Vec<BackendSpec>,
-    facts: Vec<Facts>,
+    cost_inputs: Vec<CostInputs>,
     boundaries: Vec<Boundary>,
     members: Vec<BackendIndex>,
     by_name: BTreeMap<String, BackendIndex>,
@@ -45,7 +45,7 @@
 
 /// What a cost needs of a spec, in its own units.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Facts {
+pub(crate) struct CostInputs {
     pub(crate) data_centre: u32,
     /// The boundary that follows; the count of boundaries at the end.
     pub(crate) next_boundary: u32,
@@ -69,7 +69,7 @@
         if !findings.is_empty() {
             return Err(FleetError { findings });
         }
-        Ok(index(layer_count, backends, network))
+        Ok(build(layer_count, backends, network))
     }
 
     /// The same servers over other paths, for links that were measured anew.
@@ -108,7 +108,7 @@
     ///
     /// When the index is of another fleet and not below [`Fleet::len`].
     pub fn spec(&self, index: BackendIndex) -> &BackendSpec {
-        &self.specs[index.at()]
+        &self.specs[index.as_usize()]
     }
 
     /// The server of that name.
@@ -121,8 +121,8 @@
         self.members.contains(&index)
     }
 
-    pub(crate) fn facts(&self, index: BackendIndex) -> &Facts {
-        &self.facts[index.at()]
+    pub(crate) fn cost_inputs(&self, index: BackendIndex) -> &CostInputs {
+        &self.cost_inputs[index.as_usize()]
     }
 
     pub(crate) fn network(&self) -> &Network {
@@ -146,19 +146,19 @@
     }
 }
 
-fn index(
+fn build(
     layer_count: u32,
     specs: Vec<BackendSpec>,
     network: Network,
 ) -> Fleet {
-    let useful = useful(layer_count, &specs);
-    let mut members: Vec<BackendIndex> = useful;
-    members.sort_by_key(|&i| (specs[i.at()].first_layer, i));
+    let in_some_chain = in_some_chain(layer_count, &specs);
+    let mut members: Vec<BackendIndex> = in_some_chain;
+    members.sort_by_key(|&i| (specs[i.as_usize()].first_layer, i));
     let boundaries = boundaries(&specs, &members);
-    let guess = Guess::new(&specs);
-    let facts = specs
+    let default = DefaultSpeeds::new(&specs);
+    let cost_inputs = specs
         .iter()
-        .map(|spec| facts(layer_count, spec, &boundaries, &guess))
+        .map(|spec| cost_inputs(layer_count, spec, &boundaries, &default))
         .collect();
     let by_name = specs
         .iter()
@@ -175,7 +175,7 @@
     Fleet {
         layer_count,
         specs,
-        facts,
+        cost_inputs,
         boundaries,
         members,
         by_name,
@@ -187,7 +187,10 @@
 
 /// Servers that lie on a tiling: their first layer can be reached from 0,
 /// and the end from their end layer.
-fn useful(layer_count: u32, specs: &[BackendSpec]) -> Vec<BackendIndex> {
+fn in_some_chain(
+    layer_count: u32,
+    specs: &[BackendSpec],
+) -> Vec<BackendIndex> {
     let all = || (0..specs.len() as u32).map(BackendIndex);
     if layer_count == 0 {
         return all().collect();
@@ -196,21 +199,21 @@
         specs.iter().map(|spec| (spec.first_layer, spec.end_layer)).collect();
     by_range.sort_unstable();
     by_range.dedup();
-    let mut is_reached = vec![false; layer_count as usize + 1];
-    is_reached[0] = true;
+    let mut is_reachable = vec![false; layer_count as usize + 1];
+    is_reachable[0] = true;
     for &(first, end) in &by_range {
-        is_reached[end as usize] |= is_reached[first as usize];
+        is_reachable[end as usize] |= is_reachable[first as usize];
     }
-    let mut is_open = vec![false; layer_count as usize + 1];
-    is_open[layer_count as usize] = true;
+    let mut reaches_end = vec![false; layer_count as usize + 1];
+    reaches_end[layer_count as usize] = true;
     for &(first, end) in by_range.iter().rev() {
-        is_open[first as usize] |= is_open[end as usize];
+        reaches_end[first as usize] |= reaches_end[end as usize];
     }
     all()
         .filter(|i| {
-            let spec = &specs[i.at()];
-            is_reached[spec.first_layer as usize]
-                && is_open[spec.end_layer as usize]
+            let spec = &specs[i.as_usize()];
+            is_reachable[spec.first_layer as usize]
+                && reaches_end[spec.end_layer as usize]
         })
         .collect()
 }
@@ -221,7 +224,7 @@
 ) -> Vec<Boundary> {
     let mut boundaries: Vec<Boundary> = Vec::new();
     for (at, &member) in members.iter().enumerate() {
-        let first_layer = specs[member.at()].first_layer;
+        let first_layer = specs[member.as_usize()].first_layer;
         match boundaries.last_mut() {
             Some(last) if last.first_layer == first_layer => {
                 last.members.end = at + 1;
@@ -235,30 +238,30 @@
 }
 
 /// Means that stand in for speeds the manifest leaves open.
-struct Guess {
+struct DefaultSpeeds {
     prompt_tokens_per_s: f64,
     output_tokens_per_s: f64,
 }
 
-impl Guess {
-    fn new(specs: &[BackendSpec]) -> Guess {
+impl DefaultSpeeds {
+    fn new(specs: &[BackendSpec]) -> DefaultSpeeds {
         let known = |speed: fn(&BackendSpec) -> u32| {
             let speeds = specs.iter().map(speed).filter(|&s| s > 0);
             mean(speeds.map(f64::from)).unwrap_or(DEFAULT_TOKENS_PER_S)
         };
-        Guess {
+        DefaultSpeeds {
             prompt_tokens_per_s: known(|spec| spec.prompt_tokens_per_s),
             output_tokens_per_s: known(|spec| spec.output_tokens_per_s),
         }
     }
 }
 
-fn facts(
+fn cost_inputs(
     layer_count: u32,
     spec: &BackendSpec,
     boundaries: &[Boundary],
-    guess: &Guess,
-) -> Facts {
+    default: &DefaultSpeeds,
+) -> CostInputs {
     let next_boundary = boundaries
         .binary_search_by_key(&spec.end_layer, |b| b.first_layer)
         .ok()
@@ -270,20 +273,21 @@
     } else {
         f64::from(layer_count) / f64::from(layers)
     };
-    let per_ms = |stated: u32, guess: f64| {
-        let per_s = if stated == 0 { guess } else { f64::from(stated) };
+    let per_ms = |configured: u32, default: f64| {
+        let per_s =
+            if configured == 0 { default } else { f64::from(configured) };
         per_s * speed_up / MS_PER_S
     };
-    Facts {
+    CostInputs {
         data_centre: spec.data_centre,
         next_boundary: next_boundary as u32,
         prompt_tokens_per_ms: per_ms(
             spec.prompt_tokens_per_s,
-            guess.prompt_tokens_per_s,
+            default.prompt_tokens_per_s,
         ),
         output_tokens_per_ms: per_ms(
             spec.output_tokens_per_s,
-            guess.output_tokens_per_s,
+            default.output_tokens_per_s,
         ),
         price_micros_per_ms: spec.price_micros_per_hour as f64 / MS_PER_HOUR,
         max_running: f64::from(spec.max_running),
--- a/crates/routing/src/interconnect.rs
+++ b/crates/routing/src/interconnect.rs
@@ -12,9 +12,9 @@
 pub const MAX_UTILISATION: f64 = 0.6;
 /// Most of an entry's part, as a multiple of an even one among all entries:
 /// what it sends before it hears that others cross as well.
-const PARTS: f64 = 3.0;
+const MAX_EVEN_SHARES: f64 = 3.0;
 /// Time for which an unused part adds up, in milliseconds.
-const ADDS_UP_MS: f64 = 500.0;
+const BURST_MS: f64 = 500.0;
 
 /// What joins data centres, and between how many it is shared.
 #[derive(Clone, Copy, Debug)]
@@ -29,9 +29,9 @@
 
 impl InterconnectLimits {
     /// An entry's part, in bytes a millisecond.
-    fn part_per_ms(&self) -> f64 {
-        let fewest = self.entries as f64 / PARTS;
-        let sharers = fewest.max(self.active_entries as f64).max(1.0);
+    fn rate_per_ms(&self) -> f64 {
+        let min_sharers = self.entries as f64 / MAX_EVEN_SHARES;
+        let sharers = min_sharers.max(self.active_entries as f64).max(1.0);
         MAX_UTILISATION * self.bytes_per_s / sharers / 1e3
     }
 }
@@ -40,8 +40,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InterconnectQuota {
     /// Bytes; below zero after a request that was larger than what was left.
-    left: f64,
-    at_ms: Option<u64>,
+    remaining_bytes: f64,
+    updated_ms: Option<u64>,
 }
 
 impl InterconnectQuota {
@@ -53,32 +53,32 @@
     /// Whether a further request may cross.
     pub fn has_remaining(
         &mut self,
-        bounds: &InterconnectLimits,
+        limits: &InterconnectLimits,
         now_ms: u64,
     ) -> bool {
-        self.refill(bounds, now_ms);
-        self.left > 0.0
+        self.refill(limits, now_ms);
+        self.remaining_bytes > 0.0
     }
 
     /// Counts what a request sends.
     pub fn consume(
         &mut self,
-        bounds: &InterconnectLimits,
+        limits: &InterconnectLimits,
         bytes: f64,
         now_ms: u64,
     ) {
-        self.refill(bounds, now_ms);
-        self.left -= bytes;
+        self.refill(limits, now_ms);
+        self.remaining_bytes -= bytes;
     }
 
-    fn refill(&mut self, bounds: &InterconnectLimits, now_ms: u64) {
-        let per_ms = bounds.part_per_ms();
-        let most = per_ms * ADDS_UP_MS;
-        let Some(at_ms) = self.at_ms.replace(now_ms) else {
-            self.left = most;
+    fn refill(&mut self, limits: &InterconnectLimits, now_ms: u64) {
+        let per_ms = limits.rate_per_ms();
+        let capacity = per_ms * BURST_MS;
+        let Some(updated_ms) = self.updated_ms.replace(now_ms) else {
+            self.remaining_bytes = capacity;
             return;
         };
-        let added = per_ms * now_ms.saturating_sub(at_ms) as f64;
-        self.left = (self.left + added).min(most);
+        let refill = per_ms * now_ms.saturating_sub(updated_ms) as f64;
+        self.remaining_bytes = (self.remaining_bytes + refill).min(capacity);
     }
 }
--- a/crates/routing/src/layer_path.rs
+++ b/crates/routing/src/layer_path.rs
@@ -18,40 +18,40 @@
 
 /// Price of a change of engine, in milliseconds of a token's time: a wait for
 /// the pass that runs there, and the way.
-const CHANGE_MS: f64 = 0.8;
+const ENGINE_CHANGE_MS: f64 = 0.8;
 /// Least price of a change of data centre, in the same unit: above that of
 /// engines that are half full.
-const CROSSING_MS: f64 = 15.0;
+const MIN_INTERCONNECT_MS: f64 = 15.0;
 /// Price of one for each millisecond for which the request takes up what
 /// joins data centres. Use is known some time late, so the price must keep
 /// requests off a narrow join before its use shows.
-const CROSSING_PRICE: f64 = 2.5;
+const INTERCONNECT_PREFILL_FACTOR: f64 = 2.5;
 /// Price of one where what joins them is nearly full: only where no other
 /// path exists.
-const FULL_CROSSING_MS: f64 = 1_000.0;
+const FULL_INTERCONNECT_MS: f64 = 1_000.0;
 /// Use of what joins data centres from which on the price rises, and at
 /// which it counts as full. Then no path crosses, even where no other is:
 /// everything that waits there would hold memory in all data centres until
 /// none is left for requests that need not cross.
-const CROSSING_USE: (f64, f64) = (0.2, MAX_UTILISATION);
+const INTERCONNECT_UTILISATION: (f64, f64) = (0.2, MAX_UTILISATION);
 /// Price of starting in another data centre, where only the events of one
 /// stream cross, in the same unit.
-const FAR_START_MS: f64 = 1.0;
+const REMOTE_START_MS: f64 = 1.0;
 /// Share of the memory for requests above which each further part is dear.
-const FULL_FROM: f64 = 0.6;
+const MEMORY_FROM: f64 = 0.6;
 /// Price of an engine whose memory is full, in the same unit.
-const FULL_MS: f64 = 10.0;
+const MEMORY_MS: f64 = 10.0;
 /// Share of an engine's time from which on further reading is dear.
-const BUSY_FROM: f64 = 0.35;
+const PREFILL_FROM: f64 = 0.35;
 /// Price of an engine that reads all the time, in the same unit.
-const BUSY_MS: f64 = 40.0;
+const PREFILL_MS: f64 = 40.0;
 /// Where that price ends, as a multiple of the way from dear to all.
-const MAX_BUSY: f64 = 3.0;
+const MAX_PREFILL_EXCESS: f64 = 3.0;
 /// Factor by which changes of engine grow dearer where a path has too many
 /// parts, and most searches: at the last one the price of a change, 3.3 s, is
 /// above that of all else, so that it finds the path of fewest parts.
-const DEARER: f64 = 8.0;
-const MOST_SEARCHES: usize = 5;
+const ENGINE_CHANGE_GROWTH: f64 = 8.0;
+const MAX_SEARCHES: usize = 5;
 /// Share by which times are varied.
 const JITTER: f64 = 0.15;
 
@@ -68,9 +68,9 @@
     pub layer_ms: f64,
     /// Share of its time that reading prompts takes.
     pub prefill_share: f64,
-    /// Memory for requests that is used, in tokens times layers.
+    /// RecentChoices for requests that is used, in tokens times layers.
     pub used_token_layers: u64,
-    /// Memory for requests, in tokens times layers.
+    /// RecentChoices for requests, in tokens times layers.
     pub total_token_layers: u64,
     /// Whether it may take a part now.
     pub is_usable: bool,
@@ -100,16 +100,16 @@
 }
 
 impl PathRequest {
-    fn crossing_ms(&self) -> f64 {
-        let (from, to) = CROSSING_USE;
+    fn interconnect_ms(&self) -> f64 {
+        let (from, to) = INTERCONNECT_UTILISATION;
         if self.interconnect_utilisation >= to {
             return f64::INFINITY;
         }
         let share = ((self.interconnect_utilisation - from) / (to - from))
             .clamp(0.0, 1.0);
-        let least =
-            CROSSING_MS.max(CROSSING_PRICE * self.interconnect_prefill_ms);
-        least + share * (FULL_CROSSING_MS - least).max(0.0)
+        let min_ms = MIN_INTERCONNECT_MS
+            .max(INTERCONNECT_PREFILL_FACTOR * self.interconnect_prefill_ms);
+        min_ms + share * (FULL_INTERCONNECT_MS - min_ms).max(0.0)
     }
 }
 
@@ -125,11 +125,11 @@
 }
 
 #[derive(Clone, Copy)]
-struct Step {
+struct PathState {
     cost_ms: f64,
-    part: PathStage,
+    stage: PathStage,
     /// Data centre before it.
-    came_from: usize,
+    previous_data_centre: usize,
 }
 
 /// The cheapest path; none where layers or room are lacking, or where it
@@ -140,12 +140,12 @@
     rng: &mut fastrand::Rng,
 ) -> Option<Vec<PathStage>> {
     let mut search = Search::new(holders, request, rng);
-    for _ in 0..MOST_SEARCHES {
-        let parts = without_returns(search.run()?);
-        if parts.len() <= request.max_stages {
-            return Some(parts);
+    for _ in 0..MAX_SEARCHES {
+        let stages = merge_revisits(search.run()?);
+        if stages.len() <= request.max_stages {
+            return Some(stages);
         }
-        search.change_ms *= DEARER;
+        search.engine_change_ms *= ENGINE_CHANGE_GROWTH;
     }
     None
 }
@@ -153,12 +153,12 @@
 struct Search<'a> {
     holders: &'a [LayerHolder],
     request: &'a PathRequest,
-    factors: Vec<f64>,
+    jitter_factors: Vec<f64>,
     boundaries: BTreeSet<u32>,
-    data_centres: usize,
-    crossing_ms: f64,
+    data_centre_count: usize,
+    interconnect_ms: f64,
     /// Price of a change of engine.
-    change_ms: f64,
+    engine_change_ms: f64,
 }
 
 impl Search<'_> {
@@ -168,19 +168,19 @@
         rng: &mut fastrand::Rng,
     ) -> Search<'a> {
         let factor = |_: &LayerHolder| 1.0 + JITTER * (rng.f64() * 2.0 - 1.0);
-        let factors = holders.iter().map(factor).collect();
+        let jitter_factors = holders.iter().map(factor).collect();
         let usable = || holders.iter().filter(|h| h.is_usable);
         let bounds = usable().flat_map(|h| [h.first_layer, h.end_layer]);
         let last = holders.iter().map(|h| h.data_centre);
-        let data_centres = last.chain([request.data_centre]).max();
+        let data_centre_count = last.chain([request.data_centre]).max();
         Search {
             holders,
             request,
-            factors,
+            jitter_factors,
             boundaries: bounds.chain([request.end_layer]).collect(),
-            data_centres: data_centres.unwrap_or(0) + 1,
-            crossing_ms: request.crossing_ms(),
-            change_ms: CHANGE_MS,
+            data_centre_count: data_centre_count.unwrap_or(0) + 1,
+            interconnect_ms: request.interconnect_ms(),
+            engine_change_ms: ENGINE_CHANGE_MS,
         }
     }
 
@@ -188,12 +188,12 @@
         let (first, end) = (self.request.first_layer, self.request.end_layer);
         let width = (end - first) as usize + 1;
         // The best way to each layer and data centre.
-        let mut best: Vec<Vec<Option<Step>>> =
-            vec![vec![None; self.data_centres]; width];
+        let mut best: Vec<Vec<Option<PathState>>> =
+            vec![vec![None; self.data_centre_count]; width];
         for at in first..end {
-            for from in 0..self.data_centres {
+            for from in 0..self.data_centre_count {
                 let cost_ms = match best[(at - first) as usize][from] {
-                    Some(step) => step.cost_ms,
+                    Some(state) => state.cost_ms,
                     None if at == first
                         && from == self.request.data_centre =>
                     {
@@ -204,14 +204,14 @@
                 self.extend(&mut best, at, from, cost_ms);
             }
         }
-        self.walk_back(&best)
+        self.reconstruct(&best)
     }
 
     fn extend(
         &self,
-        best: &mut [Vec<Option<Step>>],
+        best: &mut [Vec<Option<PathState>>],
         at: u32,
-        came_from: usize,
+        previous_data_centre: usize,
         cost_ms: f64,
     ) {
         let is_first = at == self.request.first_layer && self.request.is_start;
@@ -225,40 +225,47 @@
             }
             let last = holder.end_layer.min(self.request.end_layer);
             for &end in self.boundaries.range(at + 1..=last) {
-                let Some(price_ms) = self.price_ms(index, at, end) else {
+                let Some(stage_ms) = self.stage_ms(index, at, end) else {
                     break;
                 };
-                let entry_ms =
-                    self.entry_ms(is_first, came_from, holder.data_centre);
-                let cost_ms = cost_ms + price_ms + entry_ms;
+                let transition_ms = self.transition_ms(
+                    is_first,
+                    previous_data_centre,
+                    holder.data_centre,
+                );
+                let cost_ms = cost_ms + stage_ms + transition_ms;
                 if cost_ms.is_infinite() {
                     break;
                 }
-                let part = PathStage {
+                let stage = PathStage {
                     holder: index,
                     first_layer: at,
                     end_layer: end,
                 };
                 let row = (end - self.request.first_layer) as usize;
                 let slot = &mut best[row][holder.data_centre];
-                if slot.is_none_or(|step| cost_ms < step.cost_ms) {
-                    *slot = Some(Step { cost_ms, part, came_from });
+                if slot.is_none_or(|state| cost_ms < state.cost_ms) {
+                    *slot = Some(PathState {
+                        cost_ms,
+                        stage,
+                        previous_data_centre,
+                    });
                 }
             }
         }
     }
 
-    fn entry_ms(&self, is_first: bool, from: usize, to: usize) -> f64 {
+    fn transition_ms(&self, is_first: bool, from: usize, to: usize) -> f64 {
         match (from == to, is_first) {
             (true, true) => 0.0,
-            (true, false) => self.change_ms,
-            (false, true) => FAR_START_MS,
-            (false, false) => self.change_ms + self.crossing_ms,
+            (true, false) => self.engine_change_ms,
+            (false, true) => REMOTE_START_MS,
+            (false, false) => self.engine_change_ms + self.interconnect_ms,
         }
     }
 
     /// Price of layers on an engine; none where it lacks the room.
-    fn price_ms(&self, index: usize, first: u32, end: u32) -> Option<f64> {
+    fn stage_ms(&self, index: usize, first: u32, end: u32) -> Option<f64> {
         let holder = &self.holders[index];
         let layers = u64::from(end - first);
         let used = holder.used_token_layers + layers * self.request.tokens;
@@ -266,42 +273,47 @@
             return None;
         }
         let fill = used as f64 / holder.total_token_layers as f64;
-        let over = ((fill - FULL_FROM) / (1.0 - FULL_FROM)).max(0.0);
-        let time_ms = layers as f64 * holder.layer_ms * self.factors[index];
-        let busy =
-            ((holder.prefill_share - BUSY_FROM) / (1.0 - BUSY_FROM)).max(0.0);
-        let waits_ms = BUSY_MS * busy.min(MAX_BUSY).powi(2);
-        Some(time_ms * (1.0 + fill) + FULL_MS * over * over + waits_ms)
+        let memory = ((fill - MEMORY_FROM) / (1.0 - MEMORY_FROM)).max(0.0);
+        let time_ms =
+            layers as f64 * holder.layer_ms * self.jitter_factors[index];
+        let prefill = ((holder.prefill_share - PREFILL_FROM)
+            / (1.0 - PREFILL_FROM))
+            .max(0.0);
+        let prefill_ms = PREFILL_MS * prefill.min(MAX_PREFILL_EXCESS).powi(2);
+        Some(time_ms * (1.0 + fill) + MEMORY_MS * memory * memory + prefill_ms)
     }
 
-    fn walk_back(&self, best: &[Vec<Option<Step>>]) -> Option<Vec<PathStage>> {
-        let steps = best.last()?.iter().flatten();
-        let mut step =
-            *steps.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))?;
-        let mut parts = vec![step.part];
-        while step.part.first_layer > self.request.first_layer {
+    fn reconstruct(
+        &self,
+        best: &[Vec<Option<PathState>>],
+    ) -> Option<Vec<PathStage>> {
+        let states = best.last()?.iter().flatten();
+        let mut state =
+            *states.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))?;
+        let mut stages = vec![state.stage];
+        while state.stage.first_layer > self.request.first_layer {
             let row =
-                (step.part.first_layer - self.request.first_layer) as usize;
-            step = best[row][step.came_from]?;
-            parts.push(step.part);
+                (state.stage.first_layer - self.request.first_layer) as usize;
+            state = best[row][state.previous_data_centre]?;
+            stages.push(state.stage);
         }
-        parts.reverse();
-        Some(parts)
+        stages.reverse();
+        Some(stages)
     }
 }
 
 /// A path may not come back to an engine: what lies between goes to it, since
 /// it holds that as well.
-fn without_returns(parts: Vec<PathStage>) -> Vec<PathStage> {
-    let mut out: Vec<PathStage> = Vec::with_capacity(parts.len());
-    for part in parts {
-        match out.iter().position(|p| p.holder == part.holder) {
+fn merge_revisits(stages: Vec<PathStage>) -> Vec<PathStage> {
+    let mut merged: Vec<PathStage> = Vec::with_capacity(stages.len());
+    for stage in stages {
+        match merged.iter().position(|p| p.holder == stage.holder) {
             Some(at) => {
-                out.truncate(at + 1);
-                out[at].end_layer = part.end_layer;
+                merged.truncate(at + 1);
+                merged[at].end_layer = stage.end_layer;
             }
-            None => out.push(part),
+            None => merged.push(stage),
         }
     }
-    out
+    merged
 }
--- a/crates/routing/src/live_state.rs
+++ b/crates/routing/src/live_state.rs
@@ -19,8 +19,8 @@
 use crate::{
     circuit_breaker::CircuitState,
     fleet::{BackendIndex, Fleet},
-    memory::Memory,
-    server::{Server, Told},
+    recent_choices::RecentChoices,
+    server_state::{ReportedLoad, ServerState},
 };
 
 /// How a request that was sent to a server ended.
@@ -48,14 +48,14 @@
 /// What this process knows of each backend server of a fleet.
 #[derive(Debug)]
 pub struct LiveState {
-    servers: Vec<Arc<Server>>,
-    typical: Arc<Typical>,
-    memory: Memory,
+    servers: Vec<Arc<ServerState>>,
+    report_sums: Arc<ReportSums>,
+    recent_choices: RecentChoices,
 }
 
 /// Sums over the last reports of the servers.
 #[derive(Debug, Default)]
-struct Typical {
+struct ReportSums {
     reports: AtomicI64,
     requests: AtomicI64,
     wait_ms: AtomicI64,
@@ -63,29 +63,29 @@
 
 /// Means over the fleet.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TypicalLoad {
+pub(crate) struct MeanLoad {
     pub(crate) requests: f64,
     pub(crate) wait_ms: f64,
 }
 
-impl Typical {
-    fn add(&self, told: Told) {
+impl ReportSums {
+    fn add(&self, reported: ReportedLoad) {
         self.reports.fetch_add(1, Relaxed);
-        self.requests.fetch_add(i64::from(told.requests), Relaxed);
-        self.wait_ms.fetch_add(i64::from(told.wait_ms), Relaxed);
+        self.requests.fetch_add(i64::from(reported.requests), Relaxed);
+        self.wait_ms.fetch_add(i64::from(reported.wait_ms), Relaxed);
     }
 
-    fn take(&self, told: Option<Told>) {
-        let Some(told) = told else { return };
+    fn subtract(&self, reported: Option<ReportedLoad>) {
+        let Some(reported) = reported else { return };
         self.reports.fetch_sub(1, Relaxed);
-        self.requests.fetch_sub(i64::from(told.requests), Relaxed);
-        self.wait_ms.fetch_sub(i64::from(told.wait_ms), Relaxed);
+        self.requests.fetch_sub(i64::from(reported.requests), Relaxed);
+        self.wait_ms.fetch_sub(i64::from(reported.wait_ms), Relaxed);
     }
 
-    fn load(&self) -> TypicalLoad {
+    fn mean(&self) -> MeanLoad {
         let count = self.reports.load(Relaxed).max(1) as f64;
         let mean = |sum: &AtomicI64| sum.load(Relaxed).max(0) as f64 / count;
-        TypicalLoad {
+        MeanLoad {
             requests: mean(&self.requests),
             wait_ms: mean(&self.wait_ms),
         }
@@ -96,9 +96,9 @@
     /// `len` absent servers of which nothing is known.
     pub fn new(len: usize) -> LiveState {
         LiveState {
-            servers: (0..len).map(|_| Arc::new(Server::new())).collect(),
-            typical: Arc::default(),
-            memory: Memory::new(),
+            servers: (0..len).map(|_| Arc::new(ServerState::new())).collect(),
+            report_sums: Arc::default(),
+            recent_choices: RecentChoices::new(),
         }
     }
 
@@ -119,19 +119,25 @@
         is_same: impl Fn(&str) -> bool,
     ) -> LiveState {
         let carry = |name: &str| match from.find(name) {
-            Some(old) if is_same(name) => Arc::clone(&self.servers[old.at()]),
-            _ => Arc::new(Server::new()),
+            Some(old) if is_same(name) => {
+                Arc::clone(&self.servers[old.as_usize()])
+            }
+            _ => Arc::new(ServerState::new()),
         };
         let servers =
             to.indices().map(|index| carry(&to.spec(index).name)).collect();
         for index in from.indices() {
             let name = &from.spec(index).name;
             if to.find(name).is_none() || !is_same(name) {
-                self.typical.take(self.server(index).withdraw());
+                self.report_sums.subtract(self.server(index).withdraw());
             }
         }
-        let typical = Arc::clone(&self.typical);
-        LiveState { servers, typical, memory: Memory::new() }
+        let report_sums = Arc::clone(&self.report_sums);
+        LiveState {
+            servers,
+            report_sums,
+            recent_choices: RecentChoices::new(),
+        }
     }
 
     /// How many servers there are.
@@ -155,8 +161,8 @@
         if server.is_withdrawn.load(Relaxed) {
             return;
         }
-        self.typical.add(Told::new(report));
-        self.typical.take(server.report(report, now_ms));
+        self.report_sums.add(ReportedLoad::new(report));
+        self.report_sums.subtract(server.record_report(report, now_ms));
     }
 
     /// Sets whether a server is there.
@@ -176,7 +182,7 @@
         tokens: u32,
         now_ms: u64,
     ) {
-        self.server(index).note_sent(tokens, now_ms);
+        self.server(index).record_sent(tokens, now_ms);
     }
 
     /// Notes how a request ended, with the tokens given to
@@ -185,27 +191,27 @@
         &self,
         index: BackendIndex,
         tokens: u32,
-        ended: &RequestOutcome,
+        outcome: &RequestOutcome,
         now_ms: u64,
     ) {
         let server = self.server(index);
-        match ended {
+        match outcome {
             RequestOutcome::Completed { total_ms, .. } => {
-                server.note_ended(tokens);
-                server.note_answer_ms(*total_ms);
-                server.health.record_success(now_ms);
+                server.record_ended(tokens);
+                server.record_response_ms(*total_ms);
+                server.circuit.record_success(now_ms);
             }
             RequestOutcome::Refused => {
-                server.note_refused();
-                server.health.record_neutral();
+                server.record_refused();
+                server.circuit.record_neutral();
             }
             RequestOutcome::Failed => {
-                server.note_ended(tokens);
-                server.health.record_failure(now_ms);
+                server.record_ended(tokens);
+                server.circuit.record_failure(now_ms);
             }
             RequestOutcome::Cancelled => {
-                server.note_ended(tokens);
-                server.health.record_neutral();
+                server.record_ended(tokens);
+                server.circuit.record_neutral();
             }
         }
     }
@@ -217,11 +223,11 @@
         is_alive: bool,
         now_ms: u64,
     ) {
-        let health = &self.server(index).health;
+        let circuit = &self.server(index).circuit;
         if is_alive {
-            health.record_success(now_ms);
+            circuit.record_success(now_ms);
         } else {
-            health.record_failure(now_ms);
+            circuit.record_failure(now_ms);
         }
     }
 
@@ -237,23 +243,23 @@
         index: BackendIndex,
         now_ms: u64,
     ) -> CircuitState {
-        self.server(index).health.state(now_ms)
+        self.server(index).circuit.state(now_ms)
     }
 
     /// Requests that this process has in flight at a server.
     pub fn in_flight(&self, index: BackendIndex) -> u32 {
-        self.server(index).read().in_flight
+        self.server(index).snapshot().in_flight
     }
 
     /// Notes that a server's cache holds a prefix, from its own cache events
     /// or because a request with the prefix completed there.
     pub fn record_prefix(&self, index: BackendIndex, prefix: u64) {
-        self.server(index).record_prefix(mix(prefix));
+        self.server(index).record_prefix(splitmix64(prefix));
     }
 
     /// Whether a server's cache is believed to hold a prefix.
     pub fn has_prefix(&self, index: BackendIndex, prefix: u64) -> bool {
-        self.server(index).has_prefix(mix(prefix))
+        self.server(index).has_prefix(splitmix64(prefix))
     }
 
     /// Forgets the prefixes of a server, which has started anew.
@@ -274,30 +280,30 @@
 
     /// Takes a server whose report is old out of the mean. While most reports
     /// are old they stay: a mean over few is worse than one that is late.
-    pub(crate) fn leave_mean(&self, index: BackendIndex) {
+    pub(crate) fn remove_stale_from_mean(&self, index: BackendIndex) {
         let server = self.server(index);
-        let count = self.typical.reports.load(Relaxed).max(0) as usize;
+        let count = self.report_sums.reports.load(Relaxed).max(0) as usize;
         if server.is_in_mean() && count * 2 > self.servers.len() {
-            self.typical.take(server.leave_mean());
+            self.report_sums.subtract(server.remove_from_mean());
         }
     }
 
     /// The servers that were chosen last.
-    pub(crate) fn memory(&self) -> &Memory {
-        &self.memory
+    pub(crate) fn recent_choices(&self) -> &RecentChoices {
+        &self.recent_choices
     }
 
-    pub(crate) fn typical(&self) -> TypicalLoad {
-        self.typical.load()
+    pub(crate) fn mean_load(&self) -> MeanLoad {
+        self.report_sums.mean()
     }
 
-    pub(crate) fn server(&self, index: BackendIndex) -> &Server {
-        &self.servers[index.at()]
+    pub(crate) fn server(&self, index: BackendIndex) -> &ServerState {
+        &self.servers[index.as_usize()]
     }
 }
 
 /// Spreads the bits of a prefix's key (the finalizer of SplitMix64).
-pub(crate) fn mix(key: u64) -> u64 {
+pub(crate) fn splitmix64(key: u64) -> u64 {
     let key = (key ^ (key >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let key = (key ^ (key >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     key ^ (key >> 31)
--- a/crates/routing/src/network.rs
+++ b/crates/routing/src/network.rs
@@ -3,8 +3,8 @@
 //! A dense matrix by index. A path that nobody set counts as a good local
 //! link, so that a fleet in one building needs no settings.
 
-const DEFAULT_LATENCY_US: u64 = 200;
-const DEFAULT_BANDWIDTH_MBIT_PER_S: u64 = 10_000;
+const LOCAL_LATENCY_US: u64 = 200;
+const LOCAL_BANDWIDTH_MBIT_PER_S: u64 = 10_000;
 const US_PER_MS: f64 = 1_000.0;
 const BITS_PER_BYTE: f64 = 8.0;
 /// One Mbit/s moves this many bits in a millisecond.
@@ -43,7 +43,7 @@
     /// A network of good local links between `data_centre_count` places.
     pub fn new(data_centre_count: u32) -> Network {
         let count = data_centre_count as usize;
-        let path = Path::new(DEFAULT_LATENCY_US, DEFAULT_BANDWIDTH_MBIT_PER_S);
+        let path = Path::new(LOCAL_LATENCY_US, LOCAL_BANDWIDTH_MBIT_PER_S);
         Network { data_centre_count, paths: vec![path; count * count] }
     }
 
@@ -81,9 +81,7 @@
     pub(crate) fn path(&self, from: u32, to: u32) -> Path {
         match self.slot(from, to) {
             Some(slot) => self.paths[slot],
-            None => {
-                Path::new(DEFAULT_LATENCY_US, DEFAULT_BANDWIDTH_MBIT_PER_S)
-            }
+            None => Path::new(LOCAL_LATENCY_US, LOCAL_BANDWIDTH_MBIT_PER_S),
         }
     }
 
--- a/crates/routing/src/label.rs
+++ b/crates/routing/src/partial_chain.rs
@@ -1,18 +1,18 @@
 //! A partial chain, and the few that are kept at a layer boundary.
 
 use crate::{
-    cost::{Pricing, StageCost},
+    cost::{CostContext, StageCost},
     fleet::BackendIndex,
 };
 
 /// Partial chains kept at a boundary.
-pub(crate) const BEAM: usize = 4;
+pub(crate) const BEAM_WIDTH: usize = 4;
 /// Parent of a first stage.
 pub(crate) const NO_PARENT: u32 = u32::MAX;
 
 /// A partial chain.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Label {
+pub(crate) struct PartialChain {
     pub(crate) cost: f64,
     pub(crate) wait_ms: f64,
     /// Prompt through all stages so far, with links.
@@ -29,31 +29,28 @@
 /// The partial chains that reach a boundary.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Beam {
-    pub(crate) labels: [u32; BEAM],
+    pub(crate) chains: [u32; BEAM_WIDTH],
     pub(crate) len: usize,
 }
 
 impl Beam {
     pub(crate) fn as_slice(&self) -> &[u32] {
-        &self.labels[..self.len]
+        &self.chains[..self.len]
     }
 }
 
-impl Label {
+impl PartialChain {
     /// The first stage.
-    pub(crate) fn begin(
-        pricing: &Pricing<'_>,
+    pub(crate) fn first_stage(
+        ctx: &CostContext<'_>,
         entry: u32,
         index: BackendIndex,
         stage: &StageCost,
-    ) -> Label {
-        let data_centre = pricing.fleet.facts(index).data_centre;
-        let link_ms =
-            pricing.fleet.network().path(entry, data_centre).latency_ms;
-        Label {
-            cost: stage.wait_ms
-                + stage.weighted
-                + pricing.weights.time * link_ms,
+    ) -> PartialChain {
+        let data_centre = ctx.fleet.cost_inputs(index).data_centre;
+        let link_ms = ctx.fleet.network().path(entry, data_centre).latency_ms;
+        PartialChain {
+            cost: stage.wait_ms + stage.weighted + ctx.weights.time * link_ms,
             wait_ms: stage.wait_ms,
             prompt_ms: link_ms + stage.prompt_ms,
             step_ms: stage.step_ms,
@@ -66,32 +63,33 @@
     }
 
     /// One more stage.
-    pub(crate) fn extended(
+    pub(crate) fn with_stage(
         &self,
-        pricing: &Pricing<'_>,
+        ctx: &CostContext<'_>,
         parent: u32,
         index: BackendIndex,
         stage: &StageCost,
-    ) -> Label {
-        let data_centre = pricing.fleet.facts(index).data_centre;
-        let path = pricing.fleet.network().path(self.data_centre, data_centre);
-        let token = f64::from(pricing.policy.activation_bytes_per_token);
-        let prompt = f64::from(pricing.shape.prompt_tokens);
-        let output = f64::from(pricing.shape.output_tokens);
-        let prompt_link_ms = path.transfer_ms(prompt * token);
-        let step_link_ms = path.transfer_ms(token);
+    ) -> PartialChain {
+        let data_centre = ctx.fleet.cost_inputs(index).data_centre;
+        let path = ctx.fleet.network().path(self.data_centre, data_centre);
+        let token_bytes = f64::from(ctx.policy.activation_bytes_per_token);
+        let prompt = f64::from(ctx.shape.prompt_tokens);
+        let output = f64::from(ctx.shape.output_tokens);
+        let prompt_link_ms = path.transfer_ms(prompt * token_bytes);
+        let step_link_ms = path.transfer_ms(token_bytes);
         let link_ms = prompt_link_ms + output * step_link_ms;
         let wait_ms = self.wait_ms.max(stage.wait_ms);
-        let weights = &pricing.weights;
-        let is_crossing = self.data_centre != data_centre;
-        let crossing = if is_crossing { weights.crossing_ms } else { 0.0 };
-        Label {
+        let weights = &ctx.weights;
+        let leaves_data_centre = self.data_centre != data_centre;
+        let interconnect_ms =
+            if leaves_data_centre { weights.interconnect_ms } else { 0.0 };
+        PartialChain {
             cost: self.cost
                 + (wait_ms - self.wait_ms)
                 + stage.weighted
                 + weights.time * link_ms
                 + weights.stage_ms
-                + crossing,
+                + interconnect_ms,
             wait_ms,
             prompt_ms: self.prompt_ms + prompt_link_ms + stage.prompt_ms,
             step_ms: self.step_ms + step_link_ms + stage.step_ms,
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -9,7 +9,7 @@
 //!      + (1 - w) * price                    price as time, see below
 //!      + (0.25 + 0.75 w) * load             work here, by utilisation
 //!      + w * (stages - 1) * stage_penalty_ms
-//!      + w * crossings * crossing_penalty_ms
+//!      + w * crossings * interconnect_penalty_ms
 //! ```
 //!
 //! At 0 the cheapest hardware that meets the deadline is packed: price rules,
@@ -34,7 +34,7 @@
 /// Most samples of one layer boundary.
 pub const MAX_SAMPLE_COUNT: u32 = 16;
 
-const BASE_SHARE: f64 = 0.25;
+const BASE_WEIGHT: f64 = 0.25;
 const MAX_PERCENT: u32 = 100;
 
 /// Settings of a choice.
@@ -47,7 +47,7 @@
     pub(crate) entry_count: u32,
     pub(crate) near_equal_permille: u32,
     pub(crate) stage_penalty_ms: u32,
-    pub(crate) crossing_penalty_ms: u32,
+    pub(crate) interconnect_penalty_ms: u32,
     pub(crate) activation_bytes_per_token: u32,
 }
 
@@ -61,7 +61,7 @@
             entry_count: 3,
             near_equal_permille: 50,
             stage_penalty_ms: 200,
-            crossing_penalty_ms: 400,
+            interconnect_penalty_ms: 400,
             activation_bytes_per_token: 16_384,
         }
     }
@@ -112,8 +112,8 @@
     }
 
     /// Charge for each link between data centres at full recovery weight.
-    pub fn crossing_penalty_ms(mut self, penalty_ms: u32) -> Policy {
-        self.crossing_penalty_ms = penalty_ms;
+    pub fn interconnect_penalty_ms(mut self, penalty_ms: u32) -> Policy {
+        self.interconnect_penalty_ms = penalty_ms;
         self
     }
 
@@ -123,15 +123,15 @@
         self
     }
 
-    pub(crate) fn weights(&self, priority: Priority) -> Weights {
+    pub(crate) fn weights(&self, priority: Priority) -> CostWeights {
         let w = self.recovery_weight;
-        let share = BASE_SHARE + (1.0 - BASE_SHARE) * w;
-        Weights {
-            time: share * urgency(priority),
+        let weight = BASE_WEIGHT + (1.0 - BASE_WEIGHT) * w;
+        CostWeights {
+            time: weight * urgency(priority),
             price: (1.0 - w) * PRICE_SCALE,
-            load: share,
+            load: weight,
             stage_ms: w * f64::from(self.stage_penalty_ms),
-            crossing_ms: w * f64::from(self.crossing_penalty_ms),
+            interconnect_ms: w * f64::from(self.interconnect_penalty_ms),
             band: f64::from(self.near_equal_permille) / 1_000.0 * (1.0 + w),
         }
     }
@@ -147,24 +147,24 @@
 
 /// What each part of a cost counts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Weights {
+pub(crate) struct CostWeights {
     pub(crate) time: f64,
     pub(crate) price: f64,
     pub(crate) load: f64,
     pub(crate) stage_ms: f64,
-    pub(crate) crossing_ms: f64,
+    pub(crate) interconnect_ms: f64,
     pub(crate) band: f64,
 }
 
-impl Weights {
+impl CostWeights {
     /// Only time counts: for a request that is short of it.
-    pub(crate) fn fastest() -> Weights {
-        Weights {
+    pub(crate) fn fastest() -> CostWeights {
+        CostWeights {
             time: 1.0,
             price: 0.0,
             load: 0.0,
             stage_ms: 0.0,
-            crossing_ms: 0.0,
+            interconnect_ms: 0.0,
             band: 0.0,
         }
     }
--- a/crates/routing/src/memory.rs
+++ b/crates/routing/src/recent_choices.rs
@@ -14,38 +14,38 @@
 use crate::fleet::BackendIndex;
 
 /// Servers remembered at a boundary.
-pub(crate) const REMEMBERED: usize = 2;
+pub(crate) const CHOICES_PER_BOUNDARY: usize = 2;
 
 const SLOT_COUNT: usize = 32;
-const NOTHING: u32 = u32::MAX;
+const EMPTY: u32 = u32::MAX;
 
 /// The servers that were chosen last, written by all threads.
 #[derive(Debug)]
-pub(crate) struct Memory {
-    slots: [[AtomicU32; REMEMBERED]; SLOT_COUNT],
+pub(crate) struct RecentChoices {
+    slots: [[AtomicU32; CHOICES_PER_BOUNDARY]; SLOT_COUNT],
 }
 
-impl Memory {
-    pub(crate) fn new() -> Memory {
-        let slot = || [const { AtomicU32::new(NOTHING) }; REMEMBERED];
-        Memory { slots: std::array::from_fn(|_| slot()) }
+impl RecentChoices {
+    pub(crate) fn new() -> RecentChoices {
+        let slot = || [const { AtomicU32::new(EMPTY) }; CHOICES_PER_BOUNDARY];
+        RecentChoices { slots: std::array::from_fn(|_| slot()) }
     }
 
     /// What was chosen last at a boundary, or at one with the same slot.
-    pub(crate) fn at(
+    pub(crate) fn recent(
         &self,
         boundary: usize,
     ) -> impl Iterator<Item = BackendIndex> {
         let slot = &self.slots[boundary % SLOT_COUNT];
         slot.iter()
             .map(|index| index.load(Relaxed))
-            .filter(|&index| index != NOTHING)
+            .filter(|&index| index != EMPTY)
             .map(BackendIndex)
     }
 
     /// Notes a choice. Two threads may note one server twice, which loses
     /// the other until the next choice.
-    pub(crate) fn note(&self, boundary: usize, index: BackendIndex) {
+    pub(crate) fn record(&self, boundary: usize, index: BackendIndex) {
         let [last, before] = &self.slots[boundary % SLOT_COUNT];
         let old = last.load(Relaxed);
         if old != index.0 {
--- a/crates/routing/src/search/pick.rs
+++ b/crates/routing/src/search/candidates.rs
@@ -5,89 +5,93 @@
 //! with the same prefix meet without shared state. All win only by their
 //! cost.
 
-use super::{Reach, Search};
+use super::{Search, SearchScope};
 use crate::{
-    candidate::ExclusionReason, cost::Pricing, fleet::BackendIndex,
-    live_state::mix,
+    candidate::ExclusionReason, cost::CostContext, fleet::BackendIndex,
+    live_state::splitmix64,
 };
 
-const RENDEZVOUS_COUNT: u64 = 2;
+const PREFIX_CANDIDATE_COUNT: u64 = 2;
 /// Draws for each wanted candidate before the boundary is scanned.
 const DRAWS_PER_SAMPLE: usize = 2;
 
 impl Search {
     /// Fills `picked` with candidates of a boundary.
-    pub(super) fn pick(
+    pub(super) fn select_candidates(
         &mut self,
-        pricing: &Pricing<'_>,
+        ctx: &CostContext<'_>,
         avoid: &[BackendIndex],
         boundary: usize,
-        reach: Reach,
+        scope: SearchScope,
         rng: &mut fastrand::Rng,
     ) {
-        self.picked.clear();
+        self.candidates.clear();
         self.suspects.clear();
-        let members = pricing.fleet.members(boundary);
-        let wanted = match reach {
-            Reach::Sampled => pricing.policy.sample_count,
-            Reach::All | Reach::AllAndSuspect => members.len(),
+        let members = ctx.fleet.members(boundary);
+        let wanted = match scope {
+            SearchScope::Sampled => ctx.policy.sample_count,
+            SearchScope::All | SearchScope::AllIncludingSuspect => {
+                members.len()
+            }
         };
         if wanted < members.len() {
-            self.recall(pricing, avoid, boundary, members);
-            let wanted = wanted + self.picked.len();
-            self.draw(pricing, avoid, members, wanted, rng);
+            self.add_recent_choices(ctx, avoid, boundary, members);
+            let wanted = wanted + self.candidates.len();
+            self.add_samples(ctx, avoid, members, wanted, rng);
         }
-        if self.picked.is_empty() {
-            self.scan(pricing, avoid, members, wanted, rng);
+        if self.candidates.is_empty() {
+            self.scan_boundary(ctx, avoid, members, wanted, rng);
         }
-        if self.picked.is_empty() || reach == Reach::AllAndSuspect {
-            self.picked.append(&mut self.suspects);
+        if self.candidates.is_empty()
+            || scope == SearchScope::AllIncludingSuspect
+        {
+            self.candidates.append(&mut self.suspects);
         }
     }
 
     /// Adds those that were chosen last.
-    fn recall(
+    fn add_recent_choices(
         &mut self,
-        pricing: &Pricing<'_>,
+        ctx: &CostContext<'_>,
         avoid: &[BackendIndex],
         boundary: usize,
         members: &[BackendIndex],
     ) {
-        for index in pricing.live.memory().at(boundary) {
+        for index in ctx.live.recent_choices().recent(boundary) {
             // Members are in the order of their indices.
             if members.binary_search(&index).is_ok() {
-                self.consider_once(pricing, avoid, index);
+                self.add_if_new(ctx, avoid, index);
             }
         }
     }
 
-    fn draw(
+    fn add_samples(
         &mut self,
-        pricing: &Pricing<'_>,
+        ctx: &CostContext<'_>,
         avoid: &[BackendIndex],
         members: &[BackendIndex],
         wanted: usize,
         rng: &mut fastrand::Rng,
     ) {
-        if let Some(prefix) = pricing.shape.prefix {
-            for turn in 0..RENDEZVOUS_COUNT {
-                let at = mix(prefix ^ turn) % members.len() as u64;
-                self.consider_once(pricing, avoid, members[at as usize]);
+        if let Some(prefix) = ctx.shape.prefix {
+            for salt in 0..PREFIX_CANDIDATE_COUNT {
+                let at = splitmix64(prefix ^ salt) % members.len() as u64;
+                self.add_if_new(ctx, avoid, members[at as usize]);
             }
         }
         for _ in 0..wanted * DRAWS_PER_SAMPLE {
-            if self.picked.len() >= wanted {
+            if self.candidates.len() >= wanted {
                 return;
             }
             let at = rng.usize(..members.len());
-            self.consider_once(pricing, avoid, members[at]);
+            self.add_if_new(ctx, avoid, members[at]);
         }
     }
 
     /// From a random place on, so that entries do not meet at the first.
-    fn scan(
+    fn scan_boundary(
         &mut self,
-        pricing: &Pricing<'_>,
+        ctx: &CostContext<'_>,
         avoid: &[BackendIndex],
         members: &[BackendIndex],
         wanted: usize,
@@ -97,44 +101,44 @@
         let start = rng.usize(..members.len());
         let (before, after) = members.split_at(start);
         for &index in after.iter().chain(before) {
-            if self.picked.len() >= wanted {
+            if self.candidates.len() >= wanted {
                 return;
             }
-            self.consider(pricing, avoid, index);
+            self.add_if_usable(ctx, avoid, index);
         }
         self.suspects.truncate(wanted);
     }
 
-    fn consider_once(
+    fn add_if_new(
         &mut self,
-        pricing: &Pricing<'_>,
+        ctx: &CostContext<'_>,
         avoid: &[BackendIndex],
         index: BackendIndex,
     ) {
-        if !self.picked.contains(&index) {
-            self.consider(pricing, avoid, index);
+        if !self.candidates.contains(&index) {
+            self.add_if_usable(ctx, avoid, index);
         }
     }
 
-    fn consider(
+    fn add_if_usable(
         &mut self,
-        pricing: &Pricing<'_>,
+        ctx: &CostContext<'_>,
         avoid: &[BackendIndex],
         index: BackendIndex,
     ) {
-        let left_out = if avoid.contains(&index) {
+        let exclusion = if avoid.contains(&index) {
             Some(ExclusionReason::Avoided)
-        } else if !pricing.live.is_present(index) {
+        } else if !ctx.live.is_present(index) {
             Some(ExclusionReason::NotPresent)
-        } else if pricing.live.is_suspect(index, pricing.now_ms) {
+        } else if ctx.live.is_suspect(index, ctx.now_ms) {
             self.suspects.push(index);
             Some(ExclusionReason::Suspect)
         } else {
             None
         };
-        match left_out {
-            None => self.picked.push(index),
-            Some(reason) => self.record_left_out(pricing, index, reason),
+        match exclusion {
+            None => self.candidates.push(index),
+            Some(reason) => self.record_excluded(ctx, index, reason),
         }
     }
 }
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server_state.rs
@@ -19,13 +19,13 @@
 
 /// State of one backend server, shared by the fleets of all generations.
 #[derive(Debug)]
-pub(crate) struct Server {
-    pub(crate) health: CircuitBreaker,
+pub(crate) struct ServerState {
+    pub(crate) circuit: CircuitBreaker,
     presence: AtomicU64,
     /// Time of the last report plus 1; 0 for none.
-    reported: AtomicU64,
-    /// What counts in the fleet's mean, see [`Told`]; 0 for nothing.
-    told: AtomicU64,
+    last_report: AtomicU64,
+    /// What counts in the fleet's mean, see [`ReportedLoad`]; 0 for nothing.
+    counted_load: AtomicU64,
     /// Queued and running.
     load: AtomicU64,
     /// Bits of the two speeds.
@@ -35,26 +35,26 @@
     is_healthy: AtomicBool,
     pub(crate) is_withdrawn: AtomicBool,
     /// Sent less ended since the last report.
-    request_change: AtomicI32,
-    token_change: AtomicI64,
+    request_delta: AtomicI32,
+    token_delta: AtomicI64,
     /// Sent since the last report.
-    sent: AtomicU32,
+    sent_since_report: AtomicU32,
     /// Sent by this process and not ended.
     in_flight: AtomicI32,
     /// Bits of the smoothed time of a whole answer.
-    answer_ms: AtomicU32,
+    response_ms: AtomicU32,
     prefixes: [AtomicU32; PREFIX_SLOTS],
 }
 
-/// One reading of a [`Server`].
+/// One reading of a [`ServerState`].
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reading {
+pub(crate) struct ServerSnapshot {
     /// Time of the last report, if there ever was one.
     pub(crate) reported_ms: Option<u64>,
     pub(crate) reported_requests: u32,
-    pub(crate) request_change: i32,
-    pub(crate) token_change: i64,
-    pub(crate) sent: u32,
+    pub(crate) request_delta: i32,
+    pub(crate) token_delta: i64,
+    pub(crate) sent_since_report: u32,
     pub(crate) in_flight: u32,
     /// 0 where unknown.
     pub(crate) prompt_tokens_per_s: f32,
@@ -66,46 +66,46 @@
 /// Part of a report that counts in the fleet's mean. It is swapped as one
 /// word, so that what is added is taken away again exactly.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
+pub(crate) struct ReportedLoad {
     pub(crate) requests: u32,
     pub(crate) wait_ms: u32,
 }
 
-impl Told {
-    pub(crate) fn new(report: &LoadReport) -> Told {
+impl ReportedLoad {
+    pub(crate) fn new(report: &LoadReport) -> ReportedLoad {
         let requests = report.running.saturating_add(report.queued);
         // One is added when packed.
         let requests = requests.min(u32::MAX - 1);
-        Told { requests, wait_ms: report.queue_wait_ms }
+        ReportedLoad { requests, wait_ms: report.queue_wait_ms }
     }
 
     fn pack(self) -> u64 {
         pack(self.requests + 1, self.wait_ms)
     }
 
-    fn unpack(packed: u64) -> Option<Told> {
+    fn unpack(packed: u64) -> Option<ReportedLoad> {
         let requests = high(packed).checked_sub(1)?;
-        Some(Told { requests, wait_ms: low(packed) })
+        Some(ReportedLoad { requests, wait_ms: low(packed) })
     }
 }
 
-impl Server {
-    pub(crate) fn new() -> Server {
-        Server {
-            health: CircuitBreaker::new(),
+impl ServerState {
+    pub(crate) fn new() -> ServerState {
+        ServerState {
+            circuit: CircuitBreaker::new(),
             presence: AtomicU64::new(pack_presence(Presence::Absent)),
-            reported: AtomicU64::new(0),
-            told: AtomicU64::new(0),
+            last_report: AtomicU64::new(0),
+            counted_load: AtomicU64::new(0),
             load: AtomicU64::new(0),
             speeds: AtomicU64::new(0),
             gauges: AtomicU64::new(0),
             is_healthy: AtomicBool::new(true),
             is_withdrawn: AtomicBool::new(false),
-            request_change: AtomicI32::new(0),
-            token_change: AtomicI64::new(0),
-            sent: AtomicU32::new(0),
+            request_delta: AtomicI32::new(0),
+            token_delta: AtomicI64::new(0),
+            sent_since_report: AtomicU32::new(0),
             in_flight: AtomicI32::new(0),
-            answer_ms: AtomicU32::new(0),
+            response_ms: AtomicU32::new(0),
             prefixes: [const { AtomicU32::new(0) }; PREFIX_SLOTS],
         }
     }
@@ -119,95 +119,97 @@
     }
 
     pub(crate) fn is_suspect(&self, now_ms: u64) -> bool {
-        !self.is_healthy.load(Relaxed) || !self.health.allows_requests(now_ms)
+        !self.is_healthy.load(Relaxed) || !self.circuit.allows_requests(now_ms)
     }
 
     /// Takes a report; gives back what counted in the mean before.
-    pub(crate) fn report(
+    pub(crate) fn record_report(
         &self,
         report: &LoadReport,
         now_ms: u64,
-    ) -> Option<Told> {
+    ) -> Option<ReportedLoad> {
         let load = pack(report.queued, report.running);
         let speeds = pack(
-            clean(report.prompt_tokens_per_s).to_bits(),
-            clean(report.output_tokens_per_s).to_bits(),
+            valid_or_zero(report.prompt_tokens_per_s).to_bits(),
+            valid_or_zero(report.output_tokens_per_s).to_bits(),
         );
         let gauges = pack(report.queue_wait_ms, report.cache_used_permille);
         self.load.store(load, Relaxed);
         self.gauges.store(gauges, Relaxed);
         self.speeds.store(speeds, Relaxed);
         self.is_healthy.store(report.is_healthy, Relaxed);
-        self.request_change.store(0, Relaxed);
-        self.token_change.store(0, Relaxed);
-        self.sent.store(0, Relaxed);
-        self.reported.store(now_ms + 1, Relaxed);
-        Told::unpack(self.told.swap(Told::new(report).pack(), Relaxed))
+        self.request_delta.store(0, Relaxed);
+        self.token_delta.store(0, Relaxed);
+        self.sent_since_report.store(0, Relaxed);
+        self.last_report.store(now_ms + 1, Relaxed);
+        ReportedLoad::unpack(
+            self.counted_load.swap(ReportedLoad::new(report).pack(), Relaxed),
+        )
     }
 
     /// Takes the server out of the mean; gives back what counted there.
-    pub(crate) fn leave_mean(&self) -> Option<Told> {
-        Told::unpack(self.told.swap(0, Relaxed))
+    pub(crate) fn remove_from_mean(&self) -> Option<ReportedLoad> {
+        ReportedLoad::unpack(self.counted_load.swap(0, Relaxed))
     }
 
     pub(crate) fn is_in_mean(&self) -> bool {
-        self.told.load(Relaxed) != 0
+        self.counted_load.load(Relaxed) != 0
     }
 
     /// Takes a server out that the manifest no longer has.
-    pub(crate) fn withdraw(&self) -> Option<Told> {
+    pub(crate) fn withdraw(&self) -> Option<ReportedLoad> {
         self.is_withdrawn.store(true, Relaxed);
         self.set_presence(Presence::Absent);
-        self.leave_mean()
+        self.remove_from_mean()
     }
 
-    pub(crate) fn note_sent(&self, tokens: u32, now_ms: u64) {
-        self.request_change.fetch_add(1, Relaxed);
-        self.token_change.fetch_add(i64::from(tokens), Relaxed);
-        self.sent.fetch_add(1, Relaxed);
+    pub(crate) fn record_sent(&self, tokens: u32, now_ms: u64) {
+        self.request_delta.fetch_add(1, Relaxed);
+        self.token_delta.fetch_add(i64::from(tokens), Relaxed);
+        self.sent_since_report.fetch_add(1, Relaxed);
         self.in_flight.fetch_add(1, Relaxed);
-        self.health.record_sent(now_ms);
+        self.circuit.record_sent(now_ms);
     }
 
-    pub(crate) fn note_ended(&self, tokens: u32) {
-        self.request_change.fetch_sub(1, Relaxed);
-        self.token_change.fetch_sub(i64::from(tokens), Relaxed);
+    pub(crate) fn record_ended(&self, tokens: u32) {
+        self.request_delta.fetch_sub(1, Relaxed);
+        self.token_delta.fetch_sub(i64::from(tokens), Relaxed);
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
     /// A refused request goes, but the load that refused it stays counted
     /// until the next report.
-    pub(crate) fn note_refused(&self) {
+    pub(crate) fn record_refused(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
-    pub(crate) fn note_answer_ms(&self, total_ms: u32) {
+    pub(crate) fn record_response_ms(&self, total_ms: u32) {
         const SMOOTHING: f32 = 0.1;
-        let old = f32::from_bits(self.answer_ms.load(Relaxed));
+        let old = f32::from_bits(self.response_ms.load(Relaxed));
         let total_ms = (total_ms as f32).max(1.0);
         let new = if old == 0.0 {
             total_ms
         } else {
             old + SMOOTHING * (total_ms - old)
         };
-        self.answer_ms.store(new.to_bits(), Relaxed);
+        self.response_ms.store(new.to_bits(), Relaxed);
     }
 
     /// Smoothed time of a whole answer; 0 where unknown.
-    pub(crate) fn answer_ms(&self) -> f32 {
-        f32::from_bits(self.answer_ms.load(Relaxed))
+    pub(crate) fn response_ms(&self) -> f32 {
+        f32::from_bits(self.response_ms.load(Relaxed))
     }
 
-    pub(crate) fn read(&self) -> Reading {
+    pub(crate) fn snapshot(&self) -> ServerSnapshot {
         let load = self.load.load(Relaxed);
         let speeds = self.speeds.load(Relaxed);
         let gauges = self.gauges.load(Relaxed);
-        Reading {
-            reported_ms: self.reported.load(Relaxed).checked_sub(1),
-            reported_requests: requests(load),
-            request_change: self.request_change.load(Relaxed),
-            token_change: self.token_change.load(Relaxed),
-            sent: self.sent.load(Relaxed),
+        ServerSnapshot {
+            reported_ms: self.last_report.load(Relaxed).checked_sub(1),
+            reported_requests: request_count(load),
+            request_delta: self.request_delta.load(Relaxed),
+            token_delta: self.token_delta.load(Relaxed),
+            sent_since_report: self.sent_since_report.load(Relaxed),
             in_flight: self.in_flight.load(Relaxed).max(0) as u32,
             prompt_tokens_per_s: f32::from_bits(high(speeds)),
             output_tokens_per_s: f32::from_bits(low(speeds)),
@@ -245,12 +247,12 @@
     (packed & LOW_HALF) as u32
 }
 
-fn requests(load: u64) -> u32 {
+fn request_count(load: u64) -> u32 {
     high(load).saturating_add(low(load))
 }
 
 /// A speed that is no positive number is unknown.
-fn clean(speed: f32) -> f32 {
+fn valid_or_zero(speed: f32) -> f32 {
     if speed.is_finite() && speed > 0.0 { speed } else { 0.0 }
 }
 
--- a/crates/routing/src/throughput.rs
+++ b/crates/routing/src/throughput.rs
@@ -13,7 +13,7 @@
     cost::{output_tokens_per_ms, prompt_tokens_per_ms},
     fleet::{BackendIndex, Fleet},
     live_state::LiveState,
-    server::Server,
+    server_state::ServerState,
 };
 
 const MS_PER_S: f64 = 1_000.0;
@@ -44,8 +44,8 @@
     let mut graph = Graph::new(node_count);
     for boundary in 0..fleet.boundaries().len() {
         for &index in fleet.members(boundary) {
-            let next = fleet.facts(index).next_boundary as usize;
-            graph.add(boundary, next, capacity(index));
+            let next = fleet.cost_inputs(index).next_boundary as usize;
+            graph.add_capacity(boundary, next, capacity(index));
         }
     }
     graph.max_flow()
@@ -60,34 +60,34 @@
     if live.is_some_and(|live| !live.is_present(index)) {
         return 0.0;
     }
-    let facts = fleet.facts(index);
-    let reading = match live {
-        Some(live) => live.server(index).read(),
-        None => Server::new().read(),
+    let inputs = fleet.cost_inputs(index);
+    let snapshot = match live {
+        Some(live) => live.server(index).snapshot(),
+        None => ServerState::new().snapshot(),
     };
     let prompt = f64::from(mix.prompt_tokens);
     let output = f64::from(mix.output_tokens);
-    let busy_ms = prompt / prompt_tokens_per_ms(facts, &reading)
-        + output / output_tokens_per_ms(facts, &reading);
-    if busy_ms <= 0.0 {
+    let server_ms = prompt / prompt_tokens_per_ms(inputs, &snapshot)
+        + output / output_tokens_per_ms(inputs, &snapshot);
+    if server_ms <= 0.0 {
         return 0.0;
     }
-    (prompt + output) * MS_PER_S / busy_ms
+    (prompt + output) * MS_PER_S / server_ms
 }
 
 /// What is left of each edge, as a dense matrix: boundaries are few.
 struct Graph {
     node_count: usize,
-    left: Vec<f64>,
+    residual: Vec<f64>,
 }
 
 impl Graph {
     fn new(node_count: usize) -> Graph {
-        Graph { node_count, left: vec![0.0; node_count * node_count] }
+        Graph { node_count, residual: vec![0.0; node_count * node_count] }
     }
 
-    fn add(&mut self, from: usize, to: usize, capacity: f64) {
-        self.left[from * self.node_count + to] += capacity;
+    fn add_capacity(&mut self, from: usize, to: usize, capacity: f64) {
+        self.residual[from * self.node_count + to] += capacity;
     }
 
     /// Augments shortest paths until none is left (Edmonds and Karp).
@@ -96,11 +96,11 @@
         while let Some(path) = self.shortest_path() {
             let amount = path
                 .windows(2)
-                .map(|edge| self.left[edge[0] * self.node_count + edge[1]])
+                .map(|edge| self.residual[edge[0] * self.node_count + edge[1]])
                 .fold(f64::INFINITY, f64::min);
             for edge in path.windows(2) {
-                self.add(edge[0], edge[1], -amount);
-                self.add(edge[1], edge[0], amount);
+                self.add_capacity(edge[0], edge[1], -amount);
+                self.add_capacity(edge[1], edge[0], amount);
             }
             flow += amount;
         }
@@ -109,20 +109,20 @@
 
     fn shortest_path(&self) -> Option<Vec<usize>> {
         let sink = self.node_count - 1;
-        let mut before = vec![None; self.node_count];
+        let mut predecessor = vec![None; self.node_count];
         let mut queue = std::collections::VecDeque::from([0]);
         while let Some(node) = queue.pop_front() {
             let row = node * self.node_count;
-            let edges = &self.left[row..row + self.node_count];
-            for (next, &left) in edges.iter().enumerate().skip(1) {
-                if left > EPSILON && before[next].is_none() {
-                    before[next] = Some(node);
+            let edges = &self.residual[row..row + self.node_count];
+            for (next, &capacity) in edges.iter().enumerate().skip(1) {
+                if capacity > EPSILON && predecessor[next].is_none() {
+                    predecessor[next] = Some(node);
                     queue.push_back(next);
                 }
             }
         }
         let mut path = vec![sink];
-        while let Some(node) = before[*path.last()?] {
+        while let Some(node) = predecessor[*path.last()?] {
             path.push(node);
         }
         path.reverse();
--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -22,9 +22,9 @@
     seed: u64,
 ) -> Result<Choice, NoChain> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let need =
+    let request =
         ChainRequest::new(fleet, live, shape, policy, NOW_MS).avoid(avoid);
-    choose(&need, &mut rng)
+    choose(&request, &mut rng)
 }
 
 /// How often each server is part of a chain, over many seeds.
@@ -133,8 +133,8 @@
         let shape = RequestShape::new(100, 10).prefix(seed);
         // Before the choice, which is remembered; explaining is not.
         let mut rng = fastrand::Rng::with_seed(seed);
-        let need = ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
-        let explanation = explain(&need.avoid(&avoid), &mut rng);
+        let request = ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
+        let explanation = explain(&request.avoid(&avoid), &mut rng);
         let result = run(&fleet, &live, &shape, &policy, &avoid, seed);
         prop_assert_eq!(result.is_ok(), has_tiling(layers, &servers));
         let Ok(choice) = result else { return Ok(()) };
@@ -240,8 +240,9 @@
     for _ in 0..600 {
         let shape = RequestShape::new(500, 100);
         let policy = Policy::default();
-        let need = ChainRequest::new(&fleet, &live, &shape, &policy, late_ms);
-        let choice = choose(&need, &mut rng);
+        let request =
+            ChainRequest::new(&fleet, &live, &shape, &policy, late_ms);
+        let choice = choose(&request, &mut rng);
         counts[choice.expect("a chain").stages[0].0 as usize] += 1;
     }
     assert!(counts[0] < 2 * 600 / 6, "{counts:?}");
@@ -313,8 +314,9 @@
     let policy = Policy::default();
     let mut seen = std::collections::BTreeMap::new();
     for _ in 0..50 {
-        let need = ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
-        let choice = chooser.choose(&need, &mut rng).expect("a chain");
+        let request =
+            ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
+        let choice = chooser.choose(&request, &mut rng).expect("a chain");
         live.record_prefix(choice.stages[0], 77);
         *seen.entry(choice.stages[0]).or_insert(0) += 1;
     }
--- a/crates/routing/tests/guards.rs
+++ b/crates/routing/tests/guards.rs
@@ -48,7 +48,7 @@
     (1..circuit_breaker::FAILURE_LIMIT).for_each(|_| fail(0));
     assert_eq!(health.state(0), CircuitState::Closed);
     fail(0);
-    let until_ms = circuit_breaker::FIRST_BACKOFF_MS;
+    let until_ms = circuit_breaker::INITIAL_BACKOFF_MS;
     assert_eq!(health.state(0), CircuitState::Open { until_ms });
     assert!(!health.allows_requests(until_ms - 1));
 
@@ -57,12 +57,12 @@
     health.record_sent(until_ms);
     assert!(!health.allows_requests(until_ms));
     fail(until_ms);
-    let until_ms = until_ms + 2 * circuit_breaker::FIRST_BACKOFF_MS;
+    let until_ms = until_ms + 2 * circuit_breaker::INITIAL_BACKOFF_MS;
     assert_eq!(health.state(until_ms - 1), CircuitState::Open { until_ms });
 
     // A trial that never ends bars the next one only for a while.
     health.record_sent(until_ms);
-    let later_ms = until_ms + circuit_breaker::TRIAL_LIMIT_MS;
+    let later_ms = until_ms + circuit_breaker::TRIAL_TIMEOUT_MS;
     assert!(health.allows_requests(later_ms));
     for _ in 0..circuit_breaker::SUCCESS_LIMIT {
         assert_eq!(health.state(later_ms), CircuitState::HalfOpen);
--- a/crates/routing/tests/stampede.rs
+++ b/crates/routing/tests/stampede.rs
@@ -61,9 +61,9 @@
         let mut rng = fastrand::Rng::with_seed(entry);
         for at in 0..REQUESTS_PER_ENTRY {
             let now_ms = NOW_MS + at as u64;
-            let need =
+            let request =
                 ChainRequest::new(&fleet, &live, &shape, &policy, now_ms);
-            let choice = choose(&need, &mut rng);
+            let choice = choose(&request, &mut rng);
             let stage = choice.expect("a chain").stages[0];
             live.record_dispatch(stage, shape.tokens(), now_ms);
             sent[stage.0 as usize] += 1;
