--- a/crates/cli/src/site/route.rs
+++ b/crates/cli/src/site/route.rs
@@ -124,7 +124,7 @@
     let kind = backend.kind.as_ref().and_then(|k| model.kinds.get(k));
     let held = backend.held;
     let is_ready = backend.state == BackendState::Ready;
-    let layers = held.map_or(0, |held| held.layers());
+    let layers = held.map_or(0, |held| held.layer_count());
     LayerHolder {
         data_centre,
         first_layer: held.map_or(0, |held| held.first_layer),
--- a/crates/direct/src/known/engine_watch.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -13,12 +13,12 @@
 
 use async_io::Timer;
 use chestnutreach_http::relay::Outbound;
-use chestnutreach_membership::duty;
+use chestnutreach_membership::rendezvous;
 
 use crate::{
     clock::now_ms,
+    cluster::{engine::Engine, probe},
     core::Core,
-    known::{engine::Engine, probe},
 };
 
 /// Entries that watch an engine: one may be busy, cut off or about to end.
@@ -50,7 +50,9 @@
         let mut here: BTreeMap<usize, Vec<u64>> = names
             .map(|(at, name)| (at, core.peers.live_in(name, now_ms)))
             .collect();
-        here.entry(core.own_data_centre()).or_default().push(core.boot_id);
+        here.entry(core.own_data_centre_index())
+            .or_default()
+            .push(core.boot_id);
         let all = here.values().flatten().copied().collect();
         Around { here, all }
     }
@@ -61,7 +63,7 @@
         let here = self.here.get(&engine.data_centre);
         let entries = here.filter(|h| !h.is_empty()).unwrap_or(&self.all);
         entries.contains(&core.boot_id)
-            && duty::holds(
+            && rendezvous::is_assigned(
                 core.boot_id,
                 entries.iter().copied(),
                 engine.hash.into(),
@@ -94,7 +96,7 @@
 fn is_watchable(core: &Core, engine: &Engine) -> bool {
     let state = engine.lock();
     let is_model_engine = state.row.kind.is_some();
-    is_model_engine && !state.is_gone && core.has_service(&engine.service)
+    is_model_engine && !state.is_removed && core.has_service(&engine.service)
 }
 
 async fn watch(core: Arc<Core>, engine: Arc<Engine>) {
@@ -110,7 +112,7 @@
                 // Idle for long, or its process has ended: the next dial
                 // shows.
             }
-            Err(e) => probe::note_unreached(&core, &engine, &e),
+            Err(e) => probe::record_unreachable(&core, &engine, &e),
         }
         if now_ms() - since_ms >= LIVES_MS {
             short_lived = 0;
--- a/crates/direct/src/known/notices/take.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -9,11 +9,11 @@
     rest::{self, RestNotice},
 };
 use chestnutreach_protocol::peers::EngineNotice;
-use chestnutreach_routing::ServerLimit;
+use chestnutreach_routing::ServerRateLimit;
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Change;
-use crate::{clock::now_ms, core::Core, known::engine::Engine};
+use crate::{clock::now_ms, cluster::engine::Engine, core::Core};
 
 /// Status of a server that is not the one that was asked, or lacks what was
 /// asked for: another one may have its address.
@@ -27,7 +27,7 @@
 
 /// The head of an answer, with what it answers.
 #[derive(Clone, Copy)]
-pub(crate) struct Answered<'a> {
+pub(crate) struct ResponseContext<'a> {
     pub(crate) request: &'a str,
     /// When the request was sent.
     pub(crate) sent_ms: u64,
@@ -35,7 +35,11 @@
 }
 
 /// Takes what an answer says of its server.
-pub(crate) fn take(core: &Core, engine: &Engine, answered: &Answered<'_>) {
+pub(crate) fn apply_response(
+    core: &Core,
+    engine: &Engine,
+    answered: &ResponseContext<'_>,
+) {
     if answered.head.status == MISDIRECTED {
         return;
     }
@@ -47,8 +51,8 @@
     let values = answered.head.values(notices::LIMIT);
     let change = match notices::limit(values) {
         LimitNotice::PerS(per_s) => {
-            let name = |limit: &mut ServerLimit| {
-                limit.note_named(per_s, now_ms);
+            let name = |limit: &mut ServerRateLimit| {
+                limit.record_announced(per_s, now_ms);
             };
             engine.notices.lock().change(name, now_ms)
         }
@@ -56,7 +60,7 @@
             let sent_ms = answered.sent_ms;
             let mut state = engine.notices.lock();
             state.own_unnamed_ms = state.own_unnamed_ms.max(Some(sent_ms));
-            state.change(|limit| limit.note_unnamed(sent_ms), now_ms)
+            state.change(|limit| limit.record_absent(sent_ms), now_ms)
         }
         LimitNotice::Malformed => {
             core.metrics.malformed_limits.inc();
@@ -69,7 +73,7 @@
 }
 
 /// Takes a rest that a server wants.
-fn take_rest(core: &Core, engine: &Engine, answered: &Answered<'_>) {
+fn take_rest(core: &Core, engine: &Engine, answered: &ResponseContext<'_>) {
     let head = answered.head;
     let rest = match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
         RestNotice::None => return,
@@ -80,10 +84,10 @@
     let rest_ms = rest.as_millis() as u64;
     let until_ms = {
         let mut state = engine.lock();
-        state.take_rest(rest_ms, now_ms);
-        state.rest_until_ms
+        state.enter_cooldown(rest_ms, now_ms);
+        state.cooldown_until_ms
     };
-    core.fleet.note_rest(until_ms);
+    core.fleet.record_cooldown(until_ms);
     core.metrics.rests_asked.inc();
     emit(
         Event::RestAsked,
@@ -116,9 +120,9 @@
     };
     engine.notices.lock().has_said_leaving = true;
     core.permits.note_change(engine.hash);
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     if source == OWN {
-        core.alerts.tell_notice(engine.hash);
+        core.alerts.queue_notice(engine.hash);
     }
     let listed_ms = listed_ms.map_or_else(String::new, |ms| ms.to_string());
     emit(
@@ -133,19 +137,23 @@
 }
 
 /// Takes what another entry tells of what a server said.
-pub(crate) fn hear(core: &Core, engine: &Engine, told: &EngineNotice) {
+pub(crate) fn apply_peer_notice(
+    core: &Core,
+    engine: &Engine,
+    told: &EngineNotice,
+) {
     if told.is_leaving {
         take_leaving(core, engine, "", TOLD);
     }
     let now_ms = now_ms();
     let ago = |age_ms: u64| now_ms.saturating_sub(age_ms);
-    let take = |limit: &mut ServerLimit| {
+    let take = |limit: &mut ServerRateLimit| {
         // A peer's number may be any.
         if told.limit_per_s.is_finite() && told.limit_per_s > 0.0 {
-            limit.note_named(told.limit_per_s, ago(told.named_age_ms));
+            limit.record_announced(told.limit_per_s, ago(told.named_age_ms));
         }
         if let Some(age_ms) = told.unnamed_age_ms {
-            limit.note_unnamed(ago(age_ms).saturating_sub(MESSAGE_MS));
+            limit.record_absent(ago(age_ms).saturating_sub(MESSAGE_MS));
         }
     };
     let change = engine.notices.lock().change(take, now_ms);
@@ -169,7 +177,7 @@
 ) {
     let now_ms = now_ms();
     let mut state = engine.notices.lock();
-    let limit = state.limit.in_force();
+    let limit = state.limit.current();
     engine.notices.is_limited.store(limit.is_some(), Relaxed);
     let is_to_be_told = match limit {
         Some(named) => state.is_to_be_told(named.per_s, now_ms),
@@ -183,7 +191,7 @@
         return;
     }
     if source.name == OWN {
-        core.alerts.tell_notice(engine.hash);
+        core.alerts.queue_notice(engine.hash);
     }
     match change {
         Change::Ended(named_ms) => {
@@ -205,7 +213,7 @@
     (age_name, age_ms): (&'static str, u64),
 ) {
     let mut state = engine.notices.lock();
-    let last = state.limit.last_named().map_or(0.0, |named| named.per_s);
+    let last = state.limit.last_announced().map_or(0.0, |named| named.per_s);
     let sent_4s = state.sent_of_late(now_ms()).len();
     drop(state);
     emit(
--- a/crates/direct/src/known/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -15,17 +15,17 @@
 use chestnutreach_http::relay::Outbound;
 use chestnutreach_protocol::peers::EngineUse;
 use chestnutreach_routing::{
-    EndProof, end_proof, end_proof::SILENCE_PROVES_MS,
+    ExitStatus, detect_exit, exit_detection::SILENCE_TIMEOUT_MS,
 };
 use chestnutreach_telemetry::{Event, emit};
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         alerts::percent,
-        engine::{Engine, Evidence, FLOWING_MS, Suspicion, Told},
+        engine::{Engine, FLOWING_MS, FailureEvidence, StartOrder, Suspicion},
     },
+    core::Core,
     request::{exchange, path::Path},
 };
 
@@ -52,12 +52,16 @@
 /// Slowness below it is told as none.
 const SLOW_FROM: f64 = 1.2;
 
-pub(crate) fn note_unreached(core: &Core, engine: &Engine, error: &io::Error) {
+pub(crate) fn record_unreachable(
+    core: &Core,
+    engine: &Engine,
+    error: &io::Error,
+) {
     let evidence = match error.kind() {
-        io::ErrorKind::TimedOut => Evidence::Silent,
-        _ => Evidence::Refused,
+        io::ErrorKind::TimedOut => FailureEvidence::Silent,
+        _ => FailureEvidence::Refused,
     };
-    if evidence == Evidence::Silent && is_own_fault(core) {
+    if evidence == FailureEvidence::Silent && is_own_fault(core) {
         return;
     }
     suspect(core, engine, evidence);
@@ -69,23 +73,27 @@
     let engines = core.fleet.all();
     let is_silent = |engine: &&Arc<Engine>| {
         let suspicion = engine.lock().suspicion;
-        suspicion.is_some_and(|s| s.evidence == Evidence::Silent)
+        suspicion.is_some_and(|s| s.evidence == FailureEvidence::Silent)
     };
     let silent = engines.iter().filter(is_silent).count();
     silent as f64 >= OWN_FAULT_SHARE * engines.len() as f64
 }
 
 /// Takes an engine out of new paths and tells the streams on it.
-pub(crate) fn suspect(core: &Core, engine: &Engine, evidence: Evidence) {
+pub(crate) fn suspect(
+    core: &Core,
+    engine: &Engine,
+    evidence: FailureEvidence,
+) {
     let now_ms = now_ms();
     let least_ms = match evidence {
         // Others may wait for it that long before that shows.
-        Evidence::Stalled => core.settings.bounds.stall_ms,
-        Evidence::Refused | Evidence::Silent => 0,
+        FailureEvidence::Stalled => core.settings.bounds.stall_ms,
+        FailureEvidence::Refused | FailureEvidence::Silent => 0,
     };
     {
         let mut state = engine.lock();
-        if state.is_gone || state.suspicion.is_some() {
+        if state.is_removed || state.suspicion.is_some() {
             return;
         }
         state.suspicion = Some(Suspicion {
@@ -99,13 +107,13 @@
         &[
             ("backend", &engine.id),
             ("address", &engine.address),
-            ("evidence", &evidence.name()),
+            ("evidence", &evidence.as_str()),
             ("quiet_ms", &engine.quiet_ms(now_ms)),
         ],
     );
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     // Others that wait for an engine may not reach those that they need.
-    if evidence != Evidence::Stalled {
+    if evidence != FailureEvidence::Stalled {
         alert(core, engine, EngineUse { is_suspect: true, ..news(engine) });
     }
 }
@@ -118,7 +126,7 @@
 fn alert(core: &Core, engine: &Engine, news: EngineUse) {
     let alerted_ms = engine.lock().alerted_ms;
     if now_ms().saturating_sub(alerted_ms) >= ALERTED_MS {
-        core.alerts.tell(news);
+        core.alerts.queue_engine(news);
     }
 }
 
@@ -132,7 +140,7 @@
     };
     // A port that answers again after its process ended is a new process.
     let is_over = suspicion.until_ms <= now_ms
-        && suspicion.evidence != Evidence::Refused;
+        && suspicion.evidence != FailureEvidence::Refused;
     if !is_over {
         return;
     }
@@ -169,7 +177,7 @@
     engine.is_probing.store(false, Relaxed);
     match dialled {
         Ok(()) => clear(&core, &engine),
-        Err(e) => note_unreached(&core, &engine, &e),
+        Err(e) => record_unreachable(&core, &engine, &e),
     }
 }
 
@@ -182,32 +190,32 @@
     engine: &Arc<Engine>,
     is_patient: bool,
 ) -> bool {
-    if !engine.lock().is_gone {
+    if !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
     let (is_gone, is_replaced, suspicion) = {
         let state = engine.lock();
-        (state.is_gone, state.is_replaced, state.suspicion)
+        (state.is_removed, state.is_replaced, state.suspicion)
     };
     let lasted_ms = suspicion.map_or(0, |s| now_ms() - s.since_ms);
-    match end_proof(suspicion.map(|s| s.evidence), lasted_ms) {
-        EndProof::Ended => true,
+    match detect_exit(suspicion.map(|s| s.evidence), lasted_ms) {
+        ExitStatus::Exited => true,
         _ if is_replaced => true,
-        EndProof::Unsure => {
-            let limit = Duration::from_millis(SILENCE_PROVES_MS);
+        ExitStatus::Unknown => {
+            let limit = Duration::from_millis(SILENCE_TIMEOUT_MS);
             is_patient
                 && Outbound::connect(engine.address, limit).await.is_err()
         }
-        EndProof::Lives => is_gone && dial(engine, DIALS).await.is_err(),
+        ExitStatus::Alive => is_gone && dial(engine, DIALS).await.is_err(),
     }
 }
 
 /// Whether an engine has crashed, as a dial shows if it is not known.
-pub(crate) async fn dial_shows_crash(
+pub(crate) async fn confirm_crash(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
 ) -> bool {
-    if !has_crashed(engine) && !engine.lock().is_gone {
+    if !has_crashed(engine) && !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
     has_crashed(engine)
@@ -218,7 +226,8 @@
 fn has_crashed(engine: &Engine) -> bool {
     let state = engine.lock();
     let evidence = state.suspicion.map(|suspicion| suspicion.evidence);
-    let has_ended = state.is_replaced || evidence == Some(Evidence::Refused);
+    let has_ended =
+        state.is_replaced || evidence == Some(FailureEvidence::Refused);
     has_ended && state.leaving_since_ms.is_none()
 }
 
@@ -249,7 +258,7 @@
 }
 
 /// Asks the engines of a path for reports, where that was not done of late.
-pub(crate) fn ask_path(core: &Arc<Core>, path: &Path) {
+pub(crate) fn request_path_reports(core: &Arc<Core>, path: &Path) {
     for stage in &path.stages {
         ask_one(core, &stage.engine);
     }
@@ -260,18 +269,19 @@
     let mut state = engine.lock();
     let is_asked_of_late =
         now_ms.saturating_sub(state.asked_ms) < REPORT_EVERY_MS;
-    if is_asked_of_late || state.is_at_rest(now_ms) {
+    if is_asked_of_late || state.is_in_cooldown(now_ms) {
         return;
     }
     state.asked_ms = now_ms;
     drop(state);
-    let task = ask(core.clone(), engine.clone());
+    let task = request_report(core.clone(), engine.clone());
     core.executor.spawn(task).detach();
 }
 
-pub(crate) async fn ask(core: Arc<Core>, engine: Arc<Engine>) {
-    let body = exchange::report(&engine);
-    let Ok(Ok((200, body))) = exchange::within(REPORT, body).await else {
+pub(crate) async fn request_report(core: Arc<Core>, engine: Arc<Engine>) {
+    let body = exchange::fetch_report(&engine);
+    let Ok(Ok((200, body))) = exchange::with_timeout(REPORT, body).await
+    else {
         return;
     };
     match try_report(&body) {
@@ -285,11 +295,13 @@
 
 fn take_report(core: &Core, engine: &Engine, report: &Report) {
     match told_by(engine, report) {
-        Told::Same => {}
+        StartOrder::Same => {}
         // It came late, or is of another writer.
-        Told::Earlier => return,
+        StartOrder::Earlier => return,
         // What runs there now has a row of its own, or soon will.
-        Told::Later => return suspect(core, engine, Evidence::Refused),
+        StartOrder::Later => {
+            return suspect(core, engine, FailureEvidence::Refused);
+        }
     }
     let slowness = match report.slowness {
         slowness if slowness < SLOW_FROM => 1.0,
@@ -297,24 +309,25 @@
     };
     if take_slowness(engine, slowness, now_ms()) {
         let slowness_percent = percent(slowness);
-        core.alerts.tell(EngineUse { slowness_percent, ..news(engine) });
+        core.alerts
+            .queue_engine(EngineUse { slowness_percent, ..news(engine) });
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
-        let Some(dead) = core.fleet.at(stalled.at) else { continue };
+        let Some(dead) = core.fleet.by_address(stalled.at) else { continue };
         // It may be back, while the report is of before.
         let is_flowing = dead.quiet_ms(now_ms()) < FLOWING_MS;
         if !is_flowing && dead.incarnation != engine.incarnation {
-            suspect(core, &dead, Evidence::Stalled);
+            suspect(core, &dead, FailureEvidence::Stalled);
         }
     }
 }
 
 /// Of which start a report tells.
-fn told_by(engine: &Engine, report: &Report) -> Told {
+fn told_by(engine: &Engine, report: &Report) -> StartOrder {
     match engine.started_unix_ms {
-        Some(known) => Told::of(report.started_unix_ms, Some(known)),
-        None => Told::Same,
+        Some(known) => StartOrder::of(report.started_unix_ms, Some(known)),
+        None => StartOrder::Same,
     }
 }
 
--- a/crates/direct/src/request/crossing.rs
+++ b/crates/direct/src/request/interconnect.rs
@@ -4,16 +4,16 @@
 
 use chestnutreach_routing::{InterconnectLimits, InterconnectQuota};
 
-use crate::{clock::now_ms, known::peer_table::PeerTable, rate::Rate};
+use crate::{clock::now_ms, cluster::peer_table::PeerTable, rate::Rate};
 
 /// What was sent of late, and what is left of this entry's part.
 #[derive(Debug, Default)]
-pub(crate) struct Crossing {
+pub(crate) struct InterconnectTraffic {
     sent: Rate,
     part: Mutex<InterconnectQuota>,
 }
 
-impl Crossing {
+impl InterconnectTraffic {
     /// Bytes a second that this entry sends.
     pub(crate) fn own_bytes_per_s(&self) -> f64 {
         self.sent.per_s(now_ms())
@@ -38,7 +38,7 @@
         let mut part = self.part.lock().expect("no holder panics");
         part.consume(&bounds, bytes, now_ms());
         drop(part);
-        self.sent.note(bytes, now_ms());
+        self.sent.record(bytes, now_ms());
     }
 }
 
@@ -46,6 +46,6 @@
     InterconnectLimits {
         bytes_per_s: pipe_mbps.max(1.0) * 1e6 / 8.0,
         entries: peers.entry_count(),
-        active_entries: peers.crossing_count(now_ms()) + 1,
+        active_entries: peers.interconnect_user_count(now_ms()) + 1,
     }
 }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -14,18 +14,18 @@
 
 use async_io::Timer;
 use chestnutreach_http::relay::{AnswerHead, Inbound, Outbound, RelayRequest};
-use chestnutreach_routing::{Attempts, Counted, RunStart};
+use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::Reuse;
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
-        engine::{Engine, Hold},
-        notices::{self, Answered},
+    cluster::{
+        engine::{Engine, Reservation},
+        notices::{self, ResponseContext},
     },
+    core::Core,
     request::{
         admit::Admitted,
         answer::{
@@ -104,7 +104,7 @@
         }
     }
     let (mut ended, after) = run.answer(inbound, is_last).await;
-    ended.attempts = run.attempts.made();
+    ended.attempts = run.attempts.count();
     (ended, after)
 }
 
@@ -119,7 +119,7 @@
             request,
             admitted,
             suspicion: Suspicion::new(core, request, admitted),
-            attempts: admitted.attempts(Counted::Handed),
+            attempts: admitted.attempts(CountedBackends::Contacted),
             tried: BTreeSet::new(),
             kept: None,
             key: fastrand::u64(..),
@@ -136,7 +136,7 @@
             return None;
         }
         let service = &self.admitted.service.name;
-        let is_further = self.attempts.made() > 0;
+        let is_further = self.attempts.count() > 0;
         if is_further && !self.core.take_retry(service) {
             let id = self.admitted.id_text();
             self.core.note_retry_denied(service, id);
@@ -153,7 +153,7 @@
     ) -> Attempt {
         self.attempts.begin(&engine.incarnation);
         self.tried.insert(engine.incarnation.clone());
-        let made = self.attempts.made();
+        let made = self.attempts.count();
         // A trial is seen to its end: what it would show is lost else.
         let limit_ms = match trial {
             Some(_) => self.admitted.end_ms,
@@ -174,7 +174,7 @@
         let result = work.or(gone).await;
         note_result(engine, &result);
         let asked_for_rest = matches!(result, Attempt::NotRun)
-            && engine.lock().is_at_rest(now_ms());
+            && engine.lock().is_in_cooldown(now_ms());
         if asked_for_rest {
             self.tried.remove(&engine.incarnation);
         }
@@ -190,7 +190,7 @@
             Attempt::Answered(head, body) => {
                 let is_failure = head.status >= 500;
                 if exchange::is_not_run(&head) {
-                    self.attempts.did_not_run();
+                    self.attempts.record_not_run();
                 }
                 self.kept = Some((head, body));
                 if !is_failure {
@@ -201,10 +201,10 @@
                 self.is_caller_gone = true;
                 return true;
             }
-            Attempt::NotRun => self.attempts.did_not_run(),
+            Attempt::NotRun => self.attempts.record_not_run(),
             Attempt::Lost | Attempt::TimeOver => {}
         }
-        self.admitted.left_ms(now_ms()) == 0 || !self.attempts.may_go_on()
+        self.admitted.left_ms(now_ms()) == 0 || !self.attempts.may_retry()
     }
 
     /// Answers the client with what there is.
@@ -263,11 +263,11 @@
             suspicion.note_lasted();
         }
         Attempt::Lost => {
-            let start = RunStart::new();
+            let start = RunProgress::new();
             suspicion.note_broken(engine, start, is_in_trial).await;
         }
         Attempt::TimeOver | Attempt::CallerGone => {
-            suspicion.note_left(engine, RunStart::new(), is_in_trial);
+            suspicion.note_left(engine, RunProgress::new(), is_in_trial);
         }
         _ => {}
     }
@@ -301,7 +301,7 @@
     sent: &Sent<'_>,
 ) -> Attempt {
     let engine = sent.engine;
-    let _hold = Hold::new(engine, 0, true);
+    let _hold = Reservation::new(engine, 0, true);
     let started_ms = now_ms();
     let mut connection =
         match Outbound::connect(engine.address, exchange::DIAL).await {
@@ -325,15 +325,18 @@
     );
     note_sent(core, admitted, sent, left_ms);
     let sent_ms = now_ms();
-    engine.notices.note_sent(sent_ms);
+    engine.notices.record_sent(sent_ms);
     let exchange = async {
         connection.send(&bytes).await?;
         let id = admitted.id.as_deref();
         let head =
             exchange::own_head(&mut connection, id, &request.method).await?;
-        let answered =
-            Answered { request: admitted.id_text(), sent_ms, head: &head };
-        notices::take(core, engine, &answered);
+        let answered = ResponseContext {
+            request: admitted.id_text(),
+            sent_ms,
+            head: &head,
+        };
+        notices::apply_response(core, engine, &answered);
         let body = head.body(&request.method);
         let body = connection.read_body(body, MAX_ANSWER_BYTES).await?;
         Ok((head, body))
@@ -389,7 +392,7 @@
     let is_failure = match result {
         Attempt::Answered(head, _) => head.status >= 500,
         Attempt::CallerGone => return,
-        Attempt::NotRun if state.is_at_rest(now_ms()) => return,
+        Attempt::NotRun if state.is_in_cooldown(now_ms()) => return,
         Attempt::NotRun | Attempt::Lost | Attempt::TimeOver => true,
     };
     if !is_failure {
@@ -398,7 +401,7 @@
     }
     state.failures += 1;
     let avoid_ms = AVOID_MS * u64::from(state.failures.saturating_sub(1));
-    state.avoided_until_ms = now_ms() + avoid_ms.min(MAX_AVOID_MS);
+    state.backoff_until_ms = now_ms() + avoid_ms.min(MAX_AVOID_MS);
 }
 
 async fn pass_on(
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -15,14 +15,14 @@
 };
 use crate::{
     clock::now_ms,
-    known::{
-        notices::{self, Answered},
+    cluster::{
+        notices::{self, ResponseContext},
         probe,
     },
     request::{
         answer::{Framing, passed_head},
         events::EventSplitter,
-        exchange::{self, Addressed, within},
+        exchange::{self, Addressed, with_timeout},
     },
 };
 
@@ -53,8 +53,8 @@
         self.note_sent();
         self.attempts.begin(&first.incarnation);
         let sent_ms = now_ms();
-        first.answers.record_sent(sent_ms);
-        first.notices.note_sent(sent_ms);
+        first.circuit.record_sent(sent_ms);
+        first.notices.record_sent(sent_ms);
         let id = self.admitted.id.clone();
         let method = self.request.method.clone();
         let work = async {
@@ -68,15 +68,15 @@
             Err(end) => return end,
         };
         let request = self.admitted.id_text();
-        let answered = Answered { request, sent_ms, head: &head };
-        notices::take(self.core, &first, &answered);
+        let answered = ResponseContext { request, sent_ms, head: &head };
+        notices::apply_response(self.core, &first, &answered);
         if head.status != 200 {
             if exchange::is_not_run(&head) {
-                self.attempts.did_not_run();
+                self.attempts.record_not_run();
             }
             return self.refused(&mut connection, head).await;
         }
-        self.pace.run.note_begun(now_ms());
+        self.pace.run.record_start(now_ms());
         self.pass_events(inbound, &mut watch, &mut connection, &head).await
     }
 
@@ -125,7 +125,7 @@
             Event::RelayAnswered,
             &[
                 ("request", &self.admitted.id_text()),
-                ("attempt", &self.attempts.made()),
+                ("attempt", &self.attempts.count()),
                 ("backend", &self.path.first().id),
                 ("status", &head.status),
                 ("at", &at.as_deref().unwrap_or("")),
@@ -142,7 +142,7 @@
         }
         let body = head.body(&self.request.method);
         let body = connection.read_body(body, 1 << 20);
-        match within(ORDER, body).await {
+        match with_timeout(ORDER, body).await {
             Ok(Ok(body)) => AttemptEnd::Failed(head, body),
             _ => AttemptEnd::Broken,
         }
@@ -200,7 +200,7 @@
             }
             self.last_event = event.id.or(self.last_event);
             self.ended.events += 1;
-            self.pace.run.note_event();
+            self.pace.run.record_event();
             bytes.extend_from_slice(&event.bytes);
         }
         if bytes.is_empty() {
@@ -233,15 +233,15 @@
             }
         }
         if !had_begun {
-            self.path.first().answers.record_success(now_ms);
+            self.path.first().circuit.record_success(now_ms);
         }
-        if !self.suspicion.has_lasted() && self.pace.run.has_lasted(now_ms) {
+        if !self.suspicion.has_lasted() && self.pace.run.has_survived(now_ms) {
             self.suspicion.note_lasted();
             self.trial = None;
         }
         let is_first = self.ended.events == 1;
         for stage in &self.path.stages {
-            stage.engine.note_progress(now_ms);
+            stage.engine.record_progress(now_ms);
             if is_first {
                 stage.engine.lock().failures = 0;
             }
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -7,14 +7,16 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_routing::{TurnNeed, Want, room_wait::LONGEST_WAIT_MS};
+use chestnutreach_routing::{
+    PermitDemand, TurnRequest, capacity_wait::MAX_WAIT_MS,
+};
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 
 use super::{FIRST, Stream};
 use crate::{
     clock::now_ms,
-    known::permits,
+    cluster::permits,
     request::{
         answer::rest_come_back_ms,
         path::Path,
@@ -70,7 +72,7 @@
         // have the client look for the same.
         match self.is_head_sent {
             true => self.admitted.end_ms,
-            false => self.admitted.end_ms.min(now_ms() + LONGEST_WAIT_MS),
+            false => self.admitted.end_ms.min(now_ms() + MAX_WAIT_MS),
         }
     }
 
@@ -100,12 +102,12 @@
     }
 
     fn take_place(&self, until_ms: u64) -> Option<Place> {
-        let need = TurnNeed {
+        let need = TurnRequest {
             account: self.admitted.account.as_deref().unwrap_or(""),
             priority: priority_of(self.admitted.urgency),
             tokens: self.tokens,
-            in_time_until_ms: now_ms() + self.in_time_ms(),
-            until_ms,
+            start_by_ms: now_ms() + self.in_time_ms(),
+            wait_until_ms: until_ms,
         };
         let queues = &self.core.path_queues;
         queues.try_join(&self.admitted.service.name, &need).ok()
@@ -115,7 +117,7 @@
     pub(super) async fn look_until(&mut self, until_ms: u64) -> Look {
         // A stream that has begun waits for the shared bound to leave room,
         // rather than break off.
-        let mut needs_retry = self.attempts.made() > 0;
+        let mut needs_retry = self.attempts.count() > 0;
         let mut was_denied = false;
         loop {
             if let Some(path) = self.path_soon().await {
@@ -163,10 +165,10 @@
     /// Uses a path; false if its first engine no longer takes a request: it is
     /// at rest, or another one took the permit.
     fn use_path(&mut self, path: Path) -> bool {
-        if !path.first().try_begin(self.key, now_ms()) {
+        if !path.first().try_admit(self.key, now_ms()) {
             return false;
         }
-        self.holds = path.hold(self.tokens);
+        self.reservations = path.reserve(self.tokens);
         self.path = path;
         self.note_running();
         true
@@ -174,7 +176,7 @@
 
     /// Gives up a path that was not used.
     pub(super) fn release_path(&mut self) {
-        self.holds.clear();
+        self.reservations.clear();
         self.running = None;
     }
 
@@ -189,7 +191,8 @@
         let is_first_look = !std::mem::replace(&mut self.has_passed, true);
         let want = self.want(false);
         let id = self.admitted.id_text();
-        if is_first_look && permits::passing(self.core, first, id, want).await
+        if is_first_look
+            && permits::await_permit(self.core, first, id, want).await
         {
             return Some(path);
         }
@@ -200,16 +203,16 @@
         other
     }
 
-    fn want(&self, is_waiting: bool) -> Want {
+    fn want(&self, is_waiting: bool) -> PermitDemand {
         let urgency = self.admitted.urgency;
-        Want { request: self.key, is_waiting, urgency }
+        PermitDemand { request: self.key, is_waiting, urgency }
     }
 
     /// Asks for a permit of any engine that could be first with one.
     fn want_any(&self) {
         let now_ms = now_ms();
         for engine in limited_firsts(self.core, &self.need(true)) {
-            engine.notices.want(self.want(true), now_ms);
+            engine.notices.request_permit(self.want(true), now_ms);
         }
         self.core.permits.wake();
     }
@@ -224,7 +227,7 @@
             && !self.path.stages.is_empty()
             && (!is_permit_needed
                 || self.path.first().notices.may_send(need.now_ms))
-            && !self.path.first().lock().is_at_rest(need.now_ms)
+            && !self.path.first().lock().is_in_cooldown(need.now_ms)
             && !self.without.contains(&self.path.first().incarnation)
             && !self.path.first().is_suspect()
             && let Some(path) = self.core.fleet.detour(&need, &self.path)
@@ -238,7 +241,7 @@
         PathNeed {
             service: &self.admitted.service.name,
             model: self.model,
-            data_centre: self.core.own_data_centre(),
+            data_centre: self.core.own_data_centre_index(),
             tokens: self.tokens,
             without: &self.without,
             now_ms: now_ms(),
@@ -246,9 +249,9 @@
             is_permit_needed,
             crossing_use: self
                 .core
-                .crossing
+                .interconnect
                 .share(&self.core.peers, self.model.pipe_mbps),
-            entries_without_report: self.core.untold_entries(),
+            entries_without_report: self.core.entries_without_report(),
             not_first: &self.not_first,
             only_first: self.trial.as_ref().map(|trial| &trial.engine),
         }
@@ -259,7 +262,7 @@
         let each = self.tokens as f64 * self.model.activation_bytes;
         let bytes = crossings as f64 * each;
         let core = self.core;
-        core.crossing.note(&core.peers, self.model.pipe_mbps, bytes);
+        core.interconnect.note(&core.peers, self.model.pipe_mbps, bytes);
     }
 
     /// Shows how many wait.
