--- a/crates/routing/src/backend_spec.rs
+++ b/crates/routing/src/backend_spec.rs
@@ -1,8 +1,8 @@
-//! What a manifest states of a backend server, and its place.
+//! Backend servers as stated in the manifest.
 
 use serde::Serialize;
 
-/// Place of a backend server in its [`crate::Fleet`].
+/// Index of a backend server in its [`crate::Fleet`].
 #[derive(
     Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -14,25 +14,27 @@
     }
 }
 
-/// What the manifest says of a backend server.
+/// A backend server as stated in the manifest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendSpec {
     /// Unique in the fleet.
     pub name: String,
-    /// Index of its data centre.
+    /// Index of the data centre.
     pub data_centre: u32,
-    /// First layer it holds; 0 for a plain service.
+    /// First layer that the server holds; 0 for a plain service.
     pub first_layer: u32,
-    /// First layer it no longer holds; 0 for a plain service.
+    /// End of the layer range, exclusive; 0 for a plain service.
     pub end_layer: u32,
-    /// Price, in millionths of the deployment's currency an hour.
+    /// Price per hour, in millionths of the deployment's currency.
     pub price_micros_per_hour: u64,
-    /// First guess through all layers; 0 where unknown.
+    /// Configured estimate of the prefill speed through all layers; 0 if
+    /// unknown.
     pub prompt_tokens_per_s: u32,
-    /// First guess through all layers, all sequences together; 0 if unknown.
+    /// Configured estimate of the output speed through all layers, summed
+    /// over all sequences; 0 if unknown.
     pub output_tokens_per_s: u32,
-    /// Requests it runs at the same time.
+    /// Requests that the server runs concurrently.
     pub max_running: u32,
-    /// Tokens its cache holds.
+    /// Capacity of the KV cache in tokens.
     pub cache_tokens: u64,
 }
--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -1,4 +1,4 @@
-//! A server that a search looked at.
+//! A server that a chain search considered.
 
 use serde::Serialize;
 
@@ -7,34 +7,34 @@
     fleet::{BackendIndex, BackendSpec},
 };
 
-/// One server that was looked at.
+/// A server that a chain search considered.
 #[derive(Clone, Debug, Serialize)]
 pub struct Candidate {
-    /// Its place in the fleet.
+    /// Index in the fleet.
     pub index: BackendIndex,
-    /// Its name.
+    /// Name of the server.
     pub backend: String,
-    /// First layer it holds.
+    /// First layer that the server holds.
     pub first_layer: u32,
-    /// First layer it no longer holds.
+    /// End of the layer range, exclusive.
     pub end_layer: u32,
-    /// Why it was left out before its cost was looked at.
+    /// Why the server was excluded, if no cost was computed.
     pub left_out: Option<ExclusionReason>,
-    /// What a stage there would cost.
+    /// Cost of a stage on the server.
     pub cost: Option<CostBreakdown>,
-    /// Part of the chain.
+    /// Whether the server is a stage of the chosen chain.
     pub is_chosen: bool,
 }
 
-/// Why a server was left out.
+/// Why a server was excluded from a search.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExclusionReason {
-    /// The request has to avoid it.
+    /// The request must avoid the server.
     Avoided,
-    /// Absent or leaving.
+    /// The server is absent or leaving.
     NotPresent,
-    /// Its health is in doubt, and others are there.
+    /// The server is suspect and other servers are available.
     Suspect,
 }
 
--- a/crates/routing/src/chain.rs
+++ b/crates/routing/src/chain.rs
@@ -1,18 +1,20 @@
-//! The chain of a request: which backend servers run which layers.
+//! Choice of the chain of a request: which backend servers run which layers.
 //!
-//! A chain tiles `0..L` exactly. At each layer boundary a few candidates are
-//! drawn, the last ones chosen are added (see `memory`), and the cheapest tiling through them is found in one pass from
-//! layer 0 to `L` (see `search`); the cost is that of [`crate::policy`]. The
-//! work depends on the number of boundaries, not of servers.
+//! The layer ranges of a chain cover `0..L` without gaps or overlaps. At each
+//! layer boundary the search samples a few candidates and adds the servers
+//! that were chosen most recently (see `recent_choices`). One pass from layer
+//! 0 to `L` finds the cheapest chain through these candidates (see `search`)
+//! under the cost function of [`crate::policy`]. The time of a choice depends
+//! on the number of boundaries, not on the number of servers.
 //!
-//! | what is missing | what happens |
+//! | condition | fallback |
 //! |---|---|
-//! | no healthy candidate drawn at a boundary | that boundary is scanned |
-//! | none healthy at all | suspect ones are taken (the floor of `health`) |
-//! | no tiling through the candidates | all boundaries are scanned |
-//! | none through healthy ones | suspect ones are taken, as few as can be |
-//! | the cheapest tiling is too late | the fastest is looked for |
-//! | that one is too late as well | [`NoChainReason::TooLate`] |
+//! | no healthy candidate sampled at a boundary | scan of that boundary |
+//! | no healthy server at a boundary | suspect servers of that boundary |
+//! | no chain through the candidates | scan of all boundaries |
+//! | no chain through healthy servers | a chain with few suspect servers |
+//! | the cheapest chain misses the deadline | search for the fastest chain |
+//! | the fastest chain misses the deadline | [`NoChainReason::TooLate`] |
 
 use crate::{
     cost::CostContext,
@@ -24,7 +26,7 @@
     search::{FoundChain, Search, SearchScope},
 };
 
-/// What a chain is chosen for, and from what.
+/// Input of a chain choice.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainRequest<'a> {
     fleet: &'a Fleet,
@@ -37,7 +39,7 @@
 }
 
 impl<'a> ChainRequest<'a> {
-    /// Asked by an entry in data centre 0, with no server to avoid.
+    /// A request at an entry in data centre 0, with no servers to avoid.
     pub fn new(
         fleet: &'a Fleet,
         live: &'a LiveState,
@@ -56,13 +58,13 @@
         }
     }
 
-    /// Servers that the request has to avoid.
+    /// Sets the servers that the request must avoid.
     pub fn avoid(mut self, avoid: &'a [BackendIndex]) -> ChainRequest<'a> {
         self.avoid = avoid;
         self
     }
 
-    /// Data centre of the entry, as an index.
+    /// Sets the data centre of the entry, as an index.
     pub fn entry_data_centre(mut self, index: u32) -> ChainRequest<'a> {
         self.entry_data_centre = index;
         self
@@ -78,26 +80,26 @@
     }
 }
 
-/// A chain for a request.
+/// The chain chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The servers, from layer 0 up.
+    /// Servers in order of their layers.
     pub stages: Vec<BackendIndex>,
     /// Expected time to the first token.
     pub first_token_ms: u64,
-    /// Expected time to the end.
+    /// Expected time until the response is complete.
     pub total_ms: u64,
-    /// Price of the hardware's time, in millionths of the currency.
+    /// Price of the server time, in millionths of the currency.
     pub price_micros: u64,
-    /// What the chain was ranked by.
+    /// Cost by which the search ranked the chain.
     pub cost: f64,
 }
 
-/// Chooses the chain of a request; see the module.
+/// Chooses the chain of a request, as described in the module documentation.
 ///
 /// # Panics
 ///
-/// When `live` is of another fleet and shorter.
+/// Panics if `live` has fewer servers than the fleet.
 pub fn choose(
     request: &ChainRequest<'_>,
     rng: &mut fastrand::Rng,
@@ -105,19 +107,19 @@
     Chooser::new().choose(request, rng)
 }
 
-/// Chooses with buffers that are kept between choices.
+/// Chooses chains and reuses its buffers between choices.
 #[derive(Debug, Default)]
 pub struct Chooser {
     search: Search,
 }
 
 impl Chooser {
-    /// Empty buffers.
+    /// A chooser with empty buffers.
     pub fn new() -> Chooser {
         Chooser::default()
     }
 
-    /// Like [`choose`].
+    /// Chooses the chain of a request, as [`choose`] does.
     pub fn choose(
         &mut self,
         request: &ChainRequest<'_>,
@@ -128,8 +130,8 @@
         Ok(choice)
     }
 
-    /// Like [`Chooser::choose`] over every server: what sampling is measured
-    /// against. Its cost grows with the fleet.
+    /// Chooses from all servers instead of samples, as a reference for the
+    /// quality of sampling. The time grows with the size of the fleet.
     pub fn choose_by_full_scan(
         &mut self,
         request: &ChainRequest<'_>,
@@ -201,7 +203,7 @@
     }
 }
 
-/// The next choice looks at the same servers again.
+/// Makes the servers of a chain candidates of the next choices.
 fn record_choice(fleet: &Fleet, live: &LiveState, stages: &[BackendIndex]) {
     let mut boundary = 0;
     for &index in stages {
--- a/crates/routing/src/circuit_breaker.rs
+++ b/crates/routing/src/circuit_breaker.rs
@@ -1,54 +1,54 @@
-//! Health of one backend server, from what requests and probes see.
+//! Circuit breaker of one backend server, driven by requests and probes.
 //!
-//! | state | new requests | leaves it by |
+//! | state | new requests | ends after |
 //! |---|---|---|
-//! | closed | all | [`FAILURE_LIMIT`] failures in a row |
-//! | open | none | time; the wait doubles with each failed trial |
-//! | half open | one at a time | [`SUCCESS_LIMIT`] successes, or a failure |
+//! | closed | all | [`FAILURE_LIMIT`] consecutive failures |
+//! | open | none | a backoff, which doubles with each failed trial |
+//! | half open | one at a time | [`SUCCESS_LIMIT`] successes, or one failure |
 //!
-//! This is a protection of requests, not a fact about the server: a chooser
-//! that finds every server of a layer boundary suspect takes them all again
-//! (the floor), rather than none. The related paper reports the same floor
+//! The breaker protects requests and does not prove that a server is down. If
+//! every server of a layer boundary is suspect, the search considers all of
+//! them again instead of none. The related paper reports the same fallback
 //! ("If every ready replica is excluded, the Gateway can fall back").
 //!
-//! The fields are separate atomics. Two threads that end a request at the
-//! same moment may count one failure too few or admit a second trial; both
-//! are harmless, and the request path takes no lock.
+//! The fields are separate atomics, so that the request path takes no lock.
+//! Two threads that end a request at the same time may miss one failure or
+//! admit a second trial; both are harmless.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
 
-/// Failures in a row that open a closed circuit.
+/// Consecutive failures that open a closed circuit.
 pub const FAILURE_LIMIT: u32 = 3;
-/// Successes in a row that close a half-open circuit.
+/// Consecutive successes that close a half-open circuit.
 pub const SUCCESS_LIMIT: u32 = 2;
-/// First wait of an open circuit.
+/// Backoff when a closed circuit opens.
 pub const INITIAL_BACKOFF_MS: u64 = 500;
-/// Longest wait of an open circuit.
+/// Maximum backoff of an open circuit.
 pub const MAX_BACKOFF_MS: u64 = 30_000;
-/// After this a trial that never ended no longer bars the next one.
+/// Time after which a trial without a result no longer blocks the next trial.
 pub const TRIAL_TIMEOUT_MS: u64 = 10_000;
 
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// Never a time: `open_until_ms` of a closed circuit.
+/// Value of `open_until_ms` of a closed circuit.
 const CLOSED: u64 = 0;
 const NO_TRIAL: u64 = 0;
 
 /// State of a circuit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CircuitState {
-    /// Takes requests.
+    /// Requests are allowed.
     Closed,
-    /// Takes none for now.
+    /// Requests are blocked until the backoff ends.
     Open {
-        /// When it turns half open.
+        /// When the circuit becomes half open.
         until_ms: u64,
     },
-    /// Takes one request at a time, as a trial.
+    /// One request at a time is allowed, as a trial.
     HalfOpen,
 }
 
 impl CircuitState {
-    /// Its name, as operators see it.
+    /// Name of the state in status documents.
     pub fn name(self) -> &'static str {
         match self {
             CircuitState::Closed => "closed",
@@ -58,7 +58,7 @@
     }
 }
 
-/// Circuit of one backend server, shared by all threads.
+/// Circuit breaker of one backend server, shared by all threads.
 #[derive(Debug, Default)]
 pub struct CircuitBreaker {
     failures: AtomicU32,
@@ -74,7 +74,7 @@
         CircuitBreaker::default()
     }
 
-    /// Its state now.
+    /// The state at the given time.
     pub fn state(&self, now_ms: u64) -> CircuitState {
         match self.open_until_ms.load(Relaxed) {
             CLOSED => CircuitState::Closed,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether a request may be sent now.
+    /// Whether a request may be sent at the given time.
     pub fn allows_requests(&self, now_ms: u64) -> bool {
         match self.state(now_ms) {
             CircuitState::Closed => true,
@@ -92,19 +92,20 @@
         }
     }
 
-    /// Notes that a request is sent; in a half-open state it is the trial.
+    /// Records that a request is sent. In the half-open state the request is
+    /// the trial.
     pub fn record_sent(&self, now_ms: u64) {
         if self.open_until_ms.load(Relaxed) != CLOSED {
             self.trial_since_ms.store(now_ms.max(1), Relaxed);
         }
     }
 
-    /// Notes that a request or probe succeeded.
+    /// Records that a request or probe succeeded.
     pub fn record_success(&self, now_ms: u64) {
         self.trial_since_ms.store(NO_TRIAL, Relaxed);
         match self.state(now_ms) {
             CircuitState::Closed => self.failures.store(0, Relaxed),
-            // The request was sent before the failures that opened it.
+            // The request was sent before the circuit opened.
             CircuitState::Open { .. } => {}
             CircuitState::HalfOpen => {
                 let successes = self.successes.fetch_add(1, Relaxed) + 1;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Notes that a request or probe failed.
+    /// Records that a request or probe failed.
     pub fn record_failure(&self, now_ms: u64) {
         self.trial_since_ms.store(NO_TRIAL, Relaxed);
         match self.state(now_ms) {
@@ -125,7 +126,8 @@
                     self.open(now_ms);
                 }
             }
-            // Sent before it opened: tells nothing new.
+            // The request was sent before the circuit opened, so the failure
+            // is no new evidence.
             CircuitState::Open { .. } => {}
             CircuitState::HalfOpen => {
                 self.backoff_doublings.fetch_add(1, Relaxed);
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Notes an end that tells nothing of the server.
+    /// Records a request whose result says nothing about the server.
     pub fn record_neutral(&self) {
         self.trial_since_ms.store(NO_TRIAL, Relaxed);
     }
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -1,16 +1,17 @@
-//! What a stage on one backend server costs a request.
+//! Cost of a stage of a request on one backend server.
 //!
-//! * A step over the batch takes half as long on an empty server as on a
-//!   full one, and grows evenly between: engines that batch are bound by
-//!   reading the weights first and by arithmetic later.
-//! * The price of a token is the server's time for the step over all that
-//!   share it: a server in use gives it for less than an empty one.
-//! * Load counts little until a server is nearly full and then fast, see
-//!   [`load_cost_ms`]: what is full refuses, and what has room is not slower.
-//! * A prompt is slowed by the share of the server that is in use.
-//! * A cached prefix leaves [`UNCACHED_SHARE`] of the prompt to compute.
-//! * A plain service has no tokens: its stage takes the smoothed time of its
-//!   answers, once there were any.
+//! * A decode step takes half as long on an empty server as on a full one and
+//!   grows linearly in between: small batches are bound by memory bandwidth
+//!   (loading the weights), large batches by arithmetic.
+//! * The requests of a batch share the price of a step, so a token is cheaper
+//!   on a busy server than on an empty one.
+//! * Load costs little until a server is nearly full and rises steeply from
+//!   there (see [`load_cost_ms`]): a full server refuses requests, while a
+//!   server with free slots does not delay them.
+//! * Prefill slows down in proportion to the used slots of the server.
+//! * With a cached prefix, [`UNCACHED_SHARE`] of the prompt is computed.
+//! * A plain service has no tokens. Its stage takes the smoothed response time
+//!   as soon as one has been observed.
 
 use serde::Serialize;
 
@@ -24,14 +25,14 @@
 
 const MS_PER_S: f64 = 1_000.0;
 const PERMILLE: f64 = 1_000.0;
-/// Time of a step on an empty server, as a share of one on a full server.
+/// Step time of an empty server, relative to a full server.
 const EMPTY_STEP_SHARE: f64 = 0.5;
-/// Weight of the part of the load's cost that grows fast.
+/// Weight of the steep term of the load cost.
 const SATURATION_WEIGHT: f64 = 30.0;
-/// Part of a prompt that is computed although its prefix is cached.
+/// Share of a prompt that is computed although the prefix is cached.
 const UNCACHED_SHARE: f64 = 0.25;
 
-/// What stays the same for all candidates of one choice.
+/// Inputs of the cost function that are the same for all candidates.
 pub(crate) struct CostContext<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) live: &'a LiveState,
@@ -43,24 +44,25 @@
     ms_per_price_micro: f64,
 }
 
-/// Parts of a stage's cost.
+/// Components of the cost of a stage.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct CostBreakdown {
-    /// Wait until it begins; a chain counts its longest only.
+    /// Queue wait. A chain counts only the longest wait of its stages.
     pub wait_ms: f64,
-    /// The prompt.
+    /// Time to prefill the prompt.
     pub prompt_ms: f64,
-    /// One output token.
+    /// Time for one output token.
     pub step_ms: f64,
-    /// Price of its time, in millionths of the currency.
+    /// Price of the server time, in millionths of the currency.
     pub price_micros: f64,
-    /// Load as share of its places, with the ramp and unseen requests.
+    /// Load as a share of the slots, including the ramp of a new server and
+    /// the estimated requests of other entries.
     pub utilisation: f64,
-    /// The price as it counts.
+    /// Weighted price.
     pub weighted_price: f64,
-    /// The load as it counts.
+    /// Weighted load.
     pub weighted_load: f64,
-    /// All but the wait as it counts, moved within the near-equal band.
+    /// Weighted cost without the wait, with jitter within the near-equal band.
     pub weighted: f64,
 }
 
@@ -69,11 +71,11 @@
 pub(crate) struct StageCost {
     pub(crate) wait_ms: f64,
     pub(crate) prompt_ms: f64,
-    /// For each output token.
+    /// Time for one output token.
     pub(crate) step_ms: f64,
     pub(crate) price_micros: f64,
     pub(crate) utilisation: f64,
-    /// Everything but the wait, weighted.
+    /// Weighted cost without the wait.
     pub(crate) weighted: f64,
     weighted_price: f64,
     weighted_load: f64,
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Cost of a stage on a server. `jitter` in 0..1 moves it within the
-    /// band of near-equal costs.
+    /// Returns the cost of a stage on a server. `jitter` in `0..1` raises the
+    /// cost within the band of near-equal costs.
     pub(crate) fn stage(&self, index: BackendIndex, jitter: f64) -> StageCost {
         let inputs = self.fleet.cost_inputs(index);
         let snapshot = self.live.server(index).snapshot();
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Part of the synthetic load that a joining server still carries.
+    /// Share of the ramp load that still applies to a joining server.
     fn remaining_ramp(&self, index: BackendIndex) -> f64 {
         let Presence::Joining { since_ms } = self.live.presence(index) else {
             return 0.0;
@@ -242,43 +244,44 @@
     }
 }
 
-/// What the load of a server costs a request that takes `unloaded_ms` on an empty
-/// one. Up to three quarters in use it is about as much as the share in use;
-/// a full server costs [`SATURATION_WEIGHT`] times more than one that has room.
+/// Cost of a server's load for a request that takes `unloaded_ms` on an empty
+/// server. The cost is roughly proportional to the utilisation up to one half;
+/// above 0.6 the steep term dominates.
 fn load_cost_ms(unloaded_ms: f64, utilisation: f64) -> f64 {
     let square = utilisation * utilisation;
     let eighth_power = square * square * square * square;
     unloaded_ms * (utilisation + SATURATION_WEIGHT * eighth_power)
 }
 
-/// Time of a step as a share of one over a full batch of `places`.
+/// Step time relative to a full batch of `slots` requests.
 pub(crate) fn step_share(slots: f64, in_use: f64) -> f64 {
     let linear = EMPTY_STEP_SHARE + (1.0 - EMPTY_STEP_SHARE) * in_use;
     linear.max(1.0 / slots)
 }
 
-/// How loaded a server is.
+/// Load of a server.
 struct Load {
-    /// Share of its places that are taken, at most 1; for times. The ramp is
-    /// part of it: an empty newcomer is as fast as it looks only until all
-    /// entries have seen it.
+    /// Share of the slots in use, at most 1, from which times are computed.
+    /// Includes the ramp load: a new server is only as fast as an empty one
+    /// until all entries send requests there.
     in_use: f64,
-    /// The same with what other entries may have sent, for ranking.
+    /// Share of the slots in use, with the estimated requests of other
+    /// entries, from which the load cost is computed.
     utilisation: f64,
     wait_ms: f64,
 }
 
-/// What a stage takes.
+/// Times of a stage.
 struct StageTimes {
     prompt_ms: f64,
     step_ms: f64,
     /// Time on an empty server.
     unloaded_ms: f64,
-    /// Time of the whole server that the request uses up.
+    /// Time of the whole server that the request is charged for.
     server_ms: f64,
 }
 
-/// Prompt speed: as reported, else the first guess.
+/// Prefill speed: the reported one, or else the configured estimate.
 pub(crate) fn prompt_tokens_per_ms(
     inputs: &CostInputs,
     snapshot: &ServerSnapshot,
@@ -290,7 +293,7 @@
     }
 }
 
-/// Output speed: as reported, else the first guess.
+/// Output speed: the reported one, or else the configured estimate.
 pub(crate) fn output_tokens_per_ms(
     inputs: &CostInputs,
     snapshot: &ServerSnapshot,
--- a/crates/routing/src/explain.rs
+++ b/crates/routing/src/explain.rs
@@ -1,9 +1,8 @@
-//! Why a chain was chosen.
+//! Explanation of a chain choice.
 //!
-//! The same search as [`crate::choose`], with a record of what it looked at.
-//! With the same `rng` state it comes to the chain that a choice at this
-//! moment would come to. A choice is remembered (see `memory`), explaining is
-//! not.
+//! [`explain()`] runs the same search as [`crate::choose`] and records the
+//! candidates. With the same `rng` state both find the same chain. Unlike a
+//! choice, an explanation is not stored in `recent_choices`.
 
 use serde::Serialize;
 
@@ -14,31 +13,32 @@
     no_chain::{NoChain, NoChainReason},
 };
 
-/// What a choice looked at and came to.
+/// Candidates and result of a chain choice.
 #[derive(Clone, Debug, Serialize)]
 pub struct Explanation {
-    /// Names of the chain's servers, from layer 0 up; empty without a chain.
+    /// Names of the chain's servers in order of their layers; empty if no
+    /// chain was found.
     pub stages: Vec<String>,
     /// Expected time to the first token.
     pub first_token_ms: u64,
-    /// Expected time to the end.
+    /// Expected time until the response is complete.
     pub total_ms: u64,
-    /// Price of the hardware's time, in millionths of the currency.
+    /// Price of the server time, in millionths of the currency.
     pub price_micros: u64,
-    /// What the chain was ranked by; 0 without a chain.
+    /// Cost by which the search ranked the chain; 0 if no chain was found.
     pub cost: f64,
-    /// Why there is no chain.
+    /// Why no chain was found.
     pub no_chain: Option<String>,
-    /// When to come back without a chain.
+    /// When the caller may retry, if no chain was found.
     pub retry_after_ms: Option<u64>,
-    /// What is needed by the fastest chain, where that is too late.
+    /// Time that the fastest chain needs, if that misses the deadline.
     pub needed_ms: Option<u64>,
-    /// Every server that was looked at, in order; one may stand twice when
-    /// the search had to look again.
+    /// Every server that the search considered, in order. A server is listed
+    /// again when the search repeats with a larger scope.
     pub candidates: Vec<Candidate>,
 }
 
-/// Like [`crate::choose`], with what it looked at.
+/// Chooses a chain as [`crate::choose`] does and returns the candidates.
 pub fn explain(
     request: &ChainRequest<'_>,
     rng: &mut fastrand::Rng,
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,14 +1,14 @@
-//! One service's backend servers, as a manifest states them.
+//! The backend servers of a service, as stated in the manifest.
 //!
-//! A fleet is immutable and rebuilt for each manifest generation. It is
-//! indexed by the layer at which a range begins, so that a choice looks only
-//! at servers that can come next. A server whose range lies on no tiling of
-//! `0..layer_count` is kept out of that index.
+//! A fleet is immutable and rebuilt for each manifest generation. An index by
+//! first layer restricts a chain search to the servers that can come next. A
+//! server whose layers fit into no chain through `0..layer_count` is left out
+//! of the index.
 //!
-//! Speeds of a [`BackendSpec`] are those of the accelerator through *all*
-//! layers. A server that holds `k` of `L` layers runs its own part `L / k`
-//! times as fast. Reported speeds (see [`crate::live_state`]) are measured through
-//! the server's own range and are taken as they are.
+//! The speeds of a [`BackendSpec`] are those of the accelerator through *all*
+//! layers. A server that holds `k` of `L` layers runs these `L / k` times as
+//! fast. Reported speeds (see [`crate::live_state`]) are measured through the
+//! server's own layers and used unchanged.
 
 use std::{collections::BTreeMap, ops::Range};
 
@@ -22,7 +22,7 @@
 const MS_PER_S: f64 = 1_000.0;
 const MS_PER_HOUR: f64 = 3_600_000.0;
 
-/// One service's backend servers.
+/// The backend servers of a service.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     layer_count: u32,
@@ -36,30 +36,31 @@
     mean_max_running: f64,
 }
 
-/// A layer at which ranges begin.
+/// A layer at which the layer range of some server begins.
 #[derive(Clone, Debug)]
 pub(crate) struct Boundary {
     pub(crate) first_layer: u32,
     members: Range<usize>,
 }
 
-/// What a cost needs of a spec, in its own units.
+/// Values of a spec in the units of the cost function.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CostInputs {
     pub(crate) data_centre: u32,
-    /// The boundary that follows; the count of boundaries at the end.
+    /// Index of the boundary at the end layer; the number of boundaries if the
+    /// server holds the last layer.
     pub(crate) next_boundary: u32,
-    /// Through its own layers.
+    /// Speed through the server's own layers.
     pub(crate) prompt_tokens_per_ms: f64,
-    /// Through its own layers, all sequences together.
+    /// Speed through the server's own layers, summed over all sequences.
     pub(crate) output_tokens_per_ms: f64,
     pub(crate) price_micros_per_ms: f64,
     pub(crate) max_running: f64,
 }
 
 impl Fleet {
-    /// Checks and indexes the specs. `layer_count` 0 is a plain service,
-    /// whose chains are of one server.
+    /// Validates and indexes the specs. A `layer_count` of 0 is a plain
+    /// service, whose chains have one stage.
     pub fn try_new(
         layer_count: u32,
         backends: Vec<BackendSpec>,
@@ -72,51 +73,52 @@
         Ok(build(layer_count, backends, network))
     }
 
-    /// The same servers over other paths, for links that were measured anew.
+    /// Returns the same servers with another network, for example after the
+    /// links were measured again.
     pub fn with_network(&self, network: Network) -> Result<Fleet, FleetError> {
         Fleet::try_new(self.layer_count, self.specs.clone(), network)
     }
 
-    /// How many backend servers there are.
+    /// Number of backend servers.
     pub fn len(&self) -> usize {
         self.specs.len()
     }
 
-    /// Whether there is no backend server.
+    /// Whether the fleet has no backend servers.
     pub fn is_empty(&self) -> bool {
         self.specs.is_empty()
     }
 
-    /// Layers of the model; 0 for a plain service.
+    /// Number of layers of the model; 0 for a plain service.
     pub fn layer_count(&self) -> u32 {
         self.layer_count
     }
 
-    /// Whether chains are of one server.
+    /// Whether this is a plain service, whose chains have one stage.
     pub fn is_plain(&self) -> bool {
         self.layer_count == 0
     }
 
-    /// Every index, in order.
+    /// The indices of all servers, in order.
     pub fn indices(&self) -> impl Iterator<Item = BackendIndex> + use<> {
         (0..self.specs.len() as u32).map(BackendIndex)
     }
 
-    /// What the manifest says of one server.
+    /// The spec of a server.
     ///
     /// # Panics
     ///
-    /// When the index is of another fleet and not below [`Fleet::len`].
+    /// Panics if the index is not below [`Fleet::len`].
     pub fn spec(&self, index: BackendIndex) -> &BackendSpec {
         &self.specs[index.as_usize()]
     }
 
-    /// The server of that name.
+    /// The index of the server with this name.
     pub fn find(&self, name: &str) -> Option<BackendIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Whether the server lies on some tiling of all layers.
+    /// Whether the server can be a stage of a chain through all layers.
     pub fn is_in_some_chain(&self, index: BackendIndex) -> bool {
         self.members.contains(&index)
     }
@@ -185,8 +187,8 @@
     }
 }
 
-/// Servers that lie on a tiling: their first layer can be reached from 0,
-/// and the end from their end layer.
+/// Servers that can be a stage of a chain: other servers connect layer 0 with
+/// their first layer, and their end layer with the last layer.
 fn in_some_chain(
     layer_count: u32,
     specs: &[BackendSpec],
@@ -237,7 +239,7 @@
     boundaries
 }
 
-/// Means that stand in for speeds the manifest leaves open.
+/// Mean speeds of the fleet, for servers without a configured speed.
 struct DefaultSpeeds {
     prompt_tokens_per_s: f64,
     output_tokens_per_s: f64,
--- a/crates/routing/src/fleet_error.rs
+++ b/crates/routing/src/fleet_error.rs
@@ -1,4 +1,4 @@
-//! What may be wrong with a fleet: all findings are told together.
+//! Validation of a fleet. One error lists all findings.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -6,50 +6,50 @@
 
 const MAX_LAYER_COUNT: u32 = 4_096;
 
-/// Everything that is wrong with the specs of a fleet.
+/// The specs of a fleet are invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FleetError {
-    /// At least one.
+    /// All findings; at least one.
     pub findings: Vec<FleetFinding>,
 }
 
-/// One thing that is wrong with a fleet.
+/// One reason why a fleet is invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum FleetFinding {
-    /// More layers than a fleet takes.
+    /// The layer count exceeds the maximum.
     LayerCount {
-        /// What was given.
+        /// Layer count of the fleet.
         layer_count: u32,
     },
-    /// Two servers share a name.
+    /// Two servers have the same name.
     DuplicateName {
-        /// The name.
+        /// The shared name.
         backend: String,
     },
-    /// Not a range of the model's layers.
+    /// The layers of a server are not a range of the model's layers.
     LayerRange {
-        /// The server.
+        /// Name of the server.
         backend: String,
-        /// What was given.
+        /// First layer of the server.
         first_layer: u32,
-        /// What was given.
+        /// End of the server's layer range, exclusive.
         end_layer: u32,
-        /// Layers of the model.
+        /// Number of layers of the model.
         layer_count: u32,
     },
-    /// A data centre that the network lacks.
+    /// The data centre of a server is not in the network.
     DataCentre {
-        /// The server.
+        /// Name of the server.
         backend: String,
-        /// What was given.
+        /// Data centre of the server, as an index.
         data_centre: u32,
-        /// Data centres of the network.
+        /// Number of data centres of the network.
         data_centre_count: u32,
     },
-    /// A server that may run nothing.
+    /// The server may run no requests.
     MaxRunning {
-        /// The server.
+        /// Name of the server.
         backend: String,
     },
 }
@@ -63,7 +63,7 @@
                  layers"
             ),
             FleetFinding::DuplicateName { backend } => {
-                write!(f, "backend server {backend} is named twice")
+                write!(f, "backend server {backend} is defined twice")
             }
             FleetFinding::LayerRange {
                 backend,
@@ -73,7 +73,7 @@
             } => write!(
                 f,
                 "backend server {backend}: layers {first_layer}..{end_layer} \
-                 are no part of 0..{layer_count}"
+                 are not a range within 0..{layer_count}"
             ),
             FleetFinding::DataCentre {
                 backend,
@@ -86,7 +86,7 @@
             ),
             FleetFinding::MaxRunning { backend } => write!(
                 f,
-                "backend server {backend}: max_running 0 is below 1 request"
+                "backend server {backend}: max_running is 0 but must be at least 1"
             ),
         }
     }
--- a/crates/routing/src/interconnect.rs
+++ b/crates/routing/src/interconnect.rs
@@ -1,34 +1,34 @@
-//! What an entry may send between data centres.
+//! Quota of an entry for the interconnect between data centres.
 //!
-//! Entries tell each other what they send there, but only some time later:
-//! where a data centre lacks layers, all its entries begin to cross at once,
-//! and each sees a join that is hardly used. So each entry also has a part of
-//! the join of its own, which it can't go beyond: an even one among those
-//! that cross, as far as they have told, and never more than a few times an
-//! even one among all.
+//! Entries report to each other how much they send, with some delay. When a
+//! data centre loses layers, all its entries start to use the interconnect at
+//! once and each of them sees it as nearly idle. A token bucket therefore
+//! limits each entry to its own quota: an equal share among the entries that
+//! reported cross-data-centre traffic, and at most a few equal shares among
+//! all entries.
 
-/// Share of the join that requests may use: above it whatever crosses waits,
-/// and holds memory in all data centres meanwhile.
+/// Share of the bandwidth that requests may use. Above this, requests queue at
+/// the interconnect and hold memory in all data centres meanwhile.
 pub const MAX_UTILISATION: f64 = 0.6;
-/// Most of an entry's part, as a multiple of an even one among all entries:
-/// what it sends before it hears that others cross as well.
+/// Limit on the quota of an entry before other entries report traffic, in
+/// equal shares among all entries.
 const MAX_EVEN_SHARES: f64 = 3.0;
-/// Time for which an unused part adds up, in milliseconds.
+/// Time for which unused quota accumulates.
 const BURST_MS: f64 = 500.0;
 
-/// What joins data centres, and between how many it is shared.
+/// Bandwidth of the interconnect and the entries that share it.
 #[derive(Clone, Copy, Debug)]
 pub struct InterconnectLimits {
-    /// Rate of the join, in bytes a second.
+    /// Bandwidth in bytes per second.
     pub bytes_per_s: f64,
-    /// Entries that may use it.
+    /// Entries that may use the interconnect.
     pub entries: usize,
-    /// Those that have told of late that they do, with this one.
+    /// Entries that recently reported traffic, including this one.
     pub active_entries: usize,
 }
 
 impl InterconnectLimits {
-    /// An entry's part, in bytes a millisecond.
+    /// Quota of one entry, in bytes per millisecond.
     fn rate_per_ms(&self) -> f64 {
         let min_sharers = self.entries as f64 / MAX_EVEN_SHARES;
         let sharers = min_sharers.max(self.active_entries as f64).max(1.0);
@@ -36,21 +36,21 @@
     }
 }
 
-/// What one entry has left of its part.
+/// Token bucket with the remaining quota of one entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InterconnectQuota {
-    /// Bytes; below zero after a request that was larger than what was left.
+    /// Negative after a request that was larger than the remaining quota.
     remaining_bytes: f64,
     updated_ms: Option<u64>,
 }
 
 impl InterconnectQuota {
-    /// A part of which nothing was used.
+    /// An unused quota.
     pub fn new() -> InterconnectQuota {
         InterconnectQuota::default()
     }
 
-    /// Whether a further request may cross.
+    /// Whether another request may use the interconnect.
     pub fn has_remaining(
         &mut self,
         limits: &InterconnectLimits,
@@ -60,7 +60,7 @@
         self.remaining_bytes > 0.0
     }
 
-    /// Counts what a request sends.
+    /// Subtracts the bytes that a request sends.
     pub fn consume(
         &mut self,
         limits: &InterconnectLimits,
--- a/crates/routing/src/layer_path.rs
+++ b/crates/routing/src/layer_path.rs
@@ -1,101 +1,110 @@
-//! Which engines run which layers of a request.
+//! Search for the path of a request: which engines run which layers.
 //!
-//! A path tiles a range of layers; an engine may run any part of what it
-//! holds. The cheapest path is found over layer boundaries: the time of the
-//! layers on each engine, a price that grows as the memory for requests
-//! fills, a price for each change of engine, and a high one for each change
-//! of data centre, since all requests share what joins those. A little
-//! randomness keeps entries that know the same from choosing the same.
+//! The stages of a path cover a range of layers without gaps or overlaps. An
+//! engine may run any part of the layers that it holds. The search finds the
+//! cheapest path over the layer boundaries. The cost is the time of the layers
+//! on each engine, plus a cost that grows as the memory for requests fills up,
+//! a cost for each change of engine, and a high cost for each change of data
+//! centre, since all requests share the interconnect. A small jitter keeps
+//! entries with the same view from choosing the same path.
 //!
-//! Engines refuse a path of too many parts, which a search by price alone
-//! finds where many engines hold a few layers each. Such a path is sought
-//! again with changes of engine ever dearer, until it is short enough or the
-//! shortest is too long.
+//! Engines refuse a path with too many stages. A search by cost alone finds
+//! such paths if many engines hold a few layers each. The search then repeats
+//! with a higher cost of an engine change, until the path is short enough or
+//! the shortest path is still too long.
 
 use std::collections::BTreeSet;
 
 use crate::interconnect::MAX_UTILISATION;
 
-/// Price of a change of engine, in milliseconds of a token's time: a wait for
-/// the pass that runs there, and the way.
+/// Cost of a change of engine, in milliseconds per token: the wait for the
+/// running pass of the next engine, and the transfer.
 const ENGINE_CHANGE_MS: f64 = 0.8;
-/// Least price of a change of data centre, in the same unit: above that of
-/// engines that are half full.
+/// Minimum cost of a change of data centre, in milliseconds per token; higher
+/// than the cost of engines that are half full.
 const MIN_INTERCONNECT_MS: f64 = 15.0;
-/// Price of one for each millisecond for which the request takes up what
-/// joins data centres. Use is known some time late, so the price must keep
-/// requests off a narrow join before its use shows.
+/// Cost of a change of data centre per millisecond for which the request's
+/// prefill occupies the interconnect. The utilisation is known with a delay,
+/// so this cost keeps requests off a narrow interconnect before the
+/// utilisation rises.
 const INTERCONNECT_PREFILL_FACTOR: f64 = 2.5;
-/// Price of one where what joins them is nearly full: only where no other
-/// path exists.
+/// Cost of a change of data centre over a nearly full interconnect, so high
+/// that a path uses the interconnect only if no other path exists.
 const FULL_INTERCONNECT_MS: f64 = 1_000.0;
-/// Use of what joins data centres from which on the price rises, and at
-/// which it counts as full. Then no path crosses, even where no other is:
-/// everything that waits there would hold memory in all data centres until
-/// none is left for requests that need not cross.
+/// Utilisation of the interconnect above which the cost rises, and at which
+/// the interconnect counts as full. No path uses a full interconnect, even if
+/// no other path exists: requests that wait there hold memory in all data
+/// centres until none is left for requests within one data centre.
 const INTERCONNECT_UTILISATION: (f64, f64) = (0.2, MAX_UTILISATION);
-/// Price of starting in another data centre, where only the events of one
-/// stream cross, in the same unit.
+/// Cost of a first stage in another data centre, in milliseconds per token.
+/// Only the events of the stream use the interconnect then.
 const REMOTE_START_MS: f64 = 1.0;
-/// Share of the memory for requests above which each further part is dear.
-const MEMORY_FROM: f64 = 0.6;
-/// Price of an engine whose memory is full, in the same unit.
-const MEMORY_MS: f64 = 10.0;
-/// Share of an engine's time from which on further reading is dear.
-const PREFILL_FROM: f64 = 0.35;
-/// Price of an engine that reads all the time, in the same unit.
-const PREFILL_MS: f64 = 40.0;
-/// Where that price ends, as a multiple of the way from dear to all.
+/// Share of the memory for requests above which the memory cost applies.
+const MEMORY_COST_FROM: f64 = 0.6;
+/// Cost of an engine whose memory is full, in milliseconds per token.
+const FULL_MEMORY_MS: f64 = 10.0;
+/// Share of an engine's time spent on prefill above which the prefill cost
+/// applies.
+const PREFILL_COST_FROM: f64 = 0.35;
+/// Cost of an engine that spends all its time on prefill, in milliseconds per
+/// token.
+const FULL_PREFILL_MS: f64 = 40.0;
+/// Maximum of the prefill share above [`PREFILL_COST_FROM`], relative to the range
+/// from there to 1.
 const MAX_PREFILL_EXCESS: f64 = 3.0;
-/// Factor by which changes of engine grow dearer where a path has too many
-/// parts, and most searches: at the last one the price of a change, 3.3 s, is
-/// above that of all else, so that it finds the path of fewest parts.
+/// Factor by which the cost of an engine change grows if a path has too many
+/// stages.
 const ENGINE_CHANGE_GROWTH: f64 = 8.0;
+/// Maximum number of searches. In the last one an engine change costs 3.3 s,
+/// which exceeds all other costs, so that the search finds the path with the
+/// fewest stages.
 const MAX_SEARCHES: usize = 5;
-/// Share by which times are varied.
+/// Relative jitter of the times.
 const JITTER: f64 = 0.15;
 
-/// An engine that holds layers.
+/// An engine that holds a range of layers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LayerHolder {
     /// Data centre, as an index.
     pub data_centre: usize,
-    /// First layer that it holds.
+    /// First layer that the engine holds.
     pub first_layer: u32,
-    /// First layer that it does not hold.
+    /// End of the layer range, exclusive.
     pub end_layer: u32,
     /// Time of a token through one layer, in milliseconds.
     pub layer_ms: f64,
-    /// Share of its time that reading prompts takes.
+    /// Share of the engine's time spent on prefill; above 1 on a slow engine.
     pub prefill_share: f64,
-    /// RecentChoices for requests that is used, in tokens times layers.
+    /// Memory for requests in use, in tokens times layers.
     pub used_token_layers: u64,
-    /// RecentChoices for requests, in tokens times layers.
+    /// Memory for requests, in tokens times layers.
     pub total_token_layers: u64,
-    /// Whether it may take a part now.
+    /// Whether the engine may run a stage.
     pub is_usable: bool,
-    /// Whether it may be the first of a path.
+    /// Whether the engine may run the first stage of a path.
     pub can_be_first: bool,
 }
 
-/// What a path is sought for.
+/// Input of a path search.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PathRequest {
     /// First layer to run.
     pub first_layer: u32,
-    /// First layer not to run.
+    /// End of the layer range to run, exclusive.
     pub end_layer: u32,
     /// Tokens that the request will hold in memory.
     pub tokens: u64,
-    /// Data centre before the path, as an index.
+    /// Data centre from which the request enters the path, as an index.
     pub data_centre: usize,
-    /// Whether the path begins the request, and not in its middle.
+    /// Whether the path starts with the first stage of the request, rather
+    /// than replacing later stages.
     pub is_start: bool,
-    /// Use of what joins data centres; 1 is full.
+    /// Utilisation of the interconnect; 1 is the full bandwidth.
     pub interconnect_utilisation: f64,
-    /// Time for which reading the request takes it up, in milliseconds.
+    /// Time for which the request's prefill occupies the interconnect, in
+    /// milliseconds.
     pub interconnect_prefill_ms: f64,
-    /// Most parts that the path may have.
+    /// Maximum number of stages of the path.
     pub max_stages: usize,
 }
 
@@ -113,14 +122,14 @@
     }
 }
 
-/// Layers that one engine runs.
+/// A stage of a path: the layers that one engine runs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PathStage {
-    /// The engine, as an index.
+    /// Index of the engine among the holders.
     pub holder: usize,
-    /// First layer that it runs.
+    /// First layer of the stage.
     pub first_layer: u32,
-    /// First layer that it does not run.
+    /// End of the layer range of the stage, exclusive.
     pub end_layer: u32,
 }
 
@@ -128,12 +137,12 @@
 struct PathState {
     cost_ms: f64,
     stage: PathStage,
-    /// Data centre before it.
+    /// Data centre of the stage before, or where the request enters.
     previous_data_centre: usize,
 }
 
-/// The cheapest path; none where layers or room are lacking, or where it
-/// would have too many parts.
+/// Finds the cheapest path. Returns `None` if no engine with enough free
+/// memory holds some layer, or if every path found has too many stages.
 pub fn find_path(
     holders: &[LayerHolder],
     request: &PathRequest,
@@ -157,7 +166,7 @@
     boundaries: BTreeSet<u32>,
     data_centre_count: usize,
     interconnect_ms: f64,
-    /// Price of a change of engine.
+    /// Cost of a change of engine.
     engine_change_ms: f64,
 }
 
@@ -187,7 +196,7 @@
     fn run(&self) -> Option<Vec<PathStage>> {
         let (first, end) = (self.request.first_layer, self.request.end_layer);
         let width = (end - first) as usize + 1;
-        // The best way to each layer and data centre.
+        // The cheapest path to each layer and data centre.
         let mut best: Vec<Vec<Option<PathState>>> =
             vec![vec![None; self.data_centre_count]; width];
         for at in first..end {
@@ -264,7 +273,8 @@
         }
     }
 
-    /// Price of layers on an engine; none where it lacks the room.
+    /// Cost of a range of layers on an engine, or `None` if the engine lacks
+    /// the memory.
     fn stage_ms(&self, index: usize, first: u32, end: u32) -> Option<f64> {
         let holder = &self.holders[index];
         let layers = u64::from(end - first);
@@ -273,14 +283,20 @@
             return None;
         }
         let fill = used as f64 / holder.total_token_layers as f64;
-        let memory = ((fill - MEMORY_FROM) / (1.0 - MEMORY_FROM)).max(0.0);
+        let memory =
+            ((fill - MEMORY_COST_FROM) / (1.0 - MEMORY_COST_FROM)).max(0.0);
         let time_ms =
             layers as f64 * holder.layer_ms * self.jitter_factors[index];
-        let prefill = ((holder.prefill_share - PREFILL_FROM)
-            / (1.0 - PREFILL_FROM))
+        let prefill = ((holder.prefill_share - PREFILL_COST_FROM)
+            / (1.0 - PREFILL_COST_FROM))
             .max(0.0);
-        let prefill_ms = PREFILL_MS * prefill.min(MAX_PREFILL_EXCESS).powi(2);
-        Some(time_ms * (1.0 + fill) + MEMORY_MS * memory * memory + prefill_ms)
+        let prefill_ms =
+            FULL_PREFILL_MS * prefill.min(MAX_PREFILL_EXCESS).powi(2);
+        Some(
+            time_ms * (1.0 + fill)
+                + FULL_MEMORY_MS * memory * memory
+                + prefill_ms,
+        )
     }
 
     fn reconstruct(
@@ -302,8 +318,8 @@
     }
 }
 
-/// A path may not come back to an engine: what lies between goes to it, since
-/// it holds that as well.
+/// Merges stages if a path returns to an engine, because an engine may occur
+/// only once. The engine holds the layers in between as well.
 fn merge_revisits(stages: Vec<PathStage>) -> Vec<PathStage> {
     let mut merged: Vec<PathStage> = Vec::with_capacity(stages.len());
     for stage in stages {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,35 +1,41 @@
-//! Routing decisions: which backend servers, in which order, and whether.
+//! Routing and admission decisions.
 //!
-//! Nothing here reads a clock or does I/O. Time comes in as milliseconds of a
-//! monotonic clock (`now_ms`), randomness as a `fastrand::Rng`.
+//! The crate decides which backend servers run a request, in which order, and
+//! whether the request is admitted. The code reads no clock and does no I/O:
+//! callers pass the time as milliseconds of a monotonic clock (`now_ms`) and
+//! randomness as a [`fastrand::Rng`].
 //!
-//! | module | decides |
+//! | module | purpose |
 //! |---|---|
-//! | [`priority`] | the order of requests |
-//! | [`fleet`], [`network`] | what the manifest says of a service's servers |
-//! | [`live_state`], [`circuit_breaker`] | what this process knows of each one now |
-//! | [`policy`], [`request_shape`], [`chain`], [`mod@explain`] | the chain of a request, why |
-//! | [`attempts`] | whether a request may be handed to a backend again |
-//! | [`mod@cooldown_wait`] | whether a request waits where all servers are at rest |
-//! | [`retry_budget`] | whether a failure may be tried again |
-//! | [`retry_window`] | the same where all entries share a bound in time |
-//! | [`usage_estimate`] | what entries that have not told yet are taken to use |
+//! | [`fleet`], [`network`] | servers and links as stated in the manifest |
+//! | [`live_state`], [`circuit_breaker`] | current state of each server |
+//! | [`policy`], [`request_shape`] | settings and request of a chain choice |
+//! | [`chain`], [`mod@explain`] | choice of a chain, and its explanation |
 //! | [`layer_path`] | which engines run which layers of a request |
-//! | [`fair_queue`], [`admission`] | who goes next, and who can finish in time |
-//! | [`slot_queue`] | who may run on one server now, and who waits |
-//! | [`search_turns`] | who may seek a path now, and who waits |
-//! | [`startup_wait`] | how long a request waits for the first configuration |
-//! | [`first_event_wait`] | whether a stream will hardly begin any more |
-//! | [`stall_check`] | when a stream that pauses is looked at |
-//! | [`permits`] | who may send to a server that named a limit |
-//! | [`rate_limit`] | which limit on its requests a server has named |
-//! | [`quarantine`] | which requests crash servers, and may not run |
-//! | [`throughput`] | the most tokens a second the hardware allows |
+//! | [`usage_estimate`] | usage of entries that have not reported yet |
+//! | [`interconnect`] | quota of an entry for the interconnect |
+//! | [`throughput`] | upper bound on the tokens per second of a fleet |
+//! | [`priority`], [`fair_queue`] | order in which requests are served |
+//! | [`admission`] | whether a request can finish before its deadline |
+//! | [`slot_queue`] | admission to the slots of one server |
+//! | [`search_turns`] | which waiting requests may search for a path |
+//! | [`mod@capacity_wait`] | whether a request waits for free capacity |
+//! | [`mod@cooldown_wait`] | whether a request waits for servers in cooldown |
+//! | [`startup_wait`] | how long a request waits for a configuration |
+//! | [`first_event_wait`] | whether a stream still starts within its target |
+//! | [`stall_check`] | when a stream without events is checked |
+//! | [`attempts`] | whether a request may be sent to another server |
+//! | [`retry_budget`] | limit on the retries of one entry |
+//! | [`retry_window`] | limit on the retries of all entries in a window |
+//! | [`rate_limit`] | rate limit that a server announced |
+//! | [`permits`] | permits to send to a server with a rate limit |
+//! | [`quarantine`] | requests that crash servers |
+//! | [`exit_detection`] | whether the process of a server has exited |
 //!
 //! ```
 //! use chestnutreach_routing::{
-//!     BackendSpec, ChainRequest, Fleet, LiveState, Network, Policy, Presence, RequestShape,
-//!     choose,
+//!     BackendSpec, ChainRequest, Fleet, LiveState, Network, Policy, Presence,
+//!     RequestShape, choose,
 //! };
 //!
 //! let half = |name: &str, first_layer, end_layer| BackendSpec {
--- a/crates/routing/src/live_state.rs
+++ b/crates/routing/src/live_state.rs
@@ -1,14 +1,15 @@
-//! What this process knows of each backend server now.
+//! Current state of the backend servers of a fleet, as this process sees it.
 //!
-//! Written by many threads with atomics and read by every choice; no locks.
-//! A reading joins the last load report with what this process sent and saw
-//! ended since, so that a stale report does not draw all requests to one
-//! server. A server without a recent report counts as loaded as the fleet is
-//! on average, never as idle.
+//! The state is held in atomics, written by many threads and read by every
+//! choice without locks. A snapshot combines the last load report with the
+//! requests that this process has sent and completed since, so that a stale
+//! report does not attract all requests to one server. A server without a
+//! recent report counts as loaded as the fleet mean, never as idle.
 //!
-//! A new manifest generation has its own [`LiveState`], made by
-//! [`LiveState::carry_over`]. Servers that stay share their state with the old one,
-//! so a request that was sent under one generation may end under another.
+//! Each manifest generation has its own [`LiveState`], created by
+//! [`LiveState::carry_over`]. Servers that remain share their state with the
+//! previous generation, so a request may be sent under one generation and end
+//! under another.
 
 use std::sync::{
     Arc,
@@ -23,29 +24,29 @@
     server_state::{ReportedLoad, ServerState},
 };
 
-/// How a request that was sent to a server ended.
+/// Outcome of a request that was sent to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestOutcome {
-    /// Answered whole.
+    /// The response was complete.
     Completed {
         /// Length of the prompt.
         prompt_tokens: u32,
-        /// Length of the answer.
+        /// Length of the output.
         output_tokens: u32,
-        /// From dispatch to the first token.
+        /// Time from dispatch to the first token.
         first_token_ms: u32,
-        /// From dispatch to the end.
+        /// Time from dispatch to the end of the response.
         total_ms: u32,
     },
-    /// Not run: the side process had no room.
+    /// The side process had no capacity, and the request did not run.
     Refused,
-    /// The server, its side process or the link to it failed.
+    /// The server, the side process or the link to the side process failed.
     Failed,
-    /// Given up by the caller; tells nothing of the server.
+    /// The caller cancelled the request, which says nothing about the server.
     Cancelled,
 }
 
-/// What this process knows of each backend server of a fleet.
+/// Current state of the backend servers of a fleet.
 #[derive(Debug)]
 pub struct LiveState {
     servers: Vec<Arc<ServerState>>,
@@ -53,7 +54,7 @@
     recent_choices: RecentChoices,
 }
 
-/// Sums over the last reports of the servers.
+/// Sums over the last reports of all servers.
 #[derive(Debug, Default)]
 struct ReportSums {
     reports: AtomicI64,
@@ -61,7 +62,7 @@
     wait_ms: AtomicI64,
 }
 
-/// Means over the fleet.
+/// Mean load over the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MeanLoad {
     pub(crate) requests: f64,
@@ -93,7 +94,7 @@
 }
 
 impl LiveState {
-    /// `len` absent servers of which nothing is known.
+    /// State of `len` absent servers without any observations.
     pub fn new(len: usize) -> LiveState {
         LiveState {
             servers: (0..len).map(|_| Arc::new(ServerState::new())).collect(),
@@ -102,16 +103,16 @@
         }
     }
 
-    /// The state for a new generation: servers of the same name share theirs
-    /// with this one, new ones are absent, and those that went are absent
-    /// here too.
+    /// Creates the state for a new manifest generation. Servers with the same
+    /// name share their state with this one, and new servers are absent.
+    /// Servers that were removed become absent in this state too.
     pub fn carry_over(&self, from: &Fleet, to: &Fleet) -> LiveState {
         self.carry_over_where(from, to, |_| true)
     }
 
-    /// As [`LiveState::carry_over`], but a server is only carried where `is_same`
-    /// holds of its name: one that was replaced under its name counts as
-    /// gone and as new.
+    /// Creates the state as [`LiveState::carry_over`] does, but keeps the
+    /// state of a server only if `is_same` returns true for its name. A server
+    /// that was replaced under the same name counts as removed and new.
     pub fn carry_over_where(
         &self,
         from: &Fleet,
@@ -140,17 +141,17 @@
         }
     }
 
-    /// How many servers there are.
+    /// Number of servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether there is no server.
+    /// Whether the fleet has no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Takes a load report.
+    /// Records a load report. Reports of removed servers are ignored.
     pub fn record_report(
         &self,
         index: BackendIndex,
@@ -165,17 +166,17 @@
         self.report_sums.subtract(server.record_report(report, now_ms));
     }
 
-    /// Sets whether a server is there.
+    /// Sets the presence of a server.
     pub fn set_presence(&self, index: BackendIndex, presence: Presence) {
         self.server(index).set_presence(presence);
     }
 
-    /// Whether a server is there.
+    /// The presence of a server.
     pub fn presence(&self, index: BackendIndex) -> Presence {
         self.server(index).presence()
     }
 
-    /// Notes that a request was sent, with the tokens it is expected to take.
+    /// Records that a request was sent, with its expected token count.
     pub fn record_dispatch(
         &self,
         index: BackendIndex,
@@ -185,8 +186,8 @@
         self.server(index).record_sent(tokens, now_ms);
     }
 
-    /// Notes how a request ended, with the tokens given to
-    /// [`LiveState::record_dispatch`].
+    /// Records the outcome of a request, with the token count that was passed
+    /// to [`LiveState::record_dispatch`].
     pub fn record_outcome(
         &self,
         index: BackendIndex,
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Notes the answer of a health probe.
+    /// Records the result of a health probe.
     pub fn record_probe(
         &self,
         index: BackendIndex,
@@ -231,13 +232,13 @@
         }
     }
 
-    /// Whether a server may be sent a request: there, and not suspect. A
-    /// choice takes suspect ones too where a boundary has no others.
+    /// Whether a server is present and not suspect. A choice also takes
+    /// suspect servers if a layer boundary has no others.
     pub fn is_eligible(&self, index: BackendIndex, now_ms: u64) -> bool {
         self.is_present(index) && !self.server(index).is_suspect(now_ms)
     }
 
-    /// State of a server's circuit.
+    /// State of a server's circuit breaker.
     pub fn circuit_state(
         &self,
         index: BackendIndex,
@@ -246,23 +247,23 @@
         self.server(index).circuit.state(now_ms)
     }
 
-    /// Requests that this process has in flight at a server.
+    /// Number of requests of this process that are in flight at a server.
     pub fn in_flight(&self, index: BackendIndex) -> u32 {
         self.server(index).snapshot().in_flight
     }
 
-    /// Notes that a server's cache holds a prefix, from its own cache events
-    /// or because a request with the prefix completed there.
+    /// Records that a server's cache holds a prefix, either from a cache event
+    /// of the server or because a request with this prefix completed there.
     pub fn record_prefix(&self, index: BackendIndex, prefix: u64) {
         self.server(index).record_prefix(splitmix64(prefix));
     }
 
-    /// Whether a server's cache is believed to hold a prefix.
+    /// Whether a server's cache probably holds a prefix.
     pub fn has_prefix(&self, index: BackendIndex, prefix: u64) -> bool {
         self.server(index).has_prefix(splitmix64(prefix))
     }
 
-    /// Forgets the prefixes of a server, which has started anew.
+    /// Removes the cached prefixes of a server, after a restart.
     pub fn forget_prefixes(&self, index: BackendIndex) {
         self.server(index).forget_prefixes();
     }
@@ -278,8 +279,9 @@
         self.server(index).is_suspect(now)
     }
 
-    /// Takes a server whose report is old out of the mean. While most reports
-    /// are old they stay: a mean over few is worse than one that is late.
+    /// Removes a server with a stale report from the fleet mean. If most
+    /// reports are stale, the server stays: a mean over few servers is worse
+    /// than a late mean.
     pub(crate) fn remove_stale_from_mean(&self, index: BackendIndex) {
         let server = self.server(index);
         let count = self.report_sums.reports.load(Relaxed).max(0) as usize;
@@ -288,7 +290,7 @@
         }
     }
 
-    /// The servers that were chosen last.
+    /// Servers that were chosen recently.
     pub(crate) fn recent_choices(&self) -> &RecentChoices {
         &self.recent_choices
     }
@@ -302,7 +304,7 @@
     }
 }
 
-/// Spreads the bits of a prefix's key (the finalizer of SplitMix64).
+/// Mixes the bits of a prefix key with the finalizer of SplitMix64.
 pub(crate) fn splitmix64(key: u64) -> u64 {
     let key = (key ^ (key >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let key = (key ^ (key >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/routing/src/load_report.rs
+++ b/crates/routing/src/load_report.rs
@@ -1,41 +1,42 @@
-//! What is told of a backend server: whether it is there, and its load.
+//! Reported load and presence of a backend server.
 
 use serde::Serialize;
 
-/// What a side process tells of its backend server's load.
+/// Load of a backend server, as reported by the side process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests that hold a reservation.
     pub running: u32,
     /// Requests that wait for admission.
     pub queued: u32,
-    /// Work that both still need.
+    /// Tokens that running and queued requests still need.
     pub pending_tokens: u64,
-    /// Learned through the server's own layers; 0 where unknown.
+    /// Measured prefill speed through the server's own layers; 0 if unknown.
     pub prompt_tokens_per_s: f32,
-    /// Likewise, all sequences together.
+    /// Measured output speed through the server's own layers, summed over all
+    /// sequences; 0 if unknown.
     pub output_tokens_per_s: f32,
-    /// Cache memory in use, in parts of 1000.
+    /// Cache memory in use, in thousandths.
     pub cache_used_permille: u32,
-    /// The backend server answers its calls.
+    /// Whether the backend server responds to calls.
     pub is_healthy: bool,
     /// Expected wait of a new request.
     pub queue_wait_ms: u32,
 }
 
-/// Whether a backend server is there.
+/// Presence of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Presence {
-    /// Not connected, or out of reach.
+    /// The server is not connected or unreachable.
     Absent,
-    /// New: takes a growing share.
+    /// The server was added recently and gets a growing share of requests.
     Joining {
-        /// When it came.
+        /// When the server was added.
         since_ms: u64,
     },
-    /// Takes its full share.
+    /// The server gets its full share of requests.
     Serving,
-    /// Takes nothing new.
+    /// The server gets no new requests.
     Leaving,
 }
--- a/crates/routing/src/network.rs
+++ b/crates/routing/src/network.rs
@@ -1,23 +1,24 @@
 //! Latency and bandwidth between data centres.
 //!
-//! A dense matrix by index. A path that nobody set counts as a good local
-//! link, so that a fleet in one building needs no settings.
+//! The paths are stored as a dense matrix by data centre index. A path that is
+//! not configured counts as a local link, so that a fleet in one building
+//! needs no settings.
 
 const LOCAL_LATENCY_US: u64 = 200;
 const LOCAL_BANDWIDTH_MBIT_PER_S: u64 = 10_000;
 const US_PER_MS: f64 = 1_000.0;
 const BITS_PER_BYTE: f64 = 8.0;
-/// One Mbit/s moves this many bits in a millisecond.
+/// Bits per millisecond at a bandwidth of one Mbit/s.
 const BITS_PER_MS_OF_MBIT: f64 = 1_000.0;
 
-/// The paths between data centres.
+/// Network paths between data centres.
 #[derive(Clone, Debug)]
 pub struct Network {
     data_centre_count: u32,
     paths: Vec<Path>,
 }
 
-/// One direction of a path, in the units of a cost.
+/// One direction of a path, in the units of the cost function.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Path {
     pub(crate) latency_ms: f64,
@@ -33,30 +34,30 @@
         }
     }
 
-    /// Time until `bytes` have arrived.
+    /// Time to transfer `bytes`, including the latency.
     pub(crate) fn transfer_ms(&self, bytes: f64) -> f64 {
         self.latency_ms + bytes * self.ms_per_byte
     }
 }
 
 impl Network {
-    /// A network of good local links between `data_centre_count` places.
+    /// A network of local links between `data_centre_count` data centres.
     pub fn new(data_centre_count: u32) -> Network {
         let count = data_centre_count as usize;
         let path = Path::new(LOCAL_LATENCY_US, LOCAL_BANDWIDTH_MBIT_PER_S);
         Network { data_centre_count, paths: vec![path; count * count] }
     }
 
-    /// How many data centres there are.
+    /// Number of data centres.
     pub fn data_centre_count(&self) -> u32 {
         self.data_centre_count
     }
 
-    /// Sets the path between two data centres, both ways alike.
+    /// Sets the path between two data centres, in both directions.
     ///
     /// # Panics
     ///
-    /// When an index is not below [`Network::data_centre_count`].
+    /// Panics if an index is not below [`Network::data_centre_count`].
     pub fn set_path(
         &mut self,
         a: u32,
@@ -77,7 +78,8 @@
         }
     }
 
-    /// The path from one data centre to another; an unknown one is local.
+    /// The path from one data centre to another, or a local link if an index
+    /// is out of range.
     pub(crate) fn path(&self, from: u32, to: u32) -> Path {
         match self.slot(from, to) {
             Some(slot) => self.paths[slot],
--- a/crates/routing/src/no_chain.rs
+++ b/crates/routing/src/no_chain.rs
@@ -1,35 +1,35 @@
-//! Why there is no chain, and when to come back.
+//! Error of a chain choice, with the time after which to retry.
 
 use std::fmt;
 
 const MIN_RETRY_MS: u64 = 200;
 const MAX_RETRY_MS: u64 = 30_000;
-/// Without a server the fleet has to change first.
+/// Longer than the minimum, because the fleet has to change first.
 const NO_CANDIDATE_RETRY_MS: u64 = 1_000;
 
-/// No chain for a request: nothing was sent anywhere.
+/// No chain was found for a request, and nothing was sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NoChain {
-    /// Why.
+    /// Why no chain was found.
     pub reason: NoChainReason,
-    /// When to come back, spread so that callers do not come together.
+    /// When to retry, with jitter so that callers do not retry together.
     pub retry_after_ms: u64,
 }
 
-/// Why there is no chain.
+/// Why no chain was found.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum NoChainReason {
-    /// No server that is there continues from a layer.
+    /// No available server has a layer range that begins at this layer.
     NoCandidate {
         /// The layer.
         first_layer: u32,
     },
-    /// There are servers, but the request has to avoid all of them.
+    /// Servers are available, but the request must avoid all of them.
     AllAvoided,
-    /// The fastest chain found is too slow.
+    /// The fastest chain misses the deadline.
     TooLate {
-        /// What it needs.
+        /// Time that the fastest chain needs.
         needed_ms: u64,
     },
 }
@@ -59,7 +59,7 @@
     let base_ms = match reason {
         NoChainReason::NoCandidate { .. } => NO_CANDIDATE_RETRY_MS,
         NoChainReason::AllAvoided => MIN_RETRY_MS,
-        // Half of it: others finish while this caller waits.
+        // Half of the time, because other requests finish meanwhile.
         NoChainReason::TooLate { needed_ms } => {
             (needed_ms / 2).clamp(MIN_RETRY_MS, MAX_RETRY_MS)
         }
--- a/crates/routing/src/partial_chain.rs
+++ b/crates/routing/src/partial_chain.rs
@@ -1,23 +1,23 @@
-//! A partial chain, and the few that are kept at a layer boundary.
+//! Partial chains and the beam that is kept at a layer boundary.
 
 use crate::{
     cost::{CostContext, StageCost},
     fleet::BackendIndex,
 };
 
-/// Partial chains kept at a boundary.
+/// Maximum number of partial chains kept at a boundary.
 pub(crate) const BEAM_WIDTH: usize = 4;
-/// Parent of a first stage.
+/// Parent of a partial chain with one stage.
 pub(crate) const NO_PARENT: u32 = u32::MAX;
 
-/// A partial chain.
+/// A chain from layer 0 to a boundary.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PartialChain {
     pub(crate) cost: f64,
     pub(crate) wait_ms: f64,
-    /// Prompt through all stages so far, with links.
+    /// Prompt time through all stages so far, with links.
     pub(crate) prompt_ms: f64,
-    /// One output token through all stages so far, with links.
+    /// Time of one output token through all stages so far, with links.
     pub(crate) step_ms: f64,
     pub(crate) price_micros: f64,
     pub(crate) first_data_centre: u32,
@@ -26,7 +26,7 @@
     pub(crate) backend: BackendIndex,
 }
 
-/// The partial chains that reach a boundary.
+/// The cheapest partial chains that reach a boundary.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Beam {
     pub(crate) chains: [u32; BEAM_WIDTH],
@@ -40,7 +40,7 @@
 }
 
 impl PartialChain {
-    /// The first stage.
+    /// A partial chain with one stage.
     pub(crate) fn first_stage(
         ctx: &CostContext<'_>,
         entry: u32,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// One more stage.
+    /// This partial chain extended by one stage.
     pub(crate) fn with_stage(
         &self,
         ctx: &CostContext<'_>,
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,43 +1,44 @@
-//! What an operator sets of a choice, and what it means.
+//! Settings of a chain choice and the cost function that they control.
 //!
 //! # The weight between throughput and recovery
 //!
-//! With `w = recovery_weight_percent / 100`, a chain costs, in milliseconds:
+//! With `w = recovery_weight_percent / 100`, the cost of a chain is, in
+//! milliseconds:
 //!
 //! ```text
 //! wait + (0.25 + 0.75 w) * time * urgency   time: prompt, output and links
-//!      + (1 - w) * price                    price as time, see below
-//!      + (0.25 + 0.75 w) * load             work here, by utilisation
+//!      + (1 - w) * price                    price converted to time, see below
+//!      + (0.25 + 0.75 w) * load             load cost by utilisation
 //!      + w * (stages - 1) * stage_penalty_ms
-//!      + w * crossings * interconnect_penalty_ms
+//!      + w * interconnect_links * interconnect_penalty_ms
 //! ```
 //!
-//! At 0 the cheapest hardware that meets the deadline is packed: price rules,
-//! a token is cheaper where more share its step, and load counts just enough
-//! to keep servers from filling up. At 100 price counts
-//! nothing; each further stage and each link between data centres is one
-//! more thing that can fail and is charged, and utilisation counts four
-//! times as much, which leaves headroom on every server for what a lost one
-//! sheds. Candidates within a band of each other are drawn at random; the
-//! band is `near_equal_permille` at 0 and twice that at 100.
+//! At 0 the choice packs requests onto the cheapest hardware that meets the
+//! deadline: price dominates, a token is cheaper on a server with a larger
+//! batch, and load counts just enough to keep servers from filling up. At 100
+//! price does not count. Each additional stage and each link between data
+//! centres is charged as one more thing that can fail, and utilisation counts
+//! four times as much, which leaves headroom on every server for the requests
+//! of a failed one. Costs within a band count as equal and are ordered at
+//! random; the band is `near_equal_permille` at 0 and twice that at 100.
 //!
-//! `urgency` is 1/2, 1, 2 for a low, normal, high priority: cheap hardware
-//! for what can wait. Price is stated in time so that it can be added: the
-//! price of the work divided by the fleet's mean price of a millisecond,
-//! times [`PRICE_SCALE`], because a request has its server for itself for
-//! only about one part in so many of its time.
+//! `urgency` is 1/2, 1 or 2 for a low, normal or high priority, so that
+//! requests that can wait run on cheap hardware. The price is converted to
+//! time: the price of the server time divided by the fleet's mean price per
+//! millisecond, times [`PRICE_SCALE`], because about that many requests share
+//! a server and each is charged only its share of the time.
 
 use crate::priority::Priority;
 
-/// Requests that share a server, roughly: scales price to time.
+/// Approximate number of requests that share a server; converts price to time.
 pub const PRICE_SCALE: f64 = 16.0;
-/// Most samples of one layer boundary.
+/// Maximum number of samples per layer boundary.
 pub const MAX_SAMPLE_COUNT: u32 = 16;
 
 const BASE_WEIGHT: f64 = 0.25;
 const MAX_PERCENT: u32 = 100;
 
-/// Settings of a choice.
+/// Settings of a chain choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     pub(crate) recovery_weight: f64,
@@ -68,56 +69,60 @@
 }
 
 impl Policy {
-    /// Recovery against throughput, see the module; above 100 is 100.
+    /// Sets the weight of recovery against throughput, as described in the
+    /// module documentation. Values above 100 count as 100.
     pub fn recovery_weight_percent(mut self, percent: u32) -> Policy {
         self.recovery_weight = f64::from(percent.min(MAX_PERCENT)) / 100.0;
         self
     }
 
-    /// Candidates drawn at each layer boundary, 1 to [`MAX_SAMPLE_COUNT`].
+    /// Sets the number of candidates that are sampled at each layer boundary,
+    /// from 1 to [`MAX_SAMPLE_COUNT`].
     pub fn sample_count(mut self, count: u32) -> Policy {
         self.sample_count = count.clamp(1, MAX_SAMPLE_COUNT) as usize;
         self
     }
 
-    /// Time in which a joining server reaches its full share.
+    /// Sets the time in which a joining server reaches its full share.
     pub fn ramp_ms(mut self, ramp_ms: u64) -> Policy {
         self.ramp_ms = ramp_ms;
         self
     }
 
-    /// Age past which a load report is no longer believed.
+    /// Sets the age above which a load report counts as stale.
     pub fn max_report_age_ms(mut self, limit_ms: u64) -> Policy {
         self.max_report_age_ms = limit_ms;
         self
     }
 
-    /// Entries that share the traffic: each of its own requests stands for
-    /// as many unseen ones until the next report.
+    /// Sets the number of entries that share the traffic. Until the next
+    /// report, each request of this entry counts for one request of every
+    /// entry.
     pub fn entry_count(mut self, count: u32) -> Policy {
         self.entry_count = count.max(1);
         self
     }
 
-    /// Band in which costs count as equal, in parts of 1000.
+    /// Sets the band in which costs count as equal, in thousandths.
     pub fn near_equal_permille(mut self, permille: u32) -> Policy {
         self.near_equal_permille = permille.min(1_000);
         self
     }
 
-    /// Charge for each further stage at full recovery weight.
+    /// Sets the penalty for each additional stage at full recovery weight.
     pub fn stage_penalty_ms(mut self, penalty_ms: u32) -> Policy {
         self.stage_penalty_ms = penalty_ms;
         self
     }
 
-    /// Charge for each link between data centres at full recovery weight.
+    /// Sets the penalty for each link between data centres at full recovery
+    /// weight.
     pub fn interconnect_penalty_ms(mut self, penalty_ms: u32) -> Policy {
         self.interconnect_penalty_ms = penalty_ms;
         self
     }
 
-    /// Bytes that one token's activations take between stages.
+    /// Sets the size of one token's activations between stages, in bytes.
     pub fn activation_bytes_per_token(mut self, bytes: u32) -> Policy {
         self.activation_bytes_per_token = bytes;
         self
@@ -145,7 +150,7 @@
     }
 }
 
-/// What each part of a cost counts.
+/// Weights of the cost components.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CostWeights {
     pub(crate) time: f64,
@@ -157,7 +162,7 @@
 }
 
 impl CostWeights {
-    /// Only time counts: for a request that is short of it.
+    /// Weights that count only time, for requests with a short deadline.
     pub(crate) fn fastest() -> CostWeights {
         CostWeights {
             time: 1.0,
--- a/crates/routing/src/recent_choices.rs
+++ b/crates/routing/src/recent_choices.rs
@@ -1,25 +1,25 @@
-//! The servers that were chosen last at each layer boundary.
+//! Servers that were chosen most recently at each layer boundary.
 //!
-//! A few draws find a good server of many only by luck. The ones that won
-//! before are looked at again beside the fresh draws, at today's cost, so
-//! that what was found is kept while it stays good ("the power of two choices
-//! with memory", Mitzenmacher, Prabhakar and Shah, 2002). Filling a server
-//! before the next is used lives by it: it means to find the same one again.
+//! A few samples rarely include a good server of a large fleet. Adding the
+//! servers that were chosen before, at their current cost, keeps a good server
+//! in use as long as its cost stays low ("the power of two choices with
+//! memory", Mitzenmacher, Prabhakar and Shah, 2002). Packing requests onto few
+//! servers depends on this, since the search has to find the same server again.
 //!
-//! Boundaries share a slot when there are more than [`SLOT_COUNT`]; a server
-//! of another boundary is then passed over.
+//! If there are more than [`SLOT_COUNT`] boundaries, some share a slot, and
+//! the search skips servers that belong to another boundary.
 
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
 use crate::fleet::BackendIndex;
 
-/// Servers remembered at a boundary.
+/// Servers stored per boundary.
 pub(crate) const CHOICES_PER_BOUNDARY: usize = 2;
 
 const SLOT_COUNT: usize = 32;
 const EMPTY: u32 = u32::MAX;
 
-/// The servers that were chosen last, written by all threads.
+/// Servers that were chosen most recently, shared by all threads.
 #[derive(Debug)]
 pub(crate) struct RecentChoices {
     slots: [[AtomicU32; CHOICES_PER_BOUNDARY]; SLOT_COUNT],
@@ -31,7 +31,7 @@
         RecentChoices { slots: std::array::from_fn(|_| slot()) }
     }
 
-    /// What was chosen last at a boundary, or at one with the same slot.
+    /// Servers that were chosen at a boundary, or at one with the same slot.
     pub(crate) fn recent(
         &self,
         boundary: usize,
@@ -43,8 +43,8 @@
             .map(BackendIndex)
     }
 
-    /// Notes a choice. Two threads may note one server twice, which loses
-    /// the other until the next choice.
+    /// Records a choice. Concurrent calls may store the same server twice and
+    /// lose the other one, until the next choice.
     pub(crate) fn record(&self, boundary: usize, index: BackendIndex) {
         let [last, before] = &self.slots[boundary % SLOT_COUNT];
         let old = last.load(Relaxed);
--- a/crates/routing/src/request_shape.rs
+++ b/crates/routing/src/request_shape.rs
@@ -1,19 +1,19 @@
-//! What matters of a request for routing.
+//! Properties of a request that determine its routing.
 
 use crate::priority::Priority;
 
-/// What matters of a request for the choice of its chain.
+/// Properties of a request that determine its chain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestShape {
     /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// Expected length of the answer.
+    /// Expected length of the output.
     pub output_tokens: u32,
-    /// What is left of the caller's time, from now.
+    /// Time left until the caller's deadline.
     pub deadline_ms: u64,
-    /// How urgent it is.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Key of its longest prefix that may be cached.
+    /// Key of the longest prefix of the prompt that may be cached.
     pub prefix: Option<u64>,
 }
 
@@ -29,25 +29,25 @@
         }
     }
 
-    /// What is left of the caller's time, from now.
+    /// Sets the time left until the caller's deadline.
     pub fn deadline_ms(mut self, deadline_ms: u64) -> RequestShape {
         self.deadline_ms = deadline_ms;
         self
     }
 
-    /// How urgent it is.
+    /// Sets the priority of the request.
     pub fn priority(mut self, priority: Priority) -> RequestShape {
         self.priority = priority;
         self
     }
 
-    /// Key of its longest prefix that may be cached.
+    /// Sets the key of the longest prefix of the prompt that may be cached.
     pub fn prefix(mut self, prefix: u64) -> RequestShape {
         self.prefix = Some(prefix);
         self
     }
 
-    /// Prompt and answer together.
+    /// Tokens of the prompt and the output together.
     pub fn tokens(&self) -> u32 {
         self.prompt_tokens.saturating_add(self.output_tokens)
     }
--- a/crates/routing/src/search.rs
+++ b/crates/routing/src/search.rs
@@ -1,10 +1,11 @@
-//! The cheapest tiling through sampled candidates.
+//! Beam search for the cheapest chain through the candidates.
 //!
-//! Boundaries are visited from layer 0 up. Each holds the cheapest partial
-//! chains that reach it, at most one for each data centre they end in (the
-//! next link depends on that alone) and [`BEAM_WIDTH`] in all. Partial chains that
-//! are too dear are dropped, boundaries never are, so a tiling through the
-//! candidates is found whenever there is one.
+//! The search visits the boundaries in order of their layers. Each boundary
+//! keeps the cheapest partial chains that reach it: at most one per data
+//! centre of the last stage, which alone determines the next link, and at most
+//! [`BEAM_WIDTH`] in total. More expensive partial chains are dropped, but
+//! each boundary that can be reached keeps one, so the search finds a chain
+//! through the candidates whenever one exists.
 
 use crate::{
     candidate::{Candidate, ExclusionReason},
@@ -16,32 +17,33 @@
 
 mod candidates;
 
-/// Dearer than any detour over servers that are not suspect.
+/// Higher than the cost of any detour through servers that are not suspect.
 const SUSPECT_PENALTY_MS: f64 = 1e6;
 
-/// How many servers of a boundary are looked at.
+/// Which servers of a boundary the search considers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SearchScope {
-    /// A few of those that may be used.
+    /// A sample of the usable servers.
     Sampled,
-    /// All of those.
+    /// All usable servers.
     All,
-    /// Suspect ones as well, at [`SUSPECT_PENALTY_MS`] each.
+    /// All usable and suspect servers, with [`SUSPECT_PENALTY_MS`] for each
+    /// suspect server.
     AllIncludingSuspect,
 }
 
-/// Buffers of a search, kept between choices.
+/// A search, with buffers that are reused between choices.
 #[derive(Debug, Default)]
 pub(crate) struct Search {
     chains: Vec<PartialChain>,
     beams: Vec<Beam>,
     candidates: Vec<BackendIndex>,
     suspects: Vec<BackendIndex>,
-    /// Every candidate that was looked at, when a caller wants to know.
+    /// Every server that the search considered, if requested.
     pub(crate) record: Option<Vec<Candidate>>,
 }
 
-/// A whole chain.
+/// A complete chain.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FoundChain {
     chain: u32,
@@ -84,7 +86,7 @@
             .ok_or_else(|| no_candidate(ctx, avoid, first_empty))
     }
 
-    /// The servers of a chain that was found last.
+    /// The servers of a chain found by the last call of [`Search::run`].
     pub(crate) fn stages(&self, found: &FoundChain) -> Vec<BackendIndex> {
         let mut stages = Vec::with_capacity(8);
         let mut at = found.chain;
@@ -97,7 +99,7 @@
         stages
     }
 
-    /// Extends every partial chain at a boundary by every candidate.
+    /// Extends every partial chain at a boundary with every candidate.
     fn extend_chains(
         &mut self,
         ctx: &CostContext<'_>,
@@ -161,7 +163,8 @@
         self.chains.push(chain);
     }
 
-    /// The cheapest whole chain, rather one in time than one too late.
+    /// The cheapest complete chain. A chain that meets the deadline is
+    /// preferred to one that does not.
     fn best(&self, ctx: &CostContext<'_>, entry: u32) -> Option<FoundChain> {
         let deadline_ms = ctx.shape.deadline_ms as f64;
         let rank =
@@ -176,7 +179,8 @@
             })
     }
 
-    /// Adds the way back of each token to the first stage, and to the entry.
+    /// Completes a chain: adds the links from the last stage back to the first
+    /// stage for each token, and from there to the entry.
     fn finish(
         &self,
         ctx: &CostContext<'_>,
@@ -236,7 +240,8 @@
     }
 }
 
-/// Why there is no chain: where servers are there, they were all avoided.
+/// Why no chain was found. If servers are present at the first boundary
+/// without candidates, the request avoids all of them.
 fn no_candidate(
     ctx: &CostContext<'_>,
     avoid: &[BackendIndex],
--- a/crates/routing/src/search/candidates.rs
+++ b/crates/routing/src/search/candidates.rs
@@ -1,9 +1,9 @@
-//! The candidates of a layer boundary.
+//! Selection of the candidates of a layer boundary.
 //!
-//! Those chosen last, two found by hashing the request's prefix, and a few
-//! drawn at random. The hash is the same at every entry, so that requests
-//! with the same prefix meet without shared state. All win only by their
-//! cost.
+//! The candidates are the servers that were chosen recently, two servers found
+//! by hashing the request's prefix, and a few random samples. The hash is the
+//! same at every entry, so that requests with the same prefix reach the same
+//! servers without shared state. All candidates compete by cost alone.
 
 use super::{Search, SearchScope};
 use crate::{
@@ -12,11 +12,11 @@
 };
 
 const PREFIX_CANDIDATE_COUNT: u64 = 2;
-/// Draws for each wanted candidate before the boundary is scanned.
+/// Random draws per wanted candidate before the boundary is scanned.
 const DRAWS_PER_SAMPLE: usize = 2;
 
 impl Search {
-    /// Fills `picked` with candidates of a boundary.
+    /// Fills `candidates` for a boundary.
     pub(super) fn select_candidates(
         &mut self,
         ctx: &CostContext<'_>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds those that were chosen last.
+    /// Adds the servers that were chosen recently.
     fn add_recent_choices(
         &mut self,
         ctx: &CostContext<'_>,
@@ -58,7 +58,7 @@
         members: &[BackendIndex],
     ) {
         for index in ctx.live.recent_choices().recent(boundary) {
-            // Members are in the order of their indices.
+            // Members are sorted by index.
             if members.binary_search(&index).is_ok() {
                 self.add_if_new(ctx, avoid, index);
             }
@@ -88,7 +88,8 @@
         }
     }
 
-    /// From a random place on, so that entries do not meet at the first.
+    /// Adds the usable servers of a boundary. The scan starts at a random
+    /// server, so that entries do not all choose the first one.
     fn scan_boundary(
         &mut self,
         ctx: &CostContext<'_>,
--- a/crates/routing/src/server_state.rs
+++ b/crates/routing/src/server_state.rs
@@ -1,8 +1,8 @@
-//! What is known of one backend server now, in atomics.
+//! Current state of one backend server, held in atomics.
 //!
-//! Each field is written on its own, so a reader may see half of a report.
-//! That is a wrong cost for one choice, which the server's side process
-//! corrects; a lock on the request path would cost every choice.
+//! The fields are written separately, so a reader may see parts of two
+//! reports. One choice then uses a wrong cost, which the server's side process
+//! corrects. A lock would slow down every choice.
 
 use std::sync::atomic::{
     AtomicBool, AtomicI32, AtomicI64, AtomicU32, AtomicU64, Ordering::Relaxed,
@@ -13,58 +13,59 @@
     load_report::{LoadReport, Presence},
 };
 
-/// Prefixes remembered of each server; older ones are overwritten.
+/// Cached prefixes that are tracked per server; newer ones overwrite older
+/// ones.
 const PREFIX_SLOTS: usize = 64;
 const LOW_HALF: u64 = 0xffff_ffff;
 
-/// State of one backend server, shared by the fleets of all generations.
+/// State of one backend server, shared between manifest generations.
 #[derive(Debug)]
 pub(crate) struct ServerState {
     pub(crate) circuit: CircuitBreaker,
     presence: AtomicU64,
-    /// Time of the last report plus 1; 0 for none.
+    /// Time of the last report plus 1; 0 without a report.
     last_report: AtomicU64,
-    /// What counts in the fleet's mean, see [`ReportedLoad`]; 0 for nothing.
+    /// Packed [`ReportedLoad`] that counts in the fleet mean; 0 for none.
     counted_load: AtomicU64,
-    /// Queued and running.
+    /// Queued and running requests of the last report.
     load: AtomicU64,
-    /// Bits of the two speeds.
+    /// Bits of the prefill and output speeds of the last report.
     speeds: AtomicU64,
-    /// Wait and cache use.
+    /// Queue wait and cache usage of the last report.
     gauges: AtomicU64,
     is_healthy: AtomicBool,
     pub(crate) is_withdrawn: AtomicBool,
-    /// Sent less ended since the last report.
+    /// Requests sent minus requests ended since the last report.
     request_delta: AtomicI32,
     token_delta: AtomicI64,
-    /// Sent since the last report.
+    /// Requests sent since the last report.
     sent_since_report: AtomicU32,
-    /// Sent by this process and not ended.
+    /// Requests of this process that have not ended.
     in_flight: AtomicI32,
-    /// Bits of the smoothed time of a whole answer.
+    /// Bits of the smoothed response time.
     response_ms: AtomicU32,
     prefixes: [AtomicU32; PREFIX_SLOTS],
 }
 
-/// One reading of a [`ServerState`].
+/// Values of a [`ServerState`] at one time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerSnapshot {
-    /// Time of the last report, if there ever was one.
+    /// Time of the last report.
     pub(crate) reported_ms: Option<u64>,
     pub(crate) reported_requests: u32,
     pub(crate) request_delta: i32,
     pub(crate) token_delta: i64,
     pub(crate) sent_since_report: u32,
     pub(crate) in_flight: u32,
-    /// 0 where unknown.
+    /// 0 if unknown, as is the output speed.
     pub(crate) prompt_tokens_per_s: f32,
     pub(crate) output_tokens_per_s: f32,
     pub(crate) queue_wait_ms: u32,
     pub(crate) cache_used_permille: u32,
 }
 
-/// Part of a report that counts in the fleet's mean. It is swapped as one
-/// word, so that what is added is taken away again exactly.
+/// Values of a report that count in the fleet mean. They are swapped as one
+/// word, so that exactly the added values are subtracted later.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
     pub(crate) requests: u32,
@@ -74,7 +75,7 @@
 impl ReportedLoad {
     pub(crate) fn new(report: &LoadReport) -> ReportedLoad {
         let requests = report.running.saturating_add(report.queued);
-        // One is added when packed.
+        // `pack` adds 1, because 0 stands for no report.
         let requests = requests.min(u32::MAX - 1);
         ReportedLoad { requests, wait_ms: report.queue_wait_ms }
     }
@@ -122,7 +123,7 @@
         !self.is_healthy.load(Relaxed) || !self.circuit.allows_requests(now_ms)
     }
 
-    /// Takes a report; gives back what counted in the mean before.
+    /// Stores a report and returns the previous contribution to the mean.
     pub(crate) fn record_report(
         &self,
         report: &LoadReport,
@@ -147,7 +148,7 @@
         )
     }
 
-    /// Takes the server out of the mean; gives back what counted there.
+    /// Removes the server from the mean and returns its contribution.
     pub(crate) fn remove_from_mean(&self) -> Option<ReportedLoad> {
         ReportedLoad::unpack(self.counted_load.swap(0, Relaxed))
     }
@@ -156,7 +157,8 @@
         self.counted_load.load(Relaxed) != 0
     }
 
-    /// Takes a server out that the manifest no longer has.
+    /// Marks a server that the manifest no longer lists, and returns its
+    /// contribution to the mean.
     pub(crate) fn withdraw(&self) -> Option<ReportedLoad> {
         self.is_withdrawn.store(true, Relaxed);
         self.set_presence(Presence::Absent);
@@ -177,8 +179,8 @@
         self.in_flight.fetch_sub(1, Relaxed);
     }
 
-    /// A refused request goes, but the load that refused it stays counted
-    /// until the next report.
+    /// Removes a refused request from those in flight. The request still
+    /// counts as load until the next report, because the server is full.
     pub(crate) fn record_refused(&self) {
         self.in_flight.fetch_sub(1, Relaxed);
     }
@@ -195,7 +197,7 @@
         self.response_ms.store(new.to_bits(), Relaxed);
     }
 
-    /// Smoothed time of a whole answer; 0 where unknown.
+    /// Smoothed response time; 0 if unknown.
     pub(crate) fn response_ms(&self) -> f32 {
         f32::from_bits(self.response_ms.load(Relaxed))
     }
@@ -251,14 +253,14 @@
     high(load).saturating_add(low(load))
 }
 
-/// A speed that is no positive number is unknown.
+/// Returns 0 (unknown) for a speed that is not positive and finite.
 fn valid_or_zero(speed: f32) -> f32 {
     if speed.is_finite() && speed > 0.0 { speed } else { 0.0 }
 }
 
 fn prefix_slot(prefix: u64) -> (usize, u32) {
     let slot = prefix as usize % PREFIX_SLOTS;
-    // 0 marks an empty slot.
+    // 0 stands for an empty slot.
     (slot, high(prefix).max(1))
 }
 
--- a/crates/routing/src/throughput.rs
+++ b/crates/routing/src/throughput.rs
@@ -1,13 +1,13 @@
-//! The most tokens a second that the hardware allows.
+//! Upper bound on the tokens per second of a fleet.
 //!
 //! Layer boundaries are nodes, and each backend server is an edge from its
-//! first layer to its end layer with the tokens a second it can take. The
-//! maximum flow from layer 0 to `L` bounds what any choice of chains can
-//! reach, because a token in flight uses each edge of its chain once.
+//! first layer to its end layer whose capacity is its tokens per second. The
+//! maximum flow from layer 0 to `L` bounds the throughput of any choice of
+//! chains, because a token uses each edge of its chain once.
 //!
-//! Requests are a mix of prompt and output tokens, which run at different
-//! speeds; the bound counts both. It leaves out links and waiting, so it is
-//! never below what can be reached.
+//! The bound covers prompt and output tokens, which run at different speeds.
+//! It ignores links and queueing, so the achievable throughput is never above
+//! the bound.
 
 use crate::{
     cost::{output_tokens_per_ms, prompt_tokens_per_ms},
@@ -17,20 +17,21 @@
 };
 
 const MS_PER_S: f64 = 1_000.0;
-/// Flow below this is rounding.
+/// Flow below this is a rounding error.
 const EPSILON: f64 = 1e-9;
 
-/// What a typical request is made of.
+/// Tokens of a typical request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenMix {
-    /// Length of its prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// Length of its answer.
+    /// Length of the output.
     pub output_tokens: u32,
 }
 
-/// Most tokens a second, prompt and output together, over all chains. With
-/// `live`, at learned speeds and without servers that are not there.
+/// Upper bound on the tokens per second over all chains, counting prompt and
+/// output tokens. With `live`, the bound uses reported speeds and leaves out
+/// servers that are not present.
 pub fn throughput_bound(
     fleet: &Fleet,
     live: Option<&LiveState>,
@@ -75,7 +76,8 @@
     (prompt + output) * MS_PER_S / server_ms
 }
 
-/// What is left of each edge, as a dense matrix: boundaries are few.
+/// Residual capacity of each edge. The matrix is dense because a fleet has
+/// few boundaries.
 struct Graph {
     node_count: usize,
     residual: Vec<f64>,
@@ -90,7 +92,7 @@
         self.residual[from * self.node_count + to] += capacity;
     }
 
-    /// Augments shortest paths until none is left (Edmonds and Karp).
+    /// Augments shortest paths until none is left (Edmonds–Karp).
     fn max_flow(&mut self) -> f64 {
         let mut flow = 0.0;
         while let Some(path) = self.shortest_path() {
--- a/crates/routing/src/usage_estimate.rs
+++ b/crates/routing/src/usage_estimate.rs
@@ -1,26 +1,26 @@
-//! What entries that have not told yet are taken to use of an engine.
+//! Estimated usage of an engine by entries that have not reported yet.
 //!
-//! The load that it answers: all entries start together, the clients of all
-//! streams that were cut come back within some milliseconds, and nobody has
-//! told anybody what it uses. Each entry alone finds the same engines empty,
-//! the fastest ones above all; together they send many times what those have
-//! room for, and each refusal takes a further arrival of the shared bound.
-//! So an entry takes each one that is listed and has not told to use as much
-//! as itself, until it tells.
+//! When all entries start at the same time, the clients of all aborted streams
+//! retry within some milliseconds, before any entry has reported its usage.
+//! Each entry alone sees the same engines as empty and prefers the fastest
+//! ones. Together the entries would send many times the capacity of these
+//! engines, and each refusal uses up a retry of the shared retry limit. An
+//! entry therefore assumes that each listed entry without a report uses as
+//! much of an engine as itself.
 
-/// What an entry knows of the use of an engine.
+/// Usage of an engine as seen by one entry.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct UsageEstimate {
-    /// Its own use.
+    /// Usage of this entry.
     pub own: u64,
-    /// The sum of what others told.
+    /// Sum of the usage that other entries reported.
     pub reported: u64,
-    /// Entries that are there and have not told.
+    /// Number of listed entries that have not reported their usage.
     pub entries_without_report: u64,
 }
 
 impl UsageEstimate {
-    /// The use to plan with.
+    /// Estimated usage by all entries.
     pub fn total(&self) -> u64 {
         self.own + self.reported + self.entries_without_report * self.own
     }
