--- a/crates/routing/examples/decision_time.rs
+++ b/crates/routing/examples/decision_time.rs
@@ -1,11 +1,12 @@
-//! Time of one decision against the size of the fleet.
+//! Measures the time of a chain choice by the size of the fleet.
 //!
 //! `cargo run --release -p chestnutreach-routing --example decision_time`
 //!
-//! The fleets of a way are measured in turns, so that their ratios hold on a
-//! busy machine too. Times are of single decisions, in nanoseconds, and
-//! include one reading of the clock. "half out" has half of the servers
-//! absent; the mean cost tells what sampling gives away against a full scan.
+//! The measurements alternate between the fleet sizes, so that their ratios
+//! are valid on a busy machine too. Each time is that of a single choice, in
+//! nanoseconds, and includes one reading of the clock. In "half out", half of
+//! the servers are absent. The mean cost shows how much worse the chains of
+//! sampling are than those of a full scan.
 
 use std::{hint::black_box, time::Instant};
 
@@ -20,47 +21,51 @@
 const ROUNDS: usize = 40;
 const DECISIONS_PER_ROUND: usize = 500;
 const NOW_MS: u64 = 1_000_000;
-/// Cuts of the layers; servers take the parts of each cut in turn.
-const SPLITS: [&[u32]; 4] =
+/// Splits of the layers into ranges; servers take the ranges in turn.
+const LAYER_SPLITS: [&[u32]; 4] =
     [&[0, 40, 80], &[0, 20, 40, 60, 80], &[0, 27, 54, 80], &[0, 40, 60, 80]];
 
 #[derive(Clone, Copy)]
-struct Way {
+struct Variant {
     name: &'static str,
-    is_full_scan: bool,
-    has_half_out: bool,
+    uses_full_scan: bool,
+    has_half_absent: bool,
 }
 
-const WAYS: [Way; 3] = [
-    Way { name: "sampled", is_full_scan: false, has_half_out: false },
-    Way { name: "half out", is_full_scan: false, has_half_out: true },
-    Way { name: "full scan", is_full_scan: true, has_half_out: false },
+const VARIANTS: [Variant; 3] = [
+    Variant { name: "sampled", uses_full_scan: false, has_half_absent: false },
+    Variant { name: "half out", uses_full_scan: false, has_half_absent: true },
+    Variant {
+        name: "full scan",
+        uses_full_scan: true,
+        has_half_absent: false,
+    },
 ];
 
-/// A kind of accelerator.
-struct Kind {
+/// A type of accelerator.
+struct Accelerator {
     price_micros_per_hour: u64,
     prompt_tokens_per_s: u32,
     output_tokens_per_s: u32,
 }
 
-const KINDS: [Kind; 4] = [
-    Kind {
+const ACCELERATORS: [Accelerator; 4] = [
+    Accelerator {
         price_micros_per_hour: 600_000,
         prompt_tokens_per_s: 2_500,
         output_tokens_per_s: 500,
     },
-    Kind {
+    Accelerator {
         price_micros_per_hour: 1_100_000,
         prompt_tokens_per_s: 6_000,
         output_tokens_per_s: 1_300,
     },
-    Kind {
+    Accelerator {
         price_micros_per_hour: 2_400_000,
         prompt_tokens_per_s: 14_000,
         output_tokens_per_s: 2_400,
     },
-    Kind {
+    Accelerator {
         price_micros_per_hour: 1_000_000,
         prompt_tokens_per_s: 3_000,
         output_tokens_per_s: 700,
@@ -68,7 +73,7 @@
 ];
 
 struct Case {
-    way: Way,
+    variant: Variant,
     size: usize,
     fleet: Fleet,
     live: LiveState,
@@ -79,9 +84,9 @@
 fn main() {
     let mut rng = fastrand::Rng::with_seed(11);
     let mut chooser = Chooser::new();
-    print_head();
-    for way in WAYS {
-        let mut cases = FLEET_SIZES.map(|size| case(way, size, &mut rng));
+    print_header();
+    for variant in VARIANTS {
+        let mut cases = FLEET_SIZES.map(|size| case(variant, size, &mut rng));
         for _ in 0..ROUNDS {
             for case in &mut cases {
                 measure(case, &mut chooser, &mut rng);
@@ -91,48 +96,49 @@
     }
 }
 
-fn case(way: Way, size: usize, rng: &mut fastrand::Rng) -> Case {
+fn case(variant: Variant, size: usize, rng: &mut fastrand::Rng) -> Case {
     let specs = (0..size).map(spec).collect();
     let network = Network::new(DATA_CENTRE_COUNT);
     let fleet = Fleet::try_new(LAYER_COUNT, specs, network).expect("valid");
     let live = LiveState::new(fleet.len());
     for index in fleet.indices() {
-        // By rounds over the parts, so that every part keeps some.
-        let round = index.0 as usize / part_count();
-        let is_absent = way.has_half_out && !round.is_multiple_of(2);
+        // Every other round over the ranges is absent, so that each range
+        // keeps some servers.
+        let round = index.0 as usize / range_count();
+        let is_absent = variant.has_half_absent && !round.is_multiple_of(2);
         if !is_absent {
             live.set_presence(index, Presence::Serving);
         }
         live.record_report(index, &report(&fleet, index, rng), NOW_MS);
     }
-    Case { way, size, fleet, live, times_ns: Vec::new(), cost_sum: 0.0 }
+    Case { variant, size, fleet, live, times_ns: Vec::new(), cost_sum: 0.0 }
 }
 
-fn part_count() -> usize {
-    SPLITS.iter().map(|cut| cut.len() - 1).sum()
+fn range_count() -> usize {
+    LAYER_SPLITS.iter().map(|split| split.len() - 1).sum()
 }
 
 fn spec(at: usize) -> BackendSpec {
-    let parts: Vec<(u32, u32)> = SPLITS
+    let ranges: Vec<(u32, u32)> = LAYER_SPLITS
         .iter()
-        .flat_map(|cut| cut.windows(2).map(|part| (part[0], part[1])))
+        .flat_map(|split| split.windows(2).map(|range| (range[0], range[1])))
         .collect();
-    let (first_layer, end_layer) = parts[at % parts.len()];
-    let kind = &KINDS[at / parts.len() % KINDS.len()];
+    let (first_layer, end_layer) = ranges[at % ranges.len()];
+    let accelerator = &ACCELERATORS[at / ranges.len() % ACCELERATORS.len()];
     BackendSpec {
         name: format!("server-{at}"),
         data_centre: at as u32 % DATA_CENTRE_COUNT,
         first_layer,
         end_layer,
-        price_micros_per_hour: kind.price_micros_per_hour,
-        prompt_tokens_per_s: kind.prompt_tokens_per_s,
-        output_tokens_per_s: kind.output_tokens_per_s,
+        price_micros_per_hour: accelerator.price_micros_per_hour,
+        prompt_tokens_per_s: accelerator.prompt_tokens_per_s,
+        output_tokens_per_s: accelerator.output_tokens_per_s,
         max_running: 32,
         cache_tokens: 400_000,
     }
 }
 
-/// Learned speeds lie within a fifth of the first guess.
+/// A load report whose speeds are within 20 % of the configured estimates.
 fn report(
     fleet: &Fleet,
     index: BackendIndex,
@@ -141,11 +147,12 @@
     let spec = fleet.spec(index);
     let layers = (spec.end_layer - spec.first_layer) as f32;
     let speed_up = LAYER_COUNT as f32 / layers;
-    let mut learned =
-        |guess: u32| guess as f32 * speed_up * (0.8 + 0.4 * rng.f32());
+    let mut measured = |configured: u32| {
+        configured as f32 * speed_up * (0.8 + 0.4 * rng.f32())
+    };
     LoadReport {
-        prompt_tokens_per_s: learned(spec.prompt_tokens_per_s),
-        output_tokens_per_s: learned(spec.output_tokens_per_s),
+        prompt_tokens_per_s: measured(spec.prompt_tokens_per_s),
+        output_tokens_per_s: measured(spec.output_tokens_per_s),
         running: rng.u32(0..32),
         queued: rng.u32(0..4),
         pending_tokens: rng.u64(0..20_000),
@@ -162,7 +169,7 @@
             .deadline_ms(600_000)
             .prefix(rng.u64(..));
         let avoid = [BackendIndex(at as u32 % case.size as u32)];
-        let choose = if case.way.is_full_scan {
+        let choose = if case.variant.uses_full_scan {
             Chooser::choose_by_full_scan
         } else {
             Chooser::choose
@@ -183,7 +190,7 @@
     }
 }
 
-fn print_head() {
+fn print_header() {
     println!(
         "{:>10} {:>8} {:>10} {:>10} {:>8} {:>8} {:>9}",
         "way",
@@ -207,7 +214,7 @@
         }
         println!(
             "{:>10} {:>8} {:>10} {:>10} {:>8.2} {:>8.2} {:>9.0}",
-            case.way.name,
+            case.variant.name,
             case.size,
             median,
             p99,
--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Chains tile the layers exactly, through servers that may be used.
+//! Chains cover all layers exactly, through servers that the request may use.
 
 mod common;
 
@@ -11,9 +11,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const DRAWS: usize = 200;
+const CHOICES: usize = 200;
 
-fn run(
+fn choose_chain(
     fleet: &Fleet,
     live: &LiveState,
     shape: &RequestShape,
@@ -27,12 +27,12 @@
     choose(&request, &mut rng)
 }
 
-/// How often each server is part of a chain, over many seeds.
+/// Counts for each server how many chains it is part of, over many seeds.
 fn counts(fleet: &Fleet, live: &LiveState, policy: &Policy) -> Vec<usize> {
     let shape = RequestShape::new(500, 100);
     let mut counts = vec![0; fleet.len()];
-    for seed in 0..DRAWS as u64 {
-        let choice = run(fleet, live, &shape, policy, &[], seed);
+    for seed in 0..CHOICES as u64 {
+        let choice = choose_chain(fleet, live, &shape, policy, &[], seed);
         for stage in choice.expect("a chain").stages {
             counts[stage.0 as usize] += 1;
         }
@@ -51,9 +51,9 @@
 
 impl Server {
     fn is_usable(&self) -> bool {
-        let is_there =
+        let is_present =
             !matches!(self.presence, Presence::Absent | Presence::Leaving);
-        is_there && !self.is_avoided
+        is_present && !self.is_avoided
     }
 }
 
@@ -82,17 +82,17 @@
     })
 }
 
-fn has_tiling(layers: u32, servers: &[Server]) -> bool {
-    let mut reached = vec![false; layers as usize + 1];
-    reached[0] = true;
+fn chain_exists(layers: u32, servers: &[Server]) -> bool {
+    let mut is_reached = vec![false; layers as usize + 1];
+    is_reached[0] = true;
     for at in 0..layers as usize {
         for server in servers.iter().filter(|s| s.is_usable()) {
-            if server.first_layer as usize == at && reached[at] {
-                reached[server.end_layer as usize] = true;
+            if server.first_layer as usize == at && is_reached[at] {
+                is_reached[server.end_layer as usize] = true;
             }
         }
     }
-    reached[layers as usize]
+    is_reached[layers as usize]
 }
 
 fn build(layers: u32, servers: &[Server]) -> (Fleet, LiveState) {
@@ -119,7 +119,7 @@
     })]
 
     #[test]
-    fn a_chain_tiles_exactly_and_is_found_where_there_is_one(
+    fn chain_covers_all_layers_and_is_found_if_one_exists(
         (layers, servers) in servers(),
         seed in any::<u64>(),
         sample_count in 1..8_u32,
@@ -131,12 +131,12 @@
             .collect();
         let policy = Policy::default().sample_count(sample_count);
         let shape = RequestShape::new(100, 10).prefix(seed);
-        // Before the choice, which is remembered; explaining is not.
+        // The explanation comes first, because a choice affects later ones.
         let mut rng = fastrand::Rng::with_seed(seed);
         let request = ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
         let explanation = explain(&request.avoid(&avoid), &mut rng);
-        let result = run(&fleet, &live, &shape, &policy, &avoid, seed);
-        prop_assert_eq!(result.is_ok(), has_tiling(layers, &servers));
+        let result = choose_chain(&fleet, &live, &shape, &policy, &avoid, seed);
+        prop_assert_eq!(result.is_ok(), chain_exists(layers, &servers));
         let Ok(choice) = result else { return Ok(()) };
         let mut layer = 0;
         for stage in &choice.stages {
@@ -165,25 +165,25 @@
 }
 
 #[rstest]
-#[case::nobody(NoChainCase {
+#[case::all_absent(NoChainCase {
     presence: [Presence::Absent; 2],
     avoid: &[],
     deadline_ms: u64::MAX,
     expected: |r| *r == NoChainReason::NoCandidate { first_layer: 0 },
 })]
-#[case::upper_leaves(NoChainCase {
+#[case::upper_server_leaving(NoChainCase {
     presence: [Presence::Serving, Presence::Leaving],
     avoid: &[],
     deadline_ms: u64::MAX,
     expected: |r| *r == NoChainReason::NoCandidate { first_layer: 4 },
 })]
-#[case::upper_avoided(NoChainCase {
+#[case::upper_server_avoided(NoChainCase {
     presence: [Presence::Serving; 2],
     avoid: &[1],
     deadline_ms: u64::MAX,
     expected: |r| *r == NoChainReason::AllAvoided,
 })]
-#[case::too_late(NoChainCase {
+#[case::deadline_too_short(NoChainCase {
     presence: [Presence::Serving; 2],
     avoid: &[],
     deadline_ms: 10,
@@ -192,7 +192,7 @@
         NoChainReason::TooLate { needed_ms } if *needed_ms > 10
     ),
 })]
-fn no_chain_tells_why(#[case] case: NoChainCase) {
+fn missing_chain_reports_its_reason(#[case] case: NoChainCase) {
     let fleet = fleet(8, numbered(&[(0, 4), (4, 8)]));
     let live = LiveState::new(2);
     for (index, presence) in fleet.indices().zip(case.presence) {
@@ -201,13 +201,14 @@
     let avoid: Vec<_> = case.avoid.iter().map(|&i| BackendIndex(i)).collect();
     let shape = RequestShape::new(500, 100).deadline_ms(case.deadline_ms);
     let policy = Policy::default();
-    let error = run(&fleet, &live, &shape, &policy, &avoid, 1).unwrap_err();
+    let error =
+        choose_chain(&fleet, &live, &shape, &policy, &avoid, 1).unwrap_err();
     assert!((case.expected)(&error.reason), "{error}");
     assert!(error.retry_after_ms > 0);
 }
 
 #[test]
-fn suspects_are_taken_only_where_nobody_else_is() {
+fn suspect_servers_are_used_only_without_alternatives() {
     let fleet = fleet(0, numbered(&[(0, 0); 20]));
     let live = serving(&fleet, 2);
     let fail = |index| {
@@ -219,7 +220,7 @@
     let last = BackendIndex(19);
     fleet.indices().filter(|&i| i != last).for_each(fail);
     let policy = Policy::default();
-    assert_eq!(counts(&fleet, &live, &policy)[19], DRAWS);
+    assert_eq!(counts(&fleet, &live, &policy)[19], CHOICES);
     fail(last);
     assert!(!live.is_eligible(last, NOW_MS));
     let spread = counts(&fleet, &live, &policy);
@@ -227,21 +228,22 @@
 }
 
 #[test]
-fn an_old_or_missing_report_is_no_light_load() {
+fn server_with_a_stale_report_does_not_attract_requests() {
     let fleet = fleet(0, numbered(&[(0, 0); 6]));
     let live = serving(&fleet, 8);
-    let late_ms = NOW_MS + 60_000;
-    // 0 told of no load long ago, 1 told nothing; the others are fresh.
+    let later_ms = NOW_MS + 60_000;
+    // Servers 0 and 1 have stale reports; server 0 reported no load. The
+    // reports of the others are recent.
     live.record_report(BackendIndex(0), &report(0), NOW_MS);
-    let fresh: Vec<_> = fleet.indices().skip(2).collect();
-    fresh.iter().for_each(|&i| live.record_report(i, &report(8), late_ms));
+    let recent: Vec<_> = fleet.indices().skip(2).collect();
+    recent.iter().for_each(|&i| live.record_report(i, &report(8), later_ms));
     let mut rng = fastrand::Rng::with_seed(5);
     let mut counts = [0; 6];
     for _ in 0..600 {
         let shape = RequestShape::new(500, 100);
         let policy = Policy::default();
         let request =
-            ChainRequest::new(&fleet, &live, &shape, &policy, late_ms);
+            ChainRequest::new(&fleet, &live, &shape, &policy, later_ms);
         let choice = choose(&request, &mut rng);
         counts[choice.expect("a chain").stages[0].0 as usize] += 1;
     }
@@ -262,7 +264,7 @@
     recovery_weight_percent: 100,
     expected: &[0],
 })]
-fn the_weight_trades_price_for_few_stages(#[case] case: WeightCase) {
+fn recovery_weight_trades_price_for_fewer_stages(#[case] case: WeightCase) {
     let ranges = [(0, 8), (0, 2), (2, 4), (4, 6), (6, 8)];
     let mut specs = numbered(&ranges);
     specs[0].price_micros_per_hour *= 4;
@@ -271,13 +273,14 @@
     let percent = case.recovery_weight_percent;
     let policy = Policy::default().recovery_weight_percent(percent);
     let shape = RequestShape::new(500, 100);
-    let choice = run(&fleet, &live, &shape, &policy, &[], 3).expect("chain");
+    let choice =
+        choose_chain(&fleet, &live, &shape, &policy, &[], 3).expect("chain");
     let stages: Vec<u32> = choice.stages.iter().map(|i| i.0).collect();
     assert_eq!(stages, case.expected);
 }
 
 #[test]
-fn dear_hardware_is_taken_when_the_cheap_is_too_slow() {
+fn expensive_server_is_used_if_the_cheap_one_misses_the_deadline() {
     let mut cheap = spec("cheap", 0, 8);
     cheap.output_tokens_per_s = 160;
     let mut fast = spec("fast", 0, 8);
@@ -287,82 +290,87 @@
     let policy = Policy::default().recovery_weight_percent(0);
     let shape = RequestShape::new(500, 100).priority(Priority::Low);
     let stages = |shape: &RequestShape| {
-        run(&fleet, &live, shape, &policy, &[], 3).expect("chain").stages
+        choose_chain(&fleet, &live, shape, &policy, &[], 3)
+            .expect("chain")
+            .stages
     };
     assert_eq!(stages(&shape), [BackendIndex(0)]);
     assert_eq!(stages(&shape.deadline_ms(2_000)), [BackendIndex(1)]);
 }
 
 #[test]
-fn a_slow_link_is_avoided() {
+fn slow_link_is_avoided() {
     let mut specs = numbered(&[(0, 4), (4, 8), (4, 8)]);
     specs[1].data_centre = 1;
     let mut network = Network::new(2);
     network.set_path(0, 1, 20_000, 100);
     let fleet = Fleet::try_new(8, specs, network).expect("a fleet");
     let live = serving(&fleet, 4);
-    assert_eq!(counts(&fleet, &live, &Policy::default()), [DRAWS, 0, DRAWS]);
+    assert_eq!(
+        counts(&fleet, &live, &Policy::default()),
+        [CHOICES, 0, CHOICES]
+    );
 }
 
 #[test]
-fn requests_with_a_cached_prefix_meet() {
+fn requests_with_the_same_prefix_share_a_server() {
     let fleet = fleet(0, numbered(&[(0, 0); 200]));
     let live = serving(&fleet, 2);
     let mut rng = fastrand::Rng::with_seed(9);
     let mut chooser = Chooser::new();
     let shape = RequestShape::new(4_000, 20).prefix(77);
     let policy = Policy::default();
-    let mut seen = std::collections::BTreeMap::new();
+    let mut counts = std::collections::BTreeMap::new();
     for _ in 0..50 {
         let request =
             ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
         let choice = chooser.choose(&request, &mut rng).expect("a chain");
         live.record_prefix(choice.stages[0], 77);
-        *seen.entry(choice.stages[0]).or_insert(0) += 1;
+        *counts.entry(choice.stages[0]).or_insert(0) += 1;
     }
-    let most = seen.values().max().copied().unwrap_or(0);
-    assert!(most >= 25, "{seen:?}");
+    let max = counts.values().max().copied().unwrap_or(0);
+    assert!(max >= 25, "{counts:?}");
 }
 
 #[test]
-fn a_new_generation_keeps_what_is_known() {
+fn new_generation_keeps_state_of_remaining_servers() {
     let old = fleet(0, numbered(&[(0, 0); 3]));
     let live = serving(&old, 5);
     live.record_dispatch(BackendIndex(2), 100, NOW_MS);
     let specs = vec![spec("new", 0, 0), spec("server-2", 0, 0)];
     let new = fleet(0, specs);
-    let carried = live.carry_over(&old, &new);
-    assert_eq!(carried.presence(BackendIndex(0)), Presence::Absent);
-    assert_eq!(carried.presence(BackendIndex(1)), Presence::Serving);
-    assert_eq!(carried.in_flight(BackendIndex(1)), 1);
-    // Ends under the generation it was sent under.
+    let next = live.carry_over(&old, &new);
+    assert_eq!(next.presence(BackendIndex(0)), Presence::Absent);
+    assert_eq!(next.presence(BackendIndex(1)), Presence::Serving);
+    assert_eq!(next.in_flight(BackendIndex(1)), 1);
+    // The request ends under the generation under which it was sent.
     live.record_outcome(
         BackendIndex(2),
         100,
         &RequestOutcome::Cancelled,
         NOW_MS,
     );
-    assert_eq!(carried.in_flight(BackendIndex(1)), 0);
+    assert_eq!(next.in_flight(BackendIndex(1)), 0);
     assert_eq!(live.presence(BackendIndex(0)), Presence::Absent);
 }
 
 #[test]
-fn a_server_replaced_under_its_name_is_new() {
+fn server_replaced_under_the_same_name_starts_absent() {
     let old = fleet(0, numbered(&[(0, 0); 2]));
     let live = serving(&old, 5);
     live.record_dispatch(BackendIndex(0), 100, NOW_MS);
     live.record_dispatch(BackendIndex(1), 100, NOW_MS);
     let new = fleet(0, numbered(&[(0, 0); 2]));
-    let carried = live.carry_over_where(&old, &new, |name| name != "server-0");
-    assert_eq!(carried.presence(BackendIndex(0)), Presence::Absent);
-    assert_eq!(carried.in_flight(BackendIndex(0)), 0);
+    let next = live.carry_over_where(&old, &new, |name| name != "server-0");
+    assert_eq!(next.presence(BackendIndex(0)), Presence::Absent);
+    assert_eq!(next.in_flight(BackendIndex(0)), 0);
     assert_eq!(live.presence(BackendIndex(0)), Presence::Absent);
-    assert_eq!(carried.presence(BackendIndex(1)), Presence::Serving);
-    assert_eq!(carried.in_flight(BackendIndex(1)), 1);
+    assert_eq!(next.presence(BackendIndex(1)), Presence::Serving);
+    assert_eq!(next.in_flight(BackendIndex(1)), 1);
 }
 
 #[test]
-fn a_fleet_tells_all_its_findings_together() {
+fn fleet_error_lists_all_findings() {
     let mut specs: Vec<BackendSpec> = numbered(&[(0, 4), (4, 9), (3, 3)]);
     specs[0].data_centre = 7;
     specs[1].max_running = 0;
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fleets for the tests.
+//! Test fleets.
 #![allow(dead_code)]
 
 use chestnutreach_routing::{
@@ -22,17 +22,17 @@
 }
 
 pub fn numbered(ranges: &[(u32, u32)]) -> Vec<BackendSpec> {
-    let named = |(at, &(first, end)): (usize, &(u32, u32))| {
+    let numbered_spec = |(at, &(first, end)): (usize, &(u32, u32))| {
         spec(&format!("server-{at}"), first, end)
     };
-    ranges.iter().enumerate().map(named).collect()
+    ranges.iter().enumerate().map(numbered_spec).collect()
 }
 
 pub fn fleet(layer_count: u32, specs: Vec<BackendSpec>) -> Fleet {
     Fleet::try_new(layer_count, specs, Network::new(3)).expect("a fleet")
 }
 
-/// All serving, with a fresh report of the given load.
+/// State in which all servers serve and have just reported the given load.
 pub fn serving(fleet: &Fleet, running: u32) -> LiveState {
     let live = LiveState::new(fleet.len());
     for index in fleet.indices() {
--- a/crates/routing/tests/layer_path.rs
+++ b/crates/routing/tests/layer_path.rs
@@ -1,4 +1,4 @@
-//! Paths over layers.
+//! Paths cover the requested layers at the lowest cost.
 
 use chestnutreach_routing::{LayerHolder, PathRequest, PathStage, find_path};
 use proptest::prelude::*;
@@ -35,27 +35,27 @@
 
 fn path(holders: &[LayerHolder], request: &PathRequest) -> Option<Vec<usize>> {
     let mut rng = fastrand::Rng::with_seed(7);
-    let parts = find_path(holders, request, &mut rng)?;
-    assert_tiles(&parts, holders, request);
-    Some(parts.iter().map(|part| part.holder).collect())
+    let stages = find_path(holders, request, &mut rng)?;
+    assert_covers_range(&stages, holders, request);
+    Some(stages.iter().map(|stage| stage.holder).collect())
 }
 
-fn assert_tiles(
-    parts: &[PathStage],
+fn assert_covers_range(
+    stages: &[PathStage],
     holders: &[LayerHolder],
     request: &PathRequest,
 ) {
     let mut next = request.first_layer;
     let mut seen = Vec::new();
-    for part in parts {
-        let holder = &holders[part.holder];
-        assert_eq!(part.first_layer, next);
-        assert!(part.first_layer < part.end_layer);
-        assert!(holder.first_layer <= part.first_layer);
-        assert!(part.end_layer <= holder.end_layer);
-        assert!(!seen.contains(&part.holder), "an engine comes twice");
-        seen.push(part.holder);
-        next = part.end_layer;
+    for stage in stages {
+        let holder = &holders[stage.holder];
+        assert_eq!(stage.first_layer, next);
+        assert!(stage.first_layer < stage.end_layer);
+        assert!(holder.first_layer <= stage.first_layer);
+        assert!(stage.end_layer <= holder.end_layer);
+        assert!(!seen.contains(&stage.holder), "an engine occurs twice");
+        seen.push(stage.holder);
+        next = stage.end_layer;
     }
     assert_eq!(next, request.end_layer);
 }
@@ -72,17 +72,17 @@
     request: request(),
     path: Some(vec![0, 1]),
 })]
-#[case::overlap_is_cut(Case {
+#[case::overlapping_ranges(Case {
     holders: vec![holder(0, 0, 8), holder(0, 4, 12)],
     request: request(),
     path: Some(vec![0, 1]),
 })]
-#[case::a_gap_has_no_path(Case {
+#[case::gap_between_ranges(Case {
     holders: vec![holder(0, 0, 6), holder(0, 7, 12)],
     request: request(),
     path: None,
 })]
-#[case::the_faster_one_of_two(Case {
+#[case::faster_of_two_engines(Case {
     holders: vec![
         holder(0, 0, 6),
         LayerHolder { layer_ms: 9.0, ..holder(0, 6, 12) },
@@ -91,7 +91,7 @@
     request: request(),
     path: Some(vec![0, 2]),
 })]
-#[case::all_elsewhere_rather_than_across(Case {
+#[case::one_other_data_centre_rather_than_two(Case {
     holders: vec![
         holder(0, 0, 6),
         LayerHolder { layer_ms: 1.5, ..holder(1, 0, 6) },
@@ -100,17 +100,17 @@
     request: request(),
     path: Some(vec![1, 2]),
 })]
-#[case::across_where_nothing_else_is(Case {
+#[case::interconnect_without_alternative(Case {
     holders: vec![holder(0, 0, 6), holder(1, 6, 12)],
     request: PathRequest { interconnect_utilisation: 0.5, ..request() },
     path: Some(vec![0, 1]),
 })]
-#[case::not_across_a_full_join(Case {
+#[case::full_interconnect(Case {
     holders: vec![holder(0, 0, 6), holder(1, 6, 12)],
     request: PathRequest { interconnect_utilisation: 0.7, ..request() },
     path: None,
 })]
-#[case::across_a_wide_join_past_a_slow_engine(Case {
+#[case::fast_interconnect_instead_of_slow_engine(Case {
     holders: vec![
         holder(0, 0, 6),
         LayerHolder { layer_ms: 12.0, ..holder(0, 6, 12) },
@@ -119,7 +119,7 @@
     request: PathRequest { interconnect_prefill_ms: 1.0, ..request() },
     path: Some(vec![0, 2]),
 })]
-#[case::not_across_a_narrow_join(Case {
+#[case::slow_engine_instead_of_narrow_interconnect(Case {
     holders: vec![
         holder(0, 0, 6),
         LayerHolder { layer_ms: 12.0, ..holder(0, 6, 12) },
@@ -128,7 +128,7 @@
     request: PathRequest { interconnect_prefill_ms: 70.0, ..request() },
     path: Some(vec![0, 1]),
 })]
-#[case::past_a_busy_engine(Case {
+#[case::engine_busy_with_prefill(Case {
     holders: vec![
         holder(0, 0, 6),
         LayerHolder { prefill_share: 0.9, ..holder(0, 6, 12) },
@@ -137,7 +137,7 @@
     request: request(),
     path: Some(vec![0, 2]),
 })]
-#[case::no_room(Case {
+#[case::memory_full(Case {
     holders: vec![
         holder(0, 0, 6),
         LayerHolder { used_token_layers: 99_500, ..holder(0, 6, 12) },
@@ -145,7 +145,7 @@
     request: request(),
     path: None,
 })]
-#[case::room_elsewhere(Case {
+#[case::memory_on_another_engine(Case {
     holders: vec![
         holder(0, 0, 6),
         LayerHolder { used_token_layers: 99_500, ..holder(0, 6, 12) },
@@ -154,12 +154,12 @@
     request: request(),
     path: Some(vec![0, 2]),
 })]
-#[case::not_usable(Case {
+#[case::unusable_engine(Case {
     holders: vec![LayerHolder { is_usable: false, ..holder(0, 0, 12) }],
     request: request(),
     path: None,
 })]
-#[case::not_first(Case {
+#[case::engine_that_cannot_be_first(Case {
     holders: vec![
         LayerHolder { can_be_first: false, ..holder(0, 0, 12) },
         LayerHolder { layer_ms: 5.0, ..holder(0, 0, 12) },
@@ -167,14 +167,14 @@
     request: request(),
     path: Some(vec![1]),
 })]
-#[case::the_middle_of_a_path(Case {
+#[case::middle_of_a_path(Case {
     holders: vec![holder(0, 3, 5), holder(0, 4, 9)],
     request: PathRequest {
         first_layer: 3, end_layer: 9, is_start: false, ..request()
     },
     path: Some(vec![0, 1]),
 })]
-fn the_cheapest_path_is_found(#[case] case: Case) {
+fn finds_the_cheapest_path(#[case] case: Case) {
     assert_eq!(path(&case.holders, &case.request), case.path);
 }
 
@@ -187,37 +187,44 @@
         })
 }
 
-/// Whether some path exists, by trying all of them.
-fn exists(holders: &[LayerHolder], request: &PathRequest, at: u32) -> bool {
+/// Whether any path exists, found by exhaustive search.
+fn path_exists(
+    holders: &[LayerHolder],
+    request: &PathRequest,
+    at: u32,
+) -> bool {
     if at == request.end_layer {
         return true;
     }
     holders.iter().any(|h| {
         let holds = h.first_layer <= at && at < h.end_layer;
-        let room = h.total_token_layers - h.used_token_layers;
-        holds && room >= request.tokens && exists(holders, request, at + 1)
+        let free = h.total_token_layers - h.used_token_layers;
+        holds
+            && free >= request.tokens
+            && path_exists(holders, request, at + 1)
     })
 }
 
 proptest! {
     #[test]
-    fn every_path_runs_each_layer_once(
+    fn path_runs_each_layer_once(
         holders in prop::collection::vec(any_holder(), 1..12),
         seed in any::<u64>(),
     ) {
         let request = request();
         let mut rng = fastrand::Rng::with_seed(seed);
         match find_path(&holders, &request, &mut rng) {
-            Some(parts) => assert_tiles(&parts, &holders, &request),
-            // Room for a whole part may lack where room for layers of it
-            // is: only the converse holds for all.
+            Some(stages) => assert_covers_range(&stages, &holders, &request),
+            // An engine may have the memory for some layers of a stage but
+            // not for the whole stage, so a missing path is only an error if
+            // all engines are empty.
             None => {
-                let roomy = PathRequest { tokens: 0, ..request };
+                let without_memory = PathRequest { tokens: 0, ..request };
                 let empty: Vec<LayerHolder> = holders
                     .iter()
                     .map(|h| LayerHolder { used_token_layers: 0, ..*h })
                     .collect();
-                let covered = exists(&empty, &roomy, 0);
+                let covered = path_exists(&empty, &without_memory, 0);
                 let full = holders.iter().any(|h| h.used_token_layers > 0);
                 prop_assert!(!covered || full);
             }
@@ -225,9 +232,9 @@
     }
 }
 
-/// Many engines that hold few layers beside few that hold many: by price
-/// alone a path goes from one small engine to the next.
-fn small_beside_large(layers_each: u32) -> Vec<LayerHolder> {
+/// Fast engines that hold few layers each, and slower ones that hold more. By
+/// cost alone, a path goes from one small engine to the next.
+fn small_and_large_engines(layers_each: u32) -> Vec<LayerHolder> {
     let small = (0..80 / layers_each).map(|at| {
         let first = at * layers_each;
         LayerHolder { layer_ms: 0.1, ..holder(0, first, first + layers_each) }
@@ -240,30 +247,30 @@
     small.chain(large).collect()
 }
 
-struct PartsCase {
+struct StageLimitCase {
     layers_each: u32,
     max_stages: usize,
     is_found: bool,
 }
 
 #[rstest]
-#[case::by_price_alone(PartsCase {
+#[case::limit_without_effect(StageLimitCase {
     layers_each: 1, max_stages: 80, is_found: true,
 })]
-#[case::some_on_larger(PartsCase {
+#[case::some_large_engines(StageLimitCase {
     layers_each: 1, max_stages: 32, is_found: true,
 })]
-#[case::all_on_larger(PartsCase {
+#[case::only_large_engines(StageLimitCase {
     layers_each: 1, max_stages: 16, is_found: true,
 })]
-#[case::none_is_so_short(PartsCase {
+#[case::limit_below_the_shortest_path(StageLimitCase {
     layers_each: 1, max_stages: 15, is_found: false,
 })]
-#[case::short_anyway(PartsCase {
+#[case::short_without_large_engines(StageLimitCase {
     layers_each: 4, max_stages: 32, is_found: true,
 })]
-fn a_path_has_no_more_parts_than_engines_take(#[case] case: PartsCase) {
-    let holders = small_beside_large(case.layers_each);
+fn path_has_no_more_stages_than_allowed(#[case] case: StageLimitCase) {
+    let holders = small_and_large_engines(case.layers_each);
     let request = PathRequest {
         end_layer: 80,
         max_stages: case.max_stages,
@@ -271,5 +278,5 @@
     };
     let found = path(&holders, &request);
     assert_eq!(found.is_some(), case.is_found);
-    assert!(found.is_none_or(|parts| parts.len() <= case.max_stages));
+    assert!(found.is_none_or(|stages| stages.len() <= case.max_stages));
 }
--- a/crates/routing/tests/stampede.rs
+++ b/crates/routing/tests/stampede.rs
@@ -1,4 +1,4 @@
-//! Entries with the same stale view do not all go to one server.
+//! Entries with the same stale view do not all choose the same server.
 
 mod common;
 
@@ -12,17 +12,17 @@
 const ENTRY_COUNT: u64 = 30;
 const SERVER_COUNT: usize = 40;
 const REQUESTS_PER_ENTRY: usize = 40;
-/// Most times the average that the newcomer may get.
-const LIMIT: f64 = 2.0;
+/// Maximum share of the new server, as a multiple of the average.
+const MAX_SHARE: f64 = 2.0;
 
-/// All but the newcomer have told of the same load.
-fn view(fleet: &Fleet, case: &Case) -> LiveState {
+/// State in which all servers but the new one have reported the same load.
+fn live_state(fleet: &Fleet, case: &Case) -> LiveState {
     let live = LiveState::new(fleet.len());
     for index in fleet.indices() {
         live.set_presence(index, Presence::Serving);
-        live.record_report(index, &report(case.others_running), NOW_MS);
+        live.record_report(index, &report(case.running_on_others), NOW_MS);
     }
-    live.set_presence(BackendIndex(0), case.newcomer);
+    live.set_presence(BackendIndex(0), case.new_server);
     if case.has_report {
         live.record_report(BackendIndex(0), &report(0), NOW_MS);
     }
@@ -30,26 +30,27 @@
 }
 
 struct Case {
-    newcomer: Presence,
+    new_server: Presence,
     has_report: bool,
     recovery_weight_percent: u32,
-    /// Of 16 places.
-    others_running: u32,
-    /// What the policy believes; there are always [`ENTRY_COUNT`].
+    /// Requests that run on each other server, which has 16 slots.
+    running_on_others: u32,
+    /// Entry count of the policy; the actual count is [`ENTRY_COUNT`].
     entry_count: u32,
 }
 
-/// Told of no load, at equal weights, with the true count of entries.
-const IDLE: Case = Case {
-    newcomer: Presence::Joining { since_ms: NOW_MS },
+/// A joining server that reported no load, with equal weights and the actual
+/// entry count.
+const NEW_AND_IDLE: Case = Case {
+    new_server: Presence::Joining { since_ms: NOW_MS },
     has_report: true,
     recovery_weight_percent: 50,
-    others_running: 8,
+    running_on_others: 8,
     entry_count: ENTRY_COUNT as u32,
 };
 
-/// What the newcomer gets, in times the average.
-fn newcomer_share(case: &Case) -> f64 {
+/// Share of the requests that the new server gets, relative to the average.
+fn new_server_share(case: &Case) -> f64 {
     let fleet = fleet(0, numbered(&[(0, 0); SERVER_COUNT]));
     let policy = Policy::default()
         .entry_count(case.entry_count)
@@ -57,7 +58,7 @@
     let shape = RequestShape::new(500, 100);
     let mut sent = [0; SERVER_COUNT];
     for entry in 0..ENTRY_COUNT {
-        let live = view(&fleet, case);
+        let live = live_state(&fleet, case);
         let mut rng = fastrand::Rng::with_seed(entry);
         for at in 0..REQUESTS_PER_ENTRY {
             let now_ms = NOW_MS + at as u64;
@@ -74,30 +75,31 @@
 }
 
 #[rstest]
-#[case::just_joined(IDLE)]
-#[case::for_throughput(Case { recovery_weight_percent: 0, ..IDLE })]
-#[case::for_recovery(Case { recovery_weight_percent: 100, ..IDLE })]
-#[case::without_report(Case { has_report: false, ..IDLE })]
-#[case::no_ramp(Case { newcomer: Presence::Serving, ..IDLE })]
-#[case::entries_not_counted(Case { entry_count: 1, ..IDLE })]
-#[case::few_entries_believed(Case { entry_count: 3, ..IDLE })]
-#[case::beside_full(Case { others_running: 15, ..IDLE })]
-fn a_newcomer_gets_a_bounded_share(#[case] case: Case) {
-    let share = newcomer_share(&case);
+#[case::just_joined(NEW_AND_IDLE)]
+#[case::throughput_weight(Case { recovery_weight_percent: 0, ..NEW_AND_IDLE })]
+#[case::recovery_weight(Case { recovery_weight_percent: 100, ..NEW_AND_IDLE })]
+#[case::without_report(Case { has_report: false, ..NEW_AND_IDLE })]
+#[case::no_ramp(Case { new_server: Presence::Serving, ..NEW_AND_IDLE })]
+#[case::entry_count_of_one(Case { entry_count: 1, ..NEW_AND_IDLE })]
+#[case::entry_count_too_low(Case { entry_count: 3, ..NEW_AND_IDLE })]
+#[case::others_nearly_full(Case { running_on_others: 15, ..NEW_AND_IDLE })]
+fn new_server_gets_a_bounded_share(#[case] case: Case) {
+    let share = new_server_share(&case);
     println!("{share:.2} times the average");
-    assert!(share <= LIMIT, "{share:.2} times the average");
-    assert!(share > 0.0, "it never gets any");
+    assert!(share <= MAX_SHARE, "{share:.2} times the average");
+    assert!(share > 0.0, "the new server gets no requests");
 }
 
-/// Without the count of entries, so that the ramp alone is at work. For the
-/// price, servers that are half full are filled before an empty one is used;
-/// so the others are nearly full, or the price counts nothing.
+/// The entry count is 1, so that only the ramp limits the share. The price
+/// makes requests fill half-full servers before they use an empty one, so the
+/// other servers are nearly full here, or the price does not count.
 #[rstest]
-#[case::beside_full(Case { others_running: 14, ..IDLE })]
-#[case::for_recovery(Case { recovery_weight_percent: 100, ..IDLE })]
-fn the_ramp_lets_the_share_grow(#[case] case: Case) {
-    let share =
-        |newcomer| newcomer_share(&Case { newcomer, entry_count: 1, ..case });
+#[case::others_nearly_full(Case { running_on_others: 14, ..NEW_AND_IDLE })]
+#[case::recovery_weight(Case { recovery_weight_percent: 100, ..NEW_AND_IDLE })]
+fn share_of_a_new_server_grows_during_the_ramp(#[case] case: Case) {
+    let share = |new_server| {
+        new_server_share(&Case { new_server, entry_count: 1, ..case })
+    };
     let since = |age_ms| Presence::Joining { since_ms: NOW_MS - age_ms };
     let shares = [
         share(since(0)),
--- a/crates/routing/tests/usage_estimate.rs
+++ b/crates/routing/tests/usage_estimate.rs
@@ -1,40 +1,42 @@
-//! Entries that start together, replayed: the streams that were cut come back
-//! to all of them before anybody has told what it uses.
+//! Simulation of entries that start at the same time: the clients of aborted
+//! streams retry at all entries before any entry has reported its usage.
 
 use chestnutreach_routing::UsageEstimate;
 use rstest::rstest;
 
-/// Room of the fast engine and of all slower ones, in streams.
-const FAST_ROOM: u64 = 160;
-const SLOW_ROOM: u64 = 350;
-/// Streams that came back to each entry on average.
-const BACK: u64 = 12;
+/// Capacity of the fast engine and of all slower ones, in streams.
+const FAST_CAPACITY: u64 = 160;
+const SLOW_CAPACITY: u64 = 350;
+/// Mean number of streams that are retried at each entry.
+const RETURNING_STREAMS: u64 = 12;
 
 struct Case {
     entries: u64,
-    /// Streams that the fast engine may refuse in all.
-    most_refused: u64,
-    /// Streams that it must get.
-    least_sent: u64,
+    /// Maximum number of streams that the fast engine refuses.
+    max_refused: u64,
+    /// Minimum number of streams that are sent to the fast engine.
+    min_sent: u64,
 }
 
-/// Streams that are sent to the fast engine, if each entry prefers it while
-/// it sees room.
-fn sent_to_fast(entries: u64, knows_others: bool) -> u64 {
+/// Number of streams that are sent to the fast engine, if each entry prefers
+/// this engine while its estimate shows free capacity.
+fn streams_sent_to_fast_engine(entries: u64, estimates_others: bool) -> u64 {
     let mut rng = fastrand::Rng::with_seed(entries);
     let mut sent = 0;
     for _ in 0..entries {
-        let streams = rng.u64(BACK / 2..=BACK + BACK / 2);
+        let streams = rng.u64(
+            RETURNING_STREAMS / 2..=RETURNING_STREAMS + RETURNING_STREAMS / 2,
+        );
         let mut own = 0;
         for _ in 0..streams {
             let entries_without_report =
-                if knows_others { entries - 1 } else { 0 };
-            let with = UsageEstimate {
+                if estimates_others { entries - 1 } else { 0 };
+            let usage = UsageEstimate {
                 own: own + 1,
                 reported: 0,
                 entries_without_report,
             };
-            own += u64::from(with.total() <= FAST_ROOM);
+            own += u64::from(usage.total() <= FAST_CAPACITY);
         }
         sent += own;
     }
@@ -42,26 +44,27 @@
 }
 
 #[rstest]
-#[case::alone(Case { entries: 1, most_refused: 0, least_sent: BACK / 2 })]
-#[case::five(Case { entries: 5, most_refused: 0, least_sent: 5 * BACK / 2 })]
-#[case::today(Case { entries: 23, most_refused: 0, least_sent: 120 })]
-#[case::seventy(Case { entries: 70, most_refused: 0, least_sent: 120 })]
-fn no_more_go_to_an_engine_than_it_has_room_for(#[case] case: Case) {
-    let sent = sent_to_fast(case.entries, true);
-    assert!(sent.saturating_sub(FAST_ROOM) <= case.most_refused, "{sent}");
-    assert!(sent >= case.least_sent, "{sent}");
+#[case::one(Case { entries: 1, max_refused: 0, min_sent: RETURNING_STREAMS / 2 })]
+#[case::five(Case { entries: 5, max_refused: 0, min_sent: 5 * RETURNING_STREAMS / 2 })]
+#[case::twenty_three(Case { entries: 23, max_refused: 0, min_sent: 120 })]
+#[case::seventy(Case { entries: 70, max_refused: 0, min_sent: 120 })]
+fn entries_send_no_more_streams_than_an_engine_can_hold(#[case] case: Case) {
+    let sent = streams_sent_to_fast_engine(case.entries, true);
+    assert!(sent.saturating_sub(FAST_CAPACITY) <= case.max_refused, "{sent}");
+    assert!(sent >= case.min_sent, "{sent}");
 }
 
-/// What the test above finds: where nobody thinks of the others, all go to
-/// the fast engine, more than it and the slower ones have room for together.
+/// The failure that the estimate prevents: if entries do not account for each
+/// other, they send more streams to the fast engine than all engines together
+/// can hold.
 #[test]
-fn without_it_all_go_to_the_same() {
-    let sent = sent_to_fast(70, false);
-    assert!(sent > FAST_ROOM + SLOW_ROOM, "{sent}");
+fn without_the_estimate_all_streams_go_to_the_fast_engine() {
+    let sent = streams_sent_to_fast_engine(70, false);
+    assert!(sent > FAST_CAPACITY + SLOW_CAPACITY, "{sent}");
 }
 
 #[test]
-fn what_is_told_replaces_what_was_assumed() {
+fn report_replaces_the_estimate() {
     let before =
         UsageEstimate { own: 3, reported: 0, entries_without_report: 22 };
     let after =
