--- a/crates/routing/src/fleet_error.rs
+++ b/crates/routing/src/fleet_error.rs
@@ -86,7 +86,8 @@
             ),
             FleetFinding::MaxRunning { backend } => write!(
                 f,
-                "backend server {backend}: max_running is 0 but must be at least 1"
+                "backend server {backend}: max_running is 0 but must be at \
+                 least 1"
             ),
         }
     }
--- a/crates/routing/src/layer_path.rs
+++ b/crates/routing/src/layer_path.rs
@@ -49,8 +49,8 @@
 /// Cost of an engine that spends all its time on prefill, in milliseconds per
 /// token.
 const FULL_PREFILL_MS: f64 = 40.0;
-/// Maximum of the prefill share above [`PREFILL_COST_FROM`], relative to the range
-/// from there to 1.
+/// Maximum of the prefill share above [`PREFILL_COST_FROM`], relative to the
+/// range from there to 1.
 const MAX_PREFILL_EXCESS: f64 = 3.0;
 /// Factor by which the cost of an engine change grows if a path has too many
 /// stages.
--- a/crates/routing/src/live_state.rs
+++ b/crates/routing/src/live_state.rs
@@ -4,7 +4,7 @@
 //! choice without locks. A snapshot combines the last load report with the
 //! requests that this process has sent and completed since, so that a stale
 //! report does not attract all requests to one server. A server without a
-//! recent report counts as loaded as the fleet mean, never as idle.
+//! recent report is assumed to carry at least the mean load of the fleet.
 //!
 //! Each manifest generation has its own [`LiveState`], created by
 //! [`LiveState::carry_over`]. Servers that remain share their state with the
@@ -263,7 +263,7 @@
         self.server(index).has_prefix(splitmix64(prefix))
     }
 
-    /// Removes the cached prefixes of a server, after a restart.
+    /// Clears the cached prefixes of a server, for example after a restart.
     pub fn forget_prefixes(&self, index: BackendIndex) {
         self.server(index).forget_prefixes();
     }
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -7,7 +7,7 @@
 //!
 //! ```text
 //! wait + (0.25 + 0.75 w) * time * urgency   time: prompt, output and links
-//!      + (1 - w) * price                    price converted to time, see below
+//!      + (1 - w) * price                    price as time, see below
 //!      + (0.25 + 0.75 w) * load             load cost by utilisation
 //!      + w * (stages - 1) * stage_penalty_ms
 //!      + w * interconnect_links * interconnect_penalty_ms
--- a/crates/routing/src/recent_choices.rs
+++ b/crates/routing/src/recent_choices.rs
@@ -4,7 +4,8 @@
 //! servers that were chosen before, at their current cost, keeps a good server
 //! in use as long as its cost stays low ("the power of two choices with
 //! memory", Mitzenmacher, Prabhakar and Shah, 2002). Packing requests onto few
-//! servers depends on this, since the search has to find the same server again.
+//! servers depends on this, because the search has to find the same server
+//! again.
 //!
 //! If there are more than [`SLOT_COUNT`] boundaries, some share a slot, and
 //! the search skips servers that belong to another boundary.
--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -133,9 +133,11 @@
         let shape = RequestShape::new(100, 10).prefix(seed);
         // The explanation comes first, because a choice affects later ones.
         let mut rng = fastrand::Rng::with_seed(seed);
-        let request = ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
+        let request =
+            ChainRequest::new(&fleet, &live, &shape, &policy, NOW_MS);
         let explanation = explain(&request.avoid(&avoid), &mut rng);
-        let result = choose_chain(&fleet, &live, &shape, &policy, &avoid, seed);
+        let result =
+            choose_chain(&fleet, &live, &shape, &policy, &avoid, seed);
         prop_assert_eq!(result.is_ok(), chain_exists(layers, &servers));
         let Ok(choice) = result else { return Ok(()) };
         let mut layer = 0;
--- a/crates/routing/tests/guards.rs
+++ b/crates/routing/tests/guards.rs
@@ -185,7 +185,7 @@
 
 struct ThroughputCase {
     layer_count: u32,
-    /// First layer, end layer, and output tokens per second through all layers.
+    /// First layer, end layer, output tokens per second through all layers.
     servers: &'static [(u32, u32, u32)],
     expected_tokens_per_s: f64,
 }
--- a/crates/routing/tests/usage_estimate.rs
+++ b/crates/routing/tests/usage_estimate.rs
@@ -8,7 +8,7 @@
 const FAST_CAPACITY: u64 = 160;
 const SLOW_CAPACITY: u64 = 350;
 /// Mean number of streams that are retried at each entry.
-const RETURNING_STREAMS: u64 = 12;
+const RETRIED_STREAMS: u64 = 12;
 
 struct Case {
     entries: u64,
@@ -24,9 +24,8 @@
     let mut rng = fastrand::Rng::with_seed(entries);
     let mut sent = 0;
     for _ in 0..entries {
-        let streams = rng.u64(
-            RETURNING_STREAMS / 2..=RETURNING_STREAMS + RETURNING_STREAMS / 2,
-        );
+        let streams = rng
+            .u64(RETRIED_STREAMS / 2..=RETRIED_STREAMS + RETRIED_STREAMS / 2);
         let mut own = 0;
         for _ in 0..streams {
             let entries_without_report =
@@ -44,8 +43,16 @@
 }
 
 #[rstest]
-#[case::one(Case { entries: 1, max_refused: 0, min_sent: RETURNING_STREAMS / 2 })]
-#[case::five(Case { entries: 5, max_refused: 0, min_sent: 5 * RETURNING_STREAMS / 2 })]
+#[case::one(Case {
+    entries: 1,
+    max_refused: 0,
+    min_sent: RETRIED_STREAMS / 2,
+})]
+#[case::five(Case {
+    entries: 5,
+    max_refused: 0,
+    min_sent: 5 * RETRIED_STREAMS / 2,
+})]
 #[case::twenty_three(Case { entries: 23, max_refused: 0, min_sent: 120 })]
 #[case::seventy(Case { entries: 70, max_refused: 0, min_sent: 120 })]
 fn entries_send_no_more_streams_than_an_engine_can_hold(#[case] case: Case) {
