--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,14 +1,14 @@
-//! One service's backend servers, as a manifest states them.
+//! The backend servers of a service, as stated in the manifest.
 //!
-//! A fleet is immutable and rebuilt for each manifest generation. It is
-//! indexed by the layer at which a range begins, so that a choice looks only
-//! at servers that can come next. A server whose range lies on no tiling of
-//! `0..layer_count` is kept out of that index.
+//! A fleet is immutable and rebuilt for each manifest generation. An index by
+//! first layer restricts a chain search to the servers that can come next. A
+//! server whose layers fit into no chain through `0..layer_count` is left out
+//! of the index.
 //!
-//! Speeds of a [`BackendSpec`] are those of the accelerator through *all*
-//! layers. A server that holds `k` of `L` layers runs its own part `L / k`
-//! times as fast. Reported speeds (see [`crate::live_state`]) are measured through
-//! the server's own range and are taken as they are.
+//! The speeds of a [`BackendSpec`] are those of the accelerator through *all*
+//! layers. A server that holds `k` of `L` layers runs these `L / k` times as
+//! fast. Reported speeds (see [`crate::live_state`]) are measured through the
+//! server's own layers and used unchanged.
 
 use std::{collections::BTreeMap, ops::Range};
 
@@ -22,12 +22,12 @@
 const MS_PER_S: f64 = 1_000.0;
 const MS_PER_HOUR: f64 = 3_600_000.0;
 
-/// One service's backend servers.
+/// The backend servers of a service.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     layer_count: u32,
     specs: Vec<BackendSpec>,
-    facts: Vec<Facts>,
+    cost_inputs: Vec<CostInputs>,
     boundaries: Vec<Boundary>,
     members: Vec<BackendIndex>,
     by_name: BTreeMap<String, BackendIndex>,
@@ -36,30 +36,31 @@
     mean_max_running: f64,
 }
 
-/// A layer at which ranges begin.
+/// A layer at which the layer range of some server begins.
 #[derive(Clone, Debug)]
 pub(crate) struct Boundary {
     pub(crate) first_layer: u32,
     members: Range<usize>,
 }
 
-/// What a cost needs of a spec, in its own units.
+/// Values of a spec in the units of the cost function.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Facts {
+pub(crate) struct CostInputs {
     pub(crate) data_centre: u32,
-    /// The boundary that follows; the count of boundaries at the end.
+    /// Index of the boundary at the end layer; the number of boundaries if the
+    /// server holds the last layer.
     pub(crate) next_boundary: u32,
-    /// Through its own layers.
+    /// Speed through the server's own layers.
     pub(crate) prompt_tokens_per_ms: f64,
-    /// Through its own layers, all sequences together.
+    /// Speed through the server's own layers, summed over all sequences.
     pub(crate) output_tokens_per_ms: f64,
     pub(crate) price_micros_per_ms: f64,
     pub(crate) max_running: f64,
 }
 
 impl Fleet {
-    /// Checks and indexes the specs. `layer_count` 0 is a plain service,
-    /// whose chains are of one server.
+    /// Validates and indexes the specs. A `layer_count` of 0 is a plain
+    /// service, whose chains have one stage.
     pub fn try_new(
         layer_count: u32,
         backends: Vec<BackendSpec>,
@@ -69,60 +70,61 @@
         if !findings.is_empty() {
             return Err(FleetError { findings });
         }
-        Ok(index(layer_count, backends, network))
+        Ok(build(layer_count, backends, network))
     }
 
-    /// The same servers over other paths, for links that were measured anew.
+    /// Returns the same servers with another network, for example after the
+    /// links were measured again.
     pub fn with_network(&self, network: Network) -> Result<Fleet, FleetError> {
         Fleet::try_new(self.layer_count, self.specs.clone(), network)
     }
 
-    /// How many backend servers there are.
+    /// Number of backend servers.
     pub fn len(&self) -> usize {
         self.specs.len()
     }
 
-    /// Whether there is no backend server.
+    /// Whether the fleet has no backend servers.
     pub fn is_empty(&self) -> bool {
         self.specs.is_empty()
     }
 
-    /// Layers of the model; 0 for a plain service.
+    /// Number of layers of the model; 0 for a plain service.
     pub fn layer_count(&self) -> u32 {
         self.layer_count
     }
 
-    /// Whether chains are of one server.
+    /// Whether this is a plain service, whose chains have one stage.
     pub fn is_plain(&self) -> bool {
         self.layer_count == 0
     }
 
-    /// Every index, in order.
+    /// The indices of all servers, in order.
     pub fn indices(&self) -> impl Iterator<Item = BackendIndex> + use<> {
         (0..self.specs.len() as u32).map(BackendIndex)
     }
 
-    /// What the manifest says of one server.
+    /// The spec of a server.
     ///
     /// # Panics
     ///
-    /// When the index is of another fleet and not below [`Fleet::len`].
+    /// Panics if the index is not below [`Fleet::len`].
     pub fn spec(&self, index: BackendIndex) -> &BackendSpec {
-        &self.specs[index.at()]
+        &self.specs[index.as_usize()]
     }
 
-    /// The server of that name.
+    /// The index of the server with this name.
     pub fn find(&self, name: &str) -> Option<BackendIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Whether the server lies on some tiling of all layers.
+    /// Whether the server can be a stage of a chain through all layers.
     pub fn is_in_some_chain(&self, index: BackendIndex) -> bool {
         self.members.contains(&index)
     }
 
-    pub(crate) fn facts(&self, index: BackendIndex) -> &Facts {
-        &self.facts[index.at()]
+    pub(crate) fn cost_inputs(&self, index: BackendIndex) -> &CostInputs {
+        &self.cost_inputs[index.as_usize()]
     }
 
     pub(crate) fn network(&self) -> &Network {
@@ -146,19 +148,19 @@
     }
 }
 
-fn index(
+fn build(
     layer_count: u32,
     specs: Vec<BackendSpec>,
     network: Network,
 ) -> Fleet {
-    let useful = useful(layer_count, &specs);
-    let mut members: Vec<BackendIndex> = useful;
-    members.sort_by_key(|&i| (specs[i.at()].first_layer, i));
+    let in_some_chain = in_some_chain(layer_count, &specs);
+    let mut members: Vec<BackendIndex> = in_some_chain;
+    members.sort_by_key(|&i| (specs[i.as_usize()].first_layer, i));
     let boundaries = boundaries(&specs, &members);
-    let guess = Guess::new(&specs);
-    let facts = specs
+    let default = DefaultSpeeds::new(&specs);
+    let cost_inputs = specs
         .iter()
-        .map(|spec| facts(layer_count, spec, &boundaries, &guess))
+        .map(|spec| cost_inputs(layer_count, spec, &boundaries, &default))
         .collect();
     let by_name = specs
         .iter()
@@ -175,7 +177,7 @@
     Fleet {
         layer_count,
         specs,
-        facts,
+        cost_inputs,
         boundaries,
         members,
         by_name,
@@ -185,9 +187,12 @@
     }
 }
 
-/// Servers that lie on a tiling: their first layer can be reached from 0,
-/// and the end from their end layer.
-fn useful(layer_count: u32, specs: &[BackendSpec]) -> Vec<BackendIndex> {
+/// Servers that can be a stage of a chain: other servers connect layer 0 with
+/// their first layer, and their end layer with the last layer.
+fn in_some_chain(
+    layer_count: u32,
+    specs: &[BackendSpec],
+) -> Vec<BackendIndex> {
     let all = || (0..specs.len() as u32).map(BackendIndex);
     if layer_count == 0 {
         return all().collect();
@@ -196,21 +201,21 @@
         specs.iter().map(|spec| (spec.first_layer, spec.end_layer)).collect();
     by_range.sort_unstable();
     by_range.dedup();
-    let mut is_reached = vec![false; layer_count as usize + 1];
-    is_reached[0] = true;
+    let mut is_reachable = vec![false; layer_count as usize + 1];
+    is_reachable[0] = true;
     for &(first, end) in &by_range {
-        is_reached[end as usize] |= is_reached[first as usize];
+        is_reachable[end as usize] |= is_reachable[first as usize];
     }
-    let mut is_open = vec![false; layer_count as usize + 1];
-    is_open[layer_count as usize] = true;
+    let mut reaches_end = vec![false; layer_count as usize + 1];
+    reaches_end[layer_count as usize] = true;
     for &(first, end) in by_range.iter().rev() {
-        is_open[first as usize] |= is_open[end as usize];
+        reaches_end[first as usize] |= reaches_end[end as usize];
     }
     all()
         .filter(|i| {
-            let spec = &specs[i.at()];
-            is_reached[spec.first_layer as usize]
-                && is_open[spec.end_layer as usize]
+            let spec = &specs[i.as_usize()];
+            is_reachable[spec.first_layer as usize]
+                && reaches_end[spec.end_layer as usize]
         })
         .collect()
 }
@@ -221,7 +226,7 @@
 ) -> Vec<Boundary> {
     let mut boundaries: Vec<Boundary> = Vec::new();
     for (at, &member) in members.iter().enumerate() {
-        let first_layer = specs[member.at()].first_layer;
+        let first_layer = specs[member.as_usize()].first_layer;
         match boundaries.last_mut() {
             Some(last) if last.first_layer == first_layer => {
                 last.members.end = at + 1;
@@ -234,31 +239,31 @@
     boundaries
 }
 
-/// Means that stand in for speeds the manifest leaves open.
-struct Guess {
+/// Mean speeds of the fleet, for servers without a configured speed.
+struct DefaultSpeeds {
     prompt_tokens_per_s: f64,
     output_tokens_per_s: f64,
 }
 
-impl Guess {
-    fn new(specs: &[BackendSpec]) -> Guess {
+impl DefaultSpeeds {
+    fn new(specs: &[BackendSpec]) -> DefaultSpeeds {
         let known = |speed: fn(&BackendSpec) -> u32| {
             let speeds = specs.iter().map(speed).filter(|&s| s > 0);
             mean(speeds.map(f64::from)).unwrap_or(DEFAULT_TOKENS_PER_S)
         };
-        Guess {
+        DefaultSpeeds {
             prompt_tokens_per_s: known(|spec| spec.prompt_tokens_per_s),
             output_tokens_per_s: known(|spec| spec.output_tokens_per_s),
         }
     }
 }
 
-fn facts(
+fn cost_inputs(
     layer_count: u32,
     spec: &BackendSpec,
     boundaries: &[Boundary],
-    guess: &Guess,
-) -> Facts {
+    default: &DefaultSpeeds,
+) -> CostInputs {
     let next_boundary = boundaries
         .binary_search_by_key(&spec.end_layer, |b| b.first_layer)
         .ok()
@@ -270,20 +275,21 @@
     } else {
         f64::from(layer_count) / f64::from(layers)
     };
-    let per_ms = |stated: u32, guess: f64| {
-        let per_s = if stated == 0 { guess } else { f64::from(stated) };
+    let per_ms = |configured: u32, default: f64| {
+        let per_s =
+            if configured == 0 { default } else { f64::from(configured) };
         per_s * speed_up / MS_PER_S
     };
-    Facts {
+    CostInputs {
         data_centre: spec.data_centre,
         next_boundary: next_boundary as u32,
         prompt_tokens_per_ms: per_ms(
             spec.prompt_tokens_per_s,
-            guess.prompt_tokens_per_s,
+            default.prompt_tokens_per_s,
         ),
         output_tokens_per_ms: per_ms(
             spec.output_tokens_per_s,
-            guess.output_tokens_per_s,
+            default.output_tokens_per_s,
         ),
         price_micros_per_ms: spec.price_micros_per_hour as f64 / MS_PER_HOUR,
         max_running: f64::from(spec.max_running),
--- a/crates/routing/src/layer_path.rs
+++ b/crates/routing/src/layer_path.rs
@@ -1,151 +1,160 @@
-//! Which engines run which layers of a request.
+//! Search for the path of a request: which engines run which layers.
 //!
-//! A path tiles a range of layers; an engine may run any part of what it
-//! holds. The cheapest path is found over layer boundaries: the time of the
-//! layers on each engine, a price that grows as the memory for requests
-//! fills, a price for each change of engine, and a high one for each change
-//! of data centre, since all requests share what joins those. A little
-//! randomness keeps entries that know the same from choosing the same.
+//! The stages of a path cover a range of layers without gaps or overlaps. An
+//! engine may run any part of the layers that it holds. The search finds the
+//! cheapest path over the layer boundaries. The cost is the time of the layers
+//! on each engine, plus a cost that grows as the memory for requests fills up,
+//! a cost for each change of engine, and a high cost for each change of data
+//! centre, since all requests share the interconnect. A small jitter keeps
+//! entries with the same view from choosing the same path.
 //!
-//! Engines refuse a path of too many parts, which a search by price alone
-//! finds where many engines hold a few layers each. Such a path is sought
-//! again with changes of engine ever dearer, until it is short enough or the
-//! shortest is too long.
+//! Engines refuse a path with too many stages. A search by cost alone finds
+//! such paths if many engines hold a few layers each. The search then repeats
+//! with a higher cost of an engine change, until the path is short enough or
+//! the shortest path is still too long.
 
 use std::collections::BTreeSet;
 
 use crate::interconnect::MAX_UTILISATION;
 
-/// Price of a change of engine, in milliseconds of a token's time: a wait for
-/// the pass that runs there, and the way.
-const CHANGE_MS: f64 = 0.8;
-/// Least price of a change of data centre, in the same unit: above that of
-/// engines that are half full.
-const CROSSING_MS: f64 = 15.0;
-/// Price of one for each millisecond for which the request takes up what
-/// joins data centres. Use is known some time late, so the price must keep
-/// requests off a narrow join before its use shows.
-const CROSSING_PRICE: f64 = 2.5;
-/// Price of one where what joins them is nearly full: only where no other
-/// path exists.
-const FULL_CROSSING_MS: f64 = 1_000.0;
-/// Use of what joins data centres from which on the price rises, and at
-/// which it counts as full. Then no path crosses, even where no other is:
-/// everything that waits there would hold memory in all data centres until
-/// none is left for requests that need not cross.
-const CROSSING_USE: (f64, f64) = (0.2, MAX_UTILISATION);
-/// Price of starting in another data centre, where only the events of one
-/// stream cross, in the same unit.
-const FAR_START_MS: f64 = 1.0;
-/// Share of the memory for requests above which each further part is dear.
-const FULL_FROM: f64 = 0.6;
-/// Price of an engine whose memory is full, in the same unit.
-const FULL_MS: f64 = 10.0;
-/// Share of an engine's time from which on further reading is dear.
-const BUSY_FROM: f64 = 0.35;
-/// Price of an engine that reads all the time, in the same unit.
-const BUSY_MS: f64 = 40.0;
-/// Where that price ends, as a multiple of the way from dear to all.
-const MAX_BUSY: f64 = 3.0;
-/// Factor by which changes of engine grow dearer where a path has too many
-/// parts, and most searches: at the last one the price of a change, 3.3 s, is
-/// above that of all else, so that it finds the path of fewest parts.
-const DEARER: f64 = 8.0;
-const MOST_SEARCHES: usize = 5;
-/// Share by which times are varied.
+/// Cost of a change of engine, in milliseconds per token: the wait for the
+/// running pass of the next engine, and the transfer.
+const ENGINE_CHANGE_MS: f64 = 0.8;
+/// Minimum cost of a change of data centre, in milliseconds per token; higher
+/// than the cost of engines that are half full.
+const MIN_INTERCONNECT_MS: f64 = 15.0;
+/// Cost of a change of data centre per millisecond for which the request's
+/// prefill occupies the interconnect. The utilisation is known with a delay,
+/// so this cost keeps requests off a narrow interconnect before the
+/// utilisation rises.
+const INTERCONNECT_PREFILL_FACTOR: f64 = 2.5;
+/// Cost of a change of data centre over a nearly full interconnect, so high
+/// that a path uses the interconnect only if no other path exists.
+const FULL_INTERCONNECT_MS: f64 = 1_000.0;
+/// Utilisation of the interconnect above which the cost rises, and at which
+/// the interconnect counts as full. No path uses a full interconnect, even if
+/// no other path exists: requests that wait there hold memory in all data
+/// centres until none is left for requests within one data centre.
+const INTERCONNECT_UTILISATION: (f64, f64) = (0.2, MAX_UTILISATION);
+/// Cost of a first stage in another data centre, in milliseconds per token.
+/// Only the events of the stream use the interconnect then.
+const REMOTE_START_MS: f64 = 1.0;
+/// Share of the memory for requests above which the memory cost applies.
+const MEMORY_COST_FROM: f64 = 0.6;
+/// Cost of an engine whose memory is full, in milliseconds per token.
+const FULL_MEMORY_MS: f64 = 10.0;
+/// Share of an engine's time spent on prefill above which the prefill cost
+/// applies.
+const PREFILL_COST_FROM: f64 = 0.35;
+/// Cost of an engine that spends all its time on prefill, in milliseconds per
+/// token.
+const FULL_PREFILL_MS: f64 = 40.0;
+/// Maximum of the prefill share above [`PREFILL_COST_FROM`], relative to the
+/// range from there to 1.
+const MAX_PREFILL_EXCESS: f64 = 3.0;
+/// Factor by which the cost of an engine change grows if a path has too many
+/// stages.
+const ENGINE_CHANGE_GROWTH: f64 = 8.0;
+/// Maximum number of searches. In the last one an engine change costs 3.3 s,
+/// which exceeds all other costs, so that the search finds the path with the
+/// fewest stages.
+const MAX_SEARCHES: usize = 5;
+/// Relative jitter of the times.
 const JITTER: f64 = 0.15;
 
-/// An engine that holds layers.
+/// An engine that holds a range of layers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LayerHolder {
     /// Data centre, as an index.
     pub data_centre: usize,
-    /// First layer that it holds.
+    /// First layer that the engine holds.
     pub first_layer: u32,
-    /// First layer that it does not hold.
+    /// End of the layer range, exclusive.
     pub end_layer: u32,
     /// Time of a token through one layer, in milliseconds.
     pub layer_ms: f64,
-    /// Share of its time that reading prompts takes.
+    /// Share of the engine's time spent on prefill; above 1 on a slow engine.
     pub prefill_share: f64,
-    /// Memory for requests that is used, in tokens times layers.
+    /// Memory for requests in use, in tokens times layers.
     pub used_token_layers: u64,
     /// Memory for requests, in tokens times layers.
     pub total_token_layers: u64,
-    /// Whether it may take a part now.
+    /// Whether the engine may run a stage.
     pub is_usable: bool,
-    /// Whether it may be the first of a path.
+    /// Whether the engine may run the first stage of a path.
     pub can_be_first: bool,
 }
 
-/// What a path is sought for.
+/// Input of a path search.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PathRequest {
     /// First layer to run.
     pub first_layer: u32,
-    /// First layer not to run.
+    /// End of the layer range to run, exclusive.
     pub end_layer: u32,
     /// Tokens that the request will hold in memory.
     pub tokens: u64,
-    /// Data centre before the path, as an index.
+    /// Data centre from which the request enters the path, as an index.
     pub data_centre: usize,
-    /// Whether the path begins the request, and not in its middle.
+    /// Whether the path starts with the first stage of the request, rather
+    /// than replacing later stages.
     pub is_start: bool,
-    /// Use of what joins data centres; 1 is full.
+    /// Utilisation of the interconnect; 1 is the full bandwidth.
     pub interconnect_utilisation: f64,
-    /// Time for which reading the request takes it up, in milliseconds.
+    /// Time for which the request's prefill occupies the interconnect, in
+    /// milliseconds.
     pub interconnect_prefill_ms: f64,
-    /// Most parts that the path may have.
+    /// Maximum number of stages of the path.
     pub max_stages: usize,
 }
 
 impl PathRequest {
-    fn crossing_ms(&self) -> f64 {
-        let (from, to) = CROSSING_USE;
+    fn interconnect_ms(&self) -> f64 {
+        let (from, to) = INTERCONNECT_UTILISATION;
         if self.interconnect_utilisation >= to {
             return f64::INFINITY;
         }
         let share = ((self.interconnect_utilisation - from) / (to - from))
             .clamp(0.0, 1.0);
-        let least =
-            CROSSING_MS.max(CROSSING_PRICE * self.interconnect_prefill_ms);
-        least + share * (FULL_CROSSING_MS - least).max(0.0)
+        let min_ms = MIN_INTERCONNECT_MS
+            .max(INTERCONNECT_PREFILL_FACTOR * self.interconnect_prefill_ms);
+        min_ms + share * (FULL_INTERCONNECT_MS - min_ms).max(0.0)
     }
 }
 
-/// Layers that one engine runs.
+/// A stage of a path: the layers that one engine runs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PathStage {
-    /// The engine, as an index.
+    /// Index of the engine among the holders.
     pub holder: usize,
-    /// First layer that it runs.
+    /// First layer of the stage.
     pub first_layer: u32,
-    /// First layer that it does not run.
+    /// End of the layer range of the stage, exclusive.
     pub end_layer: u32,
 }
 
 #[derive(Clone, Copy)]
-struct Step {
+struct PathState {
     cost_ms: f64,
-    part: PathStage,
-    /// Data centre before it.
-    came_from: usize,
+    stage: PathStage,
+    /// Data centre of the stage before, or where the request enters.
+    previous_data_centre: usize,
 }
 
-/// The cheapest path; none where layers or room are lacking, or where it
-/// would have too many parts.
+/// Finds the cheapest path. Returns `None` if no engine with enough free
+/// memory holds some layer, or if every path found has too many stages.
 pub fn find_path(
     holders: &[LayerHolder],
     request: &PathRequest,
     rng: &mut fastrand::Rng,
 ) -> Option<Vec<PathStage>> {
     let mut search = Search::new(holders, request, rng);
-    for _ in 0..MOST_SEARCHES {
-        let parts = without_returns(search.run()?);
-        if parts.len() <= request.max_stages {
-            return Some(parts);
+    for _ in 0..MAX_SEARCHES {
+        let stages = merge_revisits(search.run()?);
+        if stages.len() <= request.max_stages {
+            return Some(stages);
         }
-        search.change_ms *= DEARER;
+        search.engine_change_ms *= ENGINE_CHANGE_GROWTH;
     }
     None
 }
@@ -153,12 +162,12 @@
 struct Search<'a> {
     holders: &'a [LayerHolder],
     request: &'a PathRequest,
-    factors: Vec<f64>,
+    jitter_factors: Vec<f64>,
     boundaries: BTreeSet<u32>,
-    data_centres: usize,
-    crossing_ms: f64,
-    /// Price of a change of engine.
-    change_ms: f64,
+    data_centre_count: usize,
+    interconnect_ms: f64,
+    /// Cost of a change of engine.
+    engine_change_ms: f64,
 }
 
 impl Search<'_> {
@@ -168,32 +177,32 @@
         rng: &mut fastrand::Rng,
     ) -> Search<'a> {
         let factor = |_: &LayerHolder| 1.0 + JITTER * (rng.f64() * 2.0 - 1.0);
-        let factors = holders.iter().map(factor).collect();
+        let jitter_factors = holders.iter().map(factor).collect();
         let usable = || holders.iter().filter(|h| h.is_usable);
         let bounds = usable().flat_map(|h| [h.first_layer, h.end_layer]);
         let last = holders.iter().map(|h| h.data_centre);
-        let data_centres = last.chain([request.data_centre]).max();
+        let data_centre_count = last.chain([request.data_centre]).max();
         Search {
             holders,
             request,
-            factors,
+            jitter_factors,
             boundaries: bounds.chain([request.end_layer]).collect(),
-            data_centres: data_centres.unwrap_or(0) + 1,
-            crossing_ms: request.crossing_ms(),
-            change_ms: CHANGE_MS,
+            data_centre_count: data_centre_count.unwrap_or(0) + 1,
+            interconnect_ms: request.interconnect_ms(),
+            engine_change_ms: ENGINE_CHANGE_MS,
         }
     }
 
     fn run(&self) -> Option<Vec<PathStage>> {
         let (first, end) = (self.request.first_layer, self.request.end_layer);
         let width = (end - first) as usize + 1;
-        // The best way to each layer and data centre.
-        let mut best: Vec<Vec<Option<Step>>> =
-            vec![vec![None; self.data_centres]; width];
+        // The cheapest path to each layer and data centre.
+        let mut best: Vec<Vec<Option<PathState>>> =
+            vec![vec![None; self.data_centre_count]; width];
         for at in first..end {
-            for from in 0..self.data_centres {
+            for from in 0..self.data_centre_count {
                 let cost_ms = match best[(at - first) as usize][from] {
-                    Some(step) => step.cost_ms,
+                    Some(state) => state.cost_ms,
                     None if at == first
                         && from == self.request.data_centre =>
                     {
@@ -204,14 +213,14 @@
                 self.extend(&mut best, at, from, cost_ms);
             }
         }
-        self.walk_back(&best)
+        self.reconstruct(&best)
     }
 
     fn extend(
         &self,
-        best: &mut [Vec<Option<Step>>],
+        best: &mut [Vec<Option<PathState>>],
         at: u32,
-        came_from: usize,
+        previous_data_centre: usize,
         cost_ms: f64,
     ) {
         let is_first = at == self.request.first_layer && self.request.is_start;
@@ -225,40 +234,48 @@
             }
             let last = holder.end_layer.min(self.request.end_layer);
             for &end in self.boundaries.range(at + 1..=last) {
-                let Some(price_ms) = self.price_ms(index, at, end) else {
+                let Some(stage_ms) = self.stage_ms(index, at, end) else {
                     break;
                 };
-                let entry_ms =
-                    self.entry_ms(is_first, came_from, holder.data_centre);
-                let cost_ms = cost_ms + price_ms + entry_ms;
+                let transition_ms = self.transition_ms(
+                    is_first,
+                    previous_data_centre,
+                    holder.data_centre,
+                );
+                let cost_ms = cost_ms + stage_ms + transition_ms;
                 if cost_ms.is_infinite() {
                     break;
                 }
-                let part = PathStage {
+                let stage = PathStage {
                     holder: index,
                     first_layer: at,
                     end_layer: end,
                 };
                 let row = (end - self.request.first_layer) as usize;
                 let slot = &mut best[row][holder.data_centre];
-                if slot.is_none_or(|step| cost_ms < step.cost_ms) {
-                    *slot = Some(Step { cost_ms, part, came_from });
+                if slot.is_none_or(|state| cost_ms < state.cost_ms) {
+                    *slot = Some(PathState {
+                        cost_ms,
+                        stage,
+                        previous_data_centre,
+                    });
                 }
             }
         }
     }
 
-    fn entry_ms(&self, is_first: bool, from: usize, to: usize) -> f64 {
+    fn transition_ms(&self, is_first: bool, from: usize, to: usize) -> f64 {
         match (from == to, is_first) {
             (true, true) => 0.0,
-            (true, false) => self.change_ms,
-            (false, true) => FAR_START_MS,
-            (false, false) => self.change_ms + self.crossing_ms,
+            (true, false) => self.engine_change_ms,
+            (false, true) => REMOTE_START_MS,
+            (false, false) => self.engine_change_ms + self.interconnect_ms,
         }
     }
 
-    /// Price of layers on an engine; none where it lacks the room.
-    fn price_ms(&self, index: usize, first: u32, end: u32) -> Option<f64> {
+    /// Cost of a range of layers on an engine, or `None` if the engine lacks
+    /// the memory.
+    fn stage_ms(&self, index: usize, first: u32, end: u32) -> Option<f64> {
         let holder = &self.holders[index];
         let layers = u64::from(end - first);
         let used = holder.used_token_layers + layers * self.request.tokens;
@@ -266,42 +283,53 @@
             return None;
         }
         let fill = used as f64 / holder.total_token_layers as f64;
-        let over = ((fill - FULL_FROM) / (1.0 - FULL_FROM)).max(0.0);
-        let time_ms = layers as f64 * holder.layer_ms * self.factors[index];
-        let busy =
-            ((holder.prefill_share - BUSY_FROM) / (1.0 - BUSY_FROM)).max(0.0);
-        let waits_ms = BUSY_MS * busy.min(MAX_BUSY).powi(2);
-        Some(time_ms * (1.0 + fill) + FULL_MS * over * over + waits_ms)
+        let memory =
+            ((fill - MEMORY_COST_FROM) / (1.0 - MEMORY_COST_FROM)).max(0.0);
+        let time_ms =
+            layers as f64 * holder.layer_ms * self.jitter_factors[index];
+        let prefill = ((holder.prefill_share - PREFILL_COST_FROM)
+            / (1.0 - PREFILL_COST_FROM))
+            .max(0.0);
+        let prefill_ms =
+            FULL_PREFILL_MS * prefill.min(MAX_PREFILL_EXCESS).powi(2);
+        Some(
+            time_ms * (1.0 + fill)
+                + FULL_MEMORY_MS * memory * memory
+                + prefill_ms,
+        )
     }
 
-    fn walk_back(&self, best: &[Vec<Option<Step>>]) -> Option<Vec<PathStage>> {
-        let steps = best.last()?.iter().flatten();
-        let mut step =
-            *steps.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))?;
-        let mut parts = vec![step.part];
-        while step.part.first_layer > self.request.first_layer {
+    fn reconstruct(
+        &self,
+        best: &[Vec<Option<PathState>>],
+    ) -> Option<Vec<PathStage>> {
+        let states = best.last()?.iter().flatten();
+        let mut state =
+            *states.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))?;
+        let mut stages = vec![state.stage];
+        while state.stage.first_layer > self.request.first_layer {
             let row =
-                (step.part.first_layer - self.request.first_layer) as usize;
-            step = best[row][step.came_from]?;
-            parts.push(step.part);
+                (state.stage.first_layer - self.request.first_layer) as usize;
+            state = best[row][state.previous_data_centre]?;
+            stages.push(state.stage);
         }
-        parts.reverse();
-        Some(parts)
+        stages.reverse();
+        Some(stages)
     }
 }
 
-/// A path may not come back to an engine: what lies between goes to it, since
-/// it holds that as well.
-fn without_returns(parts: Vec<PathStage>) -> Vec<PathStage> {
-    let mut out: Vec<PathStage> = Vec::with_capacity(parts.len());
-    for part in parts {
-        match out.iter().position(|p| p.holder == part.holder) {
+/// Merges stages if a path returns to an engine, because an engine may occur
+/// only once. The engine holds the layers in between as well.
+fn merge_revisits(stages: Vec<PathStage>) -> Vec<PathStage> {
+    let mut merged: Vec<PathStage> = Vec::with_capacity(stages.len());
+    for stage in stages {
+        match merged.iter().position(|p| p.holder == stage.holder) {
             Some(at) => {
-                out.truncate(at + 1);
-                out[at].end_layer = part.end_layer;
+                merged.truncate(at + 1);
+                merged[at].end_layer = stage.end_layer;
             }
-            None => out.push(part),
+            None => merged.push(stage),
         }
     }
-    out
+    merged
 }
