--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,8 +1,9 @@
-//! Whether a request can finish in time, decided at the side process.
+//! Checks whether a request can finish within its deadline.
 //!
-//! Speeds are learned by the length of the prompt, because long prompts run
-//! at another speed than short ones on the same hardware. A length that was
-//! never seen takes the nearest one learned, and the first guess until then.
+//! The side process learns speeds by class of prompt length, because long
+//! prompts run at a different speed than short ones on the same hardware. A
+//! class without a measurement uses the nearest learned class, or the
+//! configured estimate while no class is learned.
 
 use std::fmt;
 
@@ -10,13 +11,13 @@
 
 const MS_PER_S: f64 = 1_000.0;
 const SMOOTHING: f64 = 0.1;
-/// Prompts up to these lengths are learned apart from longer ones.
-const PROMPT_CLASSES_TOKENS: [u32; 3] = [256, 2_048, 16_384];
-const CLASS_COUNT: usize = PROMPT_CLASSES_TOKENS.len() + 1;
-/// Fewest prompt tokens in a call whose speed is learned.
+/// Upper limits of the prompt length classes; a last class has no limit.
+const PROMPT_CLASS_LIMITS_TOKENS: [u32; 3] = [256, 2_048, 16_384];
+const CLASS_COUNT: usize = PROMPT_CLASS_LIMITS_TOKENS.len() + 1;
+/// Calls with fewer prompt tokens do not update the prompt speed.
 const MIN_PROMPT_TOKENS: u64 = 64;
-/// Tokens over which the mix of prompts and output is learned.
-const MIX_TOKENS: f64 = 1_000_000.0;
+/// Window over which the mix of prompt and output tokens is learned.
+const MIX_WINDOW_TOKENS: f64 = 1_000_000.0;
 const MIN_TOKENS_PER_S: f64 = 0.001;
 const MIN_RETRY_MS: u64 = 100;
 const MAX_RETRY_MS: u64 = 60_000;
@@ -24,49 +25,50 @@
 /// Learned speeds of one backend server through its own layers.
 #[derive(Clone, Debug)]
 pub struct LearnedSpeed {
-    guess: Pair,
-    places: u32,
+    configured: PerPhase,
+    slots: u32,
     prompt: [Option<f64>; CLASS_COUNT],
     output: [Option<f64>; CLASS_COUNT],
-    seen: Pair,
+    observed: PerPhase,
 }
 
-/// Of prompts and of output.
+/// A value for the prompt phase and one for the output phase.
 #[derive(Clone, Copy, Debug)]
-struct Pair {
+struct PerPhase {
     prompt: f64,
     output: f64,
 }
 
 impl LearnedSpeed {
-    /// A first guess: prompt tokens a second, and output tokens a second of
-    /// all sequences together.
+    /// Starts from configured estimates: prompt tokens per second, and output
+    /// tokens per second of all sequences together.
     pub fn new(
         prompt_tokens_per_s: f64,
         output_tokens_per_s: f64,
     ) -> LearnedSpeed {
-        let guess = Pair {
+        let configured = PerPhase {
             prompt: prompt_tokens_per_s.max(MIN_TOKENS_PER_S),
             output: output_tokens_per_s.max(MIN_TOKENS_PER_S),
         };
         LearnedSpeed {
-            guess,
-            places: 1,
+            configured,
+            slots: 1,
             prompt: [None; CLASS_COUNT],
             output: [None; CLASS_COUNT],
-            seen: Pair { prompt: 0.0, output: 0.0 },
+            observed: PerPhase { prompt: 0.0, output: 0.0 },
         }
     }
 
-    /// How many requests the server runs at the same time; 0 counts as 1.
+    /// Sets the number of requests that the server runs at a time; 0 counts
+    /// as 1.
     pub fn slots(mut self, max_running: u32) -> LearnedSpeed {
-        self.places = max_running.max(1);
+        self.slots = max_running.max(1);
         self
     }
 
-    /// Learns from `tokens` of prompts of about `prompt_tokens` length, which
-    /// kept the server busy for `busy_ms`. A call with few tokens only tells
-    /// what a call costs, so its speed is not learned.
+    /// Learns from a call that processed `tokens` prompt tokens, of prompts
+    /// of about `prompt_tokens` length, in `busy_ms`. The time of a call with
+    /// few tokens is mostly fixed cost, so its speed is not learned.
     pub fn learn_prompt(
         &mut self,
         prompt_tokens: u32,
@@ -74,102 +76,111 @@
         busy_ms: f64,
     ) {
         if tokens >= MIN_PROMPT_TOKENS {
-            let slot = &mut self.prompt[class(prompt_tokens)];
-            learn(slot, tokens as f64, busy_ms);
+            let slot = &mut self.prompt[length_class(prompt_tokens)];
+            update_average(slot, tokens as f64, busy_ms);
         }
-        self.seen.prompt += tokens as f64;
-        self.forget();
+        self.observed.prompt += tokens as f64;
+        self.decay_mix();
     }
 
-    /// Learns from a step that gave each of `batch` requests, with prompts of
-    /// about `prompt_tokens` length, one token while `held` requests held a
-    /// place. The others have their token at another stage of their chain or
-    /// read their prompt, and would if every place were taken too: so a full
-    /// step has as many more tokens as there are places for each one held.
-    /// It takes hardly longer than a small one, see [`step_share`].
+    /// Learns from a step that gave each of `batch` requests one token while
+    /// requests held `busy_slots` slots. Their prompts are of about
+    /// `prompt_tokens` length.
+    ///
+    /// The other requests that hold a slot run at another stage of their
+    /// chain or are in prefill, and so would requests in the free slots.
+    /// A step of a full server therefore has `batch * slots / busy_slots`
+    /// tokens; [`step_share`] gives the time it takes.
     pub fn learn_step(
         &mut self,
         prompt_tokens: u32,
         batch: u32,
-        held: u32,
+        busy_slots: u32,
         step_ms: f64,
     ) {
-        let places = f64::from(self.places);
-        let held = f64::from(held.max(batch).max(1));
-        let in_use = (held / places).min(1.0);
-        let full_ms = step_ms / step_share(places, in_use);
-        let tokens = f64::from(batch) / in_use;
-        learn(&mut self.output[class(prompt_tokens)], tokens, full_ms);
-        self.seen.output += f64::from(batch);
-        self.forget();
+        let slots = f64::from(self.slots);
+        let busy_slots = f64::from(busy_slots.max(batch).max(1));
+        let utilisation = (busy_slots / slots).min(1.0);
+        let full_ms = step_ms / step_share(slots, utilisation);
+        let tokens = f64::from(batch) / utilisation;
+        update_average(
+            &mut self.output[length_class(prompt_tokens)],
+            tokens,
+            full_ms,
+        );
+        self.observed.output += f64::from(batch);
+        self.decay_mix();
     }
 
-    /// Speed of a prompt of that length. Longer prompts are no slower than
-    /// shorter ones, as the cost of the call is spread over more tokens.
+    /// Speed of a prompt of this length. A longer prompt is assumed to be at
+    /// least as fast as a shorter one, because the fixed cost of the call is
+    /// spread over more tokens.
     pub fn prompt_tokens_per_s(&self, prompt_tokens: u32) -> f64 {
-        let class = class(prompt_tokens);
-        if let Some(learned) = self.prompt[class] {
+        let length_class = length_class(prompt_tokens);
+        if let Some(learned) = self.prompt[length_class] {
             return learned;
         }
-        let shorter = self.prompt[..class].iter().flatten();
+        let shorter = self.prompt[..length_class].iter().flatten();
         match shorter.copied().reduce(f64::max) {
-            Some(shorter) => shorter.max(self.guess.prompt),
-            None => nearest(&self.prompt, class).unwrap_or(self.guess.prompt),
+            Some(shorter) => shorter.max(self.configured.prompt),
+            None => nearest_learned(&self.prompt, length_class)
+                .unwrap_or(self.configured.prompt),
         }
     }
 
-    /// Speed of all output together, beside a prompt of that length.
+    /// Output speed of all sequences together, for prompts of this length.
     pub fn output_tokens_per_s(&self, prompt_tokens: u32) -> f64 {
-        let learned = nearest(&self.output, class(prompt_tokens));
-        learned.unwrap_or(self.guess.output)
+        let learned =
+            nearest_learned(&self.output, length_class(prompt_tokens));
+        learned.unwrap_or(self.configured.output)
     }
 
-    /// Mean time of a token of queued work; all output until a mix is seen.
+    /// Mean time per token of queued work. Assumes output only until a mix
+    /// has been observed.
     fn mean_token_ms(&self) -> f64 {
-        let total = self.seen.prompt + self.seen.output;
+        let total = self.observed.prompt + self.observed.output;
         let prompt_share =
-            if total > 0.0 { self.seen.prompt / total } else { 0.0 };
+            if total > 0.0 { self.observed.prompt / total } else { 0.0 };
         let prompt_ms = MS_PER_S / self.prompt_tokens_per_s(0);
         let output_ms = MS_PER_S / self.output_tokens_per_s(0);
         prompt_share * prompt_ms + (1.0 - prompt_share) * output_ms
     }
 
-    /// Halves what was seen from time to time, so that the mix stays recent.
-    fn forget(&mut self) {
-        if self.seen.prompt + self.seen.output > MIX_TOKENS {
-            self.seen.prompt /= 2.0;
-            self.seen.output /= 2.0;
+    /// Halves the observed counts so that the mix stays recent.
+    fn decay_mix(&mut self) {
+        if self.observed.prompt + self.observed.output > MIX_WINDOW_TOKENS {
+            self.observed.prompt /= 2.0;
+            self.observed.output /= 2.0;
         }
     }
 
-    /// Whether any output was measured.
+    /// Whether any output speed has been measured.
     pub fn is_learned(&self) -> bool {
         self.output.iter().any(Option::is_some)
     }
 }
 
-/// Wait behind `pending_tokens` of work of the learned mix.
+/// Expected wait behind `pending_tokens` of work of the learned mix.
 pub fn expected_wait_ms(pending_tokens: u64, speed: &LearnedSpeed) -> u64 {
     (pending_tokens as f64 * speed.mean_token_ms()).ceil() as u64
 }
 
-/// Time that a request takes on a server of which the share `in_use`, 0 to
-/// 1, is taken.
-pub fn run_ms(shape: &Shape, speed: &LearnedSpeed, in_use: f64) -> u64 {
+/// Time that a request takes on a server with this utilisation, from 0 to 1.
+pub fn run_ms(shape: &Shape, speed: &LearnedSpeed, utilisation: f64) -> u64 {
     let prompt_tokens = shape.prompt_tokens;
     let prompt_s =
         f64::from(prompt_tokens) / speed.prompt_tokens_per_s(prompt_tokens);
-    let places = f64::from(speed.places);
-    let full_step_s = places / speed.output_tokens_per_s(prompt_tokens);
-    let step_s = full_step_s * step_share(places, in_use);
+    let slots = f64::from(speed.slots);
+    let full_step_s = slots / speed.output_tokens_per_s(prompt_tokens);
+    let step_s = full_step_s * step_share(slots, utilisation);
     let output_s = f64::from(shape.output_tokens) * step_s;
     ((prompt_s + output_s) * MS_PER_S).ceil() as u64
 }
 
-/// A request that cannot finish within its deadline.
+/// The error for a request that cannot finish within its deadline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DeadlineTooShort {
-    /// What it would need.
+    /// Time that the request would need.
     pub needed_ms: u64,
 }
 
@@ -181,8 +192,8 @@
 
 impl std::error::Error for DeadlineTooShort {}
 
-/// Whether a request that waits for `wait_ms` and runs for `run_ms` can
-/// finish within the `deadline_ms` that are left to it.
+/// Checks that a request that waits for `wait_ms` and runs for `run_ms`
+/// finishes within the remaining `deadline_ms`.
 pub fn can_finish(
     run_ms: u64,
     wait_ms: u64,
@@ -195,38 +206,42 @@
     Ok(())
 }
 
-/// When a refused caller should come back: when about half of the queue is
-/// done, and spread over as long again so that callers don't come together.
+/// Time after which a refused caller may retry: when about half of the queue
+/// has drained, plus up to as long again so that callers do not retry
+/// together.
 pub fn retry_after_ms(
     pending_tokens: u64,
     speed: &LearnedSpeed,
     rng: &mut fastrand::Rng,
 ) -> u64 {
-    let half_ms = expected_wait_ms(pending_tokens, speed) / 2;
-    let base_ms = half_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
+    let half_wait_ms = expected_wait_ms(pending_tokens, speed) / 2;
+    let base_ms = half_wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
     base_ms + rng.u64(0..=base_ms)
 }
 
-fn class(prompt_tokens: u32) -> usize {
-    PROMPT_CLASSES_TOKENS
+fn length_class(prompt_tokens: u32) -> usize {
+    PROMPT_CLASS_LIMITS_TOKENS
         .iter()
         .position(|&limit| prompt_tokens <= limit)
-        .unwrap_or(PROMPT_CLASSES_TOKENS.len())
+        .unwrap_or(PROMPT_CLASS_LIMITS_TOKENS.len())
 }
 
-fn learn(slot: &mut Option<f64>, tokens: f64, busy_ms: f64) {
+fn update_average(slot: &mut Option<f64>, tokens: f64, busy_ms: f64) {
     if tokens == 0.0 || busy_ms.is_nan() || busy_ms <= 0.0 {
         return;
     }
-    let seen = tokens * MS_PER_S / busy_ms;
+    let observed = tokens * MS_PER_S / busy_ms;
     *slot = Some(match *slot {
-        Some(old) => old + SMOOTHING * (seen - old),
-        None => seen,
+        Some(old) => old + SMOOTHING * (observed - old),
+        None => observed,
     });
 }
 
-fn nearest(learned: &[Option<f64>], class: usize) -> Option<f64> {
-    let distance = |at: &usize| at.abs_diff(class);
+fn nearest_learned(
+    learned: &[Option<f64>],
+    length_class: usize,
+) -> Option<f64> {
+    let distance = |at: &usize| at.abs_diff(length_class);
     (0..learned.len())
         .filter(|&at| learned[at].is_some())
         .min_by_key(distance)
--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -1,102 +1,106 @@
-//! What may still be done for a request, from what became of its attempts.
+//! Whether a request may get another attempt, from the outcome of earlier
+//! attempts.
 //!
-//! A request that was handed to a backend server counts as one that may have
-//! run there until the server states that it has not, so a lost answer
-//! forbids another attempt of what must run once. What may be repeated is
-//! bounded by the number of backend servers that may have run it; one whose
-//! process has ended no longer counts.
+//! A request that was sent to a backend server may have run there until the
+//! server states that it has not, so a lost response forbids another attempt
+//! of a request that must run at most once. A request that may run repeatedly
+//! is limited by the number of backend servers that may have run it. A server
+//! whose process has exited no longer counts.
 
 use std::collections::BTreeSet;
 
-/// Which backend servers the bound of a route counts.
+/// Which backend servers count against the limit of a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CountedBackends {
-    /// All to which the request was handed.
+    /// All servers to which the request was sent.
     Contacted,
-    /// Those that may have run it.
+    /// The servers that may have run the request.
     MayHaveRun,
 }
 
-/// The attempts of one request; one is open at a time.
+/// The attempts of one request, of which at most one is in progress.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     may_repeat: bool,
-    most_backends: usize,
-    counted: CountedBackends,
+    max_backends: usize,
+    counting_rule: CountedBackends,
     may_have_run: bool,
-    /// Backend servers that count.
-    counting: BTreeSet<String>,
-    made: u32,
-    /// What stood before the last attempt.
-    before: Option<Before>,
+    /// Names of the backend servers that count against the limit.
+    counted_backends: BTreeSet<String>,
+    count: u32,
+    /// State before the last attempt, restored if that attempt did not run.
+    previous: Option<PreviousState>,
 }
 
 #[derive(Clone, Debug)]
-struct Before {
+struct PreviousState {
     backend: String,
     may_have_run: bool,
-    did_count: bool,
+    was_counted: bool,
 }
 
 impl Attempts {
-    /// None yet, for a request of this kind and route.
+    /// Starts without attempts, for a request of this kind and route.
     pub fn new(
         may_repeat: bool,
-        most_backends: usize,
-        counted: CountedBackends,
+        max_backends: usize,
+        counting_rule: CountedBackends,
     ) -> Attempts {
         Attempts {
             may_repeat,
-            most_backends,
-            counted,
+            max_backends,
+            counting_rule,
             may_have_run: false,
-            counting: BTreeSet::new(),
-            made: 0,
-            before: None,
+            counted_backends: BTreeSet::new(),
+            count: 0,
+            previous: None,
         }
     }
 
     /// Whether another attempt may be made.
     pub fn may_retry(&self) -> bool {
         let is_safe = self.may_repeat || !self.may_have_run;
-        is_safe && self.counting.len() < self.most_backends
+        is_safe && self.counted_backends.len() < self.max_backends
     }
 
-    /// How many were made.
+    /// Number of attempts made.
     pub fn count(&self) -> u32 {
-        self.made
+        self.count
     }
 
-    /// Whether the request may have run somewhere.
+    /// Whether the request may have run on some server.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// The request is about to be handed to a backend server.
+    /// Records that the request is about to be sent to a backend server.
     pub fn begin(&mut self, backend: &str) {
-        self.made += 1;
-        let is_new = self.counting.insert(backend.to_owned());
-        self.before = Some(Before {
+        self.count += 1;
+        let is_new = self.counted_backends.insert(backend.to_owned());
+        self.previous = Some(PreviousState {
             backend: backend.to_owned(),
             may_have_run: self.may_have_run,
-            did_count: !is_new,
+            was_counted: !is_new,
         });
         self.may_have_run = true;
     }
 
-    /// The backend server of the last attempt states that it did not run it.
+    /// Records that the backend server of the last attempt states that it did
+    /// not run the request.
     pub fn record_not_run(&mut self) {
-        let Some(before) = self.before.take() else { return };
-        self.may_have_run = before.may_have_run;
-        if self.counted == CountedBackends::MayHaveRun && !before.did_count {
-            self.counting.remove(&before.backend);
+        let Some(previous) = self.previous.take() else { return };
+        self.may_have_run = previous.may_have_run;
+        if self.counting_rule == CountedBackends::MayHaveRun
+            && !previous.was_counted
+        {
+            self.counted_backends.remove(&previous.backend);
         }
     }
 
-    /// The process of a backend server has ended.
+    /// Records that the process of a backend server has exited.
     pub fn record_backend_exit(&mut self, backend: &str) {
-        if self.counted == CountedBackends::MayHaveRun {
-            self.counting.remove(backend);
+        if self.counting_rule == CountedBackends::MayHaveRun {
+            self.counted_backends.remove(backend);
         }
     }
 }
--- a/crates/routing/src/exit_detection.rs
+++ b/crates/routing/src/exit_detection.rs
@@ -1,24 +1,24 @@
-//! Whether the process of a backend server has surely ended.
+//! Decides whether the process of a backend server has exited.
 //!
-//! One that has ended no longer counts among those that may have run a
-//! request, so a mistake lets a request run on more of them than its route
-//! allows. A busy entry misses the answers of several dials at the same
-//! moment and hears them a moment later, so silence proves an end only after
-//! it has lasted.
+//! A server that has exited no longer counts among those that may have run a
+//! request, so a wrong verdict lets a request run on more servers than its
+//! route allows. A busy entry can miss the responses to several connection
+//! attempts at once and process them a moment later. Silence therefore proves
+//! an exit only after [`SILENCE_TIMEOUT_MS`].
 
-/// What speaks for a backend server being dead or out of reach.
+/// Observation that suggests that a backend server has failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FailureEvidence {
-    /// It refuses connections: its process has ended.
+    /// It refuses connections: its process has exited.
     Refused,
-    /// It does not answer at all.
+    /// It does not respond at all.
     Silent,
     /// Another backend server waits for it.
     Stalled,
 }
 
 impl FailureEvidence {
-    /// Its name in logs.
+    /// Name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             FailureEvidence::Refused => "refused",
@@ -28,22 +28,23 @@
     }
 }
 
-/// Silence that has lasted so long proves an end: twelve times the time that
-/// a dial is given, and an entry that is only busy hears answers before.
+/// Silence after which a backend server counts as exited: twelve times the
+/// connect timeout, because an entry that is only busy sees a response within
+/// that time.
 pub const SILENCE_TIMEOUT_MS: u64 = 300;
 
-/// What evidence proves.
+/// What the evidence proves about the process of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExitStatus {
-    /// The process has ended, or is out of reach of everybody.
+    /// The process has exited, or no entry can reach it.
     Exited,
-    /// Nothing yet; a dial of [`SILENCE_TIMEOUT_MS`] would.
+    /// Undecided: a connection attempt of [`SILENCE_TIMEOUT_MS`] would decide.
     Unknown,
-    /// It may go on.
+    /// The process may still run.
     Alive,
 }
 
-/// What evidence proves that has stood for so long.
+/// Decides what evidence that has lasted for `lasted_ms` proves.
 pub fn detect_exit(
     evidence: Option<FailureEvidence>,
     lasted_ms: u64,
--- a/crates/routing/src/fair_queue.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -2,31 +2,31 @@
 //!
 //! # Shares
 //!
-//! Each account has a virtual time: the tokens it was served, over its
-//! weight. The account that is furthest behind goes next (start-time fair
-//! queueing). The queue's own virtual time is that of the backlogged account
-//! furthest behind; an account that comes back starts there, so idle share
-//! is lent to the others and is neither saved up nor paid back.
+//! Each account has a virtual time: the tokens it was served, divided by its
+//! weight. The account with the lowest virtual time goes next (start-time fair
+//! queueing). The queue's own virtual time is the lowest of all backlogged
+//! accounts. An account that becomes backlogged again starts there, so share
+//! that it left idle goes to the others and is neither saved up nor paid back.
 //!
 //! # Priorities
 //!
-//! *Between* accounts, a priority moves an account's place by a bounded lead
-//! ([`LEAD_TOKENS`] a level) but not what it is charged. Urgent work goes
-//! first for a while, and the shares over any longer run stay those of the
-//! weights, whatever priorities an account gives its requests.
+//! *Between* accounts, a priority lowers an account's rank by a bounded lead
+//! ([`LEAD_TOKENS`] per level) but does not change what the account is
+//! charged. Urgent work goes first for a while, and the long-run shares are
+//! those of the weights, whatever priorities an account gives its requests.
 //! *Within* an account, the higher priority goes first, and each
-//! [`PROMOTE_MS`] of waiting raises an item by one level; among equals the
-//! oldest goes first. So a low item waits behind later ones for at most
-//! `2 * PROMOTE_MS` of its account's turns.
+//! [`PROMOTE_MS`] of waiting promotes an item by one level; among equals the
+//! oldest goes first. A low item therefore waits behind later items of its
+//! account for at most `2 * PROMOTE_MS`.
 //!
-//! # Bound
+//! # Limit
 //!
-//! The queue is bounded in tokens of work. An account may hold at most
-//! [`FREE_SPACE_FACTOR`] times what is still free, so that one account's flood
-//! leaves room for others and the room it may take shrinks as the queue
-//! fills (dynamic thresholds, as for shared switch memory).
+//! The queue is limited in tokens of work. An account may hold at most
+//! [`FREE_SPACE_FACTOR`] times the free space, so that a flood of one account
+//! leaves space for the others, and the allowance shrinks as the queue fills
+//! (dynamic thresholds, as for shared switch memory).
 //!
-//! `push` and `pop` take `O(log n)`; `remove` looks at every item.
+//! `push` and `pop` take `O(log n)`; `remove` visits every item.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -39,14 +39,14 @@
     },
 };
 
-/// Waiting that raises an item by one level within its account.
+/// Waiting time that promotes an item by one level within its account.
 pub const PROMOTE_MS: u64 = 5_000;
-/// An account may hold this many times the free room.
+/// An account may hold this many times the free space.
 pub const FREE_SPACE_FACTOR: u64 = 8;
 
 type AccountIndex = usize;
 
-/// Queue of one backend server; used by one thread at a time.
+/// Fair queue of one backend server; used by one thread at a time.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limit_tokens: u64,
@@ -57,10 +57,10 @@
     accounts: Vec<Account>,
     items: BTreeMap<Sequence, Item<T>>,
     by_deadline: BTreeSet<(u64, Sequence)>,
-    /// Backlogged accounts by their place.
-    by_place: BTreeSet<(VirtualTime, AccountIndex)>,
-    /// Backlogged accounts by their virtual time.
-    by_served: BTreeSet<(VirtualTime, AccountIndex)>,
+    /// Backlogged accounts by rank.
+    by_rank: BTreeSet<(VirtualTime, AccountIndex)>,
+    /// Backlogged accounts by virtual time.
+    by_virtual_time: BTreeSet<(VirtualTime, AccountIndex)>,
 }
 
 #[derive(Debug)]
@@ -73,25 +73,25 @@
     item: T,
 }
 
-/// An item whose turn has come.
+/// An item taken from the queue.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Popped<T> {
-    /// What was pushed.
+    /// The item that was pushed.
     pub item: T,
-    /// Whose it is.
+    /// Client account of the item.
     pub account: String,
-    /// How urgent it was when pushed.
+    /// Priority with which the item was pushed.
     pub priority: Priority,
-    /// What its account was charged.
+    /// Tokens charged to the account.
     pub cost_tokens: u64,
-    /// When its caller gives up.
+    /// Time at which the caller gives up.
     pub deadline_ms: u64,
-    /// How long it was queued.
+    /// Time that the item spent in the queue.
     pub waited_ms: u64,
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue for so many tokens of work.
+    /// Creates an empty queue for `limit_tokens` of work.
     pub fn new(limit_tokens: u64) -> Self {
         FairQueue {
             limit_tokens,
@@ -102,21 +102,21 @@
             accounts: Vec::new(),
             items: BTreeMap::new(),
             by_deadline: BTreeSet::new(),
-            by_place: BTreeSet::new(),
-            by_served: BTreeSet::new(),
+            by_rank: BTreeSet::new(),
+            by_virtual_time: BTreeSet::new(),
         }
     }
 
-    /// Sets an account's share against the others; 0 counts as 1.
+    /// Sets an account's weight relative to the others; 0 counts as 1.
     pub fn set_weight(&mut self, account: &str, weight: u32) {
-        let at = self.account(account);
-        self.leave(at);
+        let at = self.account_index(account);
+        self.remove_account(at);
         self.accounts[at].weight = weight.max(1);
-        self.enter(at);
+        self.insert_account(at);
     }
 
-    /// Queues an item of `cost_tokens`, until `deadline_ms` on the clock of
-    /// `now_ms`. An empty queue takes an item of any cost.
+    /// Queues an item of `cost_tokens` until `deadline_ms`, on the clock of
+    /// `now_ms`. An empty queue accepts an item of any cost.
     pub fn push(
         &mut self,
         account: &str,
@@ -126,21 +126,23 @@
         item: T,
         now_ms: u64,
     ) -> Result<(), PushError<T>> {
-        let at = self.account(account);
-        if let Err(reason) = self.check(at, cost_tokens, deadline_ms, now_ms) {
+        let at = self.account_index(account);
+        if let Err(reason) =
+            self.check_push(at, cost_tokens, deadline_ms, now_ms)
+        {
             return Err(PushError { item, reason });
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.leave(at);
+        self.remove_account(at);
         self.pending_tokens += cost_tokens;
         let account = &mut self.accounts[at];
         if account.is_idle() {
-            account.served = account.served.max(self.virtual_time);
+            account.virtual_time = account.virtual_time.max(self.virtual_time);
         }
         account.pending_tokens += cost_tokens;
         account.lanes[priority.level()].insert(sequence);
-        self.enter(at);
+        self.insert_account(at);
         self.by_deadline.insert((deadline_ms, sequence));
         let item = Item {
             account: at,
@@ -154,20 +156,20 @@
         Ok(())
     }
 
-    /// Takes the item whose turn it is and charges its account. It may have
-    /// expired: call [`FairQueue::expire`] before.
+    /// Takes the next item and charges its account. The item may have expired;
+    /// call [`FairQueue::expire`] first.
     pub fn pop(&mut self, now_ms: u64) -> Option<Popped<T>> {
-        let &(_, at) = self.by_place.first()?;
-        let sequence = self.next_of(at, now_ms)?;
-        if let Some(&(served, _)) = self.by_served.first() {
-            self.virtual_time = self.virtual_time.max(served);
+        let &(_, at) = self.by_rank.first()?;
+        let sequence = self.next_item_of(at, now_ms)?;
+        if let Some(&(virtual_time, _)) = self.by_virtual_time.first() {
+            self.virtual_time = self.virtual_time.max(virtual_time);
         }
-        self.leave(at);
+        self.remove_account(at);
         let item = self.take(sequence)?;
         let account = &mut self.accounts[at];
         account.charge(i128::from(item.cost_tokens));
         let name = account.name.clone();
-        self.enter(at);
+        self.insert_account(at);
         Some(Popped {
             item: item.item,
             account: name,
@@ -178,18 +180,18 @@
         })
     }
 
-    /// Takes out every item whose deadline has passed.
+    /// Removes every item whose deadline has passed.
     pub fn expire(&mut self, now_ms: u64) -> Vec<T> {
         let mut expired = Vec::new();
         while let Some(&(deadline_ms, sequence)) = self.by_deadline.first()
             && deadline_ms <= now_ms
         {
-            expired.extend(self.take_out(sequence));
+            expired.extend(self.take_and_reorder(sequence));
         }
         expired
     }
 
-    /// Takes out every item that matches.
+    /// Removes every item that matches.
     pub fn remove(&mut self, mut matches: impl FnMut(&T) -> bool) -> Vec<T> {
         let sequences: Vec<Sequence> = self
             .items
@@ -197,26 +199,30 @@
             .filter(|(_, item)| matches(&item.item))
             .map(|(&sequence, _)| sequence)
             .collect();
-        sequences.into_iter().filter_map(|at| self.take_out(at)).collect()
+        sequences
+            .into_iter()
+            .filter_map(|at| self.take_and_reorder(at))
+            .collect()
     }
 
-    /// Corrects what an account was charged by what was really used: more
-    /// tokens, or fewer when negative.
+    /// Corrects an account's charge after the actual usage is known; a
+    /// negative number refunds tokens.
     pub fn charge(&mut self, account: &str, tokens: i64) {
-        let at = self.account(account);
-        self.leave(at);
+        let at = self.account_index(account);
+        self.remove_account(at);
         self.accounts[at].charge(i128::from(tokens));
-        self.enter(at);
+        self.insert_account(at);
     }
 
-    /// Tokens of work that are queued.
+    /// Queued work in tokens.
     pub fn pending_tokens(&self) -> u64 {
         self.pending_tokens
     }
 
-    /// Tokens of work that go before an item of `cost_tokens` pushed now, at
-    /// most: all of its own account's, and of each other account its share
-    /// until then. Priorities move places by little and are left out.
+    /// Upper estimate of the work served before an item of `cost_tokens`
+    /// pushed now: all queued work of its own account, and each other
+    /// account's share until then. Priorities are ignored, because they change
+    /// the order only slightly.
     pub fn tokens_before(&self, account: &str, cost_tokens: u64) -> u64 {
         let own = self.by_name.get(account).map(|&at| &self.accounts[at]);
         let weight = own.map_or(DEFAULT_WEIGHT, |own| own.weight);
@@ -230,23 +236,23 @@
         own_tokens + others.map(share_of).sum::<u64>()
     }
 
-    /// How many items are queued.
+    /// Number of queued items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing is queued.
+    /// Whether no item is queued.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Earliest deadline of a queued item: when to call
-    /// [`FairQueue::expire`] next.
+    /// Earliest deadline of a queued item, when [`FairQueue::expire`] is next
+    /// due.
     pub fn next_deadline_ms(&self) -> Option<u64> {
         self.by_deadline.first().map(|&(deadline_ms, _)| deadline_ms)
     }
 
-    fn check(
+    fn check_push(
         &self,
         at: AccountIndex,
         cost_tokens: u64,
@@ -277,7 +283,7 @@
         Ok(())
     }
 
-    fn account(&mut self, name: &str) -> AccountIndex {
+    fn account_index(&mut self, name: &str) -> AccountIndex {
         if let Some(&at) = self.by_name.get(name) {
             return at;
         }
@@ -287,45 +293,46 @@
         at
     }
 
-    /// Takes an account out of the order before it changes.
-    fn leave(&mut self, at: AccountIndex) {
+    /// Removes an account from the order before its rank changes.
+    fn remove_account(&mut self, at: AccountIndex) {
         let account = &mut self.accounts[at];
-        if let Some(place) = account.place.take() {
-            self.by_place.remove(&(place, at));
-            self.by_served.remove(&(account.served, at));
+        if let Some(rank) = account.rank.take() {
+            self.by_rank.remove(&(rank, at));
+            self.by_virtual_time.remove(&(account.virtual_time, at));
         }
     }
 
-    /// Puts an account back in the order if it is backlogged.
-    fn enter(&mut self, at: AccountIndex) {
+    /// Inserts an account into the order if it is backlogged.
+    fn insert_account(&mut self, at: AccountIndex) {
         let account = &mut self.accounts[at];
-        if let Some(place) = account.next_place() {
-            account.place = Some(place);
-            self.by_place.insert((place, at));
-            self.by_served.insert((account.served, at));
+        if let Some(rank) = account.next_rank() {
+            account.rank = Some(rank);
+            self.by_rank.insert((rank, at));
+            self.by_virtual_time.insert((account.virtual_time, at));
         }
     }
 
-    /// The item of an account that goes first.
-    fn next_of(&self, at: AccountIndex, now_ms: u64) -> Option<Sequence> {
+    /// The next item of an account.
+    fn next_item_of(&self, at: AccountIndex, now_ms: u64) -> Option<Sequence> {
         let lanes = self.accounts[at].lanes.iter().enumerate();
         lanes
             .filter_map(|(level, lane)| Some((level, *lane.first()?)))
             .max_by_key(|&(level, sequence)| {
                 let item = &self.items[&sequence];
                 let waited_ms = now_ms.saturating_sub(item.pushed_ms);
-                let raised = level as u64 + waited_ms / PROMOTE_MS;
-                let raised = raised.min(LEVEL_COUNT as u64 - 1);
-                (raised, std::cmp::Reverse(sequence))
+                let promoted_level = level as u64 + waited_ms / PROMOTE_MS;
+                let promoted_level =
+                    promoted_level.min(LEVEL_COUNT as u64 - 1);
+                (promoted_level, std::cmp::Reverse(sequence))
             })
             .map(|(_, sequence)| sequence)
     }
 
-    fn take_out(&mut self, sequence: Sequence) -> Option<T> {
+    fn take_and_reorder(&mut self, sequence: Sequence) -> Option<T> {
         let at = self.items.get(&sequence)?.account;
-        self.leave(at);
+        self.remove_account(at);
         let item = self.take(sequence);
-        self.enter(at);
+        self.insert_account(at);
         item.map(|item| item.item)
     }
 
--- a/crates/routing/src/fingerprint.rs
+++ b/crates/routing/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What tells that two requests are the same under different ids.
+//! Identifies requests that are the same under different ids.
 
 use std::{error, fmt, str::FromStr};
 
@@ -15,7 +15,7 @@
 impl FromStr for Fingerprint {
     type Err = FingerprintError;
 
-    /// Reads what its `Display` writes.
+    /// Parses the output of `Display`.
     fn from_str(text: &str) -> Result<Fingerprint, FingerprintError> {
         let error = || FingerprintError { text: text.to_owned() };
         let is_digit = |c: char| c.is_ascii_hexdigit();
@@ -27,10 +27,10 @@
     }
 }
 
-/// Digits of a fingerprint.
+/// Length of a fingerprint in hexadecimal digits.
 const DIGITS: usize = 16;
 
-/// A text that is no fingerprint.
+/// The error for text that is not a fingerprint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FingerprintError {
     text: String,
--- a/crates/routing/src/permits/issuer.rs
+++ b/crates/routing/src/permits/issuer.rs
@@ -1,27 +1,27 @@
-//! Granting permits at the rate of a limit.
+//! Grants permits at the rate of a limit.
 
 use std::collections::BTreeMap;
 
 use super::{PermitRequest, REROUTABLE_WAIT_MS};
 
-/// Share of the limit that is granted: what was granted before a span began
-/// is sent within it.
+/// Share of the limit that is granted, because permits granted before a span
+/// are used within it.
 const GRANTED_SHARE: f64 = 0.95;
-/// Permits that may be out or at hand at once, besides what a round of
-/// messages takes.
-const BURST: f64 = 1.5;
-/// Time of such a round, in seconds: a holder tells what it used within
-/// 100 ms, and one message in twenty is lost.
-const ROUND_S: f64 = 0.15;
-/// How long an ask counts for a request that waits.
-const ASK_HOLDS_MS: u64 = 300;
-/// Silence after which what a holder has counts as used. It gives its permits
-/// back long before.
-const SILENT_MS: u64 = 1_000;
-/// A pause of the issuer from which on what it knows is too old.
-const STALE_MS: u64 = 300;
-/// Holders of a series; processes that started anew count each time.
-const MOST_HOLDERS: usize = 2_048;
+/// Permits that may be outstanding or available at a time, in addition to
+/// those granted during [`ROUND_TRIP_S`].
+const BURST_PERMITS: f64 = 1.5;
+/// Time until a holder has reported what it used: it reports within 100 ms,
+/// and one message in twenty is lost.
+const ROUND_TRIP_S: f64 = 0.15;
+/// How long a report of a waiting request stays valid.
+const REQUEST_VALID_MS: u64 = 300;
+/// Silence of a holder after which its permits count as used. A live holder
+/// returns unused permits long before.
+const HOLDER_SILENCE_TIMEOUT_MS: u64 = 1_000;
+/// Pause of the issuer after which its state counts as outdated.
+const MAX_PAUSE_MS: u64 = 300;
+/// Limit on holders of a series; each process restart adds a holder.
+const MAX_HOLDERS: usize = 2_048;
 
 /// Grants permits for one server.
 #[derive(Clone, Debug)]
@@ -29,185 +29,203 @@
     /// The last series that was begun.
     series: u32,
     available: f64,
-    filled_ms: u64,
+    refilled_ms: u64,
     holders: BTreeMap<u64, Holder>,
-    /// Turn of the holder that was last granted one.
-    turn: f64,
+    /// Virtual time of the holder that was granted the last permit.
+    virtual_time: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Holder {
-    /// Series of its totals here.
+    /// Series of the holder's totals.
     series: u32,
-    /// Series of which it told when that one began.
-    series_before: u32,
-    ask: PermitRequest,
-    asked_ms: u64,
+    /// Series that the holder reported when the current one began.
+    previous_series: u32,
+    request: PermitRequest,
+    received_ms: u64,
     granted: u64,
-    /// Of those, how many are no longer out.
+    /// Granted permits that are no longer outstanding.
     settled: u64,
-    /// Of those, how many were given back.
+    /// Granted permits that were returned unused.
     returned: u64,
-    /// The lowest goes next; grows more slowly the more is wanted.
-    turn: f64,
+    /// The holder with the lowest virtual time goes next; grows more slowly
+    /// the more permits the holder wants.
+    virtual_time: f64,
 }
 
-/// What a holder is told.
+/// What the issuer sends to a holder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PermitGrant {
-    /// The last ask that was heard.
+    /// Send time of the last report that the issuer received.
     pub answered_ms: u64,
-    /// Series of which the total is.
+    /// Series of the total.
     pub series: u32,
-    /// Permits granted, in all.
+    /// Total of permits granted.
     pub granted: u64,
 }
 
 impl Holder {
-    fn out(&self) -> u64 {
+    fn outstanding(&self) -> u64 {
         self.granted - self.settled
     }
 
-    /// Takes its totals; how many it gave back.
-    fn settle(&mut self, ask: &PermitRequest) -> u64 {
-        let told = ask.used.saturating_add(ask.returned).min(self.granted);
-        let newly = told.saturating_sub(self.settled);
-        let returned = ask.returned.saturating_sub(self.returned).min(newly);
-        self.settled += newly;
-        self.returned = self.returned.max(ask.returned);
+    /// Applies the holder's totals and returns the number of permits returned.
+    fn settle(&mut self, request: &PermitRequest) -> u64 {
+        let reported =
+            request.used.saturating_add(request.returned).min(self.granted);
+        let newly_settled = reported.saturating_sub(self.settled);
+        let returned =
+            request.returned.saturating_sub(self.returned).min(newly_settled);
+        self.settled += newly_settled;
+        self.returned = self.returned.max(request.returned);
         returned
     }
 
-    /// Counts all that is out as used; its next ask begins a series, so that
-    /// a grant which it did not get yet is none any more.
-    fn forget_out(&mut self) {
-        if self.out() > 0 {
-            let Holder { ask, asked_ms, turn, .. } = *self;
-            *self = Holder { ask, asked_ms, turn, ..Holder::default() };
+    /// Counts all outstanding permits as used. The next report begins a
+    /// series, which voids a grant that the holder has not received yet.
+    fn expire_outstanding(&mut self) {
+        if self.outstanding() > 0 {
+            let Holder { request, received_ms, virtual_time, .. } = *self;
+            *self = Holder {
+                request,
+                received_ms,
+                virtual_time,
+                ..Holder::default()
+            };
         }
     }
 
-    fn wants(&self, now_ms: u64) -> bool {
-        let holds_ms = match self.ask.is_waiting {
-            true => ASK_HOLDS_MS,
+    fn needs_permit(&self, now_ms: u64) -> bool {
+        let valid_ms = match self.request.is_waiting {
+            true => REQUEST_VALID_MS,
             false => REROUTABLE_WAIT_MS,
         };
-        let is_fresh = now_ms.saturating_sub(self.asked_ms) <= holds_ms;
-        is_fresh && u64::from(self.ask.wanted) > self.out()
+        let is_fresh = now_ms.saturating_sub(self.received_ms) <= valid_ms;
+        is_fresh && u64::from(self.request.wanted) > self.outstanding()
     }
 
-    /// What waits goes before what has another server; the most urgent first.
+    /// Sort key: waiting requests before those that another server could take,
+    /// then the most urgent first.
     fn rank(&self) -> (bool, u8) {
-        match self.ask.is_waiting {
-            true => (false, self.ask.urgency),
+        match self.request.is_waiting {
+            true => (false, self.request.urgency),
             false => (true, 0),
         }
     }
 }
 
 impl PermitIssuer {
-    /// Grants nothing before some time has passed: another one may have
-    /// granted until now.
+    /// Starts without permits, because another issuer may have granted
+    /// permits until now.
     pub fn new(now_ms: u64, rng: &mut fastrand::Rng) -> PermitIssuer {
         PermitIssuer {
             series: rng.u32(1..u32::MAX / 2),
             available: 0.0,
-            filled_ms: now_ms,
+            refilled_ms: now_ms,
             holders: BTreeMap::new(),
-            turn: 0.0,
+            virtual_time: 0.0,
         }
     }
 
-    /// Takes what a holder tells. What is older than what it told before
-    /// changes nothing.
+    /// Handles a report of a holder; a report older than the last one is
+    /// ignored.
     pub fn handle_request(
         &mut self,
         holder: u64,
-        ask: PermitRequest,
+        request: PermitRequest,
         now_ms: u64,
     ) {
-        if self.holders.len() >= MOST_HOLDERS {
+        if self.holders.len() >= MAX_HOLDERS {
             *self = PermitIssuer::new(now_ms, &mut fastrand::Rng::new());
         }
-        let known = self.holders.entry(holder).or_default();
-        if ask.sent_ms < known.ask.sent_ms {
+        let state = self.holders.entry(holder).or_default();
+        if request.sent_ms < state.request.sent_ms {
             return;
         }
-        let is_other = known.series == 0
-            || ![known.series, known.series_before].contains(&ask.series);
-        if is_other {
-            // What it had of the earlier series counts as used.
+        let is_new_series = state.series == 0
+            || ![state.series, state.previous_series]
+                .contains(&request.series);
+        if is_new_series {
+            // Permits of the earlier series count as used.
             self.series += 1;
-            *known = Holder {
+            *state = Holder {
                 series: self.series,
-                series_before: ask.series,
-                turn: self.turn,
+                previous_series: request.series,
+                virtual_time: self.virtual_time,
                 ..Holder::default()
             };
         }
-        known.ask = ask;
-        known.asked_ms = now_ms;
-        known.turn = known.turn.max(self.turn);
-        if ask.series == known.series {
-            self.available += known.settle(&ask) as f64;
+        state.request = request;
+        state.received_ms = now_ms;
+        state.virtual_time = state.virtual_time.max(self.virtual_time);
+        if request.series == state.series {
+            self.available += state.settle(&request) as f64;
         }
     }
 
-    /// Lets permits come at a rate, up to the burst.
+    /// Adds permits at a rate, up to the burst.
     pub fn refill(&mut self, limit_per_s: f64, now_ms: u64) {
         for holder in self.holders.values_mut() {
-            if now_ms.saturating_sub(holder.asked_ms) > SILENT_MS {
-                holder.forget_out();
+            if now_ms.saturating_sub(holder.received_ms)
+                > HOLDER_SILENCE_TIMEOUT_MS
+            {
+                holder.expire_outstanding();
             }
         }
-        let out: u64 = self.holders.values().map(Holder::out).sum();
-        let elapsed_ms = now_ms.saturating_sub(self.filled_ms);
-        self.filled_ms = self.filled_ms.max(now_ms);
-        if elapsed_ms > STALE_MS {
-            // Others may have granted meanwhile.
+        let outstanding: u64 =
+            self.holders.values().map(Holder::outstanding).sum();
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_ms);
+        self.refilled_ms = self.refilled_ms.max(now_ms);
+        if elapsed_ms > MAX_PAUSE_MS {
+            // Other issuers may have granted permits meanwhile.
             self.available = 0.0;
             return;
         }
         let rate = GRANTED_SHARE * limit_per_s;
-        let grown = self.available + rate * elapsed_ms as f64 / 1e3;
-        let most = BURST + ROUND_S * limit_per_s - out as f64;
-        self.available = grown.min(most).max(0.0);
+        let refilled = self.available + rate * elapsed_ms as f64 / 1e3;
+        let max_available =
+            BURST_PERMITS + ROUND_TRIP_S * limit_per_s - outstanding as f64;
+        self.available = refilled.min(max_available).max(0.0);
     }
 
-    /// Grants what there is; the holders that got some.
+    /// Grants the available permits and returns the holders that got some.
     pub fn issue(&mut self, now_ms: u64) -> Vec<u64> {
-        let mut served = Vec::new();
+        let mut granted_holders = Vec::new();
         while self.available >= 1.0 {
-            let wanting =
-                self.holders.iter_mut().filter(|(_, h)| h.wants(now_ms));
-            let first = wanting.min_by(|(_, a), (_, b)| {
-                a.rank().cmp(&b.rank()).then(a.turn.total_cmp(&b.turn))
+            let candidates = self
+                .holders
+                .iter_mut()
+                .filter(|(_, h)| h.needs_permit(now_ms));
+            let next = candidates.min_by(|(_, a), (_, b)| {
+                a.rank()
+                    .cmp(&b.rank())
+                    .then(a.virtual_time.total_cmp(&b.virtual_time))
             });
-            let Some((name, holder)) = first else { break };
+            let Some((id, holder)) = next else { break };
             self.available -= 1.0;
-            self.turn = holder.turn;
+            self.virtual_time = holder.virtual_time;
             holder.granted += 1;
-            holder.turn += 1.0 / f64::from(holder.ask.wanted);
-            served.push(*name);
+            holder.virtual_time += 1.0 / f64::from(holder.request.wanted);
+            granted_holders.push(*id);
         }
-        served.sort_unstable();
-        served.dedup();
-        served
+        granted_holders.sort_unstable();
+        granted_holders.dedup();
+        granted_holders
     }
 
-    /// What a holder is told.
+    /// The grant to send to a holder.
     pub fn grant_for(&self, holder: u64) -> PermitGrant {
         let holder = self.holders.get(&holder).copied().unwrap_or_default();
         PermitGrant {
-            answered_ms: holder.ask.sent_ms,
+            answered_ms: holder.request.sent_ms,
             series: holder.series,
             granted: holder.granted,
         }
     }
 
-    /// Permits that are out, by holder.
+    /// Outstanding permits by holder.
     pub fn outstanding(&self) -> impl Iterator<Item = (u64, u64)> {
         let holders = self.holders.iter();
-        holders.map(|(name, h)| (*name, h.out())).filter(|h| h.1 > 0)
+        holders.map(|(id, h)| (*id, h.outstanding())).filter(|h| h.1 > 0)
     }
 }
--- a/crates/routing/src/push_error.rs
+++ b/crates/routing/src/push_error.rs
@@ -1,32 +1,32 @@
-//! Why an item did not get into the fair queue.
+//! Errors of a push to the fair queue.
 
 use std::fmt;
 
-/// An item that was not taken.
+/// An item that the queue did not accept.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PushError<T> {
-    /// What was pushed.
+    /// The item that was pushed.
     pub item: T,
-    /// Why it was not taken.
+    /// Why the queue did not accept the item.
     pub reason: PushErrorReason,
 }
 
-/// Why an item was not taken.
+/// Why the queue did not accept an item.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum PushErrorReason {
     /// The queue is full.
     Full {
-        /// Work that is queued.
+        /// Queued work.
         pending_tokens: u64,
-        /// Most that may be.
+        /// Limit on queued work.
         limit_tokens: u64,
     },
-    /// The account holds all that is allowed to it while others need room.
+    /// The account holds its full allowance while other accounts need space.
     AccountFull {
-        /// Its work that is queued.
+        /// Queued work of the account.
         pending_tokens: u64,
-        /// Most that may be now.
+        /// Current allowance of the account.
         allowed_tokens: u64,
     },
     /// The deadline has passed.
@@ -50,7 +50,7 @@
                 "the account holds {pending_tokens} of {allowed_tokens} \
                  tokens"
             ),
-            PushErrorReason::Expired => f.write_str("the deadline passed"),
+            PushErrorReason::Expired => f.write_str("the deadline has passed"),
         }
     }
 }
--- a/crates/routing/src/queue_account.rs
+++ b/crates/routing/src/queue_account.rs
@@ -1,21 +1,22 @@
-//! Virtual time and lanes of one client account in the fair queue.
+//! State of one client account in the fair queue.
 
 use std::collections::BTreeSet;
 
 use crate::priority::Priority;
 
-/// Lead of an account's place for each level above low, over its weight.
+/// Lead of an account's rank per priority level above low, before division
+/// by its weight.
 pub const LEAD_TOKENS: u64 = 4_096;
 
 pub(crate) const LEVEL_COUNT: usize = Priority::ALL.len();
 
 pub(crate) const DEFAULT_WEIGHT: u32 = 1;
-/// Virtual time of one token at weight 1: fine enough for any weight.
+/// Virtual time of one token at weight 1; fine-grained enough for any weight.
 const SCALE: i128 = 1 << 20;
 
-/// Order in which items were pushed.
+/// Position in the order in which items were pushed.
 pub(crate) type Sequence = u64;
-/// Tokens served over weight, times [`SCALE`].
+/// Tokens served divided by weight, times [`SCALE`].
 pub(crate) type VirtualTime = i128;
 
 /// State of one client account.
@@ -23,22 +24,22 @@
 pub(crate) struct Account {
     pub(crate) name: String,
     pub(crate) weight: u32,
-    pub(crate) served: VirtualTime,
+    pub(crate) virtual_time: VirtualTime,
     pub(crate) pending_tokens: u64,
     pub(crate) lanes: [BTreeSet<Sequence>; LEVEL_COUNT],
-    /// Its entry in `by_place`, while it is backlogged.
-    pub(crate) place: Option<VirtualTime>,
+    /// Rank of its entry in `by_rank`, while the account is backlogged.
+    pub(crate) rank: Option<VirtualTime>,
 }
 
 impl Account {
-    pub(crate) fn new(name: &str, served: VirtualTime) -> Account {
+    pub(crate) fn new(name: &str, virtual_time: VirtualTime) -> Account {
         Account {
             name: name.to_string(),
             weight: DEFAULT_WEIGHT,
-            served,
+            virtual_time,
             pending_tokens: 0,
             lanes: Default::default(),
-            place: None,
+            rank: None,
         }
     }
 
@@ -47,17 +48,17 @@
     }
 
     pub(crate) fn charge(&mut self, tokens: i128) {
-        self.served += self.virtual_tokens(tokens);
+        self.virtual_time += self.virtual_tokens(tokens);
     }
 
     fn virtual_tokens(&self, tokens: i128) -> VirtualTime {
         tokens * SCALE / VirtualTime::from(self.weight)
     }
 
-    /// Its place while it is backlogged: by the highest priority it has.
-    pub(crate) fn next_place(&self) -> Option<VirtualTime> {
+    /// Rank of a backlogged account, by the highest priority of its items.
+    pub(crate) fn next_rank(&self) -> Option<VirtualTime> {
         let level = self.lanes.iter().rposition(|lane| !lane.is_empty())?;
         let lead = i128::from(LEAD_TOKENS) * level as i128;
-        Some(self.served - self.virtual_tokens(lead))
+        Some(self.virtual_time - self.virtual_tokens(lead))
     }
 }
--- a/crates/routing/src/slot_queue.rs
+++ b/crates/routing/src/slot_queue.rs
@@ -1,21 +1,22 @@
-//! Who may run on one backend server now, and who waits.
+//! Slots of one backend server: which requests may run now, and which wait.
 //!
-//! A request is refused at once when it cannot finish in time: after the wait
-//! of its own account (another's flood does not count against it), over as
-//! many stages as its chain has, at the speed of a server as full as this
-//! one. It leaves the queue when it could no longer begin in time, so that
-//! no place is spent on an answer that comes too late.
+//! A [`SlotQueue`] combines the slots of a server, the fair queue before them
+//! and the learned speed. A request is refused at once when it cannot finish
+//! within its deadline. The estimate covers the queued work of its own account
+//! (a flood of another account does not count against it) and all stages of
+//! its chain, at the speed of a server as full as this one. A queued request
+//! leaves the queue when it could no longer finish within its deadline, so
+//! that no slot is spent on a late response.
 //!
-//! The places of a backend server, the fair queue before them and the learned
-//! speed, in one. A request waits at the first stage of its chain, and at a
-//! later one for a while ([`SlotQueue::request_later_stage`]). A request that waits holds
-//! its earlier stages, so a chain has to ask its stages in the order of their
-//! layers: then whoever waits holds only servers with lower first layers, and
-//! no two requests can wait for each other.
+//! A request waits at the first stage of its chain, and for a limited time at
+//! a later stage ([`SlotQueue::request_later_stage`]). While it waits it holds
+//! the slots of its earlier stages, so a chain must request its stages in the
+//! order of their layers. Each waiting request then holds only servers with
+//! lower first layers, and no two requests can wait for each other.
 //!
-//! [`SlotQueue::try_acquire`] takes or refuses instead, so that all later stages could
-//! be asked at the same time; only the benchmark of decisions uses it, to
-//! compare the two ways.
+//! [`SlotQueue::try_acquire`] never waits, so that all later stages could be
+//! requested at the same time. Only the benchmark of decisions uses it, to
+//! compare the two strategies.
 
 use crate::{
     admission::{self, LearnedSpeed},
@@ -24,17 +25,18 @@
     shape::Shape,
 };
 
-/// Longest wait for a later stage: the earlier ones stand idle meanwhile.
+/// Longest wait for a later stage, because earlier stages idle meanwhile.
 pub const LATER_STAGE_MAX_WAIT_MS: u64 = 500;
 
-/// What the manifest says of a backend server's size.
+/// Capacity of a backend server by the manifest.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerCapacity {
-    /// Requests it runs at once.
+    /// Requests that the server runs at a time.
     pub max_running: u32,
-    /// First guess through its own layers.
+    /// Configured prompt speed through the server's own layers.
     pub prompt_tokens_per_s: f64,
-    /// First guess through its own layers, all sequences together.
+    /// Configured output speed through the server's own layers, all sequences
+    /// together.
     pub output_tokens_per_s: f64,
 }
 
@@ -45,119 +47,120 @@
     }
 }
 
-/// A request for a place.
+/// A request for a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotRequest<'a> {
-    /// Whose it is.
+    /// Client account of the request.
     pub account: &'a str,
-    /// What it takes.
+    /// Token counts and priority of the request.
     pub shape: &'a Shape,
-    /// What its account is charged.
+    /// Tokens charged to the account.
     pub cost_tokens: u64,
-    /// When its caller gives up.
+    /// Time at which the caller gives up.
     pub deadline_at_ms: u64,
-    /// Length of its chain; the other stages are taken to be like this one.
+    /// Length of the chain; its other stages are assumed to be like this one.
     pub stage_count: u32,
 }
 
-/// What became of a request at the gate.
+/// Result of a request for a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotAdmission {
-    /// It holds a place.
+    /// The request holds a slot.
     Admitted,
-    /// It waits for a place.
+    /// The request waits for a slot.
     Queued,
-    /// The queue has no room.
+    /// The queue is full.
     Full {
-        /// When room is expected.
+        /// Time after which a slot is expected to be free.
         retry_after_ms: u64,
     },
-    /// It could not finish within its deadline.
+    /// The request could not finish within its deadline.
     TooLate {
-        /// When room is expected.
+        /// Time after which a slot is expected to be free.
         retry_after_ms: u64,
     },
 }
 
-/// Load of a gate.
+/// Load of a slot queue.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotQueueLoad {
-    /// Requests that hold a place.
+    /// Requests that hold a slot.
     pub running: u32,
-    /// Requests that wait for one.
+    /// Requests that wait for a slot.
     pub queued: u32,
-    /// Work that both were taken for.
+    /// Estimated work of running and queued requests.
     pub pending_tokens: u64,
-    /// Learned through the server's own layers.
+    /// Learned prompt speed through the server's own layers.
     pub prompt_tokens_per_s: f32,
-    /// Likewise, all sequences together.
+    /// Learned output speed through the server's own layers, all sequences
+    /// together.
     pub output_tokens_per_s: f32,
     /// Expected wait of a new request.
     pub queue_wait_ms: u64,
 }
 
-/// Places and queue of one backend server; used by one thread at a time.
+/// Slots and queue of one backend server; used by one thread at a time.
 #[derive(Debug)]
 pub struct SlotQueue<T> {
     running: u32,
-    places: ServerCapacity,
+    capacity: ServerCapacity,
     running_tokens: u64,
     queue: FairQueue<T>,
     speed: LearnedSpeed,
-    drain: DrainRate,
+    drain_rate: DrainRate,
 }
 
 impl<T> SlotQueue<T> {
-    /// A gate without places; see [`SlotQueue::set_capacity`].
+    /// Creates a queue without slots; see [`SlotQueue::set_capacity`].
     pub fn new(queue_limit_tokens: u64) -> SlotQueue<T> {
         SlotQueue {
             running: 0,
-            places: ServerCapacity::default(),
+            capacity: ServerCapacity::default(),
             running_tokens: 0,
             queue: FairQueue::new(queue_limit_tokens),
             speed: ServerCapacity::default().speed(),
-            drain: DrainRate::default(),
+            drain_rate: DrainRate::default(),
         }
     }
 
-    /// Sets the count of places and the first guess of the speed. What has
-    /// been learned is kept while neither changes.
-    pub fn set_capacity(&mut self, places: ServerCapacity) {
-        if self.places != places {
-            self.speed = places.speed();
-            self.places = places;
+    /// Sets the number of slots and the configured speed. The learned speed
+    /// is reset if they change.
+    pub fn set_capacity(&mut self, capacity: ServerCapacity) {
+        if self.capacity != capacity {
+            self.speed = capacity.speed();
+            self.capacity = capacity;
         }
     }
 
-    /// Sets an account's share.
+    /// Sets an account's weight.
     pub fn set_weight(&mut self, account: &str, weight: u32) {
         self.queue.set_weight(account, weight);
     }
 
-    /// Gives a request a place, lets it wait or refuses it.
+    /// Gives a request a slot, queues it or refuses it.
     pub fn request(
         &mut self,
-        asked: &SlotRequest<'_>,
+        request: &SlotRequest<'_>,
         item: T,
         now_ms: u64,
         rng: &mut fastrand::Rng,
     ) -> SlotAdmission {
-        let run_ms = self.run_ms(asked);
-        let wait_ms = self.wait_ms_of(asked);
-        let rest_ms = asked.deadline_at_ms.saturating_sub(now_ms);
-        if admission::can_finish(run_ms, wait_ms, rest_ms).is_err() {
+        let run_ms = self.run_ms(request);
+        let wait_ms = self.request_wait_ms(request);
+        let remaining_ms = request.deadline_at_ms.saturating_sub(now_ms);
+        if admission::can_finish(run_ms, wait_ms, remaining_ms).is_err() {
             let retry_after_ms = self.retry_after_ms(rng);
             return SlotAdmission::TooLate { retry_after_ms };
         }
-        if self.running < self.places.max_running && self.queue.is_empty() {
-            self.take(asked.cost_tokens);
+        if self.running < self.capacity.max_running && self.queue.is_empty() {
+            self.occupy_slot(request.cost_tokens);
             return SlotAdmission::Admitted;
         }
         let pushed = self.queue.push(
-            asked.account,
-            asked.shape.priority,
-            asked.cost_tokens,
-            asked.deadline_at_ms.saturating_sub(run_ms),
+            request.account,
+            request.shape.priority,
+            request.cost_tokens,
+            request.deadline_at_ms.saturating_sub(run_ms),
             item,
             now_ms,
         );
@@ -169,76 +172,83 @@
         }
     }
 
-    /// Takes a place for a later stage; the time until one is expected if
-    /// there is none.
+    /// Takes a slot for a later stage. Without a free slot, returns the time
+    /// after which one is expected.
     pub fn try_acquire(
         &mut self,
         cost_tokens: u64,
         rng: &mut fastrand::Rng,
     ) -> Result<(), u64> {
-        if self.running >= self.places.max_running {
+        if self.running >= self.capacity.max_running {
             return Err(self.retry_after_ms(rng));
         }
-        self.take(cost_tokens);
+        self.occupy_slot(cost_tokens);
         Ok(())
     }
 
-    /// Gives a request that holds its earlier stages a place, lets it wait
-    /// for up to [`LATER_STAGE_MAX_WAIT_MS`] or refuses it.
+    /// Gives a slot to a request that holds its earlier stages, queues it for
+    /// up to [`LATER_STAGE_MAX_WAIT_MS`] or refuses it.
     pub fn request_later_stage(
         &mut self,
-        asked: &SlotRequest<'_>,
+        request: &SlotRequest<'_>,
         item: T,
         now_ms: u64,
         rng: &mut fastrand::Rng,
     ) -> SlotAdmission {
-        if self.wait_ms_of(asked) > LATER_STAGE_MAX_WAIT_MS {
+        if self.request_wait_ms(request) > LATER_STAGE_MAX_WAIT_MS {
             return SlotAdmission::Full {
                 retry_after_ms: self.retry_after_ms(rng),
             };
         }
-        self.request(asked, item, now_ms, rng)
+        self.request(request, item, now_ms, rng)
     }
 
-    /// Gives a place back; what waited and may run now, if any.
+    /// Releases a slot and returns the queued request that takes it, if any.
     pub fn release(&mut self, cost_tokens: u64, now_ms: u64) -> Option<T> {
-        self.drain.note(cost_tokens, !self.queue.is_empty(), now_ms);
+        self.drain_rate.record(cost_tokens, !self.queue.is_empty(), now_ms);
         self.running = self.running.saturating_sub(1);
         self.running_tokens = self.running_tokens.saturating_sub(cost_tokens);
-        if self.running >= self.places.max_running {
+        if self.running >= self.capacity.max_running {
             return None;
         }
         let next = self.queue.pop(now_ms)?;
-        self.take(next.cost_tokens);
+        self.occupy_slot(next.cost_tokens);
         Some(next.item)
     }
 
-    /// Takes requests out of the queue.
+    /// Removes matching requests from the queue.
     pub fn remove(&mut self, matches: impl FnMut(&T) -> bool) -> Vec<T> {
         self.queue.remove(matches)
     }
 
-    /// Takes out the requests that can no longer begin in time.
+    /// Removes queued requests that can no longer finish within their
+    /// deadline.
     pub fn expire(&mut self, now_ms: u64) -> Vec<T> {
         self.queue.expire(now_ms)
     }
 
-    /// Learns from a call that ran first steps with these tokens.
-    pub fn learn_prompt(&mut self, longest: u32, tokens: u64, ms: f64) {
-        self.speed.learn_prompt(longest, tokens, ms);
+    /// Learns from a call that processed `tokens` prompt tokens, of prompts of
+    /// up to `max_prompt_tokens` tokens.
+    pub fn learn_prompt(
+        &mut self,
+        max_prompt_tokens: u32,
+        tokens: u64,
+        ms: f64,
+    ) {
+        self.speed.learn_prompt(max_prompt_tokens, tokens, ms);
     }
 
-    /// Learns from a call that ran one token of each of `batch` requests.
+    /// Learns from a call that made one token for each of `batch` requests.
     pub fn learn_step(&mut self, batch: u32, ms: f64) {
         self.speed.learn_step(0, batch, self.running, ms);
     }
 
-    /// Charges an account for tokens that the estimate missed.
+    /// Charges an account for tokens that the estimate did not cover.
     pub fn charge(&mut self, account: &str, tokens: i64) {
         self.queue.charge(account, tokens);
     }
 
-    /// Load at this moment.
+    /// Current load.
     pub fn load(&self) -> SlotQueueLoad {
         SlotQueueLoad {
             running: self.running,
@@ -246,45 +256,47 @@
             pending_tokens: self.queue.pending_tokens() + self.running_tokens,
             prompt_tokens_per_s: self.speed.prompt_tokens_per_s(0) as f32,
             output_tokens_per_s: self.speed.output_tokens_per_s(0) as f32,
-            queue_wait_ms: self.wait_ms(),
+            queue_wait_ms: self.queue_wait_ms(),
         }
     }
 
-    fn take(&mut self, cost_tokens: u64) {
+    fn occupy_slot(&mut self, cost_tokens: u64) {
         self.running += 1;
         self.running_tokens += cost_tokens;
     }
 
     /// Time that a request takes over all stages of its chain.
-    fn run_ms(&self, asked: &SlotRequest<'_>) -> u64 {
-        let places = f64::from(self.places.max_running.max(1));
-        let in_use = f64::from(self.running) / places;
-        let stage_ms = admission::run_ms(asked.shape, &self.speed, in_use);
-        stage_ms.saturating_mul(asked.stage_count.max(1).into())
+    fn run_ms(&self, request: &SlotRequest<'_>) -> u64 {
+        let slots = f64::from(self.capacity.max_running.max(1));
+        let utilisation = f64::from(self.running) / slots;
+        let stage_ms =
+            admission::run_ms(request.shape, &self.speed, utilisation);
+        stage_ms.saturating_mul(request.stage_count.max(1).into())
     }
 
-    /// Wait of a request, behind its account's own and its share of others.
-    fn wait_ms_of(&self, asked: &SlotRequest<'_>) -> u64 {
-        let SlotRequest { account, cost_tokens, .. } = *asked;
+    /// Expected wait of a request behind its account's own work and the share
+    /// of other accounts.
+    fn request_wait_ms(&self, request: &SlotRequest<'_>) -> u64 {
+        let SlotRequest { account, cost_tokens, .. } = *request;
         self.wait_behind_ms(self.queue.tokens_before(account, cost_tokens))
     }
 
-    /// Wait of a request that goes last.
-    fn wait_ms(&self) -> u64 {
+    /// Expected wait of a request that goes last.
+    fn queue_wait_ms(&self) -> u64 {
         self.wait_behind_ms(self.queue.pending_tokens())
     }
 
     fn wait_behind_ms(&self, tokens: u64) -> u64 {
-        if self.running < self.places.max_running && self.queue.is_empty() {
+        if self.running < self.capacity.max_running && self.queue.is_empty() {
             return 0;
         }
-        let learned_ms = self.drain.wait_ms(tokens);
+        let learned_ms = self.drain_rate.wait_ms(tokens);
         learned_ms.unwrap_or_else(|| {
             admission::expected_wait_ms(tokens, &self.speed)
         })
     }
 
-    /// When a refused caller should come back.
+    /// Time after which a refused caller may retry.
     pub fn retry_after_ms(&self, rng: &mut fastrand::Rng) -> u64 {
         let pending_tokens = self.queue.pending_tokens() + self.running_tokens;
         admission::retry_after_ms(pending_tokens, &self.speed, rng)
--- a/crates/routing/src/stall_check.rs
+++ b/crates/routing/src/stall_check.rs
@@ -1,48 +1,48 @@
-//! When a stream that pauses is looked at.
+//! After which gap between events a stream is checked for a failed engine.
 //!
-//! The load that it answers: an engine dies under many streams. Each pauses
-//! until the loss is noticed, its path is changed, and an engine that stands
-//! in has read what was written. A route may say which pause is in time; a
-//! look may take a part of it, the rest is for dials, the order and the
-//! reading. A look that comes too soon costs little: engines through which
-//! other streams flow are not dialled.
+//! When an engine that serves many streams fails, each stream stalls until the
+//! failure is noticed, its path is changed, and the replacement engine has
+//! prefilled the text written so far. A route may set a target for the longest
+//! gap. The check may take a part of that target; the remainder is for the
+//! connection attempts, the order and the prefill. An early check costs
+//! little, because engines through which other streams progress are not
+//! contacted.
 
-/// A stream that has begun is looked at after a pause of this many usual ones
-/// and a little.
-const LOOK_FACTOR: f64 = 1.9;
-const LOOK_SLACK_MS: f64 = 20.0;
-/// Part of the pause that is in time which passes before the first look at
-/// the soonest.
-const LOOK_SHARE: f64 = 0.25;
-/// Bounds of that part; the upper one is that of a route without a target.
-const LEAST_LOOK_MS: (u64, u64) = (50, 90);
-/// Longest pause without a look.
-const MOST_LOOK_MS: u64 = 600;
+/// A stream is checked once its gap exceeds this multiple of its typical gap,
+/// plus the slack.
+const GAP_FACTOR: f64 = 1.9;
+const GAP_SLACK_MS: f64 = 20.0;
+/// Share of the gap target that passes before the first check.
+const TARGET_SHARE: f64 = 0.25;
+/// Range of that share; a route without a target uses the upper end.
+const MIN_GAP_RANGE_MS: (u64, u64) = (50, 90);
+/// Gap after which any stream is checked.
+const MAX_GAP_MS: u64 = 600;
 
-/// Pauses of the streams of a route.
+/// Gaps after which the streams of a route are checked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StallCheck {
-    least_ms: u64,
+    min_gap_ms: u64,
 }
 
 impl StallCheck {
-    /// Of a route with this longest pause that is in time, in milliseconds.
+    /// Derives the gaps from the route's target for the longest gap.
     pub fn new(gap_target_ms: Option<u64>) -> StallCheck {
-        let part = |target_ms: u64| (target_ms as f64 * LOOK_SHARE) as u64;
-        let (least_ms, most_ms) = LEAST_LOOK_MS;
-        let part_ms = gap_target_ms.map_or(most_ms, part);
-        StallCheck { least_ms: part_ms.clamp(least_ms, most_ms) }
+        let share_of =
+            |target_ms: u64| (target_ms as f64 * TARGET_SHARE) as u64;
+        let (min_gap_ms, max_ms) = MIN_GAP_RANGE_MS;
+        let share_ms = gap_target_ms.map_or(max_ms, share_of);
+        StallCheck { min_gap_ms: share_ms.clamp(min_gap_ms, max_ms) }
     }
 
-    /// The shortest pause that is worth a look.
+    /// Shortest gap after which a stream is checked.
     pub fn min_gap_ms(&self) -> u64 {
-        self.least_ms
+        self.min_gap_ms
     }
 
-    /// The pause from which on a stream that makes usual ones of so many
-    /// milliseconds is looked at.
-    pub fn gap_ms(&self, usual_gap_ms: f64) -> u64 {
-        let look_ms = LOOK_FACTOR * usual_gap_ms + LOOK_SLACK_MS;
-        (look_ms as u64).clamp(self.least_ms, MOST_LOOK_MS)
+    /// Gap after which a stream with this typical gap is checked.
+    pub fn gap_ms(&self, typical_gap_ms: f64) -> u64 {
+        let gap_ms = GAP_FACTOR * typical_gap_ms + GAP_SLACK_MS;
+        (gap_ms as u64).clamp(self.min_gap_ms, MAX_GAP_MS)
     }
 }
