--- a/crates/direct/src/known/follow.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -24,13 +24,13 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
+        backend_rows,
         feed_health::Health,
-        feed_port::Asker,
+        feed_server::Asker,
         feeds::{Feed, STALE_MS, rows_of},
-        listed_rows,
     },
+    core::Core,
 };
 
 /// Wait of a call of the configuration's feed. Two calls that fail must fit
@@ -121,7 +121,7 @@
 
     async fn run(mut self) {
         loop {
-            let others = self.core.entries_here();
+            let others = self.core.live_peers_in_data_centre();
             let around = FeedPeers {
                 own: self.core.boot_id,
                 peers: &others,
@@ -134,7 +134,7 @@
                 FeedSource::Store => self.ask_store(is_shared).await,
                 FeedSource::Entry(entry) => self.ask_entry(entry).await,
             };
-            self.feed().note(source, outcome);
+            self.feed().record_outcome(source, outcome);
             self.pause(source, outcome).await;
         }
     }
@@ -258,7 +258,7 @@
                     apply_configuration(&self.core, row);
                 }
             }
-            Kind::Backends => listed_rows::apply_all(&self.core, rows),
+            Kind::Backends => backend_rows::apply_all(&self.core, rows),
         }
     }
 
@@ -267,7 +267,7 @@
         for row in &rows.rows {
             match self.kind {
                 Kind::Configuration => apply_configuration(&self.core, row),
-                Kind::Backends => listed_rows::apply(&self.core, row),
+                Kind::Backends => backend_rows::apply(&self.core, row),
             }
         }
     }
@@ -275,19 +275,19 @@
     fn confirm(&self, then_ms: u64) {
         self.feed().confirm(then_ms);
         if self.kind == Kind::Configuration {
-            self.core.confirm(then_ms);
+            self.core.record_configuration_confirmed(then_ms);
         }
     }
 
     fn note_reached(&self) {
         if self.kind == Kind::Configuration {
-            self.core.store_lost_ms.store(0, Relaxed);
+            self.core.store_failing_since_ms.store(0, Relaxed);
         }
     }
 
     fn note_lost(&self) {
         if self.kind == Kind::Configuration {
-            self.core.note_store_lost();
+            self.core.record_store_failure();
             // What the key check says may have changed by time alone.
             self.core.are_keys_fresh();
         }
@@ -345,7 +345,7 @@
     }
     match configuration::try_parse(&row.value) {
         Ok(new) => {
-            core.apply(new, row.version);
+            core.apply_configuration(new, row.version);
         }
         Err(error) => {
             emit(
--- a/crates/direct/src/known/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -28,13 +28,13 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         alerts::percent,
-        engine::{Engine, Use},
+        engine::{Engine, EngineUsage},
         peer_table::{Heard, Silent},
         permits, probe, suspects,
     },
+    core::Core,
 };
 
 /// Time between messages.
@@ -140,14 +140,15 @@
 
 fn own_state(core: &Core, sequence: u64) -> PeerState {
     let engine_use = |engine: Arc<Engine>| {
-        let used = engine.own_use(now_ms());
+        let used = engine.own_usage(now_ms());
         let (is_suspect, slowness) = {
             let state = engine.lock();
             (state.suspicion.is_some(), state.slowness)
         };
         // Who watches it repeats how slow it is, for those who missed it.
         let is_told_slow = slowness > 1.0 && engine.is_watched.load(Relaxed);
-        let is_told = used != Use::default() || is_suspect || is_told_slow;
+        let is_told =
+            used != EngineUsage::default() || is_suspect || is_told_slow;
         is_told.then_some(EngineUse {
             engine: engine.hash,
             used_kilo_token_layers: used.kilo_token_layers,
@@ -162,7 +163,7 @@
         })
     };
     let engines = core.fleet.all().into_iter().filter_map(engine_use);
-    let sent = core.sent_to_services().into_iter();
+    let sent = core.sent_by_service().into_iter();
     let services = sent.map(|(service, sent)| ServiceUse {
         service,
         requests: sent.requests,
@@ -176,9 +177,9 @@
         engines: engines.collect(),
         services: services.collect(),
         is_planner: core.is_planner.load(Relaxed),
-        crossing_kilobytes_per_s: (core.crossing.own_bytes_per_s() / 1e3)
+        crossing_kilobytes_per_s: (core.interconnect.own_bytes_per_s() / 1e3)
             as u32,
-        resigned: core.resigned.load(Relaxed),
+        resigned: core.released_lease_number.load(Relaxed),
         is_stopping: core.stopping_for_ms().is_some(),
         open_moves: core.open_moves(),
         data_centre: core.settings.data_centre.clone(),
@@ -227,33 +228,33 @@
     }
     core.peers.take_sent(state, core.settings.bounds.retry_window_ms);
     if state.is_planner {
-        core.take_moves(&state.open_moves);
+        core.apply_moves(&state.open_moves);
     }
     take_use(core, state);
 }
 
 fn take_use(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     let told: BTreeSet<u32> = state.engines.iter().map(|u| u.engine).collect();
-    for hash in core.told_use.replace(state.boot_id, told) {
+    for hash in core.peer_usage.replace(state.boot_id, told) {
         if let Some(engine) = listed.by_hash.get(&hash) {
-            engine.set_other(state.boot_id, None);
+            engine.set_peer_usage(state.boot_id, None);
         }
     }
     for used in &state.engines {
         let Some(engine) = listed.by_hash.get(&used.engine) else { continue };
-        let told_use = Use {
+        let told_use = EngineUsage {
             kilo_token_layers: used.used_kilo_token_layers,
             first_count: used.first_count,
             work_ms_per_s: used.work_ms_per_s,
         };
-        engine.set_other(state.boot_id, Some(told_use));
+        engine.set_peer_usage(state.boot_id, Some(told_use));
         take_news(core, engine, used);
     }
 }
 
 fn take_alert(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.listed();
+    let listed = core.fleet.index();
     for told in &state.engines {
         let Some(engine) = listed.by_hash.get(&told.engine) else { continue };
         engine.lock().alerted_ms = now_ms();
@@ -315,10 +316,10 @@
 }
 
 fn forget_use(core: &Core, boot_id: u64) {
-    let listed = core.fleet.listed();
-    for hash in core.told_use.replace(boot_id, BTreeSet::new()) {
+    let listed = core.fleet.index();
+    for hash in core.peer_usage.replace(boot_id, BTreeSet::new()) {
         if let Some(engine) = listed.by_hash.get(&hash) {
-            engine.set_other(boot_id, None);
+            engine.set_peer_usage(boot_id, None);
         }
     }
 }
--- a/crates/direct/src/known/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -21,11 +21,11 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
+    cluster::{
         alerts::percent,
-        engine::{Engine, FLOWING_MS, FailureEvidence, Suspicion, Told},
+        engine::{Engine, FLOWING_MS, FailureEvidence, StartOrder, Suspicion},
     },
+    core::Core,
     request::{exchange, path::Path},
 };
 
@@ -52,7 +52,11 @@
 /// Slowness below it is told as none.
 const SLOW_FROM: f64 = 1.2;
 
-pub(crate) fn note_unreached(core: &Core, engine: &Engine, error: &io::Error) {
+pub(crate) fn record_unreachable(
+    core: &Core,
+    engine: &Engine,
+    error: &io::Error,
+) {
     let evidence = match error.kind() {
         io::ErrorKind::TimedOut => FailureEvidence::Silent,
         _ => FailureEvidence::Refused,
@@ -89,7 +93,7 @@
     };
     {
         let mut state = engine.lock();
-        if state.is_gone || state.suspicion.is_some() {
+        if state.is_removed || state.suspicion.is_some() {
             return;
         }
         state.suspicion = Some(Suspicion {
@@ -107,7 +111,7 @@
             ("quiet_ms", &engine.quiet_ms(now_ms)),
         ],
     );
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     // Others that wait for an engine may not reach those that they need.
     if evidence != FailureEvidence::Stalled {
         alert(core, engine, EngineUse { is_suspect: true, ..news(engine) });
@@ -122,7 +126,7 @@
 fn alert(core: &Core, engine: &Engine, news: EngineUse) {
     let alerted_ms = engine.lock().alerted_ms;
     if now_ms().saturating_sub(alerted_ms) >= ALERTED_MS {
-        core.alerts.tell(news);
+        core.alerts.queue_engine(news);
     }
 }
 
@@ -173,7 +177,7 @@
     engine.is_probing.store(false, Relaxed);
     match dialled {
         Ok(()) => clear(&core, &engine),
-        Err(e) => note_unreached(&core, &engine, &e),
+        Err(e) => record_unreachable(&core, &engine, &e),
     }
 }
 
@@ -186,12 +190,12 @@
     engine: &Arc<Engine>,
     is_patient: bool,
 ) -> bool {
-    if !engine.lock().is_gone {
+    if !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
     let (is_gone, is_replaced, suspicion) = {
         let state = engine.lock();
-        (state.is_gone, state.is_replaced, state.suspicion)
+        (state.is_removed, state.is_replaced, state.suspicion)
     };
     let lasted_ms = suspicion.map_or(0, |s| now_ms() - s.since_ms);
     match detect_exit(suspicion.map(|s| s.evidence), lasted_ms) {
@@ -207,11 +211,11 @@
 }
 
 /// Whether an engine has crashed, as a dial shows if it is not known.
-pub(crate) async fn dial_shows_crash(
+pub(crate) async fn confirm_crash(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
 ) -> bool {
-    if !has_crashed(engine) && !engine.lock().is_gone {
+    if !has_crashed(engine) && !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
     has_crashed(engine)
@@ -254,7 +258,7 @@
 }
 
 /// Asks the engines of a path for reports, where that was not done of late.
-pub(crate) fn ask_path(core: &Arc<Core>, path: &Path) {
+pub(crate) fn request_path_reports(core: &Arc<Core>, path: &Path) {
     for stage in &path.stages {
         ask_one(core, &stage.engine);
     }
@@ -265,18 +269,19 @@
     let mut state = engine.lock();
     let is_asked_of_late =
         now_ms.saturating_sub(state.asked_ms) < REPORT_EVERY_MS;
-    if is_asked_of_late || state.is_at_rest(now_ms) {
+    if is_asked_of_late || state.is_in_cooldown(now_ms) {
         return;
     }
     state.asked_ms = now_ms;
     drop(state);
-    let task = ask(core.clone(), engine.clone());
+    let task = request_report(core.clone(), engine.clone());
     core.executor.spawn(task).detach();
 }
 
-pub(crate) async fn ask(core: Arc<Core>, engine: Arc<Engine>) {
-    let body = exchange::report(&engine);
-    let Ok(Ok((200, body))) = exchange::within(REPORT, body).await else {
+pub(crate) async fn request_report(core: Arc<Core>, engine: Arc<Engine>) {
+    let body = exchange::fetch_report(&engine);
+    let Ok(Ok((200, body))) = exchange::with_timeout(REPORT, body).await
+    else {
         return;
     };
     match try_report(&body) {
@@ -290,11 +295,13 @@
 
 fn take_report(core: &Core, engine: &Engine, report: &Report) {
     match told_by(engine, report) {
-        Told::Same => {}
+        StartOrder::Same => {}
         // It came late, or is of another writer.
-        Told::Earlier => return,
+        StartOrder::Earlier => return,
         // What runs there now has a row of its own, or soon will.
-        Told::Later => return suspect(core, engine, FailureEvidence::Refused),
+        StartOrder::Later => {
+            return suspect(core, engine, FailureEvidence::Refused);
+        }
     }
     let slowness = match report.slowness {
         slowness if slowness < SLOW_FROM => 1.0,
@@ -302,11 +309,12 @@
     };
     if take_slowness(engine, slowness, now_ms()) {
         let slowness_percent = percent(slowness);
-        core.alerts.tell(EngineUse { slowness_percent, ..news(engine) });
+        core.alerts
+            .queue_engine(EngineUse { slowness_percent, ..news(engine) });
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
-        let Some(dead) = core.fleet.at(stalled.at) else { continue };
+        let Some(dead) = core.fleet.by_address(stalled.at) else { continue };
         // It may be back, while the report is of before.
         let is_flowing = dead.quiet_ms(now_ms()) < FLOWING_MS;
         if !is_flowing && dead.incarnation != engine.incarnation {
@@ -316,10 +324,10 @@
 }
 
 /// Of which start a report tells.
-fn told_by(engine: &Engine, report: &Report) -> Told {
+fn told_by(engine: &Engine, report: &Report) -> StartOrder {
     match engine.started_unix_ms {
-        Some(known) => Told::of(report.started_unix_ms, Some(known)),
-        None => Told::Same,
+        Some(known) => StartOrder::of(report.started_unix_ms, Some(known)),
+        None => StartOrder::Same,
     }
 }
 
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -20,12 +20,11 @@
 
 use crate::{
     clock::now_ms,
-    core::Core,
-    known::{
-        engine::{Engine, Hold},
+    cluster::{
+        engine::{Engine, Reservation},
         probe,
     },
-    nudges::Listed,
+    core::Core,
     request::{
         admit::Admitted,
         answer::{Framing, Reason, passed_head, promises_not_run},
@@ -34,6 +33,7 @@
         path::Path,
         room::RunningTokens,
     },
+    subscribers::Subscription,
 };
 
 mod attempt;
@@ -80,7 +80,7 @@
     is_last: bool,
     /// Tokens of the prompt and of what the client has already.
     tokens: u64,
-    listed: Listed,
+    listed: Subscription,
     /// Engines that may not be used for this request, by incarnation.
     without: BTreeSet<String>,
     /// Engines at which others are on trial, by their short hashes.
@@ -91,7 +91,7 @@
     /// First engines that it left and that may live.
     left: Vec<Arc<Engine>>,
     path: Path,
-    holds: Vec<Hold>,
+    reservations: Vec<Reservation>,
     running: Option<RunningTokens>,
     suspicion: Suspicion<'a>,
     /// Its trial, if this attempt is one.
@@ -138,14 +138,14 @@
         model,
         is_last,
         tokens: needed_tokens(request, model),
-        listed: core.streams.list(),
+        listed: core.stream_subscribers.subscribe(),
         without: BTreeSet::new(),
         not_first: BTreeSet::new(),
         attempts: admitted.attempts(CountedBackends::MayHaveRun),
         malformed: 0,
         left: Vec::new(),
         path: Path::default(),
-        holds: Vec::new(),
+        reservations: Vec::new(),
         running: None,
         suspicion: Suspicion::new(core, request, admitted),
         trial: None,
@@ -242,15 +242,15 @@
         let first = self.path.first();
         match end {
             AttemptEnd::Failed(head, _) if head.status >= 500 => {
-                first.answers.note_failure(now_ms());
+                first.circuit.record_failure(now_ms());
             }
             // One further on that died speaks against no first engine.
             AttemptEnd::Broken
                 if !self.pace.has_begun && !self.has_dead_stage() =>
             {
-                first.answers.note_failure(now_ms());
+                first.circuit.record_failure(now_ms());
             }
-            _ => first.answers.note_neutral(),
+            _ => first.circuit.record_neutral(),
         }
     }
 
@@ -303,14 +303,14 @@
     fn avoid(&mut self, at: Option<SocketAddr>) {
         self.cause = "refused";
         let first = self.path.first();
-        let named = at.and_then(|at| self.core.fleet.at(at));
+        let named = at.and_then(|at| self.core.fleet.by_address(at));
         let engine = named.unwrap_or_else(|| first.clone());
         let now_ms = now_ms();
         let mut state = engine.lock();
-        if state.is_at_rest(now_ms) {
+        if state.is_in_cooldown(now_ms) {
             return;
         }
-        state.avoid_longer(now_ms, AVOID_MS);
+        state.back_off(now_ms, AVOID_MS);
         drop(state);
         self.without.insert(engine.incarnation.clone());
     }
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -16,7 +16,7 @@
 use super::{FIRST, Stream};
 use crate::{
     clock::now_ms,
-    known::permits,
+    cluster::permits,
     request::{
         answer::rest_come_back_ms,
         path::Path,
@@ -165,10 +165,10 @@
     /// Uses a path; false if its first engine no longer takes a request: it is
     /// at rest, or another one took the permit.
     fn use_path(&mut self, path: Path) -> bool {
-        if !path.first().try_begin(self.key, now_ms()) {
+        if !path.first().try_admit(self.key, now_ms()) {
             return false;
         }
-        self.holds = path.hold(self.tokens);
+        self.reservations = path.reserve(self.tokens);
         self.path = path;
         self.note_running();
         true
@@ -176,7 +176,7 @@
 
     /// Gives up a path that was not used.
     pub(super) fn release_path(&mut self) {
-        self.holds.clear();
+        self.reservations.clear();
         self.running = None;
     }
 
@@ -191,7 +191,8 @@
         let is_first_look = !std::mem::replace(&mut self.has_passed, true);
         let want = self.want(false);
         let id = self.admitted.id_text();
-        if is_first_look && permits::passing(self.core, first, id, want).await
+        if is_first_look
+            && permits::await_permit(self.core, first, id, want).await
         {
             return Some(path);
         }
@@ -211,7 +212,7 @@
     fn want_any(&self) {
         let now_ms = now_ms();
         for engine in limited_firsts(self.core, &self.need(true)) {
-            engine.notices.want(self.want(true), now_ms);
+            engine.notices.request_permit(self.want(true), now_ms);
         }
         self.core.permits.wake();
     }
@@ -226,7 +227,7 @@
             && !self.path.stages.is_empty()
             && (!is_permit_needed
                 || self.path.first().notices.may_send(need.now_ms))
-            && !self.path.first().lock().is_at_rest(need.now_ms)
+            && !self.path.first().lock().is_in_cooldown(need.now_ms)
             && !self.without.contains(&self.path.first().incarnation)
             && !self.path.first().is_suspect()
             && let Some(path) = self.core.fleet.detour(&need, &self.path)
@@ -240,7 +241,7 @@
         PathNeed {
             service: &self.admitted.service.name,
             model: self.model,
-            data_centre: self.core.own_data_centre(),
+            data_centre: self.core.own_data_centre_index(),
             tokens: self.tokens,
             without: &self.without,
             now_ms: now_ms(),
@@ -248,9 +249,9 @@
             is_permit_needed,
             crossing_use: self
                 .core
-                .crossing
+                .interconnect
                 .share(&self.core.peers, self.model.pipe_mbps),
-            untold_entries: self.core.untold_entries(),
+            entries_without_report: self.core.entries_without_report(),
             not_first: &self.not_first,
             only_first: self.trial.as_ref().map(|trial| &trial.engine),
         }
@@ -261,7 +262,7 @@
         let each = self.tokens as f64 * self.model.activation_bytes;
         let bytes = crossings as f64 * each;
         let core = self.core;
-        core.crossing.note(&core.peers, self.model.pipe_mbps, bytes);
+        core.interconnect.note(&core.peers, self.model.pipe_mbps, bytes);
     }
 
     /// Shows how many wait.
--- a/crates/direct/src/request/stream/watch.rs
+++ b/crates/direct/src/request/stream/watch.rs
@@ -15,9 +15,9 @@
 use super::Stream;
 use crate::{
     clock::now_ms,
-    known::probe,
+    cluster::probe,
     request::{
-        exchange::{self, within},
+        exchange::{self, with_timeout},
         path::{Path, Stage},
         route::PathNeed,
     },
@@ -111,7 +111,7 @@
                     Woken::CallerGone
                 };
                 let nudged = async {
-                    self.listed.nudged().await;
+                    self.listed.notified().await;
                     Woken::Nudged
                 };
                 let look = async {
@@ -187,7 +187,7 @@
                 self.note_stalled(quiet_ms);
             }
             self.pace.is_told = true;
-            probe::ask_path(self.core, &self.path);
+            probe::request_path_reports(self.core, &self.path);
         }
         self.left_because = match self.pace.has_begun {
             true => "the connection is silent",
@@ -204,7 +204,7 @@
         let now_ms = now_ms();
         let target_ms = self.admitted.route.target_ms as f64;
         let least_ms = (OVERDUE_SHARE * target_ms) as u64;
-        let lives = |stage: &Stage| stage.engine.lives(now_ms, LIVES_MS);
+        let lives = |stage: &Stage| stage.engine.is_alive(now_ms, LIVES_MS);
         !self.pace.has_begun
             && self.core.is_overdue(
                 &self.admitted.service.name,
@@ -276,8 +276,8 @@
             let first = self.path.first().clone();
             let body =
                 engine::repath_body(self.admitted.id_text(), &path.value());
-            let call = exchange::order(&first, &body);
-            let answer = within(ORDER, call).await;
+            let call = exchange::send_order(&first, &body);
+            let answer = with_timeout(ORDER, call).await;
             let result = match &answer {
                 Ok(Ok((status, body))) => {
                     format!("{status} {}", String::from_utf8_lossy(body))
@@ -297,7 +297,7 @@
                 }
                 Ok(Ok((_, body))) => {
                     let named = engine::refused_address(&body)
-                        .and_then(|at| self.core.fleet.at(at));
+                        .and_then(|at| self.core.fleet.by_address(at));
                     self.note_path_refused(&path, named.as_deref(), &result);
                     let Some(named) = named else { return true };
                     if Arc::ptr_eq(&named, &first) {
@@ -323,7 +323,7 @@
         let more = path.crossings().saturating_sub(self.path.crossings());
         self.note_crossing(more);
         path.note_work(self.model, self.tokens, &self.path, now_ms());
-        self.holds = path.hold(self.tokens);
+        self.reservations = path.reserve(self.tokens);
         self.path = path;
         self.pace.note_order_taken(now_ms());
         self.ended.path_changes += 1;
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -7,7 +7,7 @@
 
 use std::fmt;
 
-use crate::{cost::step_share, shape::Shape};
+use crate::{cost::step_share, request_shape::RequestShape};
 
 const MS_PER_S: f64 = 1_000.0;
 const SMOOTHING: f64 = 0.1;
@@ -166,7 +166,7 @@
 }
 
 /// Time that a request takes on a server with this utilisation, from 0 to 1.
-pub fn run_ms(shape: &Shape, speed: &LearnedSpeed, utilisation: f64) -> u64 {
+pub fn run_ms(shape: &RequestShape, speed: &LearnedSpeed, utilisation: f64) -> u64 {
     let prompt_tokens = shape.prompt_tokens;
     let prompt_s =
         f64::from(prompt_tokens) / speed.prompt_tokens_per_s(prompt_tokens);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -7,13 +7,13 @@
 //! |---|---|
 //! | [`priority`] | the order of requests |
 //! | [`fleet`], [`network`] | what the manifest says of a service's servers |
-//! | [`live`], [`health`] | what this process knows of each one now |
-//! | [`policy`], [`shape`], [`chain`], [`mod@explain`] | the chain of a request, why |
+//! | [`live_state`], [`circuit_breaker`] | what this process knows of each one now |
+//! | [`policy`], [`request_shape`], [`chain`], [`mod@explain`] | the chain of a request, why |
 //! | [`attempts`] | whether a request may be handed to a backend again |
 //! | [`mod@cooldown_wait`] | whether a request waits where all servers are at rest |
 //! | [`retry_budget`] | whether a failure may be tried again |
 //! | [`retry_window`] | the same where all entries share a bound in time |
-//! | [`assumed_use`] | what entries that have not told yet are taken to use |
+//! | [`usage_estimate`] | what entries that have not told yet are taken to use |
 //! | [`layer_path`] | which engines run which layers of a request |
 //! | [`fair_queue`], [`admission`] | who goes next, and who can finish in time |
 //! | [`slot_queue`] | who may run on one server now, and who waits |
@@ -24,11 +24,11 @@
 //! | [`permits`] | who may send to a server that named a limit |
 //! | [`rate_limit`] | which limit on its requests a server has named |
 //! | [`quarantine`] | which requests crash servers, and may not run |
-//! | [`flow`] | the most tokens a second the hardware allows |
+//! | [`throughput`] | the most tokens a second the hardware allows |
 //!
 //! ```
 //! use chestnutreach_routing::{
-//!     BackendSpec, ChainNeed, Fleet, Live, Network, Policy, Presence, Shape,
+//!     BackendSpec, ChainRequest, Fleet, LiveState, Network, Policy, Presence, RequestShape,
 //!     choose,
 //! };
 //!
@@ -45,15 +45,15 @@
 //! };
 //! let specs = vec![half("lower", 0, 16), half("upper", 16, 32)];
 //! let fleet = Fleet::try_new(32, specs, Network::new(1))?;
-//! let live = Live::new(fleet.len());
+//! let live = LiveState::new(fleet.len());
 //! for index in fleet.indices() {
 //!     live.set_presence(index, Presence::Serving);
 //! }
 //!
-//! let shape = Shape::new(500, 100).deadline_ms(20_000);
+//! let shape = RequestShape::new(500, 100).deadline_ms(20_000);
 //! let mut rng = fastrand::Rng::with_seed(7);
 //! let policy = Policy::default();
-//! let need = ChainNeed::new(&fleet, &live, &shape, &policy, 1_000);
+//! let need = ChainRequest::new(&fleet, &live, &shape, &policy, 1_000);
 //! let choice = choose(&need, &mut rng)?;
 //! let names: Vec<&str> =
 //!     choice.stages.iter().map(|&i| fleet.spec(i).name.as_str()).collect();
@@ -62,15 +62,14 @@
 //! ```
 
 pub mod admission;
-pub mod assumed_use;
 pub mod attempts;
 mod backend_spec;
 mod candidate;
 pub mod capacity_wait;
 pub mod chain;
+pub mod circuit_breaker;
 pub mod cooldown_wait;
 mod cost;
-pub mod crossing;
 mod drain_rate;
 pub mod exit_detection;
 pub mod explain;
@@ -80,11 +79,10 @@
 pub mod first_event_wait;
 pub mod fleet;
 mod fleet_error;
-pub mod flow;
-pub mod health;
+pub mod interconnect;
 mod label;
 pub mod layer_path;
-pub mod live;
+pub mod live_state;
 mod load_report;
 mod memory;
 pub mod network;
@@ -96,28 +94,29 @@
 pub mod quarantine;
 mod queue_account;
 pub mod rate_limit;
+pub mod request_shape;
 pub mod retry_budget;
 pub mod retry_window;
 mod search;
 pub mod search_turns;
 mod server;
-pub mod shape;
 pub mod slot_queue;
 pub mod stall_check;
 pub mod startup_wait;
+pub mod throughput;
+pub mod usage_estimate;
 
 pub use admission::{
     DeadlineTooShort, LearnedSpeed, can_finish, expected_wait_ms,
     retry_after_ms,
 };
-pub use assumed_use::KnownUse;
 pub use attempts::{Attempts, CountedBackends};
-pub use candidate::{Candidate, LeftOut};
+pub use candidate::{Candidate, ExclusionReason};
 pub use capacity_wait::{CapacityRequest, CapacityWait, CapacityWaits};
-pub use chain::{ChainNeed, Choice, Chooser, choose};
+pub use chain::{ChainRequest, Choice, Chooser, choose};
+pub use circuit_breaker::{CircuitBreaker, CircuitState};
 pub use cooldown_wait::{CooldownWait, cooldown_wait};
-pub use cost::CostParts;
-pub use crossing::{CrossingBounds, CrossingPart};
+pub use cost::CostBreakdown;
 pub use exit_detection::{ExitStatus, FailureEvidence, detect_exit};
 pub use explain::{Explanation, explain};
 pub use fair_queue::{FairQueue, Popped};
@@ -125,10 +124,9 @@
 pub use first_event_wait::FirstEventWaits;
 pub use fleet::{BackendIndex, BackendSpec, Fleet};
 pub use fleet_error::{FleetError, FleetFinding};
-pub use flow::{Mix, throughput_bound};
-pub use health::{Health, HealthState};
-pub use layer_path::{Part, PartHolder, PathRequest, find_path};
-pub use live::{Ended, Live, LoadReport, Presence};
+pub use interconnect::{InterconnectLimits, InterconnectQuota};
+pub use layer_path::{LayerHolder, PathRequest, PathStage, find_path};
+pub use live_state::{LiveState, LoadReport, Presence, RequestOutcome};
 pub use network::Network;
 pub use no_chain::{NoChain, NoChainReason};
 pub use permits::{
@@ -139,9 +137,11 @@
 pub use push_error::{PushError, PushErrorReason};
 pub use quarantine::{RunProgress, SuspectReport, Suspects, Trials, Verdict};
 pub use rate_limit::{AnnouncedLimit, ServerRateLimit};
+pub use request_shape::RequestShape;
 pub use retry_budget::RetryBudget;
 pub use retry_window::{RetryLimit, RetryWindow, SentCounts};
 pub use search_turns::{SearchTurns, TurnRequest};
-pub use shape::Shape;
 pub use stall_check::StallCheck;
 pub use startup_wait::StartupWait;
+pub use throughput::{TokenMix, throughput_bound};
+pub use usage_estimate::UsageEstimate;
--- a/crates/routing/src/slot_queue.rs
+++ b/crates/routing/src/slot_queue.rs
@@ -22,7 +22,7 @@
     admission::{self, LearnedSpeed},
     drain_rate::DrainRate,
     fair_queue::FairQueue,
-    shape::Shape,
+    request_shape::RequestShape,
 };
 
 /// Longest wait for a later stage, because earlier stages idle meanwhile.
@@ -53,7 +53,7 @@
     /// Client account of the request.
     pub account: &'a str,
     /// Token counts and priority of the request.
-    pub shape: &'a Shape,
+    pub shape: &'a RequestShape,
     /// Tokens charged to the account.
     pub cost_tokens: u64,
     /// Time at which the caller gives up.
--- a/crates/side/src/seat/reserve.rs
+++ b/crates/side/src/seat/reserve.rs
@@ -6,7 +6,9 @@
     Link, RequestId,
     wire::{self, RefusalReason, Stage, frame::Body},
 };
-use chestnutreach_routing::{Shape, slot_queue::LATER_STAGE_MAX_WAIT_MS};
+use chestnutreach_routing::{
+    RequestShape, slot_queue::LATER_STAGE_MAX_WAIT_MS,
+};
 use chestnutreach_state::{Admission, StepGate};
 
 use super::{Place, Seat, State};
@@ -66,7 +68,7 @@
         let cost_tokens =
             u64::from(m.prompt_tokens_estimate) + u64::from(m.max_tokens);
         let priority = to_priority(m.priority());
-        let shape = Shape {
+        let shape = RequestShape {
             prompt_tokens: m.prompt_tokens_estimate,
             output_tokens: m.max_tokens,
             deadline_ms: u64::from(m.deadline_ms),
