--- a/crates/membership/src/feed_source.rs
+++ b/crates/membership/src/feed_source.rs
@@ -1,35 +1,36 @@
-//! Where an entry asks for what the store holds.
+//! Where an entry reads a feed of the store from.
 //!
-//! Of the entries of a data centre that can be heard, the first for a feed
-//! asks the store; the others ask it, or the second where it fails them. An
-//! entry that is asked although it is not the first asks the store as well,
-//! for as long as it is asked: whoever asks it was failed by the first.
+//! The live entries of a data centre are ranked for each feed. The first one
+//! reads the store; the others ask the first, or the second if the first
+//! fails them. An entry that is asked although it is not the first reads the
+//! store for as long as it is asked, because the first has failed the entry
+//! that asks.
 //!
-//! What a reader tells carries how long ago the store confirmed it. A reader
-//! that the store turns away, or that is cut off, shows by that age. Who hears
-//! an old age tries the store, and avoids that reader for a while. Where the
-//! store fails it as well, it asks one entry after the other, any of which may
-//! be served, and tries the store every two seconds, so that an outage does not
-//! send all entries to the store again and again. A reader whom the store
-//! fails does the same.
+//! A response of such a reader carries the time since the store confirmed its
+//! data, so a reader that the store refuses or that is partitioned can be
+//! recognised by that age. An entry that receives old data tries the store and
+//! avoids that reader for a while. If the store fails it as well, the entry
+//! asks one entry after the other, any of which may still reach the store. It
+//! tries the store only every two seconds, so that all entries together do not
+//! flood the store in an outage. A reader that the store fails does the same.
 
 use std::collections::BTreeMap;
 
 use crate::rendezvous;
 
-/// Fewest entries of a data centre that share a feed: with fewer, little is
-/// saved for depending on another entry.
+/// Fewest entries of a data centre that share a feed; with fewer entries, the
+/// savings do not justify a dependency on another entry.
 pub const MIN_SHARING_ENTRIES: usize = 4;
 /// How long an entry that failed is not asked.
-const AVOID_MS: u64 = 3_000;
-/// How long an entry that was asked goes on asking the store.
-const ASKED_MS: u64 = 5_000;
-/// Time between tries of a store that failed.
-const STORE_AGAIN_MS: u64 = 2_000;
-/// Readers of a data centre that are asked.
-const READERS: usize = 2;
+const AVOIDANCE_MS: u64 = 3_000;
+/// How long an entry reads the store after it was asked.
+const READ_ON_REQUEST_MS: u64 = 5_000;
+/// Interval between attempts at a store that failed.
+const STORE_RETRY_MS: u64 = 2_000;
+/// Number of readers of a data centre that other entries ask.
+const MAX_READERS: usize = 2;
 
-/// Whom to ask.
+/// Where to read a feed from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FeedSource {
     /// The store.
@@ -38,27 +39,27 @@
     Entry(u64),
 }
 
-/// What came of asking.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FetchOutcome {
-    /// An answer that the store gave or confirmed of late.
+    /// Data that the store sent or confirmed recently.
     Fresh,
-    /// An answer of an entry that the store has not confirmed of late.
+    /// Data of an entry that the store has not confirmed recently.
     Stale,
-    /// None.
+    /// No response.
     Failed,
 }
 
-/// Who asks, and whom it hears.
+/// An entry and its live peers in the data centre.
 #[derive(Clone, Copy, Debug)]
 pub struct FeedPeers<'a> {
     /// Boot id of this entry.
     pub own: u64,
-    /// Boot ids of the other entries of the data centre that are heard and go
-    /// on.
+    /// Boot ids of the other entries of the data centre that are live and not
+    /// shutting down.
     pub peers: &'a [u64],
-    /// Whether it must hear the store itself, as whoever plans does: it gives
-    /// its lease up when it no longer reaches it.
+    /// Whether this entry must read the store itself, as the planner must: it
+    /// releases its lease when it cannot reach the store.
     pub must_read_store: bool,
 }
 
@@ -66,60 +67,63 @@
 #[derive(Clone, Debug, Default)]
 pub struct FeedSources {
     /// Until when each entry that failed is not asked.
-    avoided: BTreeMap<u64, u64>,
+    avoided_until_ms: BTreeMap<u64, u64>,
     /// When another entry last asked this one.
-    asked_ms: Option<u64>,
-    /// When the store last failed this entry; none once it answers.
+    requested_ms: Option<u64>,
+    /// When the store last failed this entry; reset once the store responds.
     store_failed_ms: Option<u64>,
-    /// The entry whose answer was old, until the store was tried.
-    stale: Option<u64>,
+    /// The entry that sent old data, until the store has been tried.
+    stale_entry: Option<u64>,
 }
 
 impl FeedSources {
-    /// All may be asked.
+    /// Starts without failures.
     pub fn new() -> FeedSources {
         FeedSources::default()
     }
 
-    /// Whom to ask next.
+    /// Chooses the source of the next read.
     pub fn choose(
         &mut self,
-        around: &FeedPeers<'_>,
+        group: &FeedPeers<'_>,
         feed: u64,
         now_ms: u64,
     ) -> FeedSource {
-        if around.peers.len() + 1 < MIN_SHARING_ENTRIES {
+        if group.peers.len() + 1 < MIN_SHARING_ENTRIES {
             return FeedSource::Store;
         }
-        self.avoided.retain(|_, until_ms| *until_ms > now_ms);
-        let all = around.peers.iter().copied().chain([around.own]);
+        self.avoided_until_ms.retain(|_, until_ms| *until_ms > now_ms);
+        let all = group.peers.iter().copied().chain([group.own]);
         let ranked = rendezvous::ranked(all, feed);
-        let is_reader = ranked.first() == Some(&around.own)
-            || around.must_read_store
-            || self.is_asked(now_ms);
-        let has_failed = self.has_failed_of_late(now_ms);
-        if (is_reader || self.stale.is_some()) && !has_failed {
+        let is_reader = ranked.first() == Some(&group.own)
+            || group.must_read_store
+            || self.was_recently_requested(now_ms);
+        let store_failed_recently = self.has_store_failed_recently(now_ms);
+        if (is_reader || self.stale_entry.is_some()) && !store_failed_recently
+        {
             return FeedSource::Store;
         }
-        // Whom the store fails asks anybody who may hear of it.
-        let most = if has_failed { ranked.len() } else { READERS };
+        // If the store failed, any entry may still have recent data.
+        let max_entries =
+            if store_failed_recently { ranked.len() } else { MAX_READERS };
         let is_usable = |entry: &u64| {
-            *entry != around.own && !self.avoided.contains_key(entry)
+            *entry != group.own && !self.avoided_until_ms.contains_key(entry)
         };
-        let others = || ranked.iter().take(most).copied();
+        let others = || ranked.iter().take(max_entries).copied();
         let other = others().find(is_usable);
-        // While the store is away for all, the first is as good as any.
-        let first = others().find(|entry| *entry != around.own);
-        let other = other.or(first.filter(|_| has_failed));
+        // While the store is unavailable to all, use the first entry even if
+        // it is avoided.
+        let first = others().find(|entry| *entry != group.own);
+        let other = other.or(first.filter(|_| store_failed_recently));
         other.map_or(FeedSource::Store, FeedSource::Entry)
     }
 
-    /// Another entry asks this one.
+    /// Records that another entry asked this one.
     pub fn record_request(&mut self, now_ms: u64) {
-        self.asked_ms = Some(now_ms);
+        self.requested_ms = Some(now_ms);
     }
 
-    /// What came of asking.
+    /// Records the result of a read.
     pub fn record_outcome(
         &mut self,
         source: FeedSource,
@@ -129,38 +133,41 @@
         match (source, outcome) {
             (FeedSource::Store, FetchOutcome::Failed) => {
                 self.store_failed_ms = Some(now_ms);
-                self.avoid_stale(now_ms);
+                self.avoid_stale_entry(now_ms);
             }
             (FeedSource::Store, _) => {
                 self.store_failed_ms = None;
-                self.avoid_stale(now_ms);
+                self.avoid_stale_entry(now_ms);
             }
             (FeedSource::Entry(entry), FetchOutcome::Failed) => {
-                self.avoided.insert(entry, now_ms + AVOID_MS);
+                self.avoided_until_ms.insert(entry, now_ms + AVOIDANCE_MS);
             }
             (FeedSource::Entry(entry), FetchOutcome::Stale) => {
-                self.stale = Some(entry);
-                if self.has_failed_of_late(now_ms) {
-                    self.avoid_stale(now_ms);
+                self.stale_entry = Some(entry);
+                if self.has_store_failed_recently(now_ms) {
+                    self.avoid_stale_entry(now_ms);
                 }
             }
-            (FeedSource::Entry(_), FetchOutcome::Fresh) => self.stale = None,
+            (FeedSource::Entry(_), FetchOutcome::Fresh) => {
+                self.stale_entry = None
+            }
         }
     }
 
-    fn avoid_stale(&mut self, now_ms: u64) {
-        if let Some(entry) = self.stale.take() {
-            self.avoided.insert(entry, now_ms + AVOID_MS);
+    fn avoid_stale_entry(&mut self, now_ms: u64) {
+        if let Some(entry) = self.stale_entry.take() {
+            self.avoided_until_ms.insert(entry, now_ms + AVOIDANCE_MS);
         }
     }
 
-    fn is_asked(&self, now_ms: u64) -> bool {
-        self.asked_ms
-            .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < ASKED_MS)
+    fn was_recently_requested(&self, now_ms: u64) -> bool {
+        self.requested_ms.is_some_and(|at_ms| {
+            now_ms.saturating_sub(at_ms) < READ_ON_REQUEST_MS
+        })
     }
 
-    fn has_failed_of_late(&self, now_ms: u64) -> bool {
+    fn has_store_failed_recently(&self, now_ms: u64) -> bool {
         self.store_failed_ms
-            .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < STORE_AGAIN_MS)
+            .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < STORE_RETRY_MS)
     }
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,39 +1,40 @@
-//! How often entries tell each other, and what their silence means.
+//! How often entries send their state to peers, and what silence means.
 //!
-//! The load that this answers: hundreds of entries, each of which would tell
-//! all others five times a second. Entries of a data centre use the same
-//! engines, so they tell each other often; those of others hear more rarely
-//! the more there are. Whoever plans tells many more at once, since all wait
-//! for its moves and take over when it falls silent.
+//! With hundreds of entries, sending to all others five times per second would
+//! cost too much. Entries of a data centre use the same engines, so they send
+//! to each other often. Entries of other data centres receive messages less
+//! often the more of them there are. The planner sends to many more entries at
+//! once, because all entries wait for its moves and take over when it falls
+//! silent.
 //!
-//! A bound on silence is a count of messages that did not come, at the
-//! interval at which this process would be told; in milliseconds it would
-//! fall below a single message as entries become more.
+//! A timeout on silence is a number of missed messages at the interval at
+//! which this process should receive them. A timeout in fixed milliseconds
+//! would fall below a single interval as the number of entries grows.
 
-/// Time between messages to those that are told at once.
+/// Interval between messages to peers that fit into one batch.
 pub const BASE_INTERVAL_MS: u64 = 200;
-/// Messages in a row that an entry misses before it no longer counts among
-/// those that share duties: one or two are lost now and then.
-const ABSENT_MESSAGES: f64 = 4.5;
-/// The same for the planner, before others look at its lease.
-const PLANNER_SILENT_MESSAGES: f64 = 3.5;
-/// The same for an entry that is forgotten.
-const FORGOTTEN_MESSAGES: f64 = 12.5;
+/// Consecutive missed messages after which an entry no longer shares
+/// assignments; one or two are lost at times.
+const ABSENCE_MESSAGES: f64 = 4.5;
+/// Missed messages of the planner after which other entries check its lease.
+const PLANNER_TIMEOUT_MESSAGES: f64 = 3.5;
+/// Missed messages after which an entry is removed.
+const EXPIRY_MESSAGES: f64 = 12.5;
 
-/// Who is told.
+/// Which peers a message goes to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PeerScope {
-    /// Entries of the own data centre.
+    /// Entries of the same data centre.
     SameDataCentre,
-    /// Entries of others.
+    /// Entries of other data centres.
     OtherDataCentre,
-    /// Any, by whoever plans.
+    /// All entries, from the planner.
     FromPlanner,
 }
 
 impl PeerScope {
-    /// How many are told at once. A message costs some 15 us of a core to
-    /// send and as much to take.
+    /// Number of peers that get a message at once. A message costs about 15 us
+    /// of a core to send and as much to receive.
     pub fn fan_out(self) -> usize {
         match self {
             PeerScope::SameDataCentre => 24,
@@ -42,46 +43,46 @@
         }
     }
 
-    /// Time between two messages to one of so many.
+    /// Interval between two messages to one of `count` peers.
     pub fn interval_ms(self, count: usize) -> u64 {
         BASE_INTERVAL_MS * count.div_ceil(self.fan_out()).max(1) as u64
     }
 
-    /// Silence after which one of so many no longer shares duties.
+    /// Silence after which one of `count` peers no longer shares assignments.
     pub fn absence_timeout_ms(self, count: usize) -> u64 {
-        (ABSENT_MESSAGES * self.interval_ms(count) as f64) as u64
+        (ABSENCE_MESSAGES * self.interval_ms(count) as f64) as u64
     }
 
-    /// Silence after which one of so many is forgotten.
+    /// Silence after which one of `count` peers is removed.
     pub fn expiry_ms(self, count: usize) -> u64 {
-        (FORGOTTEN_MESSAGES * self.interval_ms(count) as f64) as u64
+        (EXPIRY_MESSAGES * self.interval_ms(count) as f64) as u64
     }
 }
 
-/// Silence of the planner after which others look at its lease, among so
-/// many entries.
+/// Silence of the planner after which other entries check its lease, among
+/// `count` entries.
 pub fn planner_timeout_ms(count: usize) -> u64 {
     let interval_ms = PeerScope::FromPlanner.interval_ms(count);
-    (PLANNER_SILENT_MESSAGES * interval_ms as f64) as u64
+    (PLANNER_TIMEOUT_MESSAGES * interval_ms as f64) as u64
 }
 
-/// Whose turn it is to be told, in rounds over a list that may change.
+/// Rotates through a list of peers that may change between batches.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
 impl RoundRobin {
-    /// Those that are told now.
+    /// The peers that are next, at most `batch_size`.
     pub fn next_batch<T: Copy>(
         &mut self,
         all: &[T],
-        at_once: usize,
+        batch_size: usize,
     ) -> Vec<T> {
-        let count = all.len().min(at_once);
+        let count = all.len().min(batch_size);
         let at = |offset| all[(self.next + offset) % all.len()];
-        let taken = (0..count).map(at).collect();
+        let batch = (0..count).map(at).collect();
         self.next = (self.next + count) % all.len().max(1);
-        taken
+        batch
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,22 +1,23 @@
-//! What one entry learns and all of its data centre know.
+//! Coordination between entries: what one entry learns for all entries of its
+//! data centre.
 //!
-//! The load that this answers: hundreds of entries before a thousand engines.
-//! Where each entry learns everything for itself, calls of the store and
-//! connections to engines grow as entries times engines; on a quiet day of 68
-//! entries before 130 engines they cost a tenth of what is earned. So each
-//! duty has few holders, and the others are told.
+//! If each of hundreds of entries learned the state of a thousand engines by
+//! itself, calls of the store and connections to engines would grow as entries
+//! times engines. With 68 entries and 130 engines, they cost a tenth of the
+//! revenue of a quiet day. So each task is assigned to few entries, which
+//! report their findings to the others.
 //!
-//! Nothing here reads a clock or does I/O. Time comes in as milliseconds of a
-//! monotonic clock of one process (`now_ms`); between processes only ages are
-//! told, since clocks differ.
+//! Nothing in this crate reads a clock or does I/O. Time is passed in as
+//! milliseconds of a monotonic clock of one process (`now_ms`). Messages
+//! between processes carry only ages, because clocks differ.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`rendezvous`] | whose duty something is |
-//! | [`issuer`] | who grants what all share, and which part of it |
-//! | [`feed_source`] | where an entry asks for what the store holds |
-//! | [`gossip`] | how often entries tell each other, what silence means |
-//! | [`table`] | a copy of a table that answers in place of the store |
+//! | [`rendezvous`] | which entries a task is assigned to |
+//! | [`issuer`] | which entry grants a shared limit, and which share of it |
+//! | [`feed_source`] | where an entry reads a feed of the store from |
+//! | [`gossip`] | interval of messages between entries, timeouts on silence |
+//! | [`table`] | a copy of a table that responds in place of the store |
 //!
 //! # Example
 //!
@@ -24,11 +25,11 @@
 //! use chestnutreach_membership::rendezvous;
 //!
 //! let entries = [11, 12, 13];
-//! let holders = rendezvous::ranked(entries, 7);
+//! let assignees = rendezvous::ranked(entries, 7);
 //! let without_first: Vec<u64> =
-//!     entries.into_iter().filter(|e| *e != holders[0]).collect();
-//! // Who is left keeps its rank, so that one loss moves only what was its.
-//! assert_eq!(rendezvous::ranked(without_first, 7), holders[1..]);
+//!     entries.into_iter().filter(|e| *e != assignees[0]).collect();
+//! // The other entries keep their order, so only the tasks of the first move.
+//! assert_eq!(rendezvous::ranked(without_first, 7), assignees[1..]);
 //! ```
 
 pub mod feed_source;
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,12 +1,13 @@
-//! Whose duty something is, by rendezvous hashing over the live entries.
+//! Rendezvous hashing of assignments over the live entries.
 //!
-//! Every process ranks the entries that it hears, so nobody assigns anything
-//! and nothing is stored. Two processes that hear different entries differ
-//! about few duties: then two hold one, which costs a duplicate, or one asks
-//! an entry that does not hold it, which then takes it up. A loss moves only
-//! the duties of the entry that was lost.
+//! Every process ranks the entries that it receives messages from, so nothing
+//! is coordinated or stored. Two processes with different lists of live
+//! entries disagree about few assignments. Then either two entries hold one,
+//! which costs a duplicate, or a process asks an entry that does not hold the
+//! assignment, and that entry takes it over. The loss of an entry moves only
+//! the assignments of that entry.
 
-/// Entries by their rank for a duty, the first of them its holder.
+/// Entries by rank for an assignment; the first one is the assignee.
 pub fn ranked(
     entries: impl IntoIterator<Item = u64>,
     assignment: u64,
@@ -17,26 +18,26 @@
     ranked
 }
 
-/// Whether an entry is among the first `holders` for a duty.
+/// Whether an entry is among the first `assignees` for an assignment.
 pub fn is_assigned(
     entry: u64,
     others: impl IntoIterator<Item = u64>,
     assignment: u64,
-    holders: usize,
+    assignees: usize,
 ) -> bool {
     let own = (score(entry, assignment), entry);
-    let goes_before = |other: &u64| {
+    let ranks_higher = |other: &u64| {
         *other != entry && (score(*other, assignment), *other) < own
     };
-    others.into_iter().filter(goes_before).take(holders).count() < holders
+    others.into_iter().filter(ranks_higher).take(assignees).count() < assignees
 }
 
 fn score(entry: u64, assignment: u64) -> u64 {
-    mixed(entry ^ mixed(assignment))
+    mix(entry ^ mix(assignment))
 }
 
-/// The finalizer of SplitMix64: every bit of the result depends on all.
-fn mixed(value: u64) -> u64 {
+/// The finalizer of SplitMix64: every output bit depends on all input bits.
+fn mix(value: u64) -> u64 {
     let mut value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,29 +1,30 @@
-//! A copy of a table that answers in place of the store.
+//! A copy of a table that responds in place of the store.
 //!
-//! A reader keeps what the store's feed told it, with the store's versions,
-//! and answers others as the feed would: what changed after a version. A copy
-//! is never newer than the store, since its version is that of an answer of
-//! the store, and it never goes back. Rows that were dropped are kept for a
-//! while, so that those who ask hear of them; who asks for what was before
-//! reads all anew.
+//! A reader keeps the rows of the store's feed with their versions, and serves
+//! them to other entries as the feed would: the changes after a version. A
+//! copy is never newer than the store, because its version is that of a
+//! response of the store, and it never goes back. Deleted rows are kept for a
+//! while to report the deletion; a request for earlier changes must read the
+//! whole table.
 
 use std::collections::BTreeMap;
 
-/// Dropped rows that are kept: more than the engines of the largest fleet.
-const MAX_DROPPED: usize = 2_048;
+/// Limit on deleted rows that are kept: more than the largest fleet has
+/// engines.
+const MAX_DELETED_ROWS: usize = 2_048;
 
 /// A row as of its last change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RowChange {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its bytes; none for one that was dropped.
+    /// Value of the row, or `None` for a deleted row.
     pub value: Option<Vec<u8>>,
-    /// Version of the store at that change.
+    /// Version of the store at the change.
     pub version: u64,
 }
 
-/// What the store held in a table as of a version.
+/// Contents of a table of the store as of a version.
 #[derive(Clone, Debug, Default)]
 pub struct TableCopy {
     rows: BTreeMap<String, RowChange>,
@@ -33,21 +34,21 @@
 }
 
 impl TableCopy {
-    /// Nothing is known yet.
+    /// Starts empty, without a version.
     pub fn new() -> TableCopy {
         TableCopy::default()
     }
 
-    /// Version of the store that this is a copy of; none while nothing is
-    /// known.
+    /// Version of the store that this is a copy of, or `None` before the first
+    /// read.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Takes the whole table as of a version; false for an older one than is
-    /// known.
+    /// Replaces the whole table; false if `version` is older than the current
+    /// one.
     pub fn replace(&mut self, rows: Vec<RowChange>, version: u64) -> bool {
-        if self.version.is_some_and(|known| version < known) {
+        if self.version.is_some_and(|current| version < current) {
             return false;
         }
         self.rows = rows.into_iter().map(|r| (r.key.clone(), r)).collect();
@@ -56,25 +57,26 @@
         true
     }
 
-    /// Takes changes after the version that is known, up to another.
+    /// Applies changes after the current version, up to `version`.
     pub fn apply(&mut self, changes: Vec<RowChange>, version: u64) {
         for change in changes {
-            let known = self.rows.get(&change.key);
-            if known.is_none_or(|known| known.version <= change.version) {
+            let current = self.rows.get(&change.key);
+            if current.is_none_or(|current| current.version <= change.version)
+            {
                 self.rows.insert(change.key.clone(), change);
             }
         }
         self.version = self.version.max(Some(version));
-        self.forget_dropped();
+        self.remove_old_deletions();
     }
 
-    /// Rows that are there.
+    /// The rows of the table.
     pub fn rows(&self) -> impl Iterator<Item = &RowChange> {
         self.rows.values().filter(|row| row.value.is_some())
     }
 
-    /// What changed after a version, in the order of the changes; none where
-    /// that can't be told, so that all must be read.
+    /// The changes after a version, in order, or `None` if the copy may lack
+    /// some of them and the whole table must be read.
     pub fn changes_after(&self, version: u64) -> Option<Vec<&RowChange>> {
         if version < self.complete_after {
             return None;
@@ -86,20 +88,20 @@
         Some(changes)
     }
 
-    /// Whether something changed after a version.
+    /// Whether anything changed after a version.
     pub fn has_changes_after(&self, version: u64) -> bool {
         version < self.complete_after
             || self.rows.values().any(|row| row.version > version)
     }
 
-    fn forget_dropped(&mut self) {
-        let dropped = self.rows.values().filter(|r| r.value.is_none());
-        let mut versions: Vec<u64> = dropped.map(|r| r.version).collect();
-        if versions.len() <= MAX_DROPPED {
+    fn remove_old_deletions(&mut self) {
+        let deleted = self.rows.values().filter(|r| r.value.is_none());
+        let mut versions: Vec<u64> = deleted.map(|r| r.version).collect();
+        if versions.len() <= MAX_DELETED_ROWS {
             return;
         }
         versions.sort_unstable();
-        let last = versions[versions.len() - MAX_DROPPED / 2];
+        let last = versions[versions.len() - MAX_DELETED_ROWS / 2];
         self.rows.retain(|_, r| r.value.is_some() || r.version > last);
         self.complete_after = self.complete_after.max(last);
     }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -166,7 +166,11 @@
 }
 
 /// Time that a request takes on a server with this utilisation, from 0 to 1.
-pub fn run_ms(shape: &RequestShape, speed: &LearnedSpeed, utilisation: f64) -> u64 {
+pub fn run_ms(
+    shape: &RequestShape,
+    speed: &LearnedSpeed,
+    utilisation: f64,
+) -> u64 {
     let prompt_tokens = shape.prompt_tokens;
     let prompt_s =
         f64::from(prompt_tokens) / speed.prompt_tokens_per_s(prompt_tokens);
--- a/crates/routing/src/cooldown_wait.rs
+++ b/crates/routing/src/cooldown_wait.rs
@@ -1,28 +1,30 @@
-//! What a request does where all servers that could take it are at rest.
+//! Whether a request waits while all servers that could take it are in
+//! cooldown.
 //!
-//! A server that turned a request away may say for how long it wants nothing
-//! of this entry. Where another server takes the request nothing is decided
-//! here. Where all are at rest, a request waits only if the first of them is
-//! surely ready within the time that it may wait; else it is refused at once,
-//! and its client told when that is. What came back together would be turned
-//! away together, so that time is spread.
+//! A server that refuses a request may state for how long it wants no requests
+//! of this entry. This decision applies only if no other server takes the
+//! request. The request waits if the first server leaves its cooldown within
+//! the time for which the request may wait. Otherwise it is refused at once,
+//! and its client is told when to retry. Clients that retried together would
+//! be refused together, so that time has jitter.
 
-/// Longest spread of the time to come back, in milliseconds.
-const MOST_SPREAD_MS: u64 = 1_000;
-/// Share of that time over which clients are spread.
-const SPREAD_SHARE: f64 = 0.5;
+/// Upper limit of the jitter, in milliseconds.
+const MAX_JITTER_MS: u64 = 1_000;
+/// Jitter as a share of the time until a server leaves its cooldown.
+const JITTER_SHARE: f64 = 0.5;
 
-/// What a request does.
+/// Decision for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CooldownWait {
-    /// It waits: a server is ready in time.
+    /// The request waits: a server leaves its cooldown soon enough.
     Wait,
-    /// It is refused; its client is to come back after so many milliseconds.
+    /// The request is refused; the client may retry after this many
+    /// milliseconds.
     Refuse(u64),
 }
 
-/// Decides by the time until the first server is ready, and the time that the
-/// request may wait, in milliseconds.
+/// Decides by the time until the first server leaves its cooldown and the time
+/// for which the request may wait, in milliseconds.
 pub fn cooldown_wait(
     ready_in_ms: u64,
     may_wait_ms: u64,
@@ -31,7 +33,7 @@
     if ready_in_ms <= may_wait_ms {
         return CooldownWait::Wait;
     }
-    let spread_ms = (SPREAD_SHARE * ready_in_ms as f64) as u64;
-    let spread_ms = rng.u64(0..=spread_ms.min(MOST_SPREAD_MS));
-    CooldownWait::Refuse(ready_in_ms + spread_ms)
+    let jitter_ms = (JITTER_SHARE * ready_in_ms as f64) as u64;
+    let jitter_ms = rng.u64(0..=jitter_ms.min(MAX_JITTER_MS));
+    CooldownWait::Refuse(ready_in_ms + jitter_ms)
 }
--- a/crates/routing/src/priority.rs
+++ b/crates/routing/src/priority.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a request is among those of its account.
+/// Urgency of a request among the requests of its account.
 #[derive(
     Clone,
     Copy,
@@ -18,17 +18,17 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Lookups and batch work.
+    /// Look-ups and batch work.
     Low,
-    /// What states nothing.
+    /// Requests that state no priority.
     #[default]
     Normal,
-    /// A person waits.
+    /// A person waits for the response.
     High,
 }
 
 impl Priority {
-    /// Every priority, lowest first.
+    /// All priorities, lowest first.
     pub const ALL: [Priority; 3] =
         [Priority::Low, Priority::Normal, Priority::High];
 
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -1,20 +1,20 @@
-//! Requests that crash the servers that run them.
+//! Isolation of requests that crash the servers that run them.
 //!
-//! The load that this answers: a crash takes everything that ran on a server
-//! with it, up to 192 streams, and one of them did it. Its caller asks again
-//! under another id at another of hundreds of entries, where nothing of that
-//! id is known.
+//! A crash ends all runs on a server, up to 192 streams, of which one caused
+//! it. The caller of that stream retries with another id at another of
+//! hundreds of entries, where that id is unknown.
 //!
-//! A request is known again by its [`Fingerprint`](crate::Fingerprint). What
-//! had only just begun when a server crashed is a suspect ([`RunProgress`]).
-//! A suspect runs in a trial ([`Trials`]): one copy of it at a time in the
-//! whole fleet, on a server where no other suspect is on trial. A run that
-//! lasts shows that it is harmless; crashes in trials send it to quarantine
-//! ([`Suspects`]), where it is refused until a time is over.
+//! A request is therefore identified by its
+//! [`Fingerprint`](crate::Fingerprint). A request that had only just begun on
+//! a server that crashed becomes a suspect ([`RunProgress`]). A suspect runs
+//! in a trial ([`Trials`]): one copy at a time in the whole fleet, on a server
+//! where no other suspect is on trial. A run that survives shows that the
+//! request is harmless. Crashes in trials send the request to quarantine
+//! ([`Suspects`]), where it is refused until the quarantine ends.
 //!
-//! What entries know is a set of crashes for each request, which only grows
-//! until it expires, and marks on them that are only ever set. So news may
-//! come in any order, twice, or through others.
+//! For each request, entries keep a set of crashes that only grows until it
+//! expires, and flags on them that are only ever set. Reports may therefore
+//! arrive in any order, repeatedly, or by way of other entries.
 
 mod run_progress;
 mod suspects;
--- a/crates/routing/src/quarantine/suspects.rs
+++ b/crates/routing/src/quarantine/suspects.rs
@@ -1,77 +1,79 @@
-//! What is known of requests under which servers crashed.
+//! Record of requests under which servers crashed.
 
 use std::collections::{BTreeMap, btree_map::Entry};
 
 use crate::Fingerprint;
 
-/// Crashes that send a request to quarantine.
+/// Crashes after which a request is quarantined.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Proof that is needed: a crash is one part, and one more in a trial where
-/// no other request was on trial. So one of three crashes may be of what ran
-/// beside; copies that ran at several servers which were lost together still
-/// need a crash in a trial.
-const QUARANTINE_PROOF: usize = 5;
-/// How long the first quarantine lasts after the last crash.
+/// Score needed for a quarantine: each crash counts one, and one more if it
+/// happened in a trial and no other request was on trial there. One of three
+/// crashes may thus be due to another request; copies that ran on several
+/// servers that failed together still need a crash in a trial.
+const QUARANTINE_SCORE: usize = 5;
+/// Length of the first quarantine, from the last crash.
 pub const QUARANTINE_MS: u64 = 600_000;
-/// Most doublings of that time, one for each crash after a quarantine.
+/// Limit on doublings of that time, one for each crash after a quarantine.
 const MAX_DOUBLINGS: usize = 2;
-/// How long a suspect is remembered, and a request after its quarantine.
-const MEMORY_MS: u64 = 600_000;
-/// Most requests that are remembered.
+/// How long a suspect is kept, and a request after its quarantine.
+const RETENTION_MS: u64 = 600_000;
+/// Limit on requests that are kept.
 pub const MAX_SUSPECTS: usize = 1_024;
-/// Most crashes that are remembered of one.
+/// Limit on crashes that are kept for one request.
 const MAX_CRASHES: usize = 16;
-/// News are repeated with each message for so long.
-const NEWS_MS: u64 = 2_000;
-/// Most requests that are told anew with one message.
-const MAX_NEWS: usize = 16;
-/// How often an entry that has just started, or was cut off, hears of each
-/// older one in a second, and of how many of them at most.
-const OLD_TOLD_PER_S: f64 = 3.0;
-const MOST_OLD_PER_S: f64 = 80.0;
-
-/// A crash of a server under a request.
+/// How long a change is repeated with each message.
+const REPORT_CHANGES_FOR_MS: u64 = 2_000;
+/// Limit on changed requests in one message.
+const MAX_CHANGED_PER_MESSAGE: usize = 16;
+/// Reports per second about each unchanged request, for entries that have
+/// just started or were partitioned, and the limit for all such requests
+/// together.
+const REPEATS_PER_S: f64 = 3.0;
+const MAX_REPEATS_PER_S: f64 = 80.0;
+
+/// A crash of a server during a run of the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Crash {
-    /// When it was first heard of.
+    /// Earliest known time of the crash.
     at_ms: u64,
     is_in_trial: bool,
     is_void: bool,
 }
 
-/// A crash as entries tell it.
+/// A crash as reported between entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CrashReport {
-    /// Short hash of the server's start.
+    /// Short hash of the server's incarnation.
     pub server: u32,
-    /// How long ago it was.
+    /// Time since the crash.
     pub age_ms: u64,
-    /// The request was on trial there.
+    /// Whether the request was on trial there.
     pub is_in_trial: bool,
-    /// The request has since run without a crash, or an operator freed it.
+    /// Whether the request has since survived a run, or an operator cleared
+    /// it.
     pub is_void: bool,
 }
 
-/// What entries tell of a request.
+/// What entries report of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SuspectReport {
-    /// Which request.
+    /// The request.
     pub fingerprint: Fingerprint,
-    /// Servers that crashed under it.
+    /// Servers that crashed under the request.
     pub crashes: Vec<CrashReport>,
 }
 
-/// What may be done with a request.
+/// How a request may be run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It may run anywhere.
+    /// The request may run anywhere.
     Free,
-    /// It may run in a trial.
+    /// The request may only run in a trial.
     Suspect {
         /// Crashes that count.
         crashes: usize,
     },
-    /// It may not run.
+    /// The request may not run.
     Quarantined {
         /// Crashes that count.
         crashes: usize,
@@ -81,7 +83,7 @@
 }
 
 impl Verdict {
-    /// Crashes that count.
+    /// Number of crashes that count.
     pub fn crashes(self) -> usize {
         match self {
             Verdict::Free => 0,
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Time left of the quarantine; none where there is none.
+    /// Remaining time of the quarantine, if there is one.
     pub fn quarantine_left_ms(self, now_ms: u64) -> Option<u64> {
         match self {
             Verdict::Quarantined { until_ms, .. } => {
@@ -101,15 +103,15 @@
     }
 }
 
-/// Crashes of one request, by the short hash of the server's start.
+/// Crashes of one request, by short hash of the server's incarnation.
 #[derive(Clone, Debug, Default)]
-struct Evidence {
+struct CrashRecord {
     crashes: BTreeMap<u32, Crash>,
     changed_ms: u64,
 }
 
-impl Evidence {
-    fn counted(&self) -> impl Iterator<Item = &Crash> {
+impl CrashRecord {
+    fn valid_crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.values().filter(|crash| !crash.is_void)
     }
 
@@ -118,21 +120,21 @@
         times.max().unwrap_or(0)
     }
 
-    /// Servers that crashed while it was on trial there.
+    /// Servers that crashed while the request was on trial there.
     fn trial_servers(&self) -> impl Iterator<Item = u32> {
         let crashes = self.crashes.iter();
         let in_trials = crashes.filter(|(_, c)| c.is_in_trial && !c.is_void);
         in_trials.map(|(server, _)| *server)
     }
 
-    /// When the quarantine ends or ended, with so many crashes in trials alone;
-    /// none if it never was in one.
+    /// When the quarantine ends or ended, where `trial_crashes` happened in
+    /// trials of this request alone; `None` without a quarantine.
     fn quarantined_until_ms(&self, trial_crashes: usize) -> Option<u64> {
-        let count = self.counted().count();
-        let is_proven = count >= QUARANTINE_CRASHES
+        let count = self.valid_crashes().count();
+        let is_quarantined = count >= QUARANTINE_CRASHES
             && trial_crashes > 0
-            && count + trial_crashes >= QUARANTINE_PROOF;
-        if !is_proven {
+            && count + trial_crashes >= QUARANTINE_SCORE;
+        if !is_quarantined {
             return None;
         }
         let doublings = (count - QUARANTINE_CRASHES).min(MAX_DOUBLINGS);
@@ -141,24 +143,25 @@
 
     fn is_expired(&self, now_ms: u64) -> bool {
         let until_ms = self.quarantined_until_ms(self.trial_servers().count());
-        let from_ms = until_ms.unwrap_or(self.last_crash_ms());
-        now_ms >= from_ms + MEMORY_MS
+        let retained_from_ms = until_ms.unwrap_or(self.last_crash_ms());
+        now_ms >= retained_from_ms + RETENTION_MS
     }
 
-    /// Takes a crash; true if something of it is new.
-    fn take(&mut self, server: u32, crash: Crash) -> bool {
+    /// Applies a crash; true if anything changed.
+    fn apply(&mut self, server: u32, crash: Crash) -> bool {
         match self.crashes.entry(server) {
             Entry::Vacant(vacant) => {
                 vacant.insert(crash);
                 while self.crashes.len() > MAX_CRASHES {
-                    self.drop_oldest();
+                    self.evict_oldest();
                 }
                 self.crashes.contains_key(&server)
             }
             Entry::Occupied(mut occupied) => {
                 let known = occupied.get_mut();
                 let old = *known;
-                // What travelled longer seems to be later.
+                // A report that travelled for longer seems to be about a
+                // later crash.
                 known.at_ms = known.at_ms.min(crash.at_ms);
                 known.is_in_trial |= crash.is_in_trial;
                 known.is_void |= crash.is_void;
@@ -168,7 +171,7 @@
         }
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let age = |(server, crash): (&u32, &Crash)| {
             (!crash.is_void, crash.at_ms, *server)
         };
@@ -178,14 +181,14 @@
         }
     }
 
-    fn news(&self, fingerprint: Fingerprint, now_ms: u64) -> SuspectReport {
-        let news = |(server, crash): (&u32, &Crash)| CrashReport {
+    fn report(&self, fingerprint: Fingerprint, now_ms: u64) -> SuspectReport {
+        let crash_report = |(server, crash): (&u32, &Crash)| CrashReport {
             server: *server,
             age_ms: now_ms.saturating_sub(crash.at_ms),
             is_in_trial: crash.is_in_trial,
             is_void: crash.is_void,
         };
-        let crashes = self.crashes.iter().map(news).collect();
+        let crashes = self.crashes.iter().map(crash_report).collect();
         SuspectReport { fingerprint, crashes }
     }
 }
@@ -193,40 +196,40 @@
 /// All requests under which servers crashed.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
-    requests: BTreeMap<Fingerprint, Evidence>,
-    /// Where telling older ones goes on.
-    next_told: Option<Fingerprint>,
+    requests: BTreeMap<Fingerprint, CrashRecord>,
+    /// The next unchanged request to report.
+    next_repeated: Option<Fingerprint>,
 }
 
 impl Suspects {
-    /// None yet.
+    /// Starts without requests.
     pub fn new() -> Suspects {
         Suspects::default()
     }
 
-    /// How many requests are remembered.
+    /// Number of requests that are kept.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether no request is kept.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// What may be done with a request.
+    /// How a request may be run.
     pub fn verdict(&self, request: Fingerprint, now_ms: u64) -> Verdict {
-        let evidence = self.requests.get(&request);
-        evidence.map_or(Verdict::Free, |e| self.verdict_of(request, e, now_ms))
+        let record = self.requests.get(&request);
+        record.map_or(Verdict::Free, |r| self.verdict_of(request, r, now_ms))
     }
 
     fn verdict_of(
         &self,
         request: Fingerprint,
-        evidence: &Evidence,
+        record: &CrashRecord,
         now_ms: u64,
     ) -> Verdict {
-        let crashes = evidence.counted().count();
+        let crashes = record.valid_crashes().count();
         if crashes == 0 {
             return Verdict::Free;
         }
@@ -234,10 +237,10 @@
         if crashes < QUARANTINE_CRASHES {
             return suspect;
         }
-        let alone = evidence
+        let sole_trial_crashes = record
             .trial_servers()
             .filter(|server| !self.is_other_on_trial(request, *server));
-        match evidence.quarantined_until_ms(alone.count()) {
+        match record.quarantined_until_ms(sole_trial_crashes.count()) {
             Some(until_ms) if now_ms < until_ms => {
                 Verdict::Quarantined { crashes, until_ms }
             }
@@ -245,16 +248,17 @@
         }
     }
 
-    /// Whether another request was on trial at a server that crashed: which
-    /// of them did it is not known.
+    /// Whether another request was on trial at a server that crashed, in which
+    /// case either may have caused the crash.
     fn is_other_on_trial(&self, request: Fingerprint, server: u32) -> bool {
-        self.requests.iter().any(|(other, evidence)| {
-            let crash = evidence.crashes.get(&server);
+        self.requests.iter().any(|(other, record)| {
+            let crash = record.crashes.get(&server);
             *other != request && crash.is_some_and(|c| c.is_in_trial)
         })
     }
 
-    /// A server crashed under a request; true if that is news.
+    /// Records that a server crashed under a request; true if anything
+    /// changed.
     pub fn record_crash(
         &mut self,
         request: Fingerprint,
@@ -263,73 +267,77 @@
         now_ms: u64,
     ) -> bool {
         let crash = Crash { at_ms: now_ms, is_in_trial, is_void: false };
-        self.take(request, [(server, crash)], now_ms)
+        self.apply(request, [(server, crash)], now_ms)
     }
 
-    /// A request has run without a crash, or an operator frees it: crashes
-    /// that are known no longer count. True if that is news.
+    /// Voids the known crashes of a request that has survived a run or was
+    /// cleared by an operator; true if that is a change.
     pub fn clear(&mut self, request: Fingerprint, now_ms: u64) -> bool {
-        let Some(evidence) = self.requests.get_mut(&request) else {
+        let Some(record) = self.requests.get_mut(&request) else {
             return false;
         };
-        let mut is_news = false;
-        for crash in evidence.crashes.values_mut() {
-            is_news |= !std::mem::replace(&mut crash.is_void, true);
+        let mut is_changed = false;
+        for crash in record.crashes.values_mut() {
+            is_changed |= !std::mem::replace(&mut crash.is_void, true);
         }
-        if is_news {
-            evidence.changed_ms = now_ms;
+        if is_changed {
+            record.changed_ms = now_ms;
         }
-        is_news
+        is_changed
     }
 
-    /// Takes what another entry tells; true if something of it is news.
-    pub fn apply_report(&mut self, news: &SuspectReport, now_ms: u64) -> bool {
-        let crash = |told: &CrashReport| {
+    /// Applies the report of another entry; true if anything changed.
+    pub fn apply_report(
+        &mut self,
+        report: &SuspectReport,
+        now_ms: u64,
+    ) -> bool {
+        let crash = |reported: &CrashReport| {
             let crash = Crash {
-                at_ms: now_ms.saturating_sub(told.age_ms),
-                is_in_trial: told.is_in_trial,
-                is_void: told.is_void,
+                at_ms: now_ms.saturating_sub(reported.age_ms),
+                is_in_trial: reported.is_in_trial,
+                is_void: reported.is_void,
             };
-            (told.server, crash)
+            (reported.server, crash)
         };
-        let crashes = news.crashes.iter().map(crash);
-        self.take(news.fingerprint, crashes, now_ms)
+        let crashes = report.crashes.iter().map(crash);
+        self.apply(report.fingerprint, crashes, now_ms)
     }
 
-    fn take(
+    fn apply(
         &mut self,
         request: Fingerprint,
         crashes: impl IntoIterator<Item = (u32, Crash)>,
         now_ms: u64,
     ) -> bool {
-        let mut evidence = self.requests.remove(&request).unwrap_or_default();
-        let mut is_news = false;
+        let mut record = self.requests.remove(&request).unwrap_or_default();
+        let mut is_changed = false;
         for (server, crash) in crashes {
-            is_news |= evidence.take(server, crash);
+            is_changed |= record.apply(server, crash);
         }
-        if evidence.is_expired(now_ms) {
+        if record.is_expired(now_ms) {
             return false;
         }
-        if is_news {
-            evidence.changed_ms = now_ms;
+        if is_changed {
+            record.changed_ms = now_ms;
         }
-        self.requests.insert(request, evidence);
+        self.requests.insert(request, record);
         if self.requests.len() > MAX_SUSPECTS {
-            self.drop_one(now_ms);
+            self.evict_one(now_ms);
         }
-        is_news
+        is_changed
     }
 
-    /// Drops the one that matters least: free before suspect before
-    /// quarantined, the oldest first.
-    fn drop_one(&mut self, now_ms: u64) {
-        let rank = |(request, evidence): (&Fingerprint, &Evidence)| {
-            let rank = match self.verdict_of(*request, evidence, now_ms) {
+    /// Evicts the least relevant request: free before suspect before
+    /// quarantined, and the oldest first.
+    fn evict_one(&mut self, now_ms: u64) {
+        let rank = |(request, record): (&Fingerprint, &CrashRecord)| {
+            let rank = match self.verdict_of(*request, record, now_ms) {
                 Verdict::Free => 0,
                 Verdict::Suspect { .. } => 1,
                 Verdict::Quarantined { .. } => 2,
             };
-            (rank, evidence.last_crash_ms(), *request)
+            (rank, record.last_crash_ms(), *request)
         };
         let least = self.requests.iter().map(rank).min();
         if let Some((_, _, request)) = least {
@@ -337,55 +345,63 @@
         }
     }
 
-    /// Forgets what has expired.
+    /// Removes expired requests.
     pub fn remove_expired(&mut self, now_ms: u64) {
-        self.requests.retain(|_, evidence| !evidence.is_expired(now_ms));
+        self.requests.retain(|_, record| !record.is_expired(now_ms));
     }
 
-    /// What is told of one request; none if nothing is known of it.
+    /// The report of one request, if the request is kept.
     pub fn report_of(
         &self,
         request: Fingerprint,
         now_ms: u64,
     ) -> Option<SuspectReport> {
-        let evidence = self.requests.get(&request)?;
-        Some(evidence.news(request, now_ms))
+        let record = self.requests.get(&request)?;
+        Some(record.report(request, now_ms))
     }
 
-    /// What is told with the next message, of which each entry hears so many a
-    /// second: news, and some older ones in turn that still matter.
+    /// Reports for the next message: all recent changes, and some unchanged
+    /// requests in turn. Each entry receives `messages_per_s` such messages.
     pub fn next_reports(
         &mut self,
         now_ms: u64,
         messages_per_s: f64,
         rng: &mut fastrand::Rng,
     ) -> Vec<SuspectReport> {
-        let is_new = |evidence: &Evidence| {
-            now_ms.saturating_sub(evidence.changed_ms) < NEWS_MS
+        let has_changed = |record: &CrashRecord| {
+            now_ms.saturating_sub(record.changed_ms) < REPORT_CHANGES_FOR_MS
         };
-        let new = self.requests.iter().filter(|(_, e)| is_new(e));
-        let mut told: Vec<SuspectReport> =
-            new.take(MAX_NEWS).map(|(r, e)| e.news(*r, now_ms)).collect();
-        let from = self.next_told.unwrap_or(Fingerprint(0));
-        let matters = |(_, evidence): &(&Fingerprint, &Evidence)| {
-            !is_new(evidence) && evidence.counted().next().is_some()
+        let changed =
+            self.requests.iter().filter(|(_, record)| has_changed(record));
+        let mut reports: Vec<SuspectReport> = changed
+            .take(MAX_CHANGED_PER_MESSAGE)
+            .map(|(id, record)| record.report(*id, now_ms))
+            .collect();
+        let from = self.next_repeated.unwrap_or(Fingerprint(0));
+        let needs_repeat = |(_, record): &(&Fingerprint, &CrashRecord)| {
+            !has_changed(record) && record.valid_crashes().next().is_some()
         };
-        let all = self.requests.iter().filter(matters).count();
-        let per_s = (OLD_TOLD_PER_S * all as f64).min(MOST_OLD_PER_S);
+        let repeated = self.requests.iter().filter(needs_repeat).count();
+        let per_s = (REPEATS_PER_S * repeated as f64).min(MAX_REPEATS_PER_S);
         let share = per_s / messages_per_s.max(1.0);
         let count = share as usize + usize::from(rng.f64() < share.fract());
         if count == 0 {
-            return told;
+            return reports;
         }
-        let in_turn = self.requests.range(from..).filter(matters);
-        let mut old: Vec<_> = in_turn.take(count + 1).collect();
-        let next = if old.len() > count { old.pop() } else { None };
-        self.next_told = next.map(|(request, _)| *request);
-        told.extend(old.into_iter().map(|(r, e)| e.news(*r, now_ms)));
-        told
+        let repeatable = self.requests.range(from..).filter(needs_repeat);
+        let mut unchanged: Vec<_> = repeatable.take(count + 1).collect();
+        let next =
+            if unchanged.len() > count { unchanged.pop() } else { None };
+        self.next_repeated = next.map(|(request, _)| *request);
+        reports.extend(
+            unchanged
+                .into_iter()
+                .map(|(id, record)| record.report(*id, now_ms)),
+        );
+        reports
     }
 
-    /// All that are remembered, for operators.
+    /// All requests that are kept, for operators.
     pub fn fingerprints(&self) -> impl Iterator<Item = Fingerprint> {
         self.requests.keys().copied()
     }
--- a/crates/routing/src/quarantine/trials.rs
+++ b/crates/routing/src/quarantine/trials.rs
@@ -1,39 +1,39 @@
 //! Which suspects are on trial, and where.
 //!
-//! Entries tell each other of trials. Two that begin at the same moment hear
-//! of each other a moment later: the one whose holder has the lower id
-//! stands, at all entries alike.
+//! Entries announce their trials to each other. Two entries that begin
+//! conflicting trials at the same moment learn of each other a moment later;
+//! at all entries, the trial whose holder has the lower id remains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Fingerprint;
 
-/// How long a trial counts if its end is not heard of.
+/// How long a trial counts if its end is not reported.
 pub const TRIAL_MS: u64 = 4_000;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Trial {
-    /// Short hash of the server's start.
+    /// Short hash of the server's incarnation.
     server: u32,
-    /// The process whose request it is.
+    /// The process that holds the request.
     holder: u64,
     until_ms: u64,
 }
 
-/// The trials of all entries, as far as this one knows.
+/// The trials of all entries, as far as this entry knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Trials {
     by_request: BTreeMap<Fingerprint, Trial>,
 }
 
 impl Trials {
-    /// None yet.
+    /// Starts without trials.
     pub fn new() -> Trials {
         Trials::default()
     }
 
-    /// Begins a trial, unless the request or another one at this server is
-    /// on trial.
+    /// Begins a trial, unless the request is on trial or another request is on
+    /// trial at this server.
     pub fn try_begin(
         &mut self,
         request: Fingerprint,
@@ -41,17 +41,17 @@
         holder: u64,
         now_ms: u64,
     ) -> bool {
-        self.forget(now_ms);
-        let is_taken = self.by_request.contains_key(&request)
+        self.remove_expired(now_ms);
+        let is_occupied = self.by_request.contains_key(&request)
             || self.servers_on_trial(now_ms).contains(&server);
-        if is_taken {
+        if is_occupied {
             return false;
         }
         self.insert(request, server, holder, now_ms);
         true
     }
 
-    /// Takes that another entry begins a trial.
+    /// Applies the announcement that another entry begins a trial.
     pub fn apply_remote(
         &mut self,
         request: Fingerprint,
@@ -59,18 +59,18 @@
         holder: u64,
         now_ms: u64,
     ) {
-        self.forget(now_ms);
-        let is_other = |(other, trial): &(&Fingerprint, &Trial)| {
+        self.remove_expired(now_ms);
+        let conflicts = |(other, trial): &(&Fingerprint, &Trial)| {
             (**other == request || trial.server == server)
                 && trial.holder != holder
         };
-        let others = self.by_request.iter().filter(is_other);
-        let others: Vec<(Fingerprint, u64)> =
-            others.map(|(other, trial)| (*other, trial.holder)).collect();
-        if others.iter().any(|(_, other)| *other < holder) {
+        let conflicting = self.by_request.iter().filter(conflicts);
+        let conflicting: Vec<(Fingerprint, u64)> =
+            conflicting.map(|(other, trial)| (*other, trial.holder)).collect();
+        if conflicting.iter().any(|(_, other)| *other < holder) {
             return;
         }
-        for (other, _) in others {
+        for (other, _) in conflicting {
             self.by_request.remove(&other);
         }
         self.insert(request, server, holder, now_ms);
@@ -88,7 +88,7 @@
         self.by_request.insert(request, trial);
     }
 
-    /// Whether the trial of a request is this holder's.
+    /// Whether this holder holds the trial of a request.
     pub fn is_held_by(
         &self,
         request: Fingerprint,
@@ -99,7 +99,7 @@
         trial.is_some_and(|t| t.holder == holder && now_ms < t.until_ms)
     }
 
-    /// Ends the trial of a request, if it is this holder's.
+    /// Ends the trial of a request, if this holder holds it.
     pub fn end(&mut self, request: Fingerprint, holder: u64) {
         let trial = self.by_request.get(&request);
         if trial.is_some_and(|t| t.holder == holder) {
@@ -109,11 +109,11 @@
 
     /// Servers at which a suspect is on trial.
     pub fn servers_on_trial(&self, now_ms: u64) -> BTreeSet<u32> {
-        let open = self.by_request.values().filter(|t| now_ms < t.until_ms);
-        open.map(|trial| trial.server).collect()
+        let active = self.by_request.values().filter(|t| now_ms < t.until_ms);
+        active.map(|trial| trial.server).collect()
     }
 
-    fn forget(&mut self, now_ms: u64) {
+    fn remove_expired(&mut self, now_ms: u64) {
         self.by_request.retain(|_, trial| now_ms < trial.until_ms);
     }
 }
--- a/crates/routing/src/search_turns.rs
+++ b/crates/routing/src/search_turns.rs
@@ -1,19 +1,20 @@
-//! Turns to seek a path, where requests wait for room.
+//! Turns to search for a path, where requests wait for capacity.
 //!
-//! Where no path has room, whoever happens to look first after some is free
-//! would take it: a client account with many requests looks most often, and
-//! a large request finds less room than the small ones around it. So
-//! requests wait in a [`FairQueue`], and only those with a turn look.
+//! Without turns, the request that happens to search first after capacity is
+//! freed would take it. A client account with many requests searches most
+//! often, and a large request fits less often than the small ones around it.
+//! So requests wait in a [`FairQueue`], and only a request with a turn
+//! searches.
 //!
-//! A few turns are held at the same time, so that small requests go on
-//! beside a large one that waits for its room. Once a turn has lasted
-//! [`HOLD_BACK_AFTER_MS`], no further ones are granted: what becomes free then adds
-//! up for the request that has waited, which is the bound on starvation by
-//! size. The bound by urgency and by account is that of the queue.
+//! A few requests have a turn at the same time, so that small requests proceed
+//! beside a large one that waits for capacity. Once a turn has lasted for
+//! [`HOLD_BACK_AFTER_MS`], no more turns are granted, and freed capacity
+//! accumulates for the request that has waited. This bounds the starvation of
+//! large requests; the queue bounds that of low priorities and accounts.
 //!
-//! Requests that can no longer begin in time wait in a queue of their own,
-//! which has its turns once the other one is empty: what is late anyway must
-//! not make late what could begin in time.
+//! Requests that can no longer start within their target wait in a separate
+//! queue. It gets turns only while the other queue is empty, so that late
+//! requests do not delay those that can still start within their target.
 
 use std::collections::BTreeMap;
 
@@ -21,30 +22,30 @@
     fair_queue::FairQueue, priority::Priority, push_error::PushErrorReason,
 };
 
-/// Turns at the same time: enough for small requests to go on beside a large
-/// one, few enough that looking costs little.
+/// Limit on simultaneous turns: enough for small requests to proceed beside a
+/// large one, few enough that searching costs little.
 pub const MAX_TURNS: usize = 4;
-/// A turn that has lasted so long holds back further ones; a fifth of the
-/// longest wait, so that several large requests in a row get theirs.
+/// A turn that has lasted this long holds back more turns. This is a fifth of
+/// the longest wait, so that several large requests in a row get their turn.
 pub const HOLD_BACK_AFTER_MS: u64 = 300;
 
-/// Nobody waits for so long before it counts as a break: a queue that lets in
-/// only what begins in time is empty now and then while more is asked for than
-/// fits.
+/// Contention ends after this time without a request: a queue that admits only
+/// requests that start within their target is empty at times even under
+/// overload.
 pub const IDLE_GAP_MS: u64 = 500;
 
-/// A request that asks for a turn.
+/// A request for a turn.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnRequest<'a> {
-    /// Whose it is.
+    /// Client account of the request.
     pub account: &'a str,
-    /// How urgent it is.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Tokens that it will hold.
+    /// Tokens that the request will hold.
     pub tokens: u64,
-    /// Until when it can begin in time.
+    /// Latest start within the target.
     pub start_by_ms: u64,
-    /// When it stops waiting.
+    /// When the request stops waiting.
     pub wait_until_ms: u64,
 }
 
@@ -58,99 +59,102 @@
     until_ms: u64,
 }
 
-/// A turn.
+/// A turn that is held.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Turn {
     since_ms: u64,
     tokens: u64,
 }
 
-/// Who seeks a path now, and who waits to.
+/// The requests that search for a path now, and those that wait for a turn.
 #[derive(Debug)]
 pub struct SearchTurns {
-    /// Those that can begin in time.
-    waiting: FairQueue<Waiter>,
-    /// Those that can't any more.
+    /// Requests that can start within their target.
+    in_time: FairQueue<Waiter>,
+    /// Requests that no longer can.
     late: FairQueue<Waiter>,
-    /// Since when and until when somebody sought or waited without a break.
-    busy_ms: Option<(u64, u64)>,
-    /// Turns, by key.
-    held: BTreeMap<u64, Held>,
+    /// Start and last sign of the current contention.
+    contended_ms: Option<(u64, u64)>,
+    /// Turns that are held, by key.
+    turns: BTreeMap<u64, Turn>,
     next_key: u64,
 }
 
 impl SearchTurns {
-    /// Nobody waits; at most so many tokens may.
+    /// Creates a queue for at most `limit_tokens` of waiting requests.
     pub fn new(limit_tokens: u64) -> SearchTurns {
         SearchTurns {
-            waiting: FairQueue::new(limit_tokens),
+            in_time: FairQueue::new(limit_tokens),
             late: FairQueue::new(limit_tokens),
-            busy_ms: None,
-            held: BTreeMap::new(),
+            contended_ms: None,
+            turns: BTreeMap::new(),
             next_key: 0,
         }
     }
 
-    /// Whether nobody seeks a path or waits to.
+    /// Whether no request holds a turn or waits for one.
     pub fn is_idle(&self) -> bool {
-        self.held.is_empty() && self.waiting.is_empty() && self.late.is_empty()
+        self.turns.is_empty()
+            && self.in_time.is_empty()
+            && self.late.is_empty()
     }
 
-    /// For how long somebody has sought or waited, without a break of
+    /// Time for which requests have searched or waited without a break of
     /// [`IDLE_GAP_MS`].
     pub fn contended_for_ms(&self, now_ms: u64) -> u64 {
-        let Some((since_ms, until_ms)) = self.busy_ms else { return 0 };
+        let Some((since_ms, until_ms)) = self.contended_ms else { return 0 };
         let is_over =
             self.is_idle() && now_ms.saturating_sub(until_ms) >= IDLE_GAP_MS;
         if is_over { 0 } else { now_ms.saturating_sub(since_ms) }
     }
 
-    /// Tokens of the requests that would have their turn before one of an
-    /// account that joins now, at most.
+    /// Upper estimate of the tokens of requests that get a turn before a
+    /// request of this account that joins now.
     pub fn tokens_before(&self, account: &str, tokens: u64) -> u64 {
-        let held: u64 = self.held.values().map(|held| held.tokens).sum();
-        held + self.waiting.tokens_before(account, tokens)
+        let searching: u64 = self.turns.values().map(|turn| turn.tokens).sum();
+        searching + self.in_time.tokens_before(account, tokens)
     }
 
-    /// How many wait for a turn.
+    /// Number of requests that wait for a turn.
     pub fn waiting_count(&self) -> usize {
-        self.waiting.len() + self.late.len()
+        self.in_time.len() + self.late.len()
     }
 
-    /// Joins; the key by which turns are granted and ended.
+    /// Joins the queue and returns the key under which the turn is granted and
+    /// ended.
     ///
     /// # Errors
     ///
-    /// The queue has no room for it, or its time is over.
+    /// The queue is full, or the request may not wait any longer.
     pub fn try_join(
         &mut self,
-        need: &TurnRequest<'_>,
+        request: &TurnRequest<'_>,
         now_ms: u64,
     ) -> Result<u64, PushErrorReason> {
         let key = self.next_key;
         let waiter = Waiter {
             key,
-            account: need.account.to_owned(),
-            priority: need.priority,
-            tokens: need.tokens,
-            until_ms: need.wait_until_ms,
+            account: request.account.to_owned(),
+            priority: request.priority,
+            tokens: request.tokens,
+            until_ms: request.wait_until_ms,
         };
-        let start_by_ms = need.start_by_ms.min(need.wait_until_ms);
-        push(&mut self.waiting, waiter, start_by_ms, now_ms)?;
+        let start_by_ms = request.start_by_ms.min(request.wait_until_ms);
+        push(&mut self.in_time, waiter, start_by_ms, now_ms)?;
         self.next_key += 1;
-        self.note_busy(now_ms);
+        self.record_contention(now_ms);
         Ok(key)
     }
 
-    /// Grants the turns that are free, in order.
+    /// Grants the turns that are free, in order, and returns their keys.
     pub fn grant(&mut self, now_ms: u64) -> Vec<u64> {
         if !self.is_idle() {
-            self.note_busy(now_ms);
+            self.record_contention(now_ms);
         }
-        for waiter in self.waiting.expire(now_ms) {
+        for waiter in self.in_time.expire(now_ms) {
             let until_ms = waiter.until_ms;
-            // One that may not wait any longer has no place there, and whose
-            // queue is full leaves at its time.
+            // The push fails if the request may not wait any longer or the
+            // queue is full. Such a request leaves when its wait ends.
             let _ = push(&mut self.late, waiter, until_ms, now_ms);
         }
         self.late.expire(now_ms);
@@ -158,38 +162,38 @@
         while self.may_grant(now_ms)
             && let Some(next) = self.pop(now_ms)
         {
-            let held = Held { since_ms: now_ms, tokens: next.tokens };
-            self.held.insert(next.key, held);
+            let turn = Turn { since_ms: now_ms, tokens: next.tokens };
+            self.turns.insert(next.key, turn);
             granted.push(next.key);
         }
         granted
     }
 
-    /// Somebody seeks or waits now.
-    fn note_busy(&mut self, now_ms: u64) {
+    /// Records that a request searches or waits now.
+    fn record_contention(&mut self, now_ms: u64) {
         let since_ms = now_ms - self.contended_for_ms(now_ms);
-        self.busy_ms = Some((since_ms, now_ms));
+        self.contended_ms = Some((since_ms, now_ms));
     }
 
     fn pop(&mut self, now_ms: u64) -> Option<Waiter> {
-        let next = self.waiting.pop(now_ms);
+        let next = self.in_time.pop(now_ms);
         let next = next.or_else(|| self.late.pop(now_ms));
         next.map(|next| next.item)
     }
 
     /// Ends a turn, or the wait for one.
     pub fn leave(&mut self, key: u64) {
-        if self.held.remove(&key).is_none() {
-            self.waiting.remove(|waiter| waiter.key == key);
+        if self.turns.remove(&key).is_none() {
+            self.in_time.remove(|waiter| waiter.key == key);
             self.late.remove(|waiter| waiter.key == key);
         }
     }
 
     fn may_grant(&self, now_ms: u64) -> bool {
-        let is_old = |held: &Held| {
-            now_ms.saturating_sub(held.since_ms) >= HOLD_BACK_AFTER_MS
+        let blocks_others = |turn: &Turn| {
+            now_ms.saturating_sub(turn.since_ms) >= HOLD_BACK_AFTER_MS
         };
-        self.held.len() < MAX_TURNS && !self.held.values().any(is_old)
+        self.turns.len() < MAX_TURNS && !self.turns.values().any(blocks_others)
     }
 }
 
@@ -203,5 +207,5 @@
     let (priority, tokens) = (waiter.priority, waiter.tokens);
     queue
         .push(&account, priority, tokens, until_ms, waiter, now_ms)
-        .map_err(|refusal| refusal.reason)
+        .map_err(|error| error.reason)
 }
