--- a/crates/routing/tests/cooldown_wait.rs
+++ b/crates/routing/tests/cooldown_wait.rs
@@ -1,11 +1,11 @@
-//! Requests that only find servers at rest.
+//! Requests that find only servers in cooldown.
 
 use chestnutreach_routing::{CooldownWait, cooldown_wait};
 use proptest::prelude::*;
 
 proptest! {
     #[test]
-    fn who_is_refused_does_not_come_back_before_a_server_is_ready(
+    fn a_refused_client_does_not_retry_before_a_server_is_ready(
         ready_in_ms in 0_u64..4_000_000,
         may_wait_ms in 0_u64..20_000,
         seed in any::<u64>(),
@@ -21,19 +21,19 @@
     }
 }
 
-/// The load that the spread answers: a hundred clients that are refused in
-/// the same moment, and an engine that turns away more than ten at once.
+/// Without jitter, a hundred clients refused at once would retry at once, at
+/// an engine that refuses more than ten simultaneous requests.
 #[test]
-fn clients_that_are_refused_together_come_back_apart() {
+fn clients_refused_together_retry_apart() {
     let mut rng = fastrand::Rng::with_seed(4);
     let mut counts = [0; 40];
     for _ in 0..100 {
         let CooldownWait::Refuse(ms) = cooldown_wait(3_000, 1_500, &mut rng)
         else {
-            panic!("a rest of 3 s is longer than 1.5 s");
+            panic!("a cooldown of 3 s exceeds the wait limit of 1.5 s");
         };
         counts[(ms / 100) as usize] += 1;
     }
-    let most = counts.into_iter().max().unwrap_or(0);
-    assert!(most <= 20, "{most} of 100 come back within 100 ms");
+    let max_count = counts.into_iter().max().unwrap_or(0);
+    assert!(max_count <= 20, "{max_count} of 100 retry within 100 ms");
 }
--- a/crates/routing/tests/exit_detection.rs
+++ b/crates/routing/tests/exit_detection.rs
@@ -1,4 +1,4 @@
-//! What proves that a backend server has ended.
+//! Which evidence proves that a backend server has exited.
 
 use chestnutreach_routing::{
     ExitStatus, FailureEvidence, detect_exit,
@@ -9,37 +9,37 @@
 struct Case {
     evidence: Option<FailureEvidence>,
     lasted_ms: u64,
-    proof: ExitStatus,
+    status: ExitStatus,
 }
 
 #[rstest]
 #[case::nothing(Case {
-    evidence: None, lasted_ms: 0, proof: ExitStatus::Alive,
+    evidence: None, lasted_ms: 0, status: ExitStatus::Alive,
 })]
 #[case::refused(Case {
-    evidence: Some(FailureEvidence::Refused), lasted_ms: 0, proof: ExitStatus::Exited,
+    evidence: Some(FailureEvidence::Refused), lasted_ms: 0, status: ExitStatus::Exited,
 })]
-// A request ran on three engines of two where two dials that a busy entry
-// missed counted as an end.
-#[case::two_missed_dials(Case {
-    evidence: Some(FailureEvidence::Silent), lasted_ms: 50, proof: ExitStatus::Unknown,
+// A request limited to two engines ran on three, because two connection
+// attempts whose responses a busy entry missed counted as an exit.
+#[case::two_missed_connection_attempts(Case {
+    evidence: Some(FailureEvidence::Silent), lasted_ms: 50, status: ExitStatus::Unknown,
 })]
 #[case::silent_just_before(Case {
     evidence: Some(FailureEvidence::Silent),
     lasted_ms: SILENCE_TIMEOUT_MS - 1,
-    proof: ExitStatus::Unknown,
+    status: ExitStatus::Unknown,
 })]
-#[case::silent_for_long(Case {
+#[case::silent_up_to_the_timeout(Case {
     evidence: Some(FailureEvidence::Silent),
     lasted_ms: SILENCE_TIMEOUT_MS,
-    proof: ExitStatus::Exited,
+    status: ExitStatus::Exited,
 })]
-#[case::waited_for(Case {
+#[case::stalled(Case {
     evidence: Some(FailureEvidence::Stalled),
     lasted_ms: 10_000,
-    proof: ExitStatus::Alive,
+    status: ExitStatus::Alive,
 })]
-fn silence_proves_an_end_only_once_it_has_lasted(#[case] case: Case) {
-    let proof = detect_exit(case.evidence, case.lasted_ms);
-    assert_eq!(proof, case.proof);
+fn silence_proves_an_exit_only_after_the_timeout(#[case] case: Case) {
+    let status = detect_exit(case.evidence, case.lasted_ms);
+    assert_eq!(status, case.status);
 }
--- a/crates/routing/tests/fair_queue.rs
+++ b/crates/routing/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Shares, priorities and bounds of the fair queue, on a virtual clock.
+//! Shares, priorities and limits of the fair queue, on a virtual clock.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const FOREVER_MS: u64 = u64::MAX;
+const NO_DEADLINE_MS: u64 = u64::MAX;
 const LIMIT_TOKENS: u64 = 100_000_000;
 
-fn name(account: usize) -> String {
+fn account_name(account: usize) -> String {
     format!("account-{account}")
 }
 
-/// Keeps every account backlogged and serves `rounds` items; gives back the
-/// tokens each account was served.
+/// Keeps every account backlogged and serves `rounds` items. Returns the
+/// tokens served to each account.
 fn serve_backlogged(
     queue: &mut FairQueue<usize>,
     priorities: &[Priority],
@@ -24,27 +24,27 @@
     let mut push = |queue: &mut FairQueue<usize>, at: usize, now_ms| {
         let cost = rng.u64(50..4_000);
         let pushed = queue.push(
-            &name(at),
+            &account_name(at),
             priorities[at],
             cost,
-            FOREVER_MS,
+            NO_DEADLINE_MS,
             at,
             now_ms,
         );
-        pushed.expect("room");
+        pushed.expect("the queue has space");
     };
     for at in (0..priorities.len()).cycle().take(priorities.len() * 4) {
         push(queue, at, 0);
     }
-    let mut served = vec![0; priorities.len()];
+    let mut served_tokens = vec![0; priorities.len()];
     let mut now_ms = 0;
     for _ in 0..rounds {
-        let popped = queue.pop(now_ms).expect("backlogged");
+        let popped = queue.pop(now_ms).expect("every account is backlogged");
         now_ms += popped.cost_tokens / 10;
-        served[popped.item] += popped.cost_tokens;
+        served_tokens[popped.item] += popped.cost_tokens;
         push(queue, popped.item, now_ms);
     }
-    served
+    served_tokens
 }
 
 fn jain(shares: &[f64]) -> f64 {
@@ -67,7 +67,7 @@
     weights: &[1, 2, 3, 5, 8, 1, 1, 20],
     priorities: &[Priority::Normal; 8],
 })]
-#[case::priorities_move_no_share(ShareCase {
+#[case::priorities_do_not_change_shares(ShareCase {
     weights: &[1, 1, 4, 4],
     priorities: &[
         Priority::High, Priority::Low, Priority::High, Priority::Low,
@@ -76,10 +76,10 @@
 fn backlogged_accounts_share_by_weight(#[case] case: ShareCase) {
     let mut queue = FairQueue::new(LIMIT_TOKENS);
     for (at, &weight) in case.weights.iter().enumerate() {
-        queue.set_weight(&name(at), weight);
+        queue.set_weight(&account_name(at), weight);
     }
-    let served = serve_backlogged(&mut queue, case.priorities, 20_000);
-    let shares: Vec<f64> = served
+    let served_tokens = serve_backlogged(&mut queue, case.priorities, 20_000);
+    let shares: Vec<f64> = served_tokens
         .iter()
         .zip(case.weights)
         .map(|(&tokens, &weight)| tokens as f64 / f64::from(weight))
@@ -88,33 +88,33 @@
 }
 
 #[test]
-fn idle_share_is_lent_and_not_paid_back() {
+fn an_account_that_returns_gets_its_share_and_no_compensation() {
     let mut queue = FairQueue::new(LIMIT_TOKENS);
     let push = |queue: &mut FairQueue<usize>, at: usize, count: usize| {
         for _ in 0..count {
             let pushed = queue.push(
-                &name(at),
+                &account_name(at),
                 Priority::Normal,
                 100,
-                FOREVER_MS,
+                NO_DEADLINE_MS,
                 at,
                 0,
             );
-            pushed.expect("room");
+            pushed.expect("the queue has space");
         }
     };
     push(&mut queue, 0, 2_000);
     (0..1_000).for_each(|_| assert_eq!(queue.pop(0).unwrap().item, 0));
-    // The second comes back: it gets its half, no more and no less.
+    // The second account returns and gets exactly half.
     push(&mut queue, 1, 500);
     let next: usize = (0..200).map(|_| queue.pop(0).unwrap().item).sum();
     assert!((99..=101).contains(&next), "{next} of 200");
 }
 
-/// Mean wait of the accounts but the first, in milliseconds. Each of them
-/// offers `load` of its tenth of the capacity in random arrivals, and the
-/// first keeps `backlog` items queued, so that it always uses its share.
-fn wait_of_others_ms(load: f64, backlog: usize) -> f64 {
+/// Mean wait of all accounts but the first, in milliseconds. Each of them
+/// offers `load` times a tenth of the capacity in random arrivals. The first
+/// keeps `backlog` items queued, so that it always uses its share.
+fn mean_wait_of_others_ms(load: f64, backlog: usize) -> f64 {
     const ACCOUNT_COUNT: usize = 10;
     const TOKENS_PER_MS: f64 = 10.0;
     const MEAN_COST: f64 = 1_000.0;
@@ -126,14 +126,14 @@
     let push = |queue: &mut FairQueue<(usize, f64)>, at, at_ms, cost| {
         let item = (at, at_ms);
         let pushed = queue.push(
-            &name(at),
+            &account_name(at),
             Priority::Normal,
             cost,
-            FOREVER_MS,
+            NO_DEADLINE_MS,
             item,
             at_ms as u64,
         );
-        pushed.expect("room");
+        pushed.expect("the queue has space");
     };
     for _ in 0..backlog {
         push(&mut queue, 0, 0.0, MEAN_COST as u64);
@@ -146,7 +146,9 @@
             push(&mut queue, at, arrival_ms, rng.u64(500..1_500));
             arrival_ms += -gap_ms * (1.0 - rng.f64()).ln();
         }
-        let popped = queue.pop(now_ms as u64).expect("the first has work");
+        let popped = queue
+            .pop(now_ms as u64)
+            .expect("the first account has queued items");
         let (at, at_ms) = popped.item;
         if at != 0 {
             waits_ms += now_ms - at_ms;
@@ -160,38 +162,41 @@
     waits_ms / count as f64
 }
 
-/// An account that uses its share is the base: with less, no order that
-/// grants it its share could leave the others' wait as it was.
+/// Both runs have an account that uses its full share. Compared with an
+/// account that uses less, any queue that grants it its share would delay the
+/// others.
 #[rstest]
 #[case::half(0.5)]
 #[case::most(0.8)]
 #[case::nearly_all(0.95)]
-fn ten_times_the_backlog_does_little_harm_to_others(#[case] load: f64) {
-    let calm_ms = wait_of_others_ms(load, 2);
-    let flood_ms = wait_of_others_ms(load, 20);
-    let harm = flood_ms / calm_ms - 1.0;
+fn ten_times_the_backlog_of_one_account_hardly_delays_others(
+    #[case] load: f64,
+) {
+    let calm_ms = mean_wait_of_others_ms(load, 2);
+    let flood_ms = mean_wait_of_others_ms(load, 20);
+    let wait_increase = flood_ms / calm_ms - 1.0;
     println!("{calm_ms:.1} ms to {flood_ms:.1} ms");
-    assert!(harm < 0.10, "{calm_ms:.0} ms to {flood_ms:.0} ms");
+    assert!(wait_increase < 0.10, "{calm_ms:.0} ms to {flood_ms:.0} ms");
 }
 
 #[test]
-fn low_priority_does_not_starve() {
+fn low_priority_items_are_served_after_promotion() {
     let mut queue = FairQueue::new(LIMIT_TOKENS);
     let push = |queue: &mut FairQueue<u32>, priority, item, now_ms| {
         let pushed =
-            queue.push("one", priority, 1_000, FOREVER_MS, item, now_ms);
-        pushed.expect("room");
+            queue.push("one", priority, 1_000, NO_DEADLINE_MS, item, now_ms);
+        pushed.expect("the queue has space");
     };
     let low = (1_u32..=10).collect::<Vec<_>>();
     low.iter().for_each(|&at| push(&mut queue, Priority::Low, at, 0));
-    // One urgent item comes for each that is served.
+    // One high-priority item arrives for each item that is served.
     let mut seen = Vec::new();
     for turn in 0..400_u64 {
         let now_ms = turn * 100;
         push(&mut queue, Priority::High, 0, now_ms);
-        let popped = queue.pop(now_ms).expect("an item");
+        let popped = queue.pop(now_ms).expect("the queue is not empty");
         if popped.item != 0 {
-            assert!(now_ms >= 5_000, "urgent ones go first");
+            assert!(now_ms >= 5_000, "high-priority items go first");
             seen.push(popped.item);
         }
     }
@@ -199,7 +204,7 @@
 }
 
 #[test]
-fn urgent_items_go_first_within_and_between_accounts() {
+fn high_priority_goes_first_within_and_between_accounts() {
     let mut queue = FairQueue::new(LIMIT_TOKENS);
     let items = [
         ("a", Priority::Low, 1),
@@ -208,8 +213,9 @@
         ("c", Priority::High, 4),
     ];
     for (account, priority, item) in items {
-        let pushed = queue.push(account, priority, 100, FOREVER_MS, item, 0);
-        pushed.expect("room");
+        let pushed =
+            queue.push(account, priority, 100, NO_DEADLINE_MS, item, 0);
+        pushed.expect("the queue has space");
     }
     let order: Vec<i32> =
         std::iter::from_fn(|| queue.pop(0)).map(|p| p.item).collect();
@@ -217,24 +223,24 @@
 }
 
 #[test]
-fn what_was_really_used_counts() {
+fn corrected_charges_count_towards_the_share() {
     let mut queue = FairQueue::new(LIMIT_TOKENS);
     for item in 0..200 {
-        let account = name(item % 2);
+        let account = account_name(item % 2);
         let pushed = queue.push(
             &account,
             Priority::Normal,
             100,
-            FOREVER_MS,
+            NO_DEADLINE_MS,
             item % 2,
             0,
         );
-        pushed.expect("room");
+        pushed.expect("the queue has space");
     }
-    // The first account uses three times what it states.
+    // The first account uses three times what it stated.
     let mut counts = [0; 2];
     for _ in 0..80 {
-        let popped = queue.pop(0).expect("an item");
+        let popped = queue.pop(0).expect("the queue is not empty");
         counts[popped.item] += 1;
         if popped.item == 0 {
             queue.charge(&popped.account, 200);
@@ -244,7 +250,7 @@
 }
 
 #[test]
-fn refusals_tell_why() {
+fn push_errors_state_the_reason() {
     let mut queue = FairQueue::new(1_000);
     let mut push = |account: &str, cost, deadline_ms| {
         let normal = Priority::Normal;
@@ -304,19 +310,19 @@
     })]
 
     #[test]
-    fn each_item_leaves_once_and_the_count_is_right(
+    fn each_item_leaves_once_and_the_totals_match(
         steps in prop::collection::vec(step(), 0..150),
     ) {
         let mut queue = FairQueue::new(2_000);
         let mut model: BTreeMap<u32, u64> = BTreeMap::new();
         for (at, step) in steps.into_iter().enumerate() {
             let now_ms = at as u64;
-            let gone: Vec<u32> = match step {
+            let removed: Vec<u32> = match step {
                 Step::Push { account, level, cost, deadline_ms } => {
                     let item = at as u32;
                     let priority = Priority::ALL[level];
                     let pushed = queue.push(
-                        &name(account), priority, cost, deadline_ms, item,
+                        &account_name(account), priority, cost, deadline_ms, item,
                         now_ms,
                     );
                     if pushed.is_ok() {
@@ -332,11 +338,11 @@
                 Step::Expire => queue.expire(now_ms),
                 Step::Remove { item } => queue.remove(|&i| i == item),
                 Step::Charge { account, tokens } => {
-                    queue.charge(&name(account), tokens);
+                    queue.charge(&account_name(account), tokens);
                     Vec::new()
                 }
             };
-            for item in gone {
+            for item in removed {
                 prop_assert!(model.remove(&item).is_some());
             }
             prop_assert_eq!(queue.len(), model.len());
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers: what is known of them, and by whom.
+//! Suspects, quarantine and trials of requests that crash servers.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 const NOW_MS: u64 = 10_000_000;
 
 struct Run {
-    /// Time since it began; none for one that has not.
+    /// Time since the run started; `None` for a run that has not.
     age_ms: Option<u64>,
     events: u64,
     may_crash: bool,
@@ -26,19 +26,21 @@
 #[case::queued(Run {
     age_ms: None, events: 0, may_crash: false, has_lasted: false,
 })]
-#[case::just_begun(Run {
+#[case::just_started(Run {
     age_ms: Some(0), events: 0, may_crash: true, has_lasted: false,
 })]
 #[case::young(Run {
     age_ms: Some(299), events: 9, may_crash: true, has_lasted: false,
 })]
-#[case::slow(Run {
+#[case::slow_server(Run {
     age_ms: Some(5_000), events: 3, may_crash: true, has_lasted: false,
 })]
-#[case::lasted(Run {
+#[case::survived(Run {
     age_ms: Some(300), events: 4, may_crash: false, has_lasted: true,
 })]
-fn a_run_that_has_just_begun_may_crash(#[case] case: Run) {
+fn only_a_run_that_has_just_started_may_have_crashed_its_server(
+    #[case] case: Run,
+) {
     let mut run = RunProgress::new();
     if let Some(age_ms) = case.age_ms {
         run.record_start(NOW_MS - age_ms);
@@ -67,7 +69,7 @@
     counted: 3,
     is_quarantined: true,
 })]
-#[case::told_twice(Crashes {
+#[case::reported_twice(Crashes {
     crashes: &[(1, false), (2, true), (2, true), (1, true)],
     counted: 2,
     is_quarantined: false,
@@ -77,7 +79,7 @@
     counted: 3,
     is_quarantined: false,
 })]
-#[case::lost_together(Crashes {
+#[case::servers_failed_together(Crashes {
     crashes: &[(1, false), (2, false), (3, false), (4, false), (5, false)],
     counted: 5,
     is_quarantined: false,
@@ -87,7 +89,9 @@
     counted: 4,
     is_quarantined: true,
 })]
-fn crashes_and_those_in_trials_quarantine(#[case] case: Crashes) {
+fn crashes_quarantine_a_request_if_enough_happened_in_trials(
+    #[case] case: Crashes,
+) {
     let mut suspects = Suspects::new();
     for (server, is_in_trial) in case.crashes {
         suspects.record_crash(REQUEST, *server, *is_in_trial, NOW_MS);
@@ -98,10 +102,10 @@
 }
 
 #[test]
-fn a_crash_with_two_on_trial_proves_nothing_of_either() {
+fn a_crash_with_two_requests_on_trial_quarantines_neither() {
     let mut suspects = quarantined(NOW_MS);
     let other = Fingerprint(8);
-    // It was on trial at the last server as well.
+    // The other request was on trial at the last server as well.
     suspects.record_crash(other, QUARANTINE_CRASHES as u32, true, NOW_MS);
     let suspect = Verdict::Suspect { crashes: QUARANTINE_CRASHES };
     assert_eq!(suspects.verdict(REQUEST, NOW_MS), suspect);
@@ -109,7 +113,7 @@
     assert!(is_quarantined(&suspects, NOW_MS));
 }
 
-/// A request in quarantine since then.
+/// A request that has been quarantined since `at_ms`.
 fn quarantined(at_ms: u64) -> Suspects {
     let mut suspects = Suspects::new();
     for server in 1..=QUARANTINE_CRASHES as u32 {
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn after_a_quarantine_comes_a_trial_and_then_a_longer_one() {
+fn a_crash_after_a_quarantine_starts_a_longer_one() {
     let mut suspects = quarantined(NOW_MS);
     let over_ms = NOW_MS + QUARANTINE_MS;
     assert!(is_quarantined(&suspects, over_ms - 1));
@@ -136,18 +140,18 @@
 }
 
 #[test]
-fn what_is_old_is_forgotten_and_not_learnt_again() {
+fn expired_requests_are_removed_and_not_added_again() {
     let mut suspects = quarantined(NOW_MS);
     let late_ms = NOW_MS + 3 * QUARANTINE_MS;
-    let news = suspects.report_of(REQUEST, late_ms).unwrap();
+    let report = suspects.report_of(REQUEST, late_ms).unwrap();
     suspects.remove_expired(late_ms);
     assert!(suspects.is_empty());
-    assert!(!suspects.apply_report(&news, late_ms));
+    assert!(!suspects.apply_report(&report, late_ms));
     assert!(suspects.is_empty());
 }
 
 #[test]
-fn a_request_that_is_cleared_is_free_also_after_late_news() {
+fn a_cleared_request_stays_free_after_a_late_report() {
     let mut suspects = quarantined(NOW_MS);
     let before = suspects.report_of(REQUEST, NOW_MS).unwrap();
     assert!(suspects.clear(REQUEST, NOW_MS));
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn a_flood_of_suspects_drops_no_quarantine() {
+fn a_flood_of_suspects_evicts_no_quarantined_request() {
     let mut suspects = quarantined(NOW_MS);
     for number in 1_000..1_000 + 4 * MAX_SUSPECTS as u64 {
         let request = Fingerprint(number);
@@ -171,7 +175,7 @@
 }
 
 #[test]
-fn every_quarantine_is_told_to_who_hears_only_states() {
+fn a_started_entry_learns_of_every_quarantine_from_state_messages() {
     let mut suspects = Suspects::new();
     let count = 60;
     for number in 0..count {
@@ -181,33 +185,34 @@
             suspects.record_crash(request, server, true, NOW_MS);
         }
     }
-    let mut started = Suspects::new();
+    let mut started_entry = Suspects::new();
     let later_ms = NOW_MS + 10_000;
-    // Three others tell five times a second each; contact is 3 s.
+    // Three other entries send five messages per second each; all must be
+    // reported within 3 s.
     let per_s = 3 * 5;
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..per_s * 3 {
-        for news in suspects.next_reports(later_ms, per_s.into(), &mut rng) {
-            started.apply_report(&news, later_ms);
+        for report in suspects.next_reports(later_ms, per_s.into(), &mut rng) {
+            started_entry.apply_report(&report, later_ms);
         }
     }
-    assert_eq!(started.len(), count as usize);
+    assert_eq!(started_entry.len(), count as usize);
 }
 
 #[test]
-fn what_is_told_of_one_request_does_not_grow_with_entries() {
+fn reports_of_one_request_do_not_grow_with_the_number_of_entries() {
     let mut suspects = quarantined(NOW_MS);
     let later_ms = NOW_MS + 10_000;
     let mut rng = fastrand::Rng::with_seed(5);
-    // Each of hundreds of entries hears 180 messages a second.
+    // Each of hundreds of entries receives 180 messages per second.
     let per_s = 180.0;
-    let told = (0..180)
+    let reported = (0..180)
         .flat_map(|_| suspects.next_reports(later_ms, per_s, &mut rng));
-    let told = told.count();
-    assert!((1..=9).contains(&told), "{told} times a second");
+    let reported = reported.count();
+    assert!((1..=9).contains(&reported), "{reported} reports in a second");
 }
 
-fn any_news() -> impl Strategy<Value = SuspectReport> {
+fn any_report() -> impl Strategy<Value = SuspectReport> {
     let crash = (0_u32..6, 0_u64..5_000, any::<bool>(), any::<bool>());
     let crash = crash.prop_map(|(server, age_ms, is_in_trial, is_void)| {
         CrashReport { server, age_ms, is_in_trial, is_void }
@@ -219,10 +224,12 @@
     })
 }
 
-fn heard<'a>(news: impl IntoIterator<Item = &'a SuspectReport>) -> Suspects {
+fn apply_all<'a>(
+    reports: impl IntoIterator<Item = &'a SuspectReport>,
+) -> Suspects {
     let mut suspects = Suspects::new();
-    for news in news {
-        suspects.apply_report(news, NOW_MS);
+    for report in reports {
+        suspects.apply_report(report, NOW_MS);
     }
     suspects
 }
@@ -234,22 +241,22 @@
 
 proptest! {
     #[test]
-    fn order_and_repetition_of_news_do_not_matter(
-        news in prop::collection::vec(any_news(), 1..20),
+    fn order_and_repetition_of_reports_do_not_matter(
+        reports in prop::collection::vec(any_report(), 1..20),
         order in any::<u64>(),
     ) {
-        let mut mixed: Vec<&SuspectReport> = news.iter().chain(&news).collect();
-        fastrand::Rng::with_seed(order).shuffle(&mut mixed);
-        let direct = heard(&news);
-        prop_assert_eq!(known(&direct), known(&heard(mixed)));
-        // Through another entry as well.
-        let told: Vec<SuspectReport> =
+        let mut shuffled: Vec<&SuspectReport> = reports.iter().chain(&reports).collect();
+        fastrand::Rng::with_seed(order).shuffle(&mut shuffled);
+        let direct = apply_all(&reports);
+        prop_assert_eq!(known(&direct), known(&apply_all(shuffled)));
+        // The same by way of another entry.
+        let reported: Vec<SuspectReport> =
             known(&direct).into_iter().flatten().collect();
-        prop_assert_eq!(known(&direct), known(&heard(&told)));
+        prop_assert_eq!(known(&direct), known(&apply_all(&reported)));
     }
 
     #[test]
-    fn as_many_crashes_count_as_servers_crashed(
+    fn each_crashed_server_counts_once(
         crashes in prop::collection::vec((0_u32..10, any::<bool>()), 1..30),
     ) {
         let mut suspects = Suspects::new();
@@ -264,7 +271,7 @@
 }
 
 #[test]
-fn two_trials_at_the_same_moment_end_alike_at_all_entries() {
+fn simultaneous_trials_resolve_alike_at_all_entries() {
     let (low, high) = (3, 8);
     let other = Fingerprint(9);
     let mut at_low = Trials::new();
@@ -280,7 +287,7 @@
 }
 
 #[test]
-fn one_copy_of_a_request_is_on_trial_until_it_ends() {
+fn one_trial_of_a_request_runs_at_a_time() {
     let mut trials = Trials::new();
     assert!(trials.try_begin(REQUEST, 1, 5, NOW_MS));
     assert!(!trials.try_begin(REQUEST, 2, 5, NOW_MS));
@@ -289,6 +296,6 @@
     assert!(trials.is_held_by(REQUEST, 5, NOW_MS));
     trials.end(REQUEST, 5);
     assert!(trials.try_begin(REQUEST, 2, 5, NOW_MS));
-    // A holder that has gone can't end it.
+    // The trial of a holder that does not end it expires.
     assert!(trials.try_begin(REQUEST, 3, 6, NOW_MS + TRIAL_MS));
 }
--- a/crates/routing/tests/slot_queue.rs
+++ b/crates/routing/tests/slot_queue.rs
@@ -1,4 +1,4 @@
-//! A gate tells at once what it cannot do in time, and no more than that.
+//! A slot queue refuses requests that cannot finish in time, and no others.
 
 use chestnutreach_routing::{
     RequestShape,
@@ -9,28 +9,31 @@
 };
 use rstest::rstest;
 
-const PLACES: u32 = 4;
+const SLOT_COUNT: u32 = 4;
 const COST_TOKENS: u64 = 200;
-/// On a full server: 100 prompt tokens at 1,000 a second, and 100 steps of
-/// four requests at 400 tokens a second together.
+/// Run time on a full server: 100 prompt tokens at 1,000 per second, and 100
+/// steps of four requests at 400 tokens per second together.
 const RUN_MS: u64 = 1_100;
 
-fn full_gate() -> SlotQueue<u32> {
-    let mut gate = SlotQueue::new(1_000_000);
-    gate.set_capacity(ServerCapacity {
-        max_running: PLACES,
+fn full_queue() -> SlotQueue<u32> {
+    let mut queue = SlotQueue::new(1_000_000);
+    queue.set_capacity(ServerCapacity {
+        max_running: SLOT_COUNT,
         prompt_tokens_per_s: 1_000.0,
         output_tokens_per_s: 400.0,
     });
     let mut rng = fastrand::Rng::with_seed(1);
-    for _ in 0..PLACES {
-        gate.try_acquire(COST_TOKENS, &mut rng).expect("a free place");
+    for _ in 0..SLOT_COUNT {
+        queue.try_acquire(COST_TOKENS, &mut rng).expect("a free slot");
     }
-    gate
+    queue
 }
 
-/// Of one stage, in good time.
-fn asked<'a>(shape: &'a RequestShape, account: &'a str) -> SlotRequest<'a> {
+/// A request of one stage with a distant deadline.
+fn slot_request<'a>(
+    shape: &'a RequestShape,
+    account: &'a str,
+) -> SlotRequest<'a> {
     SlotRequest {
         account,
         shape,
@@ -40,91 +43,105 @@
     }
 }
 
-fn offer(gate: &mut SlotQueue<u32>, asked: &SlotRequest<'_>) -> SlotAdmission {
-    gate.request(asked, 0, 0, &mut fastrand::Rng::with_seed(2))
+fn request_slot(
+    queue: &mut SlotQueue<u32>,
+    slot_request: &SlotRequest<'_>,
+) -> SlotAdmission {
+    queue.request(slot_request, 0, 0, &mut fastrand::Rng::with_seed(2))
 }
 
 /// The account "flood" has 40 requests queued, 20 s of work.
-struct TimeCase {
+struct DeadlineCase {
     account: &'static str,
     stage_count: u32,
     deadline_at_ms: u64,
-    is_taken: bool,
+    is_queued: bool,
 }
 
 #[rstest]
-#[case::behind_its_own_flood(TimeCase {
-    account: "flood", stage_count: 1, deadline_at_ms: 15_000, is_taken: false,
+#[case::behind_the_flood_of_its_own_account(DeadlineCase {
+    account: "flood", stage_count: 1, deadline_at_ms: 15_000, is_queued: false,
 })]
-#[case::in_good_time(TimeCase {
-    account: "flood", stage_count: 1, deadline_at_ms: 25_000, is_taken: true,
+#[case::with_a_long_deadline(DeadlineCase {
+    account: "flood", stage_count: 1, deadline_at_ms: 25_000, is_queued: true,
 })]
-#[case::beside_a_flood(TimeCase {
-    account: "quiet", stage_count: 1, deadline_at_ms: 2_000, is_taken: true,
+#[case::beside_the_flood_of_another_account(DeadlineCase {
+    account: "quiet", stage_count: 1, deadline_at_ms: 2_000, is_queued: true,
 })]
-#[case::no_time_to_run(TimeCase {
-    account: "quiet", stage_count: 1, deadline_at_ms: 1_200, is_taken: false,
+#[case::without_time_to_run(DeadlineCase {
+    account: "quiet", stage_count: 1, deadline_at_ms: 1_200, is_queued: false,
 })]
-#[case::over_more_stages(TimeCase {
-    account: "quiet", stage_count: 2, deadline_at_ms: 2_000, is_taken: false,
+#[case::with_more_stages(DeadlineCase {
+    account: "quiet", stage_count: 2, deadline_at_ms: 2_000, is_queued: false,
 })]
-fn only_what_cannot_finish_is_turned_away(#[case] case: TimeCase) {
+fn only_requests_that_cannot_finish_are_refused(#[case] case: DeadlineCase) {
     let shape = RequestShape::new(100, 100);
-    let mut gate = full_gate();
+    let mut queue = full_queue();
     for _ in 0..40 {
-        let offer = offer(&mut gate, &asked(&shape, "flood"));
-        assert_eq!(offer, SlotAdmission::Queued);
+        let admission =
+            request_slot(&mut queue, &slot_request(&shape, "flood"));
+        assert_eq!(admission, SlotAdmission::Queued);
     }
-    let TimeCase { account, stage_count, deadline_at_ms, .. } = case;
-    let request =
-        SlotRequest { stage_count, deadline_at_ms, ..asked(&shape, account) };
-    let offer = offer(&mut gate, &request);
-    assert_eq!(offer == SlotAdmission::Queued, case.is_taken, "{offer:?}");
+    let DeadlineCase { account, stage_count, deadline_at_ms, .. } = case;
+    let request = SlotRequest {
+        stage_count,
+        deadline_at_ms,
+        ..slot_request(&shape, account)
+    };
+    let admission = request_slot(&mut queue, &request);
+    assert_eq!(
+        admission == SlotAdmission::Queued,
+        case.is_queued,
+        "{admission:?}"
+    );
 }
 
 #[test]
-fn a_request_leaves_while_it_could_still_be_told_in_time() {
+fn a_queued_request_expires_when_it_can_no_longer_finish() {
     let shape = RequestShape::new(100, 100);
-    let mut gate = full_gate();
+    let mut queue = full_queue();
     let deadline_at_ms = 5_000;
-    let request = SlotRequest { deadline_at_ms, ..asked(&shape, "a") };
-    assert_eq!(offer(&mut gate, &request), SlotAdmission::Queued);
-    let last_start_ms = deadline_at_ms - RUN_MS;
-    assert!(gate.expire(last_start_ms - 1).is_empty());
-    assert_eq!(gate.expire(last_start_ms), [0]);
+    let request = SlotRequest { deadline_at_ms, ..slot_request(&shape, "a") };
+    assert_eq!(request_slot(&mut queue, &request), SlotAdmission::Queued);
+    let latest_start_ms = deadline_at_ms - RUN_MS;
+    assert!(queue.expire(latest_start_ms - 1).is_empty());
+    assert_eq!(queue.expire(latest_start_ms), [0]);
 }
 
 #[test]
-fn a_later_stage_lets_wait_only_for_a_while() {
+fn a_later_stage_queues_requests_only_up_to_its_wait_limit() {
     let shape = RequestShape::new(100, 100);
-    let mut gate = full_gate();
+    let mut queue = full_queue();
     let mut rng = fastrand::Rng::with_seed(3);
     let mut waiting = 0;
     loop {
-        let request = asked(&shape, "a");
-        match gate.request_later_stage(&request, 0, 0, &mut rng) {
+        let request = slot_request(&shape, "a");
+        match queue.request_later_stage(&request, 0, 0, &mut rng) {
             SlotAdmission::Queued => waiting += 1,
             SlotAdmission::Full { .. } => break,
             other => panic!("{other:?}"),
         }
     }
-    // 200 tokens at 400 a second for each that waits.
+    // Each waiting request adds 200 tokens at 400 per second.
     assert_eq!(waiting, LATER_STAGE_MAX_WAIT_MS / 500 + 1);
 }
 
 #[test]
-fn the_wait_is_learned_from_what_leaves() {
+fn the_expected_wait_follows_the_observed_drain_rate() {
     let shape = RequestShape::new(100, 100);
-    let mut gate = full_gate();
+    let mut queue = full_queue();
     for _ in 0..20 {
-        offer(&mut gate, &asked(&shape, "a"));
+        request_slot(&mut queue, &slot_request(&shape, "a"));
     }
-    let guess_ms = gate.load().queue_wait_ms;
-    // One leaves in 5 s: ten times slower than the guess.
+    let configured_ms = queue.load().queue_wait_ms;
+    // One request leaves every 5 s, ten times slower than configured.
     for turn in 0..5 {
-        gate.release(COST_TOKENS, turn * 5_000);
+        queue.release(COST_TOKENS, turn * 5_000);
     }
-    let left_tokens = 15 * COST_TOKENS;
-    assert_eq!(guess_ms, 20 * 500);
-    assert_eq!(gate.load().queue_wait_ms, left_tokens * 5_000 / COST_TOKENS);
+    let queued_tokens = 15 * COST_TOKENS;
+    assert_eq!(configured_ms, 20 * 500);
+    assert_eq!(
+        queue.load().queue_wait_ms,
+        queued_tokens * 5_000 / COST_TOKENS
+    );
 }
