--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! How often entries tell each other.
+//! Intervals and timeouts of messages between entries.
 
 use std::collections::BTreeMap;
 
@@ -8,56 +8,56 @@
 use rstest::rstest;
 
 struct Case {
-    whom: PeerScope,
+    scope: PeerScope,
     count: usize,
     interval_ms: u64,
 }
 
 #[rstest]
-#[case::none(Case { whom: PeerScope::SameDataCentre, count: 0, interval_ms: 200 })]
-#[case::few(Case { whom: PeerScope::SameDataCentre, count: 13, interval_ms: 200 })]
-#[case::some_far(Case { whom: PeerScope::OtherDataCentre, count: 4, interval_ms: 200 })]
-#[case::many_far(Case { whom: PeerScope::OtherDataCentre, count: 54, interval_ms: 1_000 })]
-#[case::by_planner(Case {
-    whom: PeerScope::FromPlanner, count: 300, interval_ms: 800,
+#[case::no_peers(Case { scope: PeerScope::SameDataCentre, count: 0, interval_ms: 200 })]
+#[case::few_in_the_same_data_centre(Case { scope: PeerScope::SameDataCentre, count: 13, interval_ms: 200 })]
+#[case::few_in_other_data_centres(Case { scope: PeerScope::OtherDataCentre, count: 4, interval_ms: 200 })]
+#[case::many_in_other_data_centres(Case { scope: PeerScope::OtherDataCentre, count: 54, interval_ms: 1_000 })]
+#[case::from_planner(Case {
+    scope: PeerScope::FromPlanner, count: 300, interval_ms: 800,
 })]
-fn silence_is_counted_in_messages(#[case] case: Case) {
-    let Case { whom, count, interval_ms } = case;
-    assert_eq!(whom.interval_ms(count), interval_ms);
+fn timeouts_allow_for_lost_messages_at_any_interval(#[case] case: Case) {
+    let Case { scope, count, interval_ms } = case;
+    assert_eq!(scope.interval_ms(count), interval_ms);
     // Three lost messages in a row are no absence.
-    assert!(whom.absence_timeout_ms(count) > 4 * interval_ms);
-    assert!(whom.expiry_ms(count) > 2 * whom.absence_timeout_ms(count));
+    assert!(scope.absence_timeout_ms(count) > 4 * interval_ms);
+    assert!(scope.expiry_ms(count) > 2 * scope.absence_timeout_ms(count));
     assert!(planner_timeout_ms(count) >= 3 * BASE_INTERVAL_MS);
 }
 
 #[rstest]
-#[case::fewer_than_at_once(5, 24)]
-#[case::more(54, 12)]
-#[case::many(300, 24)]
-fn each_is_told_once_in_an_interval(
+#[case::fewer_than_a_batch(5, 24)]
+#[case::several_batches(54, 12)]
+#[case::many_batches(300, 24)]
+fn each_peer_gets_a_message_in_every_round(
     #[case] count: usize,
-    #[case] at_once: usize,
+    #[case] batch_size: usize,
 ) {
     let all: Vec<usize> = (0..count).collect();
-    let mut rounds = RoundRobin::default();
-    let mut told: BTreeMap<usize, usize> = BTreeMap::new();
-    let laps = 6 * count.div_ceil(at_once);
-    for _ in 0..laps {
-        let now = rounds.next_batch(&all, at_once);
-        assert!(now.len() <= at_once);
-        for one in now {
-            *told.entry(one).or_default() += 1;
+    let mut round_robin = RoundRobin::default();
+    let mut sent: BTreeMap<usize, usize> = BTreeMap::new();
+    let batches = 6 * count.div_ceil(batch_size);
+    for _ in 0..batches {
+        let batch = round_robin.next_batch(&all, batch_size);
+        assert!(batch.len() <= batch_size);
+        for peer in batch {
+            *sent.entry(peer).or_default() += 1;
         }
     }
-    assert_eq!(told.len(), count);
-    assert!(told.values().all(|times| *times >= 6), "{told:?}");
+    assert_eq!(sent.len(), count);
+    assert!(sent.values().all(|times| *times >= 6), "{sent:?}");
 }
 
 #[test]
-fn a_list_that_shrinks_loses_nobody() {
-    let mut rounds = RoundRobin::default();
-    rounds.next_batch(&[1, 2, 3, 4, 5, 6], 5);
-    assert_eq!(rounds.next_batch(&[1, 2], 5).len(), 2);
-    assert_eq!(rounds.next_batch::<u32>(&[], 5), []);
-    assert_eq!(rounds.next_batch(&[7], 5), [7]);
+fn a_list_that_shrinks_between_batches_skips_no_peer() {
+    let mut round_robin = RoundRobin::default();
+    round_robin.next_batch(&[1, 2, 3, 4, 5, 6], 5);
+    assert_eq!(round_robin.next_batch(&[1, 2], 5).len(), 2);
+    assert_eq!(round_robin.next_batch::<u32>(&[], 5), []);
+    assert_eq!(round_robin.next_batch(&[7], 5), [7]);
 }
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Whose duty something is.
+//! Assignments by rendezvous hashing.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,43 @@
 
 proptest! {
     #[test]
-    fn a_loss_moves_only_what_was_of_the_lost(
+    fn a_loss_moves_only_assignments_of_the_lost_entry(
         entries in prop::collection::btree_set(any::<u64>(), 2..40),
-        duty in any::<u64>(),
+        assignment in any::<u64>(),
         lost in any::<prop::sample::Index>(),
     ) {
-        let before = ranked(entries.iter().copied(), duty);
+        let before = ranked(entries.iter().copied(), assignment);
         let lost = before[lost.index(before.len())];
-        let left = entries.iter().copied().filter(|e| *e != lost);
+        let remaining = entries.iter().copied().filter(|e| *e != lost);
         let mut expected = before;
         expected.retain(|entry| *entry != lost);
-        prop_assert_eq!(ranked(left, duty), expected);
+        prop_assert_eq!(ranked(remaining, assignment), expected);
     }
 
     #[test]
-    fn who_holds_a_duty_agrees_with_the_ranks(
+    fn is_assigned_agrees_with_the_ranks(
         entries in prop::collection::btree_set(any::<u64>(), 1..40),
-        duty in any::<u64>(),
-        holders in 1_usize..4,
+        assignment in any::<u64>(),
+        assignees in 1_usize..4,
     ) {
-        let ranked = ranked(entries.iter().copied(), duty);
+        let ranked = ranked(entries.iter().copied(), assignment);
         for entry in &entries {
             let others = entries.iter().copied();
-            let is_among = ranked.iter().take(holders).any(|e| e == entry);
-            prop_assert_eq!(is_assigned(*entry, others, duty, holders), is_among);
+            let is_among = ranked.iter().take(assignees).any(|e| e == entry);
+            prop_assert_eq!(is_assigned(*entry, others, assignment, assignees), is_among);
         }
     }
 }
 
 #[test]
-fn duties_are_dealt_evenly() {
+fn assignments_are_distributed_evenly() {
     let mut rng = fastrand::Rng::with_seed(3);
     let entries: Vec<u64> = (0..14).map(|_| rng.u64(..)).collect();
     let mut counts: BTreeMap<u64, u32> = BTreeMap::new();
-    for duty in 0..2_800 {
-        let first = ranked(entries.iter().copied(), duty)[0];
+    for assignment in 0..2_800 {
+        let first = ranked(entries.iter().copied(), assignment)[0];
         *counts.entry(first).or_default() += 1;
     }
-    // 200 each; five standard deviations are 68.
+    // 200 each on average; five standard deviations are 68.
     assert!(counts.values().all(|c| (132..=268).contains(c)), "{counts:?}");
 }
--- a/crates/membership/tests/table_copies.rs
+++ b/crates/membership/tests/table_copies.rs
@@ -1,6 +1,6 @@
-//! Copies of a table against the table itself: whoever follows a copy, with
-//! gaps, late and by way of copies of copies, knows what the table held as of
-//! the version that it was told, and never goes back.
+//! Compares copies of a table with the table itself. A process that follows a
+//! copy, with gaps, late or by way of other copies, knows the contents of the
+//! table at the version of the copy, and never goes back.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     }
 
     /// Rows as of a version.
-    fn at(&self, version: u64) -> BTreeMap<String, Vec<u8>> {
+    fn rows_at(&self, version: u64) -> BTreeMap<String, Vec<u8>> {
         let mut rows = BTreeMap::new();
         for change in self.history.iter().filter(|c| c.version <= version) {
             match &change.value {
@@ -38,7 +38,7 @@
 
     fn after(&self, version: u64) -> Vec<RowChange> {
         let later = self.history.iter().filter(|c| c.version > version);
-        // The feed tells the last change of each row.
+        // The feed sends the last change of each row.
         let mut last = BTreeMap::new();
         for change in later {
             last.insert(change.key.clone(), change.clone());
@@ -55,7 +55,7 @@
     }
 }
 
-/// An entry: its copy and what it has made of it.
+/// An entry: its copy and the rows that it derived from it.
 #[derive(Default)]
 struct Entry {
     copy: TableCopy,
@@ -64,17 +64,17 @@
 }
 
 impl Entry {
-    fn take_all(&mut self, rows: Vec<RowChange>, version: u64) {
+    fn apply_all(&mut self, rows: Vec<RowChange>, version: u64) {
         let bytes = |c: &RowChange| (c.key.clone(), c.value.clone());
-        let told: Vec<_> = rows.iter().map(bytes).collect();
+        let received: Vec<_> = rows.iter().map(bytes).collect();
         if self.copy.replace(rows, version) {
-            let told = told.into_iter();
-            self.rows = told.filter_map(|(k, v)| Some((k, v?))).collect();
+            let received = received.into_iter();
+            self.rows = received.filter_map(|(k, v)| Some((k, v?))).collect();
         }
         self.after = self.after.max(Some(version));
     }
 
-    fn take_changes(&mut self, changes: Vec<RowChange>, version: u64) {
+    fn apply_changes(&mut self, changes: Vec<RowChange>, version: u64) {
         for change in &changes {
             match &change.value {
                 Some(value) => {
@@ -89,26 +89,26 @@
         self.after = self.after.max(Some(version));
     }
 
-    fn ask_store(&mut self, store: &Store) {
+    fn read_store(&mut self, store: &Store) {
         match self.after {
-            None => self.take_all(store.all(), store.version),
+            None => self.apply_all(store.all(), store.version),
             Some(after) => {
-                self.take_changes(store.after(after), store.version);
+                self.apply_changes(store.after(after), store.version);
             }
         }
     }
 
-    fn ask(&mut self, other: &TableCopy) {
+    fn read_copy(&mut self, other: &TableCopy) {
         let Some(version) = other.version() else { return };
         let changes = self.after.and_then(|after| other.changes_after(after));
         match changes {
             Some(changes) => {
                 let changes = changes.into_iter().cloned().collect();
-                self.take_changes(changes, version);
+                self.apply_changes(changes, version);
             }
             None => {
                 let all = other.rows().cloned().collect();
-                self.take_all(all, version);
+                self.apply_all(all, version);
             }
         }
     }
@@ -117,28 +117,29 @@
 #[derive(Clone, Debug)]
 enum Step {
     Change(u8, Option<u8>),
-    AskStore(usize),
-    Ask(usize, usize),
-    /// An entry starts anew and knows nothing.
-    Start(usize),
-    /// The store has forgotten what an entry would ask for next.
-    Forget(usize),
+    ReadStore(usize),
+    ReadCopy(usize, usize),
+    /// An entry restarts without data.
+    Restart(usize),
+    /// The store no longer has the changes that an entry would read next, so
+    /// the entry must read the whole table.
+    ForgetVersion(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let value = prop::option::weighted(0.7, any::<u8>());
     prop_oneof![
         (0_u8..6, value).prop_map(|(key, value)| Step::Change(key, value)),
-        (0_usize..4).prop_map(Step::AskStore),
-        (0_usize..4, 0_usize..4).prop_map(|(a, b)| Step::Ask(a, b)),
-        (0_usize..4).prop_map(Step::Start),
-        (0_usize..4).prop_map(Step::Forget),
+        (0_usize..4).prop_map(Step::ReadStore),
+        (0_usize..4, 0_usize..4).prop_map(|(a, b)| Step::ReadCopy(a, b)),
+        (0_usize..4).prop_map(Step::Restart),
+        (0_usize..4).prop_map(Step::ForgetVersion),
     ]
 }
 
 proptest! {
     #[test]
-    fn what_is_known_is_what_the_table_held(
+    fn a_copy_matches_the_table_at_its_version_and_never_goes_back(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let mut store = Store::default();
@@ -146,28 +147,28 @@
         for step in steps {
             let version = |entry: &Entry| entry.copy.version();
             let before: Vec<_> = entries.iter().map(version).collect();
-            let mut started = None;
+            let mut restarted = None;
             match step {
                 Step::Change(key, value) => store.change(key, value),
-                Step::AskStore(at) => entries[at].ask_store(&store),
-                Step::Ask(at, other) => {
+                Step::ReadStore(at) => entries[at].read_store(&store),
+                Step::ReadCopy(at, other) => {
                     let copy = entries[other].copy.clone();
-                    entries[at].ask(&copy);
+                    entries[at].read_copy(&copy);
                 }
-                Step::Start(at) => {
+                Step::Restart(at) => {
                     entries[at] = Entry::default();
-                    started = Some(at);
+                    restarted = Some(at);
                 }
-                Step::Forget(at) => entries[at].after = None,
+                Step::ForgetVersion(at) => entries[at].after = None,
             }
             for (at, entry) in entries.iter().enumerate() {
-                if started != Some(at) {
+                if restarted != Some(at) {
                     prop_assert!(entry.copy.version() >= before[at]);
                 }
                 let known = entry.copy.version().unwrap_or(0);
                 prop_assert!(known <= store.version);
                 if entry.copy.version().is_some() {
-                    prop_assert_eq!(&entry.rows, &store.at(known));
+                    prop_assert_eq!(&entry.rows, &store.rows_at(known));
                 }
             }
         }
--- a/crates/routing/tests/capacity_wait.rs
+++ b/crates/routing/tests/capacity_wait.rs
@@ -1,4 +1,5 @@
-//! Waiting for room on a virtual clock, at loads up to three times what fits.
+//! Simulates waits for capacity on a virtual clock, at up to three times the
+//! load that fits.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,47 +12,47 @@
 
 const LIMIT_TOKENS: u64 = 10_000_000;
 /// Tokens that fit at the same time.
-const ROOM_TOKENS: u64 = 80_000;
-/// How long a request runs: with the above, 40 requests a second fit.
-const RUNS_MS: u64 = 2_000;
+const CAPACITY_TOKENS: u64 = 80_000;
+/// Run time of a request: with the capacity above, 40 requests per second fit.
+const RUN_MS: u64 = 2_000;
 const MEAN_TOKENS: u64 = 1_000;
-/// How long a request may wait to begin in time.
-const IN_TIME_MS: u64 = 350;
+/// Longest wait of a request to start within its target.
+const START_WITHIN_MS: u64 = 350;
 const LENGTH_MS: u64 = 30_000;
-/// Time between looks for room.
-const LOOK_MS: u64 = 15;
+/// Interval between checks for free capacity.
+const CHECK_INTERVAL_MS: u64 = 15;
 
-/// Who may wait.
+/// Which requests may wait.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    /// As decided by [`CapacityWaits`].
-    InTime,
-    /// All, for as long as clients stay.
-    All,
+enum WaitPolicy {
+    /// Those that [`CapacityWaits`] allows.
+    ByTarget,
+    /// All requests, for as long as clients stay.
+    AllWait,
 }
 
-/// What is asked for.
+/// The load on the entry.
 #[derive(Clone, Copy)]
 struct Load {
-    /// Multiple of what fits.
-    times: f64,
-    /// From when until when; what fits nearly before and after.
+    /// Load as a multiple of the capacity.
+    load_factor: f64,
+    /// Span of that load; before and after, the load is 0.8 of the capacity.
     from_ms: u64,
     until_ms: u64,
     seed: u64,
 }
 
 #[derive(Debug, Default)]
-struct Figures {
-    asked: u64,
+struct Results {
+    submitted: u64,
     in_time: u64,
     late: u64,
-    /// How long each was held that was refused.
+    /// Time for which each refused request waited.
     refused_after_ms: Vec<u64>,
     by_account: BTreeMap<usize, (u64, u64)>,
 }
 
-struct Waiting {
+struct Waiter {
     key: u64,
     account: usize,
     tokens: u64,
@@ -60,22 +61,22 @@
     has_turn: bool,
 }
 
-struct World {
-    way: Way,
+struct Simulation {
+    policy: WaitPolicy,
     turns: SearchTurns,
     waits: CapacityWaits,
-    waiting: Vec<Waiting>,
+    waiting: Vec<Waiter>,
     running: VecDeque<(u64, u64)>,
-    figures: Figures,
+    results: Results,
 }
 
-impl World {
+impl Simulation {
     fn used(&self) -> u64 {
         self.running.iter().map(|run| run.1).sum()
     }
 
-    fn has_room(&self, tokens: u64) -> bool {
-        self.used() + tokens <= ROOM_TOKENS
+    fn has_capacity(&self, tokens: u64) -> bool {
+        self.used() + tokens <= CAPACITY_TOKENS
     }
 
     fn run(
@@ -85,54 +86,57 @@
         waited_ms: u64,
         now_ms: u64,
     ) {
-        self.running.push_back((now_ms + RUNS_MS, tokens));
+        self.running.push_back((now_ms + RUN_MS, tokens));
         self.waits.record_start(&account.to_string(), tokens, now_ms);
-        match waited_ms <= IN_TIME_MS {
+        match waited_ms <= START_WITHIN_MS {
             true => {
-                self.figures.in_time += 1;
-                self.figures.by_account.entry(account).or_default().1 += 1;
+                self.results.in_time += 1;
+                self.results.by_account.entry(account).or_default().1 += 1;
             }
-            false => self.figures.late += 1,
+            false => self.results.late += 1,
         }
     }
 
-    fn ask(&mut self, account: usize, tokens: u64, now_ms: u64) {
-        self.figures.asked += 1;
-        self.figures.by_account.entry(account).or_default().0 += 1;
+    fn submit(&mut self, account: usize, tokens: u64, now_ms: u64) {
+        self.results.submitted += 1;
+        self.results.by_account.entry(account).or_default().0 += 1;
         self.waits.record_request(&account.to_string(), tokens, now_ms);
-        if self.turns.is_idle() && self.has_room(tokens) {
+        if self.turns.is_idle() && self.has_capacity(tokens) {
             return self.run(account, tokens, 0, now_ms);
         }
         let name = account.to_string();
-        let need = CapacityRequest {
+        let request = CapacityRequest {
             account: &name,
             tokens,
             tokens_before: self.turns.tokens_before(&name, tokens),
-            start_within_ms: IN_TIME_MS,
+            start_within_ms: START_WITHIN_MS,
             contended_for_ms: self.turns.contended_for_ms(now_ms),
         };
-        let wait = match self.way {
-            Way::InTime => self.waits.decide(&need, now_ms),
-            Way::All => CapacityWait::UpTo(MAX_WAIT_MS),
+        let wait = match self.policy {
+            WaitPolicy::ByTarget => self.waits.decide(&request, now_ms),
+            WaitPolicy::AllWait => CapacityWait::UpTo(MAX_WAIT_MS),
         };
         let CapacityWait::UpTo(wait_ms) = wait else {
-            self.figures.refused_after_ms.push(0);
+            self.results.refused_after_ms.push(0);
             return;
         };
         let until_ms = now_ms + wait_ms;
-        let in_time_ms = match self.way {
-            Way::InTime => IN_TIME_MS,
-            Way::All => wait_ms,
+        let in_time_ms = match self.policy {
+            WaitPolicy::ByTarget => START_WITHIN_MS,
+            WaitPolicy::AllWait => wait_ms,
         };
-        let need = TurnRequest {
+        let request = TurnRequest {
             account: &name,
             priority: Priority::Normal,
             tokens,
             start_by_ms: now_ms + in_time_ms,
             wait_until_ms: until_ms,
         };
-        let key = self.turns.try_join(&need, now_ms).expect("there is room");
-        self.waiting.push(Waiting {
+        let key = self
+            .turns
+            .try_join(&request, now_ms)
+            .expect("the queue has space");
+        self.waiting.push(Waiter {
             key,
             account,
             tokens,
@@ -142,7 +146,7 @@
         });
     }
 
-    fn look(&mut self, now_ms: u64) {
+    fn check(&mut self, now_ms: u64) {
         while let Some((end_ms, tokens)) = self.running.front().copied()
             && end_ms <= now_ms
         {
@@ -152,14 +156,14 @@
         for waiting in self.waiting.extract_if(.., |w| w.until_ms <= now_ms) {
             self.turns.leave(waiting.key);
             let held_ms = now_ms - waiting.since_ms;
-            self.figures.refused_after_ms.push(held_ms);
+            self.results.refused_after_ms.push(held_ms);
         }
         loop {
             let granted = self.turns.grant(now_ms);
             for waiting in &mut self.waiting {
                 waiting.has_turn |= granted.contains(&waiting.key);
             }
-            let fits = |w: &Waiting| w.has_turn && self.has_room(w.tokens);
+            let fits = |w: &Waiter| w.has_turn && self.has_capacity(w.tokens);
             let Some(next) = self.waiting.iter().position(fits) else {
                 return;
             };
@@ -171,98 +175,102 @@
     }
 }
 
-/// Ten accounts; the first asks for as much as the others together.
-fn play(way: Way, load: Load) -> Figures {
+/// Ten accounts, of which the first submits as much as the others together.
+fn simulate(policy: WaitPolicy, load: Load) -> Results {
     let mut rng = fastrand::Rng::with_seed(load.seed);
-    let mut world = World {
-        way,
+    let mut simulation = Simulation {
+        policy,
         turns: SearchTurns::new(LIMIT_TOKENS),
         waits: CapacityWaits::new(),
         waiting: Vec::new(),
         running: VecDeque::new(),
-        figures: Figures::default(),
+        results: Results::default(),
     };
-    let fits_each_look =
-        (ROOM_TOKENS * LOOK_MS) as f64 / (RUNS_MS * MEAN_TOKENS) as f64;
-    for now_ms in (0..LENGTH_MS).step_by(LOOK_MS as usize) {
+    let capacity_per_check = (CAPACITY_TOKENS * CHECK_INTERVAL_MS) as f64
+        / (RUN_MS * MEAN_TOKENS) as f64;
+    for now_ms in (0..LENGTH_MS).step_by(CHECK_INTERVAL_MS as usize) {
         let is_high = (load.from_ms..load.until_ms).contains(&now_ms);
-        let times = if is_high { load.times } else { 0.8 };
-        let mean = times * fits_each_look;
+        let load_factor = if is_high { load.load_factor } else { 0.8 };
+        let mean = load_factor * capacity_per_check;
         let arrivals = mean as u64 + u64::from(rng.f64() < mean.fract());
         for _ in 0..arrivals {
             let account = rng.usize(..18).saturating_sub(8);
             let tokens = rng.u64(MEAN_TOKENS / 4..=MEAN_TOKENS * 7 / 4);
-            world.ask(account, tokens, now_ms);
+            simulation.submit(account, tokens, now_ms);
         }
-        world.look(now_ms);
+        simulation.check(now_ms);
     }
-    world.figures
+    simulation.results
 }
 
 struct Case {
     load: Load,
-    /// Least share of what fits that begins in time.
-    least_in_time: f64,
-    /// Least multiple of what begins in time where all wait.
-    least_gain: f64,
+    /// Minimum share of the capacity used by requests that start in time.
+    min_in_time: f64,
+    /// Minimum ratio to the requests that start in time if all may wait.
+    min_gain: f64,
 }
 
-const fn lasting(times: f64, seed: u64) -> Load {
-    Load { times, from_ms: 0, until_ms: LENGTH_MS, seed }
+const fn constant_load(load_factor: f64, seed: u64) -> Load {
+    Load { load_factor, from_ms: 0, until_ms: LENGTH_MS, seed }
 }
 
 #[rstest]
-#[case(Case { load: lasting(0.8, 1), least_in_time: 0.79, least_gain: 1.0 })]
-#[case(Case { load: lasting(1.3, 2), least_in_time: 0.85, least_gain: 1.5 })]
-#[case(Case { load: lasting(2.0, 3), least_in_time: 0.85, least_gain: 3.0 })]
-#[case(Case { load: lasting(2.0, 4), least_in_time: 0.85, least_gain: 3.0 })]
-#[case(Case { load: lasting(3.0, 5), least_in_time: 0.85, least_gain: 3.0 })]
-fn as_much_begins_in_time_whatever_is_asked_for(#[case] case: Case) {
-    let in_time = play(Way::InTime, case.load);
-    let all = play(Way::All, case.load);
-    let fits =
-        (LENGTH_MS * ROOM_TOKENS) as f64 / (RUNS_MS * MEAN_TOKENS) as f64;
-    let share = in_time.in_time as f64 / fits;
-    let gain = in_time.in_time as f64 / all.in_time.max(1) as f64;
-    let text = format!(
-        "{} asked; in time {} of {fits} that fit, {} where all wait",
-        in_time.asked, in_time.in_time, all.in_time
+#[case(Case { load: constant_load(0.8, 1), min_in_time: 0.79, min_gain: 1.0 })]
+#[case(Case { load: constant_load(1.3, 2), min_in_time: 0.85, min_gain: 1.5 })]
+#[case(Case { load: constant_load(2.0, 3), min_in_time: 0.85, min_gain: 3.0 })]
+#[case(Case { load: constant_load(2.0, 4), min_in_time: 0.85, min_gain: 3.0 })]
+#[case(Case { load: constant_load(3.0, 5), min_in_time: 0.85, min_gain: 3.0 })]
+fn overload_does_not_reduce_the_requests_that_start_in_time(
+    #[case] case: Case,
+) {
+    let by_target = simulate(WaitPolicy::ByTarget, case.load);
+    let all_wait = simulate(WaitPolicy::AllWait, case.load);
+    let capacity =
+        (LENGTH_MS * CAPACITY_TOKENS) as f64 / (RUN_MS * MEAN_TOKENS) as f64;
+    let share = by_target.in_time as f64 / capacity;
+    let gain = by_target.in_time as f64 / all_wait.in_time.max(1) as f64;
+    let summary = format!(
+        "{} submitted; in time {} of {capacity} that fit, {} if all wait",
+        by_target.submitted, by_target.in_time, all_wait.in_time
     );
-    assert!(share >= case.least_in_time, "{text}");
-    assert!(gain >= case.least_gain, "{text}");
-    // Most are refused at once; the others waited for room that did not come
-    // in time.
+    assert!(share >= case.min_in_time, "{summary}");
+    assert!(gain >= case.min_gain, "{summary}");
+    // Most are refused at once; the others waited for capacity that was not
+    // freed in time.
     let at_once =
-        in_time.refused_after_ms.iter().filter(|ms| **ms == 0).count();
-    let refused = in_time.refused_after_ms.len();
+        by_target.refused_after_ms.iter().filter(|ms| **ms == 0).count();
+    let refused = by_target.refused_after_ms.len();
     assert!(at_once as f64 >= 0.75 * refused as f64, "{at_once} of {refused}");
 }
 
 #[test]
-fn a_short_peak_is_waited_out() {
-    let load = Load { times: 1.6, from_ms: 8_000, until_ms: 8_300, seed: 6 };
-    let figures = play(Way::InTime, load);
-    assert!(figures.refused_after_ms.is_empty(), "{figures:?}");
+fn all_requests_wait_out_a_short_peak() {
+    let load =
+        Load { load_factor: 1.6, from_ms: 8_000, until_ms: 8_300, seed: 6 };
+    let results = simulate(WaitPolicy::ByTarget, load);
+    assert!(results.refused_after_ms.is_empty(), "{results:?}");
 }
 
 #[test]
-fn accounts_that_ask_for_less_are_served_more_of_it() {
-    let figures = play(Way::InTime, lasting(2.0, 7));
-    let share = |(asked, in_time): (u64, u64)| in_time as f64 / asked as f64;
-    let large = share(figures.by_account[&0]);
-    let small = figures.by_account.iter().filter(|(at, _)| **at != 0);
+fn accounts_that_submit_less_have_a_larger_share_served() {
+    let results = simulate(WaitPolicy::ByTarget, constant_load(2.0, 7));
+    let share =
+        |(submitted, in_time): (u64, u64)| in_time as f64 / submitted as f64;
+    let large = share(results.by_account[&0]);
+    let small = results.by_account.iter().filter(|(at, _)| **at != 0);
     let small: Vec<f64> = small.map(|(_, tally)| share(*tally)).collect();
-    let least = small.iter().copied().fold(1.0, f64::min);
-    // The fair share of each is a tenth of what fits, 0.9 of what a small
-    // one asks for and 0.1 of what the large one does.
-    assert!(least > 1.4 * large, "{least} {large}");
+    let min_share = small.iter().copied().fold(1.0, f64::min);
+    // The fair share of each account is a tenth of the capacity: 0.9 of the
+    // load of a small account, and 0.1 of the load of the large one.
+    assert!(min_share > 1.4 * large, "{min_share} {large}");
 }
 
 #[test]
-fn who_is_refused_comes_back_spread_over_what_runs() {
+fn retry_times_are_spread_over_the_turnover_of_running_requests() {
     let mut waits = CapacityWaits::new();
     let mut rng = fastrand::Rng::with_seed(8);
-    // 20 requests of 1,000 tokens a second that run for 1.5 s.
+    // 20 requests of 1,000 tokens per second that run for 1.5 s.
     for number in 0..60 {
         waits.record_start("a", 1_000, number * 50);
         if number >= 30 {
@@ -280,16 +288,16 @@
 }
 
 #[test]
-fn nothing_that_begins_is_expected_to_come_where_nothing_runs() {
+fn without_recent_starts_no_wait_is_expected() {
     let mut waits = CapacityWaits::new();
-    let need = CapacityRequest {
+    let request = CapacityRequest {
         account: "a",
         tokens: 1_000,
         tokens_before: 0,
-        start_within_ms: IN_TIME_MS,
+        start_within_ms: START_WITHIN_MS,
         contended_for_ms: PEAK_MS,
     };
-    assert_eq!(waits.decide(&need, 5_000), CapacityWait::Refused(None));
-    let need = CapacityRequest { contended_for_ms: PEAK_MS - 1, ..need };
-    assert_eq!(waits.decide(&need, 5_000), CapacityWait::UpTo(MAX_WAIT_MS));
+    assert_eq!(waits.decide(&request, 5_000), CapacityWait::Refused(None));
+    let request = CapacityRequest { contended_for_ms: PEAK_MS - 1, ..request };
+    assert_eq!(waits.decide(&request, 5_000), CapacityWait::UpTo(MAX_WAIT_MS));
 }
--- a/crates/routing/tests/rate_limit.rs
+++ b/crates/routing/tests/rate_limit.rs
@@ -1,120 +1,121 @@
-//! The limit that a server names in its answers.
+//! The rate limit that a server announces in its responses.
 
 use chestnutreach_routing::{ServerRateLimit, rate_limit::MIN_PER_S};
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// What one answer says.
+/// Content of one response.
 #[derive(Clone, Copy, Debug)]
-enum Answer {
-    Named { per_s: f64, received_ms: u64 },
-    Unnamed { sent_ms: u64 },
+enum Response {
+    Limit { per_s: f64, received_ms: u64 },
+    NoLimit { sent_ms: u64 },
 }
 
-fn take(limit: &mut ServerRateLimit, answer: Answer) {
-    match answer {
-        Answer::Named { per_s, received_ms } => {
+fn record(limit: &mut ServerRateLimit, response: Response) {
+    match response {
+        Response::Limit { per_s, received_ms } => {
             limit.record_announced(per_s, received_ms);
         }
-        Answer::Unnamed { sent_ms } => limit.record_absent(sent_ms),
+        Response::NoLimit { sent_ms } => limit.record_absent(sent_ms),
     }
 }
 
 struct Case {
-    answers: &'static [Answer],
-    in_force: Option<f64>,
+    responses: &'static [Response],
+    current_per_s: Option<f64>,
 }
 
 #[rstest]
-#[case::nothing_known(Case { answers: &[], in_force: None })]
-#[case::named(Case {
-    answers: &[Answer::Named { per_s: 5.0, received_ms: 100 }],
-    in_force: Some(5.0),
+#[case::nothing_known(Case { responses: &[], current_per_s: None })]
+#[case::announced(Case {
+    responses: &[Response::Limit { per_s: 5.0, received_ms: 100 }],
+    current_per_s: Some(5.0),
 })]
-#[case::sent_before_it_was_named(Case {
-    answers: &[
-        Answer::Named { per_s: 5.0, received_ms: 100 },
-        Answer::Unnamed { sent_ms: 90 },
+#[case::no_limit_in_a_response_to_an_earlier_request(Case {
+    responses: &[
+        Response::Limit { per_s: 5.0, received_ms: 100 },
+        Response::NoLimit { sent_ms: 90 },
     ],
-    in_force: Some(5.0),
+    current_per_s: Some(5.0),
 })]
-#[case::sent_after(Case {
-    answers: &[
-        Answer::Named { per_s: 5.0, received_ms: 100 },
-        Answer::Unnamed { sent_ms: 101 },
+#[case::no_limit_in_a_response_to_a_later_request(Case {
+    responses: &[
+        Response::Limit { per_s: 5.0, received_ms: 100 },
+        Response::NoLimit { sent_ms: 101 },
     ],
-    in_force: None,
+    current_per_s: None,
 })]
-#[case::named_anew(Case {
-    answers: &[
-        Answer::Named { per_s: 5.0, received_ms: 100 },
-        Answer::Unnamed { sent_ms: 101 },
-        Answer::Named { per_s: 2.0, received_ms: 130 },
+#[case::announced_again(Case {
+    responses: &[
+        Response::Limit { per_s: 5.0, received_ms: 100 },
+        Response::NoLimit { sent_ms: 101 },
+        Response::Limit { per_s: 2.0, received_ms: 130 },
     ],
-    in_force: Some(2.0),
+    current_per_s: Some(2.0),
 })]
-#[case::zero_lets_some_through(Case {
-    answers: &[Answer::Named { per_s: 0.0, received_ms: 100 }],
-    in_force: Some(MIN_PER_S),
+#[case::zero_is_raised_to_the_minimum(Case {
+    responses: &[Response::Limit { per_s: 0.0, received_ms: 100 }],
+    current_per_s: Some(MIN_PER_S),
 })]
-fn a_limit_holds_until_a_later_answer_names_none(#[case] case: Case) {
+fn a_limit_applies_until_a_later_request_gets_no_limit(#[case] case: Case) {
     let mut limit = ServerRateLimit::new();
-    for answer in case.answers {
-        take(&mut limit, *answer);
+    for response in case.responses {
+        record(&mut limit, *response);
     }
-    let in_force = limit.current().map(|named| named.per_s);
-    assert_eq!(in_force, case.in_force);
+    let current_per_s = limit.current().map(|announced| announced.per_s);
+    assert_eq!(current_per_s, case.current_per_s);
 }
 
-fn answer() -> impl Strategy<Value = Answer> {
+fn response() -> impl Strategy<Value = Response> {
     prop_oneof![
         (0.0..100.0, 0_u64..200).prop_map(|(per_s, received_ms)| {
-            Answer::Named { per_s, received_ms }
+            Response::Limit { per_s, received_ms }
         }),
-        (0_u64..200).prop_map(|sent_ms| Answer::Unnamed { sent_ms }),
+        (0_u64..200).prop_map(|sent_ms| Response::NoLimit { sent_ms }),
     ]
 }
 
 proptest! {
-    /// Entries that heard the same know the same.
+    /// Entries that recorded the same responses have the same state.
     #[test]
-    fn order_and_repetition_of_news_do_not_matter(
-        answers in prop::collection::vec(answer(), 0..12),
+    fn order_and_repetition_of_responses_do_not_matter(
+        responses in prop::collection::vec(response(), 0..12),
         shuffled in any::<prop::sample::Index>(),
     ) {
         let mut limit = ServerRateLimit::new();
-        answers.iter().for_each(|answer| take(&mut limit, *answer));
-        let mut other = answers.clone();
-        if !other.is_empty() {
-            let at = shuffled.index(other.len());
-            other.rotate_left(at);
-            other.push(other[at]);
-            other.reverse();
+        responses.iter().for_each(|response| record(&mut limit, *response));
+        let mut reordered = responses.clone();
+        if !reordered.is_empty() {
+            let at = shuffled.index(reordered.len());
+            reordered.rotate_left(at);
+            reordered.push(reordered[at]);
+            reordered.reverse();
         }
-        let mut changed = ServerRateLimit::new();
-        other.iter().for_each(|answer| take(&mut changed, *answer));
-        prop_assert_eq!(limit, changed);
+        let mut reordered_limit = ServerRateLimit::new();
+        reordered.iter().for_each(|response| record(&mut reordered_limit, *response));
+        prop_assert_eq!(limit, reordered_limit);
     }
 
-    /// An answer that may have begun before the need does not end it.
+    /// A response that the server may have begun before its limit does not end
+    /// the limit.
     #[test]
-    fn only_a_request_sent_after_the_last_named_answer_ends_it(
-        answers in prop::collection::vec(answer(), 1..12),
+    fn only_a_request_sent_after_the_last_limit_was_received_ends_it(
+        responses in prop::collection::vec(response(), 1..12),
     ) {
         let mut limit = ServerRateLimit::new();
-        answers.iter().for_each(|answer| take(&mut limit, *answer));
-        let named = answers.iter().filter_map(|answer| match answer {
-            Answer::Named { received_ms, .. } => Some(*received_ms),
-            Answer::Unnamed { .. } => None,
+        responses.iter().for_each(|response| record(&mut limit, *response));
+        let announced = responses.iter().filter_map(|response| match response {
+            Response::Limit { received_ms, .. } => Some(*received_ms),
+            Response::NoLimit { .. } => None,
         });
-        let unnamed = answers.iter().filter_map(|answer| match answer {
-            Answer::Named { .. } => None,
-            Answer::Unnamed { sent_ms } => Some(*sent_ms),
+        let absent = responses.iter().filter_map(|response| match response {
+            Response::Limit { .. } => None,
+            Response::NoLimit { sent_ms } => Some(*sent_ms),
         });
-        let holds = match (named.max(), unnamed.max()) {
+        let applies = match (announced.max(), absent.max()) {
             (None, _) => false,
-            (Some(named), unnamed) => unnamed.is_none_or(|at| at <= named),
+            (Some(announced), absent) => absent.is_none_or(|at| at <= announced),
         };
-        prop_assert_eq!(limit.current().is_some(), holds);
+        prop_assert_eq!(limit.current().is_some(), applies);
     }
 }
