--- a/crates/membership/tests/feed_source.rs
+++ b/crates/membership/tests/feed_source.rs
@@ -304,24 +304,24 @@
     max_calls_per_s: 8.0,
 })]
 #[case::the_store_refuses_the_reader(Case {
-    entries: 14, fault: Fault::StoreRefuses(1, 8_000), max_age_ms: MAX_KEY_AGE_MS,
-    max_calls_per_s: 4.0,
+    entries: 14, fault: Fault::StoreRefuses(1, 8_000),
+    max_age_ms: MAX_KEY_AGE_MS, max_calls_per_s: 4.0,
 })]
 #[case::the_store_refuses_a_third(Case {
-    entries: 14, fault: Fault::StoreRefuses(5, 8_000), max_age_ms: MAX_KEY_AGE_MS,
-    max_calls_per_s: 8.0,
+    entries: 14, fault: Fault::StoreRefuses(5, 8_000),
+    max_age_ms: MAX_KEY_AGE_MS, max_calls_per_s: 8.0,
 })]
 #[case::the_reader_is_partitioned_from_the_store(Case {
-    entries: 14, fault: Fault::StoreSilent(1, 8_000), max_age_ms: MAX_KEY_AGE_MS,
-    max_calls_per_s: 4.0,
+    entries: 14, fault: Fault::StoreSilent(1, 8_000),
+    max_age_ms: MAX_KEY_AGE_MS, max_calls_per_s: 4.0,
 })]
 #[case::a_third_is_partitioned_from_the_store(Case {
-    entries: 14, fault: Fault::StoreSilent(5, 8_000), max_age_ms: MAX_KEY_AGE_MS,
-    max_calls_per_s: 8.0,
+    entries: 14, fault: Fault::StoreSilent(5, 8_000),
+    max_age_ms: MAX_KEY_AGE_MS, max_calls_per_s: 8.0,
 })]
 #[case::the_store_is_unavailable(Case {
-    entries: 14, fault: Fault::StoreUnavailable(8_000), max_age_ms: 8_000 + MAX_KEY_AGE_MS,
-    max_calls_per_s: 8.0,
+    entries: 14, fault: Fault::StoreUnavailable(8_000),
+    max_age_ms: 8_000 + MAX_KEY_AGE_MS, max_calls_per_s: 8.0,
 })]
 fn data_stays_recent_with_few_store_calls(#[case] case: Case) {
     for seed in 0..20 {
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -14,10 +14,18 @@
 }
 
 #[rstest]
-#[case::no_peers(Case { scope: PeerScope::SameDataCentre, count: 0, interval_ms: 200 })]
-#[case::few_in_the_same_data_centre(Case { scope: PeerScope::SameDataCentre, count: 13, interval_ms: 200 })]
-#[case::few_in_other_data_centres(Case { scope: PeerScope::OtherDataCentre, count: 4, interval_ms: 200 })]
-#[case::many_in_other_data_centres(Case { scope: PeerScope::OtherDataCentre, count: 54, interval_ms: 1_000 })]
+#[case::no_peers(Case {
+    scope: PeerScope::SameDataCentre, count: 0, interval_ms: 200,
+})]
+#[case::few_in_the_same_data_centre(Case {
+    scope: PeerScope::SameDataCentre, count: 13, interval_ms: 200,
+})]
+#[case::few_in_other_data_centres(Case {
+    scope: PeerScope::OtherDataCentre, count: 4, interval_ms: 200,
+})]
+#[case::many_in_other_data_centres(Case {
+    scope: PeerScope::OtherDataCentre, count: 54, interval_ms: 1_000,
+})]
 #[case::from_planner(Case {
     scope: PeerScope::FromPlanner, count: 300, interval_ms: 800,
 })]
--- a/crates/membership/tests/issuer.rs
+++ b/crates/membership/tests/issuer.rs
@@ -29,16 +29,21 @@
     ) {
         let id = |at: usize| at as u64 + 100;
         let live_of = |own: usize| -> Vec<u64> {
-            let live =
-                (0..entries).filter(|o| receives_from(&links, entries, own, *o));
+            let live = (0..entries)
+                .filter(|o| receives_from(&links, entries, own, *o));
             live.map(id).collect()
         };
         let none = BTreeMap::new();
         let choice = |own: usize| {
             let live = live_of(own);
             let known_count = entries - 1;
-            let view =
-                IssuerView { own: id(own), is_leaving: false, live: &live, known_count, choices: &none };
+            let view = IssuerView {
+                own: id(own),
+                is_leaving: false,
+                live: &live,
+                known_count,
+                choices: &none,
+            };
             view.choose_issuer(assignment, &[])
         };
         let choices: BTreeMap<u64, u64> =
@@ -51,10 +56,19 @@
             let live = live_of(own);
             let known_count = entries - 1;
             let choices = &choices;
-            let view = IssuerView { own: id(own), is_leaving: false, live: &live, known_count, choices };
+            let view = IssuerView {
+                own: id(own),
+                is_leaving: false,
+                live: &live,
+                known_count,
+                choices,
+            };
             total_share += view.share();
         }
-        prop_assert!(total_share <= 1.0 + 1e-9, "shares add up to {}", total_share);
+        prop_assert!(
+            total_share <= 1.0 + 1e-9,
+            "shares add up to {}", total_share
+        );
     }
 }
 
@@ -136,12 +150,18 @@
 /// without a majority keeps counting the lost entries, and a majority takes
 /// over their share only after a while.
 #[rstest]
-#[case::one_of_three_shortly(Partition { groups: [1, 2], age_ms: 29_000, total_share: 1.0 })]
-#[case::one_of_three_for_longer(Partition { groups: [1, 2], age_ms: 31_000, total_share: 4.0 / 3.0 })]
+#[case::one_of_three_shortly(Partition {
+    groups: [1, 2], age_ms: 29_000, total_share: 1.0,
+})]
+#[case::one_of_three_for_longer(Partition {
+    groups: [1, 2], age_ms: 31_000, total_share: 4.0 / 3.0,
+})]
 #[case::one_of_seventy(Partition {
     groups: [1, 69], age_ms: 590_000, total_share: 71.0 / 70.0,
 })]
-#[case::halves(Partition { groups: [35, 35], age_ms: 590_000, total_share: 1.0 })]
+#[case::halves(Partition {
+    groups: [35, 35], age_ms: 590_000, total_share: 1.0,
+})]
 #[case::regions(Partition {
     groups: [30, 40], age_ms: 590_000, total_share: 1.0 + 3.0 / 7.0,
 })]
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -30,7 +30,10 @@
         for entry in &entries {
             let others = entries.iter().copied();
             let is_among = ranked.iter().take(assignees).any(|e| e == entry);
-            prop_assert_eq!(is_assigned(*entry, others, assignment, assignees), is_among);
+            prop_assert_eq!(
+                is_assigned(*entry, others, assignment, assignees),
+                is_among
+            );
         }
     }
 }
--- a/crates/routing/src/permits/holder.rs
+++ b/crates/routing/src/permits/holder.rs
@@ -205,7 +205,7 @@
             && self.unanswered_since_ms.is_some_and(is_long)
     }
 
-    /// Forgets unanswered requests when another issuer is asked.
+    /// Forgets unanswered requests, after a response or a change of issuer.
     pub fn reset_issuer(&mut self) {
         self.unanswered_since_ms = None;
         self.unanswered_count = 0;
--- a/crates/routing/src/quarantine/suspects.rs
+++ b/crates/routing/src/quarantine/suspects.rs
@@ -25,9 +25,9 @@
 const REPORT_CHANGES_FOR_MS: u64 = 2_000;
 /// Limit on changed requests in one message.
 const MAX_CHANGED_PER_MESSAGE: usize = 16;
-/// Reports per second about each unchanged request, for entries that have
-/// just started or were partitioned, and the limit for all such requests
-/// together.
+/// Reports per second that each entry receives about an unchanged request, so
+/// that entries that have just started or were partitioned learn of it, and
+/// the limit for all such requests together.
 const REPEATS_PER_S: f64 = 3.0;
 const MAX_REPEATS_PER_S: f64 = 80.0;
 
--- a/crates/routing/src/quarantine/trials.rs
+++ b/crates/routing/src/quarantine/trials.rs
@@ -88,7 +88,7 @@
         self.by_request.insert(request, trial);
     }
 
-    /// Whether this holder holds the trial of a request.
+    /// Whether `holder` holds the trial of a request.
     pub fn is_held_by(
         &self,
         request: Fingerprint,
@@ -99,7 +99,7 @@
         trial.is_some_and(|t| t.holder == holder && now_ms < t.until_ms)
     }
 
-    /// Ends the trial of a request, if this holder holds it.
+    /// Ends the trial of a request, if `holder` holds it.
     pub fn end(&mut self, request: Fingerprint, holder: u64) {
         let trial = self.by_request.get(&request);
         if trial.is_some_and(|t| t.holder == holder) {
--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -58,10 +58,10 @@
     let mut ran_at: BTreeSet<usize> = BTreeSet::new();
     let mut contacted: BTreeMap<usize, u32> = BTreeMap::new();
     for step in &case.steps {
-        let may_go_on = attempts.may_retry()
+        let may_retry = attempts.may_retry()
             || variant == Variant::NoLimit
                 && (case.may_repeat || !attempts.may_have_run());
-        if !may_go_on {
+        if !may_retry {
             break;
         }
         let name = step.backend.to_string();
--- a/crates/routing/tests/exit_detection.rs
+++ b/crates/routing/tests/exit_detection.rs
@@ -17,12 +17,16 @@
     evidence: None, lasted_ms: 0, status: ExitStatus::Alive,
 })]
 #[case::refused(Case {
-    evidence: Some(FailureEvidence::Refused), lasted_ms: 0, status: ExitStatus::Exited,
+    evidence: Some(FailureEvidence::Refused),
+    lasted_ms: 0,
+    status: ExitStatus::Exited,
 })]
 // A request limited to two engines ran on three, because two connection
 // attempts whose responses a busy entry missed counted as an exit.
 #[case::two_missed_connection_attempts(Case {
-    evidence: Some(FailureEvidence::Silent), lasted_ms: 50, status: ExitStatus::Unknown,
+    evidence: Some(FailureEvidence::Silent),
+    lasted_ms: 50,
+    status: ExitStatus::Unknown,
 })]
 #[case::silent_just_before(Case {
     evidence: Some(FailureEvidence::Silent),
--- a/crates/routing/tests/fair_queue.rs
+++ b/crates/routing/tests/fair_queue.rs
@@ -322,8 +322,8 @@
                     let item = at as u32;
                     let priority = Priority::ALL[level];
                     let pushed = queue.push(
-                        &account_name(account), priority, cost, deadline_ms, item,
-                        now_ms,
+                        &account_name(account), priority, cost, deadline_ms,
+                        item, now_ms,
                     );
                     if pushed.is_ok() {
                         model.insert(item, cost);
--- a/crates/routing/tests/permits.rs
+++ b/crates/routing/tests/permits.rs
@@ -37,7 +37,7 @@
     /// Killed, and restarted a second later.
     Restarted,
     PausedFor(u64),
-    /// Partitioned from all other entries for a time; reaches the server.
+    /// Partitioned from all other entries for a time, but not from the server.
     PartitionedFor(u64),
 }
 
@@ -481,10 +481,15 @@
         seed in any::<u64>(),
     ) {
         let scenario =
-            Scenario { entries, limit_per_s, waits, loss, fault, seed, ..BASE };
+            Scenario {
+                entries, limit_per_s, waits, loss, fault, seed, ..BASE
+            };
         let max_count = max_in_window(&Simulation::new(scenario).run());
         let allowed = allowed_under_faults(limit_per_s);
-        prop_assert!(max_count <= allowed, "{} in 4 s, over {}", max_count, allowed);
+        prop_assert!(
+            max_count <= allowed,
+            "{} in 4 s, over {}", max_count, allowed
+        );
     }
 }
 
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -245,7 +245,8 @@
         reports in prop::collection::vec(any_report(), 1..20),
         order in any::<u64>(),
     ) {
-        let mut shuffled: Vec<&SuspectReport> = reports.iter().chain(&reports).collect();
+        let mut shuffled: Vec<&SuspectReport> =
+            reports.iter().chain(&reports).collect();
         fastrand::Rng::with_seed(order).shuffle(&mut shuffled);
         let direct = apply_all(&reports);
         prop_assert_eq!(known(&direct), known(&apply_all(shuffled)));
--- a/crates/routing/tests/rate_limit.rs
+++ b/crates/routing/tests/rate_limit.rs
@@ -92,7 +92,9 @@
             reordered.reverse();
         }
         let mut reordered_limit = ServerRateLimit::new();
-        reordered.iter().for_each(|response| record(&mut reordered_limit, *response));
+        reordered
+            .iter()
+            .for_each(|response| record(&mut reordered_limit, *response));
         prop_assert_eq!(limit, reordered_limit);
     }
 
@@ -114,7 +116,9 @@
         });
         let applies = match (announced.max(), absent.max()) {
             (None, _) => false,
-            (Some(announced), absent) => absent.is_none_or(|at| at <= announced),
+            (Some(announced), absent) => {
+                absent.is_none_or(|at| at <= announced)
+            }
         };
         prop_assert_eq!(limit.current().is_some(), applies);
     }
--- a/crates/routing/tests/startup_wait.rs
+++ b/crates/routing/tests/startup_wait.rs
@@ -26,27 +26,32 @@
 #[rstest]
 #[case(Case {
     name: "a small entry reads a large configuration: all requests are served",
-    configured_ms: 330, store_failed_ms: None, client_timeout_ms: 20_000,
+    configured_ms: 330, store_failed_ms: None,
+    client_timeout_ms: 20_000,
     served: 22, max_refusal_wait_ms: 0,
 })]
 #[case(Case {
     name: "a fast read: all requests are served",
-    configured_ms: 50, store_failed_ms: None, client_timeout_ms: 600,
+    configured_ms: 50, store_failed_ms: None,
+    client_timeout_ms: 600,
     served: 22, max_refusal_wait_ms: 0,
 })]
 #[case(Case {
     name: "the store fails: all waiting requests are refused at once",
-    configured_ms: 5_000, store_failed_ms: Some(120), client_timeout_ms: 20_000,
+    configured_ms: 5_000, store_failed_ms: Some(120),
+    client_timeout_ms: 20_000,
     served: 0, max_refusal_wait_ms: 120,
 })]
 #[case(Case {
-    name: "the read neither ends nor fails: no request waits longer than the limit",
-    configured_ms: 5_000, store_failed_ms: None, client_timeout_ms: 20_000,
+    name: "the read neither ends nor fails: the wait has a limit",
+    configured_ms: 5_000, store_failed_ms: None,
+    client_timeout_ms: 20_000,
     served: 0, max_refusal_wait_ms: 1_000,
 })]
 #[case(Case {
     name: "clients with a short timeout keep half of it for another entry",
-    configured_ms: 400, store_failed_ms: None, client_timeout_ms: 600,
+    configured_ms: 400, store_failed_ms: None,
+    client_timeout_ms: 600,
     // The requests that arrived after 100 ms.
     served: 6, max_refusal_wait_ms: 300,
 })]
