--- a/crates/cli/src/site/route.rs
+++ b/crates/cli/src/site/route.rs
@@ -79,7 +79,7 @@
         data_centre: place(data_centre),
         is_start: true,
         interconnect_utilisation: 0.0,
-        interconnect_prefill_ms: model.crossing_takes_ms(tokens),
+        interconnect_prefill_ms: model.interconnect_prefill_ms(tokens),
         max_stages: MOST_PARTS,
     };
     let mut rng = fastrand::Rng::with_seed(0);
@@ -129,11 +129,11 @@
         data_centre,
         first_layer: held.map_or(0, |held| held.first_layer),
         end_layer: held.map_or(0, |held| held.end_layer),
-        layer_ms: kind.map_or(0.0, |kind| model.step_part_ms(kind, 1)),
+        layer_ms: kind.map_or(0.0, |kind| model.layers_step_ms(kind, 1)),
         used_token_layers: 0,
         prefill_share: 0.0,
         total_token_layers: kind
-            .map_or(0, |kind| model.token_layers_beside(kind, layers)),
+            .map_or(0, |kind| model.token_layer_capacity(kind, layers)),
         is_usable: is_ready && kind.is_some() && held.is_some(),
         can_be_first: true,
     }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -12,7 +12,7 @@
     RequestPriority,
 };
 use chestnutreach_entry::Entry;
-use chestnutreach_node::InForce;
+use chestnutreach_node::ActiveManifest;
 use chestnutreach_protocol::{Link, Links, RequestId};
 use chestnutreach_routing::{Priority, RequestShape};
 use chestnutreach_side::Side;
@@ -32,7 +32,7 @@
 /// Answers control calls.
 pub(crate) struct Control {
     pub(crate) served: Served,
-    pub(crate) in_force: Arc<InForce>,
+    pub(crate) in_force: Arc<ActiveManifest>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) readiness: Arc<Readiness>,
     pub(crate) drain_limit_ms: u64,
@@ -90,7 +90,7 @@
             Served::Entry(entry) => entry.in_flight(),
             Served::Side(side) => {
                 let held = side.in_flight();
-                held.runs + held.seats
+                held.runs + held.reservations
             }
         }
     }
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -10,8 +10,9 @@
 use chestnutreach_control::serve_control;
 use chestnutreach_entry::{Entry, EntryParts};
 use chestnutreach_node::{
-    Heard, InForce, follow::ManifestFollower, peers::PeerManifests, threads,
-    traffic::count_traffic, vm_list::follow_vm_list,
+    ActiveManifest, PeerReports, manifest_follower::ManifestFollower,
+    peers::PeerManifests, threads, traffic::count_traffic,
+    vm_list::follow_vm_list,
 };
 use chestnutreach_platform::{
     ClaimOptions, ClaimStore, ManifestStore, ObjectClient, TableClient,
@@ -52,8 +53,8 @@
     identity: Identity,
     metrics: Arc<Metrics>,
     readiness: Arc<Readiness>,
-    heard: Arc<Heard>,
-    in_force: Arc<InForce>,
+    heard: Arc<PeerReports>,
+    in_force: Arc<ActiveManifest>,
     table: Arc<TableClient>,
     objects: Arc<ObjectClient>,
 }
@@ -77,8 +78,8 @@
                 .with_control(node.control_address),
             metrics,
             readiness: Arc::new(Readiness::new(&[NEEDS_MANIFEST])),
-            heard: Arc::new(Heard::new()),
-            in_force: Arc::new(InForce::new()),
+            heard: Arc::new(PeerReports::new()),
+            in_force: Arc::new(ActiveManifest::new()),
             table: Arc::new(table),
             objects: Arc::new(objects),
         }
@@ -93,7 +94,7 @@
         let peers = PeerManifests::new(seeds, self.heard.clone(), timeout);
         let heard = self.heard.clone();
         ManifestFollower::new(store, peers, heard, platform.manifest_poll_ms)
-            .in_force(self.in_force.clone())
+            .active_manifest(self.in_force.clone())
     }
 
     fn serve_ops(
@@ -271,7 +272,7 @@
         settings,
         identity: common.identity.clone(),
         metrics: common.metrics.clone(),
-        heard: common.heard.clone(),
+        peer_reports: common.heard.clone(),
         executor: executor.clone(),
         inner,
     });
@@ -298,9 +299,9 @@
     control.begin_stop();
     let in_flight = || {
         let held = side.in_flight();
-        held.runs + held.seats
+        held.runs + held.reservations
     };
     common.note_stopping(cause, in_flight());
     let drain = Drain::start(node.drain_limit_ms);
-    Ok(drain.finish(in_flight, || side.cut()).await)
+    Ok(drain.finish(in_flight, || side.abort_all()).await)
 }
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -243,7 +243,7 @@
         };
         RetryLimit {
             ratio: bounds.retry_ratio * share,
-            free_retries: bounds.retry_slack * share,
+            free_retries: bounds.free_retries * share,
             window_ms: bounds.retry_window_ms,
         }
     }
--- a/crates/direct/src/placement/orders.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -245,7 +245,7 @@
 /// Tokens of the requests that an engine takes as their first one.
 fn first_tokens(model: &Model, engines: &[Arc<Engine>]) -> f64 {
     let places = engines.iter().map(|engine| engine.lock().row.slots);
-    let usual = model.usual_prompt_tokens + model.usual_answer_tokens;
+    let usual = model.typical_prompt_tokens + model.typical_output_tokens;
     match (places.min(), usual) {
         (None | Some(0), _) | (_, 0) => f64::INFINITY,
         (Some(places), usual) => f64::from(places) * f64::from(usual),
@@ -272,7 +272,7 @@
         layout: LayoutEngine {
             data_centre: engine.data_centre,
             memory_mb: kind.map_or(0.0, |kind| kind.memory_mb),
-            layer_ms: kind.map_or(0.0, |kind| model.step_part_ms(kind, 1)),
+            layer_ms: kind.map_or(0.0, |kind| model.layers_step_ms(kind, 1)),
             held: state.row.held,
             is_available: is_sound,
             accepts_orders: is_sound && kind.is_some(),
@@ -309,7 +309,7 @@
 ) -> StreamPolicy {
     let configuration = core.configuration();
     let may_go_on =
-        configuration.is_some_and(|c| c.streams_may_go_on(service));
+        configuration.is_some_and(|c| c.streams_are_resumable(service));
     let held = engine.lock().row.held;
     let is_first = held.is_some_and(|held| held.first_layer == 0);
     match may_go_on && (!is_first || range.first_layer == 0) {
--- a/crates/direct/src/request/admit.rs
+++ b/crates/direct/src/request/admit.rs
@@ -38,7 +38,7 @@
     /// Its tries at backend servers, none of them made.
     pub(crate) fn attempts(&self, counted: CountedBackends) -> Attempts {
         let most = self.route.max_attempts as usize;
-        Attempts::new(self.route.reuse.may_repeat(), most, counted)
+        Attempts::new(self.route.kind.allows_retry(), most, counted)
     }
 
     pub(crate) fn id_text(&self) -> &str {
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -112,7 +112,7 @@
         }
     };
     let (ended, after) = match &admitted {
-        Ok(admitted) if admitted.route.reuse.is_stream() => {
+        Ok(admitted) if admitted.route.kind.is_stream() => {
             stream::relay(core, inbound, request, admitted, is_last).await
         }
         Ok(admitted) => {
--- a/crates/direct/src/request/interconnect.rs
+++ b/crates/direct/src/request/interconnect.rs
@@ -21,8 +21,12 @@
 
     /// Use of what joins data centres, as far as entries have told; 1 is
     /// full. It is full for this entry where its own part is used up.
-    pub(crate) fn share(&self, peers: &PeerTable, pipe_mbps: f64) -> f64 {
-        let bounds = bounds(peers, pipe_mbps);
+    pub(crate) fn share(
+        &self,
+        peers: &PeerTable,
+        interconnect_mbps: f64,
+    ) -> f64 {
+        let bounds = bounds(peers, interconnect_mbps);
         let mut part = self.part.lock().expect("no holder panics");
         if !part.has_remaining(&bounds, now_ms()) {
             return 1.0;
@@ -33,8 +37,13 @@
     }
 
     /// Counts what a request sends.
-    pub(crate) fn note(&self, peers: &PeerTable, pipe_mbps: f64, bytes: f64) {
-        let bounds = bounds(peers, pipe_mbps);
+    pub(crate) fn note(
+        &self,
+        peers: &PeerTable,
+        interconnect_mbps: f64,
+        bytes: f64,
+    ) {
+        let bounds = bounds(peers, interconnect_mbps);
         let mut part = self.part.lock().expect("no holder panics");
         part.consume(&bounds, bytes, now_ms());
         drop(part);
@@ -42,9 +51,9 @@
     }
 }
 
-fn bounds(peers: &PeerTable, pipe_mbps: f64) -> InterconnectLimits {
+fn bounds(peers: &PeerTable, interconnect_mbps: f64) -> InterconnectLimits {
     InterconnectLimits {
-        bytes_per_s: pipe_mbps.max(1.0) * 1e6 / 8.0,
+        bytes_per_s: interconnect_mbps.max(1.0) * 1e6 / 8.0,
         entries: peers.entry_count(),
         active_entries: peers.interconnect_user_count(now_ms()) + 1,
     }
--- a/crates/direct/src/request/path.rs
+++ b/crates/direct/src/request/path.rs
@@ -85,7 +85,7 @@
             let kind = kind.and_then(|kind| model.kinds.get(&kind));
             let layers = stage.end_layer - stage.first_layer;
             if let Some(kind) = kind {
-                let each_ms = model.read_part_ms(kind, layers);
+                let each_ms = model.layers_prefill_ms(kind, layers);
                 stage.engine.record_prefill(tokens as f64 * each_ms, now_ms);
             }
         }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -15,7 +15,7 @@
 use async_io::Timer;
 use chestnutreach_http::relay::{AnswerHead, Inbound, Outbound, RelayRequest};
 use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
-use chestnutreach_site::Reuse;
+use chestnutreach_site::RouteKind;
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 
@@ -276,7 +276,7 @@
 /// When an attempt is given up: at the end, or while there is time for
 /// another one.
 fn attempt_end_ms(admitted: &Admitted, attempts: u32) -> u64 {
-    let is_repeatable = admitted.route.reuse == Reuse::Idempotent;
+    let is_repeatable = admitted.route.kind == RouteKind::Idempotent;
     if !is_repeatable || attempts >= admitted.route.max_attempts {
         return admitted.end_ms;
     }
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -68,7 +68,9 @@
             data_centre: need.data_centre,
             is_start: true,
             interconnect_utilisation: need.crossing_use,
-            interconnect_prefill_ms: need.model.crossing_takes_ms(need.tokens),
+            interconnect_prefill_ms: need
+                .model
+                .interconnect_prefill_ms(need.tokens),
             max_stages: MOST_PARTS,
         };
         let none = BTreeSet::new();
@@ -148,7 +150,7 @@
                 interconnect_utilisation: need.crossing_use,
                 interconnect_prefill_ms: need
                     .model
-                    .crossing_takes_ms(need.tokens),
+                    .interconnect_prefill_ms(need.tokens),
                 max_stages: MOST_PARTS.saturating_sub(kept_parts),
             };
             let part = self.part(need, &request, &used)?;
@@ -295,12 +297,12 @@
     else {
         return unusable(engine.data_centre);
     };
-    let total = need.model.token_layers_beside(kind, held.layer_count());
+    let total = need.model.token_layer_capacity(kind, held.layer_count());
     LayerHolder {
         data_centre: engine.data_centre,
         first_layer: lasting.first_layer,
         end_layer: lasting.end_layer,
-        layer_ms: need.model.step_part_ms(kind, 1) * state.slowness,
+        layer_ms: need.model.layers_step_ms(kind, 1) * state.slowness,
         used_token_layers: engine
             .estimated_token_layers(need.entries_without_report),
         prefill_share: engine.prefill_utilisation(need.now_ms)
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -187,7 +187,7 @@
     let stated = request.header(clients::TOKENS);
     let (prompt, most) = stated
         .and_then(clients::tokens_of)
-        .unwrap_or((model.usual_prompt_tokens, model.usual_answer_tokens));
+        .unwrap_or((model.typical_prompt_tokens, model.typical_output_tokens));
     let hint = request.header(clients::LENGTH_HINT);
     let hint = hint.and_then(|value| value.trim().parse::<f64>().ok());
     let hint = hint.unwrap_or(f64::from(most)).min(f64::from(most));
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -6,7 +6,7 @@
 use chestnutreach_http::relay::{
     AnswerHead, Inbound, Outbound, OutboundError, push_chunk,
 };
-use chestnutreach_site::Reuse;
+use chestnutreach_site::RouteKind;
 use chestnutreach_telemetry::{Event, emit};
 
 use super::{
@@ -250,7 +250,8 @@
 
     fn request_bytes(&self) -> Vec<u8> {
         let path = self.path.value();
-        let is_resumable = self.admitted.route.reuse == Reuse::ResumableStream;
+        let is_resumable =
+            self.admitted.route.kind == RouteKind::ResumableStream;
         exchange::request_bytes(
             self.request,
             &Addressed {
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -250,7 +250,7 @@
             crossing_use: self
                 .core
                 .interconnect
-                .share(&self.core.peers, self.model.pipe_mbps),
+                .share(&self.core.peers, self.model.interconnect_mbps),
             entries_without_report: self.core.entries_without_report(),
             not_first: &self.not_first,
             only_first: self.trial.as_ref().map(|trial| &trial.engine),
@@ -262,7 +262,11 @@
         let each = self.tokens as f64 * self.model.activation_bytes;
         let bytes = crossings as f64 * each;
         let core = self.core;
-        core.interconnect.note(&core.peers, self.model.pipe_mbps, bytes);
+        core.interconnect.note(
+            &core.peers,
+            self.model.interconnect_mbps,
+            bytes,
+        );
     }
 
     /// Shows how many wait.
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -187,7 +187,7 @@
         }
         let (response, body) = self.http.send(request, timeout).await?;
         let status = response.status().into();
-        Ok(Answer { status, rest: rest::of(&response), body })
+        Ok(Answer { status, cooldown: rest::of(&response), body })
     }
 }
 
@@ -195,7 +195,7 @@
 struct Answer {
     status: u16,
     /// For how long the engine wants nothing, if it said so.
-    rest: Option<Duration>,
+    cooldown: Option<Duration>,
     body: Vec<u8>,
 }
 
@@ -229,7 +229,7 @@
 }
 
 fn status_error(answer: &Answer) -> EngineError {
-    let Answer { status, rest, ref body } = *answer;
+    let Answer { status, cooldown, ref body } = *answer;
     let message = match serde_json::from_slice::<ErrorBody>(body) {
         Ok(body) => body.error,
         Err(_) => {
@@ -237,5 +237,5 @@
             String::from_utf8_lossy(&body[..kept]).into_owned()
         }
     };
-    EngineError::Status { status, message, rest }
+    EngineError::Status { status, message, cooldown }
 }
--- a/crates/engine/src/error.rs
+++ b/crates/engine/src/error.rs
@@ -24,7 +24,7 @@
         /// What the engine said.
         message: String,
         /// For how long it wants nothing, if it said so.
-        rest: Option<Duration>,
+        cooldown: Option<Duration>,
     },
     /// The engine has taken an order with a higher fencing number.
     OldFencingNumber {
@@ -39,15 +39,15 @@
 
 impl EngineError {
     /// Of a call that is not made, since the engine asked for rest.
-    pub fn at_rest(left: Duration) -> EngineError {
+    pub fn in_cooldown(left: Duration) -> EngineError {
         let message = "the engine asked for rest".to_owned();
-        EngineError::Status { status: 503, message, rest: Some(left) }
+        EngineError::Status { status: 503, message, cooldown: Some(left) }
     }
 
     /// For how long the engine wants nothing, if it said so.
-    pub fn rest(&self) -> Option<Duration> {
+    pub fn cooldown(&self) -> Option<Duration> {
         match self {
-            EngineError::Status { rest, .. } => *rest,
+            EngineError::Status { cooldown, .. } => *cooldown,
             _ => None,
         }
     }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -5,7 +5,7 @@
 use async_executor::Executor;
 use async_io::Async;
 use chestnutreach_config::{Manifest, settings::EntrySettings};
-use chestnutreach_node::Heard;
+use chestnutreach_node::PeerReports;
 use chestnutreach_platform::ClaimStore;
 use chestnutreach_protocol::{Identity, Links, RequestId};
 use chestnutreach_routing::{ChainRequest, RequestShape};
@@ -30,7 +30,7 @@
     /// Where it counts.
     pub metrics: Arc<Metrics>,
     /// What peers tell of the manifest.
-    pub heard: Arc<Heard>,
+    pub heard: Arc<PeerReports>,
     /// Claims of keyed requests.
     pub claims: ClaimStore,
     /// Runs its tasks.
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -12,7 +12,7 @@
 use arc_swap::ArcSwap;
 use async_executor::Executor;
 use chestnutreach_config::settings::EntrySettings;
-use chestnutreach_node::{Clock, Heard};
+use chestnutreach_node::{Clock, PeerReports};
 use chestnutreach_platform::ClaimStore;
 use chestnutreach_protocol::{
     CloseReason, Link, LinkEvent, Links, RequestId,
@@ -33,7 +33,7 @@
     pub(crate) settings: EntrySettings,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    heard: Arc<Heard>,
+    heard: Arc<PeerReports>,
     pub(crate) view: ArcSwap<View>,
     pub(crate) peers: Peers,
     pub(crate) claims: ClaimStore,
@@ -64,7 +64,7 @@
     pub(crate) fn new(
         settings: EntrySettings,
         metrics: Arc<Metrics>,
-        heard: Arc<Heard>,
+        heard: Arc<PeerReports>,
         claims: ClaimStore,
         executor: Arc<Executor<'static>>,
     ) -> Shared {
@@ -155,7 +155,7 @@
     pub(crate) fn handle(self: &Arc<Self>, event: LinkEvent) {
         match event {
             LinkEvent::Opened(link) => {
-                self.heard.met(link.peer());
+                self.heard.record_hello(link.peer());
                 emit(Event::LinkOpened, &[("peer_vm", &link.peer().vm)]);
             }
             LinkEvent::Frame(link, body) => self.handle_frame(&link, body),
@@ -168,11 +168,11 @@
     fn handle_frame(&self, link: &Link, body: Body) {
         let request = match &body {
             Body::Status(m) => {
-                self.heard.note(m.generation);
+                self.heard.record_generation(m.generation);
                 return self.side_status(link, m);
             }
             Body::Heartbeat(m) => {
-                self.heard.note(m.generation);
+                self.heard.record_generation(m.generation);
                 return self.side_loads(link, &m.loads);
             }
             Body::Accepted(m) => m.request,
--- a/crates/entry/tests/api/support/mod.rs
+++ b/crates/entry/tests/api/support/mod.rs
@@ -17,7 +17,7 @@
     settings::{DaemonSettings, EntrySettings},
 };
 use chestnutreach_entry::{Entry, EntryParts};
-use chestnutreach_node::Heard;
+use chestnutreach_node::PeerReports;
 use chestnutreach_platform::{ClaimOptions, ClaimStore, TableClient};
 use chestnutreach_protocol::{Identity, wire::Role};
 use chestnutreach_standins::platform::{Faults, serve_table};
@@ -92,7 +92,7 @@
             settings: settings(self.max_requests_in_flight),
             identity: Identity::new("entry-1", Role::Entry, "hall-medina"),
             metrics: Arc::new(Metrics::new("entry", "entry-1")),
-            heard: Arc::new(Heard::new()),
+            heard: Arc::new(PeerReports::new()),
             claims,
             executor: executor.clone(),
             http,
--- a/crates/node/src/in_force.rs
+++ b/crates/node/src/active_manifest.rs
@@ -10,7 +10,7 @@
 
 /// The generation in force.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct ActiveManifest {
     held: Mutex<Option<Held>>,
 }
 
@@ -20,14 +20,14 @@
     objects: PartCache,
 }
 
-impl InForce {
+impl ActiveManifest {
     /// None yet.
-    pub fn new() -> InForce {
-        InForce::default()
+    pub fn new() -> ActiveManifest {
+        ActiveManifest::default()
     }
 
     /// A generation was applied that is made of these objects.
-    pub fn note(&self, head: &Head, objects: &PartCache) {
+    pub fn set(&self, head: &Head, objects: &PartCache) {
         let held = Held { head: head.clone(), objects: objects.clone() };
         *self.lock() = Some(held);
     }
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/manifest_follower.rs
@@ -26,9 +26,9 @@
 use futures_lite::FutureExt as _;
 
 use crate::{
-    heard::Heard,
-    in_force::InForce,
+    active_manifest::ActiveManifest,
     outage::{Outage, Pause},
+    peer_reports::PeerReports,
     peers::{Offered, PeerManifests},
 };
 
@@ -41,10 +41,10 @@
 pub struct ManifestFollower {
     store: ManifestStore,
     peers: PeerManifests,
-    heard: Arc<Heard>,
+    heard: Arc<PeerReports>,
     cache: PartCache,
     generation: u64,
-    in_force: Arc<InForce>,
+    in_force: Arc<ActiveManifest>,
     outage: Outage,
     pause: Pause,
     started: Instant,
@@ -71,7 +71,7 @@
     pub fn new(
         store: ManifestStore,
         peers: PeerManifests,
-        heard: Arc<Heard>,
+        heard: Arc<PeerReports>,
         poll_ms: u64,
     ) -> ManifestFollower {
         ManifestFollower {
@@ -88,7 +88,10 @@
     }
 
     /// Notes here which generation is in force.
-    pub fn in_force(mut self, in_force: Arc<InForce>) -> ManifestFollower {
+    pub fn active_manifest(
+        mut self,
+        in_force: Arc<ActiveManifest>,
+    ) -> ManifestFollower {
         self.in_force = in_force;
         self
     }
@@ -101,7 +104,7 @@
             let pause = async {
                 Timer::after(pause).await;
             };
-            self.heard.woken().or(pause).await;
+            self.heard.wait_for_higher().or(pause).await;
         }
     }
 
@@ -118,7 +121,7 @@
         {
             return self.fetch(&head, apply).await;
         }
-        let is_behind = self.heard.generation() > self.generation;
+        let is_behind = self.heard.highest_generation() > self.generation;
         let needs_first = !has_answered && self.generation == 0;
         if !is_behind && !needs_first {
             return has_answered;
@@ -158,7 +161,7 @@
         };
         // A first one that is lower than another peer has told of would be
         // a step back if this VM had that one before it started anew.
-        let least = self.heard.generation().max(self.generation + 1);
+        let least = self.heard.highest_generation().max(self.generation + 1);
         if head.generation < least {
             return false;
         }
@@ -208,7 +211,7 @@
         };
         self.generation = head.generation;
         apply(head.generation, &manifest);
-        self.in_force.note(head, &self.cache);
+        self.in_force.set(head, &self.cache);
         emit(
             Event::ManifestInForce,
             &[
--- a/crates/node/src/heard.rs
+++ b/crates/node/src/peer_reports.rs
@@ -17,7 +17,7 @@
 
 /// What peers have told.
 #[derive(Debug)]
-pub struct Heard {
+pub struct PeerReports {
     generation: AtomicU64,
     /// Where each VM takes control calls. One that has gone stays: it may
     /// be back, and its address is only asked when the store is not there.
@@ -26,11 +26,11 @@
     woken: async_channel::Receiver<()>,
 }
 
-impl Heard {
+impl PeerReports {
     /// Nothing heard yet.
-    pub fn new() -> Heard {
+    pub fn new() -> PeerReports {
         let (wake, woken) = async_channel::bounded(1);
-        Heard {
+        PeerReports {
             generation: AtomicU64::new(0),
             control_addresses: Mutex::default(),
             wake,
@@ -39,13 +39,13 @@
     }
 
     /// A link to a peer has opened.
-    pub fn met(&self, peer: &Hello) {
+    pub fn record_hello(&self, peer: &Hello) {
         if let Ok(address) = peer.control_address.parse() {
             let mut addresses =
                 self.control_addresses.lock().expect("no holder panics");
             addresses.insert(peer.vm.clone(), address);
         }
-        self.note(peer.generation);
+        self.record_generation(peer.generation);
     }
 
     /// Where the peers that were met take control calls.
@@ -56,7 +56,7 @@
     }
 
     /// A peer has this generation in force.
-    pub fn note(&self, generation: u64) {
+    pub fn record_generation(&self, generation: u64) {
         let old = self.generation.fetch_max(generation, Ordering::AcqRel);
         if generation > old {
             // A full channel has woken the reader already.
@@ -65,18 +65,18 @@
     }
 
     /// The highest generation heard of.
-    pub fn generation(&self) -> u64 {
+    pub fn highest_generation(&self) -> u64 {
         self.generation.load(Ordering::Acquire)
     }
 
     /// Waits until a higher generation than before is heard of.
-    pub async fn woken(&self) {
+    pub async fn wait_for_higher(&self) {
         let _ = self.woken.recv().await;
     }
 }
 
-impl Default for Heard {
-    fn default() -> Heard {
-        Heard::new()
+impl Default for PeerReports {
+    fn default() -> PeerReports {
+        PeerReports::new()
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -12,7 +12,7 @@
     manifest_store::{Head, PartCache},
 };
 
-use crate::heard::Heard;
+use crate::peer_reports::PeerReports;
 
 /// Most peers asked at once.
 const MAX_ASKED: usize = 16;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct PeerManifests {
     seeds: Vec<SocketAddr>,
-    heard: Arc<Heard>,
+    heard: Arc<PeerReports>,
     timeout: Duration,
 }
 
@@ -38,7 +38,7 @@
     /// time for an answer.
     pub fn new(
         seeds: Vec<SocketAddr>,
-        heard: Arc<Heard>,
+        heard: Arc<PeerReports>,
         timeout: Duration,
     ) -> PeerManifests {
         PeerManifests { seeds, heard, timeout }
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -13,7 +13,7 @@
 
 use async_io::Timer;
 use chestnutreach_node::{
-    Heard, follow::ManifestFollower, peers::PeerManifests,
+    PeerReports, manifest_follower::ManifestFollower, peers::PeerManifests,
 };
 use chestnutreach_platform::{ManifestStore, ObjectClient, TableClient};
 use chestnutreach_protocol::wire::Hello;
@@ -37,7 +37,7 @@
     (address, count)
 }
 
-fn follower(store: SocketAddr, heard: &Arc<Heard>) -> ManifestFollower {
+fn follower(store: SocketAddr, heard: &Arc<PeerReports>) -> ManifestFollower {
     let table = Arc::new(TableClient::new(store, TIMEOUT));
     let objects = Arc::new(ObjectClient::new(store, TIMEOUT));
     let peers = PeerManifests::new(Vec::new(), heard.clone(), TIMEOUT);
@@ -56,7 +56,7 @@
 #[test]
 fn looks_become_rarer_while_the_store_is_down() {
     let (store, count) = broken_service();
-    let heard = Arc::new(Heard::new());
+    let heard = Arc::new(PeerReports::new());
     // Looks after 25 ms, 50 ms and so on, each spread over half to all.
     run_for(Duration::from_millis(3_000), follower(store, &heard));
     let looks = count.load(Ordering::Relaxed);
@@ -66,7 +66,7 @@
 #[test]
 fn a_peer_that_tells_of_a_higher_generation_causes_one_look() {
     let (store, count) = broken_service();
-    let heard = Arc::new(Heard::new());
+    let heard = Arc::new(PeerReports::new());
     let told = heard.clone();
     let telling = thread::spawn(move || {
         thread::sleep(Duration::from_millis(2_000));
@@ -74,7 +74,7 @@
         let peer = Hello { generation: 7, ..Hello::default() };
         let started = Instant::now();
         for _ in 0..100 {
-            told.met(&peer);
+            told.record_hello(&peer);
         }
         while count.load(Ordering::Relaxed) == before {
             assert!(started.elapsed() < Duration::from_millis(400));
--- a/crates/side/src/backend.rs
+++ b/crates/side/src/backend.rs
@@ -240,7 +240,7 @@
         let is_first = b.is_first;
         let rest = backend.rest.left();
         if rest > Duration::ZERO {
-            self.put_off(backend, b.steps, &EngineError::at_rest(rest));
+            self.put_off(backend, b.steps, &EngineError::in_cooldown(rest));
             return;
         }
         let (owners, steps): (Vec<Owner>, Vec<SequenceStep>) =
@@ -262,7 +262,7 @@
                     }
                 }
             }
-            Err(error) if let Some(rest) = error.rest() => {
+            Err(error) if let Some(rest) = error.cooldown() => {
                 self.take_rest(backend, rest.max(LEAST_REST));
                 let steps = owners.into_iter().zip(steps);
                 let steps = steps.map(|(owner, step)| QueuedStep {
@@ -417,7 +417,7 @@
     };
     match asked.or(limit).await {
         Some(Ok(())) => Look::Ready,
-        Some(Err(error)) => match error.rest() {
+        Some(Err(error)) => match error.cooldown() {
             Some(rest) => {
                 backend.note_rest(rest);
                 Look::AtRest
--- a/crates/side/src/frames.rs
+++ b/crates/side/src/frames.rs
@@ -38,8 +38,8 @@
                 self.release_seats(id, m.attempt);
             }
             Body::Query(m) => self.handle_query(link, &m),
-            Body::Heartbeat(m) => self.heard.note(m.generation),
-            Body::Status(m) => self.heard.note(m.generation),
+            Body::Heartbeat(m) => self.heard.record_generation(m.generation),
+            Body::Status(m) => self.heard.record_generation(m.generation),
             // The link has dealt with these, or they are for an entry.
             Body::Hello(_)
             | Body::HelloRefused(_)
@@ -57,7 +57,7 @@
             Role::Entry => self.send_status(),
             _ => drop(link.send(self.status())),
         }
-        self.heard.met(link.peer());
+        self.heard.record_hello(link.peer());
         emit(Event::LinkOpened, &[("peer_vm", &link.peer().vm)]);
     }
 
--- a/crates/side/src/node.rs
+++ b/crates/side/src/node.rs
@@ -14,7 +14,7 @@
 use async_executor::Executor;
 use async_io::Async;
 use chestnutreach_config::{Manifest, settings::SideSettings};
-use chestnutreach_node::{Clock, Heard};
+use chestnutreach_node::{Clock, PeerReports};
 use chestnutreach_protocol::{
     Identity, LinkOptions, Links, RequestId,
     wire::{self, BackendLoad, FailureReason},
@@ -41,7 +41,7 @@
     /// Where it counts.
     pub metrics: Arc<Metrics>,
     /// What peers tell of the manifest.
-    pub heard: Arc<Heard>,
+    pub peer_reports: Arc<PeerReports>,
     /// Runs its tasks.
     pub executor: Arc<Executor<'static>>,
     /// Where other processes of the system connect.
@@ -53,7 +53,7 @@
     pub(crate) settings: SideSettings,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) heard: Arc<Heard>,
+    pub(crate) heard: Arc<PeerReports>,
     pub(crate) backends: BTreeMap<String, Arc<Backend>>,
     executor: Arc<Executor<'static>>,
     links: OnceLock<Links>,
@@ -74,13 +74,13 @@
     /// Requests whose first stage is here.
     pub runs: usize,
     /// Requests whose later stage is here.
-    pub seats: usize,
+    pub reservations: usize,
 }
 
 impl InFlight {
     /// Whether nothing is left.
     pub fn is_empty(&self) -> bool {
-        self.runs == 0 && self.seats == 0
+        self.runs == 0 && self.reservations == 0
     }
 }
 
@@ -107,7 +107,7 @@
             settings,
             clock: Clock::new(),
             metrics,
-            heard: parts.heard,
+            heard: parts.peer_reports,
             backends,
             executor: executor.clone(),
             links: OnceLock::new(),
@@ -167,7 +167,7 @@
     }
 
     /// Ends all work that is still held, and tells who asked for it.
-    pub fn cut(&self) {
+    pub fn abort_all(&self) {
         let shared = &self.shared;
         let detail = "the side process has stopped";
         let runs: Vec<Arc<Run>> =
@@ -188,7 +188,7 @@
     pub fn in_flight(&self) -> InFlight {
         InFlight {
             runs: self.shared.lock_runs().len(),
-            seats: self.shared.lock_seats().len(),
+            reservations: self.shared.lock_seats().len(),
         }
     }
 
@@ -214,7 +214,7 @@
             "generation": self.shared.generation.load(Ordering::Acquire),
             "is_leaving": self.is_leaving(None),
             "runs": held.runs,
-            "seats": held.seats,
+            "seats": held.reservations,
             "backends": backends,
         })
     }
--- a/crates/side/src/run/tokens.rs
+++ b/crates/side/src/run/tokens.rs
@@ -109,7 +109,8 @@
         let name = &run.backend.name;
         if is_first && !error.may_have_run() {
             // Nothing of the request has run anywhere.
-            let rest_ms = error.rest().unwrap_or_default().as_millis() as u64;
+            let rest_ms =
+                error.cooldown().unwrap_or_default().as_millis() as u64;
             self.refuse(run, RefusalReason::BackendDown, name, rest_ms);
             return;
         }
--- a/crates/side/src/steps.rs
+++ b/crates/side/src/steps.rs
@@ -153,7 +153,7 @@
 pub(crate) fn failure_reason(error: &EngineError) -> FailureReason {
     match error {
         EngineError::Timeout(..) => FailureReason::BackendSilent,
-        _ if error.rest().is_some() => FailureReason::AtRest,
+        _ if error.cooldown().is_some() => FailureReason::AtRest,
         _ => FailureReason::BackendError,
     }
 }
--- a/crates/side/tests/support/mod.rs
+++ b/crates/side/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use async_executor::Executor;
 use async_io::Async;
 use chestnutreach_config::{DaemonSettings, Manifest, settings::SideSettings};
-use chestnutreach_node::Heard;
+use chestnutreach_node::PeerReports;
 use chestnutreach_protocol::{
     Identity, LinkEvent, LinkOptions, Links, wire::Role,
 };
@@ -79,7 +79,7 @@
         settings: settings(engine),
         identity: Identity::new("side-1", Role::Side, "hall-a"),
         metrics: Arc::new(Metrics::new("side", "side-1")),
-        heard: Arc::new(Heard::new()),
+        peer_reports: Arc::new(PeerReports::new()),
         executor: executor.clone(),
         inner,
     });
--- a/crates/site/src/backend.rs
+++ b/crates/site/src/backend.rs
@@ -59,13 +59,13 @@
 
 /// A kind of accelerator.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ModelKind {
+pub struct AcceleratorKind {
     /// Memory, in megabytes.
     pub memory_mb: f64,
     /// Factor on the time of a step.
     pub pace: f64,
     /// Factor on the time to read a prompt.
-    pub read_factor: f64,
+    pub prefill_factor: f64,
 }
 
 /// A model that several engines hold in parts.
@@ -80,54 +80,62 @@
     /// Time of one step through all layers at pace 1, in milliseconds.
     pub step_ms: f64,
     /// Prompt tokens read a second through all layers at factor 1.
-    pub read_tokens_per_s: f64,
+    pub prefill_tokens_per_s: f64,
     /// Bytes sent on for each token where a request changes the engine.
     pub activation_bytes: f64,
     /// Rate between data centres that all engines share, in Mbit/s.
-    pub pipe_mbps: f64,
+    pub interconnect_mbps: f64,
     /// Time to load the whole model, in seconds.
     pub load_s: f64,
     /// Steps that a pass runs.
     pub stride: u32,
     /// Mean tokens of a prompt.
-    pub usual_prompt_tokens: u32,
+    pub typical_prompt_tokens: u32,
     /// Mean tokens of an answer.
-    pub usual_answer_tokens: u32,
+    pub typical_output_tokens: u32,
     /// Age of what an engine reports, in milliseconds.
     pub report_lag_ms: f64,
     /// Kinds of accelerators by name.
-    pub kinds: BTreeMap<String, ModelKind>,
+    pub kinds: BTreeMap<String, AcceleratorKind>,
 }
 
 impl Model {
     /// Most layers that fit into the memory of a kind.
-    pub fn max_layers(&self, kind: &ModelKind) -> u32 {
+    pub fn max_layers(&self, kind: &AcceleratorKind) -> u32 {
         ((kind.memory_mb / self.layer_mb) as u32).min(self.layer_count)
     }
 
     /// Tokens times layers of requests that fit beside so many layers.
-    pub fn token_layers_beside(&self, kind: &ModelKind, layers: u32) -> u64 {
+    pub fn token_layer_capacity(
+        &self,
+        kind: &AcceleratorKind,
+        layers: u32,
+    ) -> u64 {
         let free_mb = kind.memory_mb - f64::from(layers) * self.layer_mb;
         (free_mb.max(0.0) * 1e6 / self.token_layer_bytes) as u64
     }
 
     /// Time of one step through so many layers, in milliseconds.
-    pub fn step_part_ms(&self, kind: &ModelKind, layers: u32) -> f64 {
+    pub fn layers_step_ms(&self, kind: &AcceleratorKind, layers: u32) -> f64 {
         let share = f64::from(layers) / f64::from(self.layer_count.max(1));
         self.step_ms * kind.pace * share
     }
 
     /// Time for which reading so many tokens takes up what joins data
     /// centres, in milliseconds.
-    pub fn crossing_takes_ms(&self, tokens: u64) -> f64 {
+    pub fn interconnect_prefill_ms(&self, tokens: u64) -> f64 {
         let bits = tokens as f64 * self.activation_bytes * 8.0;
-        bits / (self.pipe_mbps.max(1.0) * 1e3)
+        bits / (self.interconnect_mbps.max(1.0) * 1e3)
     }
 
     /// Time to read a token through so many layers, in milliseconds.
-    pub fn read_part_ms(&self, kind: &ModelKind, layers: u32) -> f64 {
+    pub fn layers_prefill_ms(
+        &self,
+        kind: &AcceleratorKind,
+        layers: u32,
+    ) -> f64 {
         let share = f64::from(layers) / f64::from(self.layer_count.max(1));
-        let rate_per_ms = (self.read_tokens_per_s / 1e3).max(1e-9);
-        kind.read_factor * share / rate_per_ms
+        let rate_per_ms = (self.prefill_tokens_per_s / 1e3).max(1e-9);
+        kind.prefill_factor * share / rate_per_ms
     }
 }
--- a/crates/site/src/configuration.rs
+++ b/crates/site/src/configuration.rs
@@ -23,11 +23,11 @@
 
 impl Configuration {
     /// Whether every stream that a service may get can go on elsewhere.
-    pub fn streams_may_go_on(&self, service: &str) -> bool {
+    pub fn streams_are_resumable(&self, service: &str) -> bool {
         let routes = self.routes.values().flatten();
         let mut here =
             routes.filter(|r| r.shares.iter().any(|s| s.service == service));
-        here.all(|route| route.reuse != Reuse::Stream)
+        here.all(|route| route.kind != RouteKind::Stream)
     }
 
     /// The route of a request, by host and longest prefix of the path.
@@ -61,7 +61,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reuse {
+pub enum RouteKind {
     /// A request that may run more than once.
     Idempotent,
     /// A request that runs at most once.
@@ -72,15 +72,15 @@
     ResumableStream,
 }
 
-impl Reuse {
+impl RouteKind {
     /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Reuse::Stream | Reuse::ResumableStream)
+        matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 
     /// Whether a request that may have run can be sent again.
-    pub fn may_repeat(self) -> bool {
-        matches!(self, Reuse::Idempotent | Reuse::ResumableStream)
+    pub fn allows_retry(self) -> bool {
+        matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 }
 
@@ -92,7 +92,7 @@
     /// Paths that begin so belong to it.
     pub prefix: String,
     /// What may be repeated.
-    pub reuse: Reuse,
+    pub kind: RouteKind,
     /// Longest time a client is kept waiting.
     pub timeout_ms: u64,
     /// Time within which an answer earns its full credit.
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -13,7 +13,7 @@
 //! # Example
 //!
 //! ```
-//! use chestnutreach_site::{Model, ModelKind};
+//! use chestnutreach_site::{Model, AcceleratorKind};
 //!
 //! let model = Model {
 //!     layer_count: 80,
@@ -21,9 +21,9 @@
 //!     token_layer_bytes: 7375.0,
 //!     ..Model::default()
 //! };
-//! let l4 = ModelKind { memory_mb: 21_600.0, pace: 16.0, read_factor: 8.2 };
+//! let l4 = AcceleratorKind { memory_mb: 21_600.0, pace: 16.0, prefill_factor: 8.2 };
 //! assert_eq!(model.max_layers(&l4), 12);
-//! assert_eq!(model.token_layers_beside(&l4, 10), 555_932);
+//! assert_eq!(model.token_layer_capacity(&l4, 10), 555_932);
 //! ```
 
 pub mod backend;
@@ -32,9 +32,9 @@
 pub mod tables;
 
 pub use backend::{
-    Backend, BackendState, LayerRange, Model, ModelKind, StreamPolicy,
+    AcceleratorKind, Backend, BackendState, LayerRange, Model, StreamPolicy,
 };
 pub use configuration::{
-    Configuration, Finding, Limits, Reuse, Route, Service, Share,
+    Configuration, Finding, Limits, Route, RouteKind, Service, Share,
 };
 pub use settings::{Bounds, NodeSettings, StoreRates};
--- a/crates/site/src/settings.rs
+++ b/crates/site/src/settings.rs
@@ -62,7 +62,7 @@
     /// Window over which further arrivals are counted.
     pub retry_window_ms: u64,
     /// Further arrivals that are free in each window.
-    pub retry_slack: f64,
+    pub free_retries: f64,
     /// How long work that waits for a dead engine stalls.
     pub stall_ms: u64,
     /// Time within which an event must be passed on.
