--- a/crates/engine/examples/infer_rate.rs
+++ b/crates/engine/examples/infer_rate.rs
@@ -1,8 +1,8 @@
-//! Inference calls a second against one engine.
+//! Measures inference calls per second against one engine.
 //!
-//! Without an address it starts a stand-in on a thread of its own:
 //! `cargo run --release -p chestnutreach-engine --example infer_rate
-//! [ADDRESS]`. The engine holds all 24 layers of `desk-llm`.
+//! [ADDRESS]`. Without an address, the example starts a stand-in engine in
+//! this process. The engine must hold all 24 layers of `desk-llm`.
 
 use std::{
     env,
@@ -18,10 +18,11 @@
 
 const MODEL: &str = "desk-llm";
 const LAYER_COUNT: u32 = 24;
-const TRIAL_TIME: Duration = Duration::from_secs(2);
+const MEASURE_TIME: Duration = Duration::from_secs(2);
 const BATCHES: [usize; 2] = [1, 32];
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of a position's activation in the codec trial: 4096 halves.
+/// Activation size of one position in the codec measurement: 4096 16-bit
+/// floats.
 const ACTIVATION_BYTES: usize = 8192;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -50,7 +51,7 @@
     (0..batch).map(step).collect()
 }
 
-/// One prompt for each sequence, then tokens.
+/// Measures calls with one prompt per sequence, followed by tokens.
 async fn measure_calls(
     client: &EngineClient,
     batch: usize,
@@ -63,7 +64,7 @@
     client.infer(0, LAYER_COUNT, &steps, CALL_TIMEOUT).await?;
     let start = Instant::now();
     let mut calls = 0;
-    while start.elapsed() < TRIAL_TIME {
+    while start.elapsed() < MEASURE_TIME {
         for step in &mut steps {
             step.position = 3 + calls;
             step.input = StepInput::Token(calls);
@@ -77,15 +78,16 @@
     Ok(())
 }
 
-/// Encoding and decoding a request of activations, without a network.
+/// Measures the encoding and decoding of a request with activations, without a
+/// network.
 fn measure_codec(batch: usize) {
     let bytes = vec![7; ACTIVATION_BYTES];
     let steps = steps(batch, &StepInput::Activation { span: 1, bytes });
     let start = Instant::now();
     let mut calls = 0;
-    while start.elapsed() < TRIAL_TIME {
+    while start.elapsed() < MEASURE_TIME {
         let body = wire::encode_request("c", 0, LAYER_COUNT, &steps);
-        let call = wire::decode_request(&body).expect("a sound request");
+        let call = wire::decode_request(&body).expect("a valid request");
         assert_eq!(call.rows.len(), batch);
         calls += 1;
     }
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,7 +1,8 @@
-//! Calls to one engine.
+//! Client for one engine.
 //!
-//! Connections are kept by the HTTP client. A call is never repeated here:
-//! whether a lost one may be, is for the holder of the sequence to decide.
+//! The HTTP client keeps connections alive. This client never retries a call:
+//! whether a failed call may be retried depends on the state of its sequences,
+//! which the caller knows.
 
 use std::{
     net::SocketAddr,
@@ -20,13 +21,13 @@
     wire,
 };
 
-/// Longest answer taken: a batch of long prompts' activations.
-const MAX_ANSWER_BYTES: usize = 256 << 20;
-/// Time for calls that neither run layers nor load weights.
+/// Maximum size of a response: the activations of a batch of long prompts.
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
+/// Timeout of calls that neither run layers nor load weights.
 const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for an order, which is answered when the weights are loaded.
+/// Timeout of an order; the engine responds after it has loaded the weights.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(300);
-/// Most bytes kept of an answer that is no error in JSON.
+/// Maximum length of the error message taken from a body that is not JSON.
 const MAX_MESSAGE_BYTES: usize = 200;
 
 /// A client of one engine.
@@ -42,19 +43,20 @@
 }
 
 impl EngineClient {
-    /// A client without connections.
+    /// Creates a client; it connects on the first call.
     pub fn new(address: SocketAddr, model: &str) -> EngineClient {
-        let options = ClientOptions::new().max_answer_bytes(MAX_ANSWER_BYTES);
+        let options =
+            ClientOptions::new().max_answer_bytes(MAX_RESPONSE_BYTES);
         let base_url = Url::parse(&format!("http://{address}"))
-            .expect("an address makes a URL");
-        let of_model = |rest: &[&str]| {
+            .expect("an address is a valid URL authority");
+        let model_url = |rest: &[&str]| {
             let segments = ["v2", "models", model];
             join(&base_url, segments.iter().chain(rest))
         };
         EngineClient {
-            infer_url: of_model(&["infer"]),
-            release_url: of_model(&["sequences", "release"]),
-            load_report_url: of_model(&["load-report"]),
+            infer_url: model_url(&["infer"]),
+            release_url: model_url(&["sequences", "release"]),
+            load_report_url: model_url(&["load-report"]),
             ready_url: join(&base_url, &["v2", "health", "ready"]),
             http: Client::new(address, options),
             base_url,
@@ -67,12 +69,12 @@
         self.http.address()
     }
 
-    /// Runs the layers `first_layer..end_layer` on a batch of steps; the
-    /// results come in the same order.
+    /// Runs the layers `first_layer..end_layer` on a batch of steps. The
+    /// results are in the order of the steps.
     ///
     /// # Errors
     ///
-    /// There is no answer for the whole batch, see [`EngineError`].
+    /// The call failed for the whole batch, see [`EngineError`].
     pub async fn infer(
         &self,
         first_layer: u32,
@@ -86,17 +88,17 @@
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
         let id = call.to_string();
         let body = wire::encode_request(&id, first_layer, end_layer, steps);
-        let answer =
+        let response =
             self.call(Method::Post, &self.infer_url, body, timeout).await?;
-        wire::decode_response(&answer, &id, steps)
+        wire::decode_response(&response, &id, steps)
             .map_err(|e| EngineError::Protocol(e.to_string()))
     }
 
-    /// Has the engine forget sequences; unknown ones are no error.
+    /// Releases sequences on the engine. Unknown sequences are not an error.
     ///
     /// # Errors
     ///
-    /// There is no answer, see [`EngineError`].
+    /// The call failed, see [`EngineError`].
     pub async fn release(
         &self,
         sequences: &[SequenceId],
@@ -110,55 +112,56 @@
         Ok(())
     }
 
-    /// Whether the engine says it is ready to run.
+    /// Whether the engine reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         self.ready().await.is_ok()
     }
 
-    /// Asks whether the engine is ready to run.
+    /// Checks whether the engine is ready.
     ///
     /// # Errors
     ///
-    /// It is not, or there is no answer, see [`EngineError`].
+    /// The engine is not ready or the call failed, see [`EngineError`].
     pub async fn ready(&self) -> Result<(), EngineError> {
         let url = &self.ready_url;
         self.call(Method::Get, url, vec![], SHORT_TIMEOUT).await?;
         Ok(())
     }
 
-    /// The load the engine reports, which lags.
+    /// Fetches the load that the engine reports; the report may be outdated,
+    /// see [`EngineLoad::as_of_unix_ms`].
     ///
     /// # Errors
     ///
-    /// There is no answer, see [`EngineError`].
+    /// The call failed, see [`EngineError`].
     pub async fn load(&self) -> Result<EngineLoad, EngineError> {
         let url = &self.load_report_url;
-        let answer =
+        let response =
             self.call(Method::Get, url, vec![], SHORT_TIMEOUT).await?;
-        serde_json::from_slice(&answer)
+        serde_json::from_slice(&response)
             .map_err(|e| EngineError::Protocol(e.to_string()))
     }
 
-    /// Gives an order and waits until the weights are loaded.
+    /// Sends an order and waits until the engine has loaded the weights.
     ///
     /// # Errors
     ///
-    /// [`EngineError::OldFencingNumber`] from an engine that checks the
-    /// number and holds a newer one; otherwise there is no answer.
+    /// [`EngineError::OldFencingNumber`] if the engine checks fencing numbers
+    /// and has accepted a newer one; otherwise the call failed.
     pub async fn order(&self, order: &LoadOrder) -> Result<(), EngineError> {
         let segments =
             ["v2", "repository", "models", order.model.as_str(), "load"];
         let url = join(&self.base_url, &segments);
         let body = to_json(&LoadBody::new(order));
-        let answer =
+        let response =
             self.exchange(Method::Post, &url, body, ORDER_TIMEOUT).await?;
-        match answer.status {
+        match response.status {
             200..=299 => Ok(()),
-            _ => Err(order_error(order, &answer)),
+            _ => Err(order_error(order, &response)),
         }
     }
 
-    /// The body of an answer that is no error.
+    /// Sends a request and returns the body of a successful response.
     async fn call(
         &self,
         method: Method,
@@ -166,10 +169,10 @@
         body: Vec<u8>,
         timeout: Duration,
     ) -> Result<Vec<u8>, EngineError> {
-        let answer = self.exchange(method, url, body, timeout).await?;
-        match answer.status {
-            200..=299 => Ok(answer.body),
-            _ => Err(status_error(&answer)),
+        let response = self.exchange(method, url, body, timeout).await?;
+        match response.status {
+            200..=299 => Ok(response.body),
+            _ => Err(status_error(&response)),
         }
     }
 
@@ -179,27 +182,28 @@
         url: &Url,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Answer, EngineError> {
+    ) -> Result<EngineResponse, EngineError> {
         let mut request = Request::new(method, url.clone());
         if !body.is_empty() {
             request.set_body(body);
             request.insert_header("content-type", "application/json");
         }
-        let (response, body) = self.http.send(request, timeout).await?;
-        let status = response.status().into();
-        Ok(Answer { status, cooldown: rest::of(&response), body })
+        let (head, body) = self.http.send(request, timeout).await?;
+        let status = head.status().into();
+        Ok(EngineResponse { status, cooldown: rest::of(&head), body })
     }
 }
 
-/// What an engine answered.
-struct Answer {
+/// An engine's response.
+struct EngineResponse {
     status: u16,
-    /// For how long the engine wants nothing, if it said so.
+    /// The cooldown that the engine requested, if any.
     cooldown: Option<Duration>,
     body: Vec<u8>,
 }
 
-/// The URL with path segments, each escaped where it has to be.
+/// Replaces the path of a URL by the given segments, percent-encoded as
+/// needed.
 fn join<'a>(
     base: &Url,
     segments: impl IntoIterator<Item = &'a &'a str>,
@@ -213,23 +217,23 @@
 }
 
 fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
-    serde_json::to_vec(value).expect("plain structs make JSON")
+    serde_json::to_vec(value).expect("plain structs serialize to JSON")
 }
 
-fn order_error(order: &LoadOrder, answer: &Answer) -> EngineError {
-    let error = serde_json::from_slice::<ErrorBody>(&answer.body);
+fn order_error(order: &LoadOrder, response: &EngineResponse) -> EngineError {
+    let error = serde_json::from_slice::<ErrorBody>(&response.body);
     match error {
         Ok(ErrorBody { fencing_number: Some(held), .. })
-            if answer.status == 409 =>
+            if response.status == 409 =>
         {
             EngineError::OldFencingNumber { sent: order.fencing_number, held }
         }
-        _ => status_error(answer),
+        _ => status_error(response),
     }
 }
 
-fn status_error(answer: &Answer) -> EngineError {
-    let Answer { status, cooldown, ref body } = *answer;
+fn status_error(response: &EngineResponse) -> EngineError {
+    let EngineResponse { status, cooldown, ref body } = *response;
     let message = match serde_json::from_slice::<ErrorBody>(body) {
         Ok(body) => body.error,
         Err(_) => {
--- a/crates/engine/src/error.rs
+++ b/crates/engine/src/error.rs
@@ -1,50 +1,51 @@
-//! Why a call to an engine has no answer.
+//! Errors of calls to an engine.
 //!
-//! What matters to the caller is whether the engine may have run the call:
-//! a step that may have run is not sent again under the same attempt.
+//! Callers need to know whether the engine may have run the call: a step that
+//! may have run is not retried within the same attempt.
 
 use std::{error, fmt, time::Duration};
 
 use chestnutreach_http::ClientError;
 
-/// Why a call to an engine has no answer.
+/// Why a call to an engine failed.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum EngineError {
-    /// The engine was not reached.
+    /// The request was not sent.
     NotSent(ClientError),
-    /// The connection broke after the call was sent.
+    /// The connection was lost after the request was sent.
     Lost(ClientError),
-    /// No whole answer came in time.
+    /// The response was not complete before the timeout.
     Timeout(ClientError),
-    /// The engine refused or failed.
+    /// The engine responded with an error status.
     Status {
         /// HTTP status.
         status: u16,
-        /// What the engine said.
+        /// Message of the engine.
         message: String,
-        /// For how long it wants nothing, if it said so.
+        /// The cooldown that the engine requested, if any.
         cooldown: Option<Duration>,
     },
-    /// The engine has taken an order with a higher fencing number.
+    /// The engine has accepted an order with a higher fencing number.
     OldFencingNumber {
-        /// The number sent.
+        /// Fencing number of the order.
         sent: u64,
-        /// The number the engine holds.
+        /// Fencing number that the engine has accepted.
         held: u64,
     },
-    /// The answer is not what the protocol asks for.
+    /// The response violates the protocol.
     Protocol(String),
 }
 
 impl EngineError {
-    /// Of a call that is not made, since the engine asked for rest.
+    /// Error for a call that is not sent because the engine is in a cooldown
+    /// that it requested.
     pub fn in_cooldown(left: Duration) -> EngineError {
-        let message = "the engine asked for rest".to_owned();
+        let message = "the engine requested a cooldown".to_owned();
         EngineError::Status { status: 503, message, cooldown: Some(left) }
     }
 
-    /// For how long the engine wants nothing, if it said so.
+    /// The cooldown that the engine requested, if any.
     pub fn cooldown(&self) -> Option<Duration> {
         match self {
             EngineError::Status { cooldown, .. } => *cooldown,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Whether the engine may have run the call. Of the statuses, those that
-    /// refuse a call (4xx, and 503) say that it was not run.
+    /// Whether the engine may have run the call. The statuses that refuse a
+    /// call (4xx and 503) state that the engine did not run it.
     pub fn may_have_run(&self) -> bool {
         match self {
             EngineError::NotSent(_) => false,
@@ -88,14 +89,17 @@
             | EngineError::Lost(e)
             | EngineError::Timeout(e) => e.fmt(f),
             EngineError::Status { status, message, .. } => {
-                write!(f, "the engine answered {status}: {message}")
+                write!(
+                    f,
+                    "the engine responded with status {status}: {message}"
+                )
             }
             EngineError::OldFencingNumber { sent, held } => write!(
                 f,
-                "the engine holds fencing number {held}, newer than {sent}"
+                "fencing number {sent} is older than the engine's {held}"
             ),
             EngineError::Protocol(why) => {
-                write!(f, "the engine broke the protocol: {why}")
+                write!(f, "the engine violated the protocol: {why}")
             }
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,16 +1,16 @@
-//! The protocol of model engines that hold a range of layers.
+//! Protocol and client of model engines that hold a range of layers.
 //!
-//! The wire is the Open Inference Protocol (KServe v2) over HTTP/1.1 with
-//! JSON: one inference call carries a batch of rows, each a step of one
+//! The protocol is the Open Inference Protocol (KServe v2) over HTTP/1.1 with
+//! JSON. An inference call carries a batch of rows; each row is a step of one
 //! sequence. `docs/ENGINES.md` lists the tensors and the two extensions.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`sequence`] | steps of a sequence, their outputs and errors |
-//! | [`order`] | orders to an engine and the load it reports |
-//! | [`client`] | calls to one engine |
-//! | [`error`] | why a call has no answer |
-//! | [`wire`] | messages to and from JSON |
+//! | [`sequence`] | steps of a sequence, outputs and errors |
+//! | [`order`] | orders to an engine and its load reports |
+//! | [`client`] | client for one engine |
+//! | [`error`] | errors of calls |
+//! | [`wire`] | JSON encoding of messages |
 //!
 //! # Example
 //!
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -1,7 +1,7 @@
-//! Orders to an engine and the load it reports.
+//! Orders to an engine and the load that the engine reports.
 //!
-//! The types with `Body` in their name are the JSON at the border; the model
-//! of an order stands in the path of its call.
+//! The types with `Body` in their name are the JSON bodies of calls. The model
+//! of an order is part of the URL path.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,17 +14,17 @@
     pub model: String,
     /// Version of its weights.
     pub version: String,
-    /// Adapter on top of them.
+    /// Adapter that is applied to the weights.
     pub adapter: Option<String>,
     /// First layer to hold.
     pub first_layer: u32,
     /// Layer after the last one to hold.
     pub end_layer: u32,
-    /// Fencing number of the lease the order is given under.
+    /// Fencing number of the lease under which the order is issued.
     pub fencing_number: u64,
 }
 
-/// The load of an engine, as of some moment before.
+/// The load of an engine at `as_of_unix_ms`.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
@@ -33,27 +33,27 @@
     pub running: u32,
     /// Steps that wait for a batch.
     pub waiting: u32,
-    /// Positions held in KV memory.
+    /// Token positions in use in the KV cache.
     pub cache_used_tokens: u64,
-    /// Positions that KV memory holds at most.
+    /// Capacity of the KV cache, in token positions.
     pub cache_tokens: u64,
-    /// When this was so.
+    /// Unix time of the measurement, in milliseconds.
     pub as_of_unix_ms: u64,
 }
 
 /// Body of a load call.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LoadBody {
-    /// Settings of the order.
+    /// Parameters of the order.
     pub parameters: LoadParameters,
 }
 
-/// Settings of a load call.
+/// Parameters of a load call.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LoadParameters {
     /// Version of the weights.
     pub version: String,
-    /// Adapter on top of them.
+    /// Adapter that is applied to the weights.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
     /// First layer to hold.
@@ -65,7 +65,7 @@
 }
 
 impl LoadBody {
-    /// The body of an order's call.
+    /// Creates the body for an order.
     pub fn new(order: &LoadOrder) -> LoadBody {
         LoadBody {
             parameters: LoadParameters {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The order, with the model that the path names.
+    /// Converts the body to an order; `model` comes from the URL path.
     pub fn into_order(self, model: &str) -> LoadOrder {
         let parameters = self.parameters;
         LoadOrder {
@@ -95,24 +95,24 @@
 /// Body of a release call.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReleaseBody {
-    /// Sequences to forget, each `<request in hex>/<attempt>`.
+    /// Sequences to release, each as `<request in hex>/<attempt>`.
     pub sequences: Vec<String>,
 }
 
 impl ReleaseBody {
-    /// The body that releases sequences.
+    /// Creates the body that releases `sequences`.
     pub fn new(sequences: &[SequenceId]) -> ReleaseBody {
         let sequences = sequences.iter().map(|s| s.to_string()).collect();
         ReleaseBody { sequences }
     }
 }
 
-/// Body of any answer that is an error.
+/// Body of an error response.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// Description of the error.
     pub error: String,
-    /// The fencing number held, when an order carried an older one.
+    /// The engine's fencing number, if the order carried an older one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fencing_number: Option<u64>,
 }
--- a/crates/engine/src/sequence.rs
+++ b/crates/engine/src/sequence.rs
@@ -1,24 +1,25 @@
 //! Steps of a sequence, their outputs and errors.
 //!
 //! A sequence is one attempt at a request on a chain of engines. Its steps
-//! cover positions in order: the first covers the prompt and the tokens
-//! delivered before, each later one a single token. The first engine of the
-//! chain takes prompts and tokens, every other one the activations of the
-//! engine before it.
+//! cover consecutive positions: the first step covers the prompt and the
+//! tokens delivered by earlier attempts, each later step a single token. The
+//! first engine of the chain takes prompts and tokens as input, every other
+//! engine the activations of its predecessor.
 
 use std::{error, fmt, num::ParseIntError, str::FromStr};
 
-/// Least urgent priority.
+/// The least urgent priority.
 pub const MIN_PRIORITY: u8 = 1;
-/// Most urgent priority.
+/// The most urgent priority.
 pub const MAX_PRIORITY: u8 = 3;
 
-/// An attempt at a request; written `<request in hex>/<attempt>`.
+/// Identifies an attempt at a request; formatted as
+/// `<request in hex>/<attempt>`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct SequenceId {
-    /// The request.
+    /// Id of the request.
     pub request: u128,
-    /// Which attempt at it.
+    /// Number of the attempt.
     pub attempt: u32,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// A text that names no sequence.
+/// Error for a text that is not a sequence id.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseSequenceIdError {
     text: String,
@@ -65,45 +66,46 @@
 pub struct SequenceStep {
     /// The sequence.
     pub sequence: SequenceId,
-    /// First position the step covers.
+    /// First position that the step covers.
     pub position: u32,
-    /// Urgency, from [`MIN_PRIORITY`] to [`MAX_PRIORITY`], the greatest.
+    /// Priority, from [`MIN_PRIORITY`] to [`MAX_PRIORITY`].
     pub priority: u8,
-    /// What the layers run on.
+    /// Input of the layers.
     pub input: StepInput,
-    /// Sampling settings; empty after the first step.
+    /// Sampling parameters; empty after the first step.
     pub parameters_json: Vec<u8>,
 }
 
-/// What the layers of a step run on.
+/// Input of the layers of a step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StepInput {
-    /// A request, and the tokens of its answer delivered before.
+    /// A request, and the output tokens that earlier attempts delivered.
     Prompt {
         /// The caller's request.
         request_json: Vec<u8>,
         /// Tokens of earlier attempts, in order.
         delivered_tokens: Vec<u32>,
     },
-    /// The token sampled by the step before.
+    /// The token sampled by the previous step.
     Token(u32),
-    /// The output of the layers before.
+    /// The output of the preceding layers.
     Activation {
-        /// Positions covered.
+        /// Number of positions covered.
         span: u32,
-        /// Opaque to everything but the engines.
+        /// Activations, in a format that only the engines interpret.
         bytes: Vec<u8>,
     },
 }
 
-/// What came of a step.
+/// Result of a step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SequenceOutput {
-    /// Positions the step covered.
+    /// Number of positions that the step covered.
     pub span: u32,
-    /// Tokens of the prompt without delivered ones; 0 but for a prompt step.
+    /// Tokens of the prompt, without delivered tokens; 0 except for a prompt
+    /// step.
     pub prompt_tokens: u32,
-    /// Positions taken from the engine's prefix cache.
+    /// Number of positions taken from the engine's prefix cache.
     pub cached_tokens: u32,
     /// The output of the layers.
     pub output: StepOutput,
@@ -112,15 +114,15 @@
 /// The output of the layers of a step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StepOutput {
-    /// Input of the layers that follow.
+    /// Input of the following layers.
     Activation(Vec<u8>),
     /// A token, from the last layer.
     Token {
         /// The token.
         token: u32,
-        /// What it adds to the answer.
+        /// Text that the token adds to the output.
         text: String,
-        /// The answer ends with it.
+        /// Whether the token ends the output.
         is_stop: bool,
     },
 }
@@ -129,13 +131,13 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum SequenceError {
-    /// The step makes no sense to this engine.
+    /// The engine cannot run the step as requested.
     BadRequest(String),
-    /// The position is not the one the sequence comes to next.
+    /// The position is not the next one of the sequence.
     OutOfOrder(String),
-    /// The engine's KV memory is full.
+    /// The engine's KV cache is full.
     NoMemory,
-    /// Anything else.
+    /// Any other error.
     Other(String),
 }
 
@@ -144,7 +146,7 @@
         match self {
             SequenceError::BadRequest(why) => write!(f, "bad request: {why}"),
             SequenceError::OutOfOrder(why) => write!(f, "out of order: {why}"),
-            SequenceError::NoMemory => f.write_str("no memory for the step"),
+            SequenceError::NoMemory => f.write_str("the KV cache is full"),
             SequenceError::Other(why) => f.write_str(why),
         }
     }
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -1,9 +1,9 @@
-//! Messages to and from JSON.
+//! JSON encoding of messages.
 //!
-//! A batch is a set of tensors of one dimension, one element for each row.
-//! Bytes travel as base64, since JSON has no other way to carry them. Both
-//! directions of both messages are here, so that an engine written in Rust
-//! shares them with the client.
+//! A batch is a set of one-dimensional tensors with one element per row. Bytes
+//! are sent as base64, since JSON has no type for them. The module both
+//! encodes and decodes requests and responses, so that the client and engines
+//! written in Rust share the code.
 
 mod request;
 mod response;
@@ -20,7 +20,7 @@
     response::{InferResult, decode_response, encode_response},
 };
 
-/// A message that is not what the protocol asks for.
+/// Error for a message that violates the protocol.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WireError {
     message: String,
@@ -46,27 +46,29 @@
     }
 }
 
-/// Bytes of a message besides its rows.
-const MESSAGE_BYTES: usize = 1024;
-/// Bytes of a row besides what it carries.
-const ROW_BYTES: usize = 128;
+/// Estimated size of a message without its rows.
+const MESSAGE_OVERHEAD_BYTES: usize = 1024;
+/// Estimated size of a row without its payload.
+const ROW_OVERHEAD_BYTES: usize = 128;
 
-/// A message whose rows carry `carried_bytes` before base64. The buffer is
-/// made large enough at once, since long activations would grow it often.
+/// Serializes a message whose rows carry `payload_bytes` before base64. The
+/// buffer is allocated in full, since long activations would grow it often.
 fn to_json<T: Serialize>(
     message: &T,
     rows: usize,
-    carried_bytes: usize,
+    payload_bytes: usize,
 ) -> Vec<u8> {
-    let base64_bytes = carried_bytes.div_ceil(3) * 4;
-    let capacity = MESSAGE_BYTES + rows * ROW_BYTES + base64_bytes;
+    let base64_bytes = payload_bytes.div_ceil(3) * 4;
+    let capacity =
+        MESSAGE_OVERHEAD_BYTES + rows * ROW_OVERHEAD_BYTES + base64_bytes;
     let mut json = Vec::with_capacity(capacity);
-    serde_json::to_writer(&mut json, message).expect("tensors make JSON");
+    serde_json::to_writer(&mut json, message)
+        .expect("tensors serialize to JSON");
     json
 }
 
-/// Bytes as a JSON string. Base64 holds nothing that JSON escapes, so that
-/// the scan for it, byte by byte, is left out.
+/// Encodes bytes as a JSON string. Base64 contains no characters that JSON
+/// escapes, so the scan for such characters is skipped.
 fn to_base64(bytes: &[u8]) -> Box<RawValue> {
     let length = base64::encoded_len(bytes.len(), true).unwrap_or(0);
     let mut json = String::with_capacity(length + 2);
--- a/crates/engine/src/wire/request.rs
+++ b/crates/engine/src/wire/request.rs
@@ -1,4 +1,4 @@
-//! The request of an inference call.
+//! Requests of inference calls.
 
 use std::{borrow::Cow, fmt::Write as _};
 
@@ -19,7 +19,7 @@
 const KIND_TOKEN: &str = "token";
 const KIND_ACTIVATION: &str = "activation";
 
-/// Layers that a call is meant for.
+/// Layers that a call runs.
 #[derive(Deserialize, Serialize)]
 struct LayerRange {
     first_layer: u32,
@@ -33,7 +33,7 @@
     inputs: T,
 }
 
-/// The body of an inference call.
+/// Encodes the body of an inference call.
 pub fn encode_request(
     id: &str,
     first_layer: u32,
@@ -63,11 +63,11 @@
     );
     let parameters = LayerRange { first_layer, end_layer };
     let body = RequestBody { id, parameters, inputs };
-    let carried_bytes = each.map(|s| carried_bytes(&s.input)).sum();
-    to_json(&body, rows, carried_bytes)
+    let payload_bytes = each.map(|s| payload_bytes(&s.input)).sum();
+    to_json(&body, rows, payload_bytes)
 }
 
-/// A sequence as it is written.
+/// A sequence id, serialized in its text form.
 pub(super) struct Id(pub(super) SequenceId);
 
 impl Serialize for Id {
@@ -84,7 +84,8 @@
     }
 }
 
-/// Positions covered; of a prompt, only the engine can tell.
+/// Number of positions covered; 0 for a prompt, as only the engine knows its
+/// tokens.
 fn span(input: &StepInput) -> u32 {
     match input {
         StepInput::Prompt { .. } => 0,
@@ -108,7 +109,7 @@
     }
 }
 
-fn carried_bytes(input: &StepInput) -> usize {
+fn payload_bytes(input: &StepInput) -> usize {
     match input {
         StepInput::Prompt { request_json, .. } => request_json.len(),
         StepInput::Token(_) => 0,
@@ -116,7 +117,7 @@
     }
 }
 
-/// Tokens in decimals, with commas between.
+/// Delivered tokens as decimal numbers separated by commas.
 fn delivered(input: &StepInput) -> String {
     let StepInput::Prompt { delivered_tokens, .. } = input else {
         return String::new();
@@ -129,10 +130,10 @@
     text
 }
 
-/// An inference call as an engine gets it.
+/// An inference call as decoded by an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct InferCall {
-    /// Name of the call, which its answer repeats.
+    /// Id of the call, which the response repeats.
     pub id: String,
     /// First layer to run.
     pub first_layer: u32,
@@ -142,12 +143,12 @@
     pub rows: Vec<InferRow>,
 }
 
-/// One row of a batch as an engine gets it.
+/// One row of a batch as decoded by an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct InferRow {
     /// The sequence.
     pub sequence: SequenceId,
-    /// The step, or why it cannot be read.
+    /// The step, or why the row is invalid.
     pub step: Result<SequenceStep, SequenceError>,
 }
 
@@ -160,18 +161,19 @@
     inputs: Vec<Tensor<'a>>,
 }
 
-/// Reads the body of an inference call. A row that cannot be read does not
-/// spoil the others, as long as its sequence can.
+/// Decodes the body of an inference call. An invalid row does not affect the
+/// other rows, as long as its sequence id is valid.
 ///
 /// # Errors
 ///
-/// The body is no call, or its tensors differ in length.
+/// The body is not an inference call, a sequence id is invalid, or the tensors
+/// differ in length.
 pub fn decode_request(body: &[u8]) -> Result<InferCall, WireError> {
     let received: ReceivedBody<'_> = serde_json::from_slice(body)?;
     let LayerRange { first_layer, end_layer } = received.parameters;
     if first_layer >= end_layer {
         let message =
-            format!("layers {first_layer}..{end_layer} are no range");
+            format!("layers {first_layer}..{end_layer} are not a valid range");
         return Err(WireError::new(message));
     }
     let tensors = Tensors::with_equal_rows(received.inputs)?;
@@ -252,7 +254,9 @@
                 span: self.span.number(row)?,
                 bytes: from_base64(self.input.text(row)?, "input")?,
             }),
-            other => Err(WireError::new(format!("no kind of step {other:?}"))),
+            other => {
+                Err(WireError::new(format!("unknown kind of step {other:?}")))
+            }
         }
     }
 
--- a/crates/engine/src/wire/response.rs
+++ b/crates/engine/src/wire/response.rs
@@ -1,4 +1,4 @@
-//! The answer of an inference call.
+//! Responses of inference calls.
 
 use std::borrow::Cow;
 
@@ -17,7 +17,7 @@
 
 const KIND_ACTIVATION: &str = "activation";
 const KIND_TOKEN: &str = "token";
-/// Kind of a row that was not run.
+/// Kind of a row whose step failed.
 const KIND_NONE: &str = "";
 const FINISH_STOP: &str = "stop";
 const BAD_REQUEST: &str = "bad_request";
@@ -25,7 +25,7 @@
 const NO_MEMORY: &str = "no_memory";
 const OTHER: &str = "other";
 
-/// What came of a row.
+/// Result of a row.
 pub type InferResult = Result<SequenceOutput, SequenceError>;
 
 #[derive(Serialize)]
@@ -35,7 +35,7 @@
     outputs: T,
 }
 
-/// The body of the answer to the call `id`.
+/// Encodes the body of the response to the call `id`.
 pub fn encode_response(
     model: &str,
     id: &str,
@@ -60,8 +60,8 @@
         Column::bytes("error", rows, each.clone().map(error)),
     );
     let body = ResponseBody { model_name: model, id, outputs };
-    let carried_bytes = each.map(carried_bytes).sum();
-    to_json(&body, rows, carried_bytes)
+    let payload_bytes = each.map(payload_bytes).sum();
+    to_json(&body, rows, payload_bytes)
 }
 
 fn output(result: &InferResult) -> Option<&StepOutput> {
@@ -83,7 +83,7 @@
     }
 }
 
-fn carried_bytes(result: &InferResult) -> usize {
+fn payload_bytes(result: &InferResult) -> usize {
     match output(result) {
         Some(StepOutput::Activation(bytes)) => bytes.len(),
         _ => 0,
@@ -111,7 +111,7 @@
     }
 }
 
-/// `<code>: <message>`, or nothing.
+/// `<code>: <message>` for a failed row, or an empty string.
 fn error(result: &InferResult) -> String {
     match result {
         Ok(_) => String::new(),
@@ -145,13 +145,13 @@
     outputs: Vec<Tensor<'a>>,
 }
 
-/// Reads the answer to the call `id` with the given steps. An answer to
-/// another call, or with other sequences, is refused: it must not reach the
-/// wrong caller.
+/// Decodes the response to the call `id` with the given steps. A response to
+/// another call or with other sequences is rejected, so that no output reaches
+/// the wrong caller.
 ///
 /// # Errors
 ///
-/// The body is no answer to this call.
+/// The body is not a response to this call.
 pub fn decode_response(
     body: &[u8],
     id: &str,
@@ -160,7 +160,7 @@
     let received: ReceivedBody<'_> = serde_json::from_slice(body)?;
     if received.id != id {
         let message =
-            format!("the answer is to call {:?}, not {id:?}", received.id);
+            format!("the response is for call {:?}, not {id:?}", received.id);
         return Err(WireError::new(message));
     }
     let tensors = Tensors::new(received.outputs, steps.len())?;
@@ -169,7 +169,7 @@
     each.map(|(row, step)| outputs.row(row, step.sequence)).collect()
 }
 
-/// The tensors of an answer by name.
+/// The tensors of a response by name.
 struct Outputs<'a> {
     sequence: &'a Tensor<'a>,
     kind: &'a Tensor<'a>,
@@ -207,7 +207,7 @@
         let sequence = self.sequence.text(row)?;
         if sequence.parse() != Ok(expected) {
             return Err(WireError::new(format!(
-                "row {row} is of sequence {sequence:?}, not {expected}"
+                "row {row} is for sequence {sequence:?}, not {expected}"
             )));
         }
         let error = self.error.text(row)?;
@@ -233,9 +233,9 @@
                 text: self.text.text(row)?.to_owned(),
                 is_stop: self.finish.text(row)? == FINISH_STOP,
             }),
-            other => {
-                Err(WireError::new(format!("no kind of output {other:?}")))
-            }
+            other => Err(WireError::new(format!(
+                "unknown kind of output {other:?}"
+            ))),
         }
     }
 }
--- a/crates/engine/src/wire/tensor.rs
+++ b/crates/engine/src/wire/tensor.rs
@@ -1,7 +1,7 @@
-//! Tensors of one dimension.
+//! One-dimensional tensors.
 //!
-//! They are written from iterators and read with their texts borrowed from
-//! the message, so that a row costs no allocation beyond what is kept of it.
+//! Tensors are serialized from iterators, and deserialized texts borrow from
+//! the message, so that a row allocates only the data that is kept.
 
 use std::{borrow::Cow, fmt};
 
@@ -11,7 +11,7 @@
 
 use super::WireError;
 
-/// Type of a tensor's elements.
+/// Element type of a tensor.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub(super) enum Datatype {
@@ -19,7 +19,7 @@
     Bytes,
 }
 
-/// A tensor to be written.
+/// A tensor to serialize.
 pub(super) struct Column<I> {
     name: &'static str,
     datatype: Datatype,
@@ -64,7 +64,7 @@
     }
 }
 
-/// A tensor as read.
+/// A deserialized tensor.
 #[derive(Deserialize)]
 pub(super) struct Tensor<'a> {
     #[serde(borrow)]
@@ -93,14 +93,14 @@
     }
 }
 
-/// Tensors of a message.
+/// The tensors of a message.
 pub(super) struct Tensors<'a> {
     tensors: Vec<Tensor<'a>>,
     rows: usize,
 }
 
 impl<'a> Tensors<'a> {
-    /// Takes tensors that must all have `rows` elements.
+    /// Creates the set of tensors, which must all have `rows` elements.
     pub(super) fn new(
         tensors: Vec<Tensor<'a>>,
         rows: usize,
@@ -115,7 +115,8 @@
         Ok(Tensors { tensors, rows })
     }
 
-    /// Takes tensors that have as many elements as the first one.
+    /// Creates the set of tensors, which must have as many elements as the
+    /// first tensor.
     pub(super) fn with_equal_rows(
         tensors: Vec<Tensor<'a>>,
     ) -> Result<Tensors<'a>, WireError> {
@@ -135,7 +136,7 @@
         &self,
         name: &str,
     ) -> Result<&Tensor<'a>, WireError> {
-        let missing = || WireError::new(format!("no tensor {name:?}"));
+        let missing = || WireError::new(format!("missing tensor {name:?}"));
         self.find(name).ok_or_else(missing)
     }
 }
@@ -157,7 +158,7 @@
     type Value = Element<'de>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a string, or a number of 32 bits")
+        f.write_str("a string or an unsigned 32-bit number")
     }
 
     fn visit_u64<E: de::Error>(self, v: u64) -> Result<Element<'de>, E> {
--- a/crates/engine/tests/wire.rs
+++ b/crates/engine/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Messages survive the way to JSON and back, and broken ones are refused.
+//! Messages keep their contents through JSON, and invalid messages are
+//! rejected.
 
 use chestnutreach_engine::{
     SequenceError, SequenceId, SequenceOutput, SequenceStep, StepInput,
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn requests_survive() {
+fn requests_round_trip() {
     let steps = steps();
     let call = decode_request(&encode_request("c", 3, 9, &steps)).unwrap();
     assert_eq!(
@@ -69,14 +70,14 @@
 }
 
 #[test]
-fn responses_survive() {
+fn responses_round_trip() {
     let steps = steps();
     let body = response("c", &steps);
     assert_eq!(decode_response(&body, "c", &steps).unwrap(), results());
 }
 
 #[test]
-fn every_error_survives() {
+fn every_error_round_trips() {
     let errors = [
         SequenceError::BadRequest("a: b".to_owned()),
         SequenceError::OutOfOrder(String::new()),
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn crossed_answers_are_refused() {
+fn responses_to_other_calls_or_sequences_are_rejected() {
     let steps = steps();
     let body = response("c", &steps);
     assert!(decode_response(&body, "d", &steps).is_err());
@@ -103,60 +104,61 @@
     assert!(decode_response(&body, "c", &swapped).is_err());
 }
 
-struct Broken {
+struct Replacement {
     from: &'static str,
     to: &'static str,
     error: &'static str,
 }
 
 #[rstest]
-#[case::row_count(Broken {
+#[case::row_count(Replacement {
     from: r#""data":[3,3,3]"#, to: r#""data":[3,3]"#,
     error: "tensor \"priority\" has 2 elements, not 3",
 })]
-#[case::name(Broken {
+#[case::name(Replacement {
     from: r#""name":"kind""#, to: r#""name":"sort""#,
-    error: "no tensor \"kind\"",
+    error: "missing tensor \"kind\"",
 })]
-#[case::sequence(Broken {
+#[case::sequence(Replacement {
     from: "/2", to: "/-2", error: "is not \"<request in hex>/<attempt>\"",
 })]
-#[case::layers(Broken {
+#[case::layers(Replacement {
     from: r#""first_layer":3"#, to: r#""first_layer":9"#,
-    error: "layers 9..9 are no range",
+    error: "layers 9..9 are not a valid range",
 })]
-#[case::number(Broken {
-    from: "4294967295", to: "4294967296", error: "a number of 32 bits",
+#[case::number(Replacement {
+    from: "4294967295", to: "4294967296",
+    error: "a string or an unsigned 32-bit number",
 })]
-#[case::cut(Broken { from: "}]}", to: "}", error: "EOF" })]
-fn broken_requests_are_refused(#[case] case: Broken) {
+#[case::truncated(Replacement { from: "}]}", to: "}", error: "EOF" })]
+fn invalid_requests_are_rejected(#[case] case: Replacement) {
     let body = encode_request("c", 3, 9, &steps());
     let text = String::from_utf8(body).unwrap();
     assert!(text.contains(case.from), "{text}");
-    let broken = text.replace(case.from, case.to);
-    let error = decode_request(broken.as_bytes()).unwrap_err().to_string();
+    let changed = text.replace(case.from, case.to);
+    let error = decode_request(changed.as_bytes()).unwrap_err().to_string();
     assert!(error.contains(case.error), "{error}");
 }
 
 #[rstest]
-#[case::priority(Broken {
+#[case::priority(Replacement {
     from: r#""data":[3,3,3]"#, to: r#""data":[3,0,3]"#,
     error: "priority 0 is not in 1..=3",
 })]
-#[case::kind(Broken {
+#[case::kind(Replacement {
     from: r#""token","activation""#, to: r#""tokens","activation""#,
-    error: "no kind of step \"tokens\"",
+    error: "unknown kind of step \"tokens\"",
 })]
-#[case::type_of_column(Broken {
+#[case::type_of_column(Replacement {
     from: r#""data":[0,4294967295,0]"#, to: r#""data":[0,"1",0]"#,
     error: "tensor \"token\" is not UINT32",
 })]
-fn a_broken_row_spoils_no_other(#[case] case: Broken) {
+fn an_invalid_row_does_not_affect_other_rows(#[case] case: Replacement) {
     let body = encode_request("c", 3, 9, &steps());
     let text = String::from_utf8(body).unwrap();
     assert!(text.contains(case.from), "{text}");
-    let broken = text.replace(case.from, case.to);
-    let rows = decode_request(broken.as_bytes()).unwrap().rows;
+    let changed = text.replace(case.from, case.to);
+    let rows = decode_request(changed.as_bytes()).unwrap().rows;
     assert!(rows[0].step.is_ok() && rows[2].step.is_ok());
     let error = rows[1].step.clone().unwrap_err().to_string();
     assert!(error.contains(case.error), "{error}");
--- a/crates/node/src/active_manifest.rs
+++ b/crates/node/src/active_manifest.rs
@@ -1,49 +1,51 @@
-//! The accepted generation that this process has in force.
+//! The manifest generation that this process has in force.
 //!
-//! The follower notes it after a manifest was applied, so that whoever asks
-//! is never told a generation that requests don't see yet. The objects that
-//! it is made of are kept for peers that cannot have them from the store.
+//! The follower sets the generation after the manifest was applied, so that
+//! this process never reports a generation that requests don't use yet. The
+//! objects of the generation are kept for peers that cannot fetch them from
+//! the store.
 
 use std::sync::{Mutex, MutexGuard};
 
 use chestnutreach_platform::manifest_store::{Head, ObjectDigest, PartCache};
 
-/// The generation in force.
+/// The generation in force and its objects.
 #[derive(Debug, Default)]
 pub struct ActiveManifest {
-    held: Mutex<Option<Held>>,
+    current: Mutex<Option<Generation>>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct Generation {
     head: Head,
     objects: PartCache,
 }
 
 impl ActiveManifest {
-    /// None yet.
+    /// Creates a record without a generation.
     pub fn new() -> ActiveManifest {
         ActiveManifest::default()
     }
 
-    /// A generation was applied that is made of these objects.
+    /// Sets the generation that was applied, and its objects.
     pub fn set(&self, head: &Head, objects: &PartCache) {
-        let held = Held { head: head.clone(), objects: objects.clone() };
-        *self.lock() = Some(held);
+        let current =
+            Generation { head: head.clone(), objects: objects.clone() };
+        *self.lock() = Some(current);
     }
 
-    /// The generation in force; none before the first.
+    /// Head of the generation in force, if any.
     pub fn head(&self) -> Option<Head> {
-        self.lock().as_ref().map(|held| held.head.clone())
+        self.lock().as_ref().map(|current| current.head.clone())
     }
 
-    /// An object of the generation in force, by its digest.
+    /// Returns an object of the generation in force by its digest.
     pub fn object(&self, digest: &[u8]) -> Option<Vec<u8>> {
         let digest = ObjectDigest::from_bytes(digest)?;
         self.lock().as_ref()?.objects.get(&digest)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Held>> {
-        self.held.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, Option<Generation>> {
+        self.current.lock().expect("no holder panics")
     }
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Milliseconds since the process made its clock.
+/// Measures milliseconds since its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -19,7 +19,7 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// How long it still is until a time of this clock.
+    /// Time left until `at_ms` on this clock; zero if that time has passed.
     pub fn until(&self, at_ms: u64) -> Duration {
         let at = self.start + Duration::from_millis(at_ms);
         at.saturating_duration_since(Instant::now())
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,16 +1,16 @@
-//! What both roles of the daemon share.
+//! Components that both roles of the daemon use.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`clock`] | the monotonic clock of a process |
-//! | [`manifest_follower`] | following the manifest |
-//! | [`peer_reports`] | what peers have told of the manifest |
-//! | [`active_manifest`] | the accepted generation that is in force |
+//! | [`manifest_follower`] | follows the manifest |
+//! | [`peer_reports`] | manifest generations that peers have reported |
+//! | [`active_manifest`] | the manifest generation in force |
 //! | [`links`] | link options from settings |
-//! | [`peers`] | the manifest as other processes have it |
-//! | [`threads`] | the threads that run its tasks |
-//! | [`traffic`] | bytes and counts of links as metrics |
-//! | [`vm_list`] | following the list of VMs |
+//! | [`peers`] | fetches the manifest from peers |
+//! | [`threads`] | threads that run the tasks of a process |
+//! | [`traffic`] | link metrics |
+//! | [`vm_list`] | follows the list of VMs |
 
 pub mod active_manifest;
 pub mod clock;
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,11 +1,11 @@
-//! Link options from a daemon's settings.
+//! Link options from the daemon settings.
 
 use std::time::Duration;
 
 use chestnutreach_config::settings::LinkSettings;
 use chestnutreach_protocol::LinkOptions;
 
-/// The options that the settings ask for.
+/// Converts link settings to link options.
 pub fn options(settings: &LinkSettings) -> LinkOptions {
     LinkOptions::new()
         .connect_timeout(Duration::from_millis(settings.connect_timeout_ms))
--- a/crates/node/src/manifest_follower.rs
+++ b/crates/node/src/manifest_follower.rs
@@ -1,14 +1,14 @@
-//! Following the manifest of a deployment.
+//! Follows the manifest of a deployment.
 //!
-//! A process looks at one row, the manifest's head, with jitter so that many
-//! processes do not look at the same moment, and fetches only the parts that
-//! changed. A generation lower than the one in force is never applied, and
-//! neither is a first one lower than a peer has told of.
+//! A process polls one row, the manifest's head, with jitter so that many
+//! processes do not poll at the same time, and fetches only the parts that
+//! changed. The follower never applies a generation lower than the one in
+//! force, nor a first generation lower than one that a peer has reported.
 //!
-//! While the store does not answer, what is in force stays in force, and the
-//! looks become rarer. Peers are asked when one of them has a higher
-//! generation than the store gives, or when nothing is in force yet; parts
-//! that the store cannot give are taken from them too.
+//! While the store is unavailable, the manifest in force stays in force, and
+//! the polls back off. The follower queries peers if a peer has a higher
+//! generation than the store returns, or if no manifest is in force yet. Parts
+//! that the store cannot return are fetched from peers as well.
 
 use std::{
     net::SocketAddr,
@@ -27,30 +27,30 @@
 
 use crate::{
     active_manifest::ActiveManifest,
-    outage::{Outage, Pause},
+    outage::{Outage, PollInterval},
     peer_reports::PeerReports,
-    peers::{Offered, PeerManifests},
+    peers::{PeerGeneration, PeerManifests},
 };
 
-/// How long a process without seed peers waits, after its start, for peers
-/// to come before it takes the highest generation of those that came:
-/// longer than an entry takes to dial a side process again.
-const GATHER: Duration = Duration::from_millis(2_500);
+/// How long a process without seed peers collects peers after its start before
+/// it takes the highest generation among them: longer than an entry takes to
+/// reconnect to a side process.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
 
 /// Follows the manifest of a deployment.
 pub struct ManifestFollower {
     store: ManifestStore,
     peers: PeerManifests,
-    heard: Arc<PeerReports>,
+    reports: Arc<PeerReports>,
     cache: PartCache,
     generation: u64,
     in_force: Arc<ActiveManifest>,
     outage: Outage,
-    pause: Pause,
+    poll_interval: PollInterval,
     started: Instant,
 }
 
-/// Where a generation was got.
+/// Where a generation was fetched from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Source {
     Store,
@@ -67,27 +67,27 @@
 }
 
 impl ManifestFollower {
-    /// A follower that has no generation yet.
+    /// Creates a follower that has no generation yet.
     pub fn new(
         store: ManifestStore,
         peers: PeerManifests,
-        heard: Arc<PeerReports>,
+        reports: Arc<PeerReports>,
         poll_ms: u64,
     ) -> ManifestFollower {
         ManifestFollower {
             store,
             peers,
-            heard,
+            reports,
             cache: PartCache::new(),
             generation: 0,
             in_force: Arc::default(),
             outage: Outage::new("manifest"),
-            pause: Pause::new(poll_ms),
+            poll_interval: PollInterval::new(poll_ms),
             started: Instant::now(),
         }
     }
 
-    /// Notes here which generation is in force.
+    /// Sets where the follower publishes the manifest in force.
     pub fn active_manifest(
         mut self,
         in_force: Arc<ActiveManifest>,
@@ -96,79 +96,87 @@
         self
     }
 
-    /// Applies each higher generation until the process ends.
+    /// Applies each higher generation; never returns.
     pub async fn run(mut self, apply: impl Fn(u64, &Manifest)) {
         loop {
-            let has_worked = self.look(&apply).await;
-            let pause = self.pause.after(has_worked);
-            let pause = async {
-                Timer::after(pause).await;
+            let has_succeeded = self.poll(&apply).await;
+            let delay = self.poll_interval.next(has_succeeded);
+            let delay = async {
+                Timer::after(delay).await;
             };
-            self.heard.wait_for_higher().or(pause).await;
+            self.reports.wait_for_higher().or(delay).await;
         }
     }
 
-    /// Looks once; false when there is cause to look again soon.
-    async fn look(&mut self, apply: &impl Fn(u64, &Manifest)) -> bool {
+    /// Polls the manifest once. Returns false if the poll failed and should be
+    /// retried soon.
+    async fn poll(&mut self, apply: &impl Fn(u64, &Manifest)) -> bool {
         let head = self.store.head().await;
         match &head {
-            Ok(_) => self.outage.worked(),
-            Err(e) => self.outage.failed(e),
+            Ok(_) => self.outage.record_success(),
+            Err(e) => self.outage.record_failure(e),
         }
-        let has_answered = head.is_ok();
+        let is_store_available = head.is_ok();
         if let Ok(Some(head)) = head
             && head.generation > self.generation
         {
             return self.fetch(&head, apply).await;
         }
-        let is_behind = self.heard.highest_generation() > self.generation;
-        let needs_first = !has_answered && self.generation == 0;
-        if !is_behind && !needs_first {
-            return has_answered;
+        let is_behind_peer =
+            self.reports.highest_generation() > self.generation;
+        let needs_first_generation =
+            !is_store_available && self.generation == 0;
+        if !is_behind_peer && !needs_first_generation {
+            return is_store_available;
         }
-        self.look_at_peers(apply).await
+        self.fetch_from_peers(apply).await
     }
 
-    /// Gets a generation that the store has named.
+    /// Fetches a generation whose head the store has returned.
     async fn fetch(
         &mut self,
         head: &Head,
         apply: &impl Fn(u64, &Manifest),
     ) -> bool {
         let started = Instant::now();
-        let read = self.store.read_missing(&head.root, &mut self.cache).await;
-        let Err(error) = read else {
-            return self.take(head, Source::Store, started, apply);
+        let result =
+            self.store.read_missing(&head.root, &mut self.cache).await;
+        let Err(error) = result else {
+            return self.apply_cached(head, Source::Store, started, apply);
         };
-        note_failed(head, Source::Store, &error);
-        let peers = self.peers.some();
-        self.take_from(&peers, head, started, apply).await
+        log_fetch_failed(head, Source::Store, &error);
+        let peers = self.peers.sample();
+        self.fetch_parts_from_peers(&peers, head, started, apply).await
     }
 
-    /// Gets the highest generation of the peers, if it is a higher one.
-    async fn look_at_peers(
+    /// Fetches the highest generation of the peers if it is higher than the
+    /// one in force.
+    async fn fetch_from_peers(
         &mut self,
         apply: &impl Fn(u64, &Manifest),
     ) -> bool {
         let is_first = self.generation == 0;
-        let is_early = self.started.elapsed() < GATHER;
+        let is_early = self.started.elapsed() < PEER_DISCOVERY_TIME;
         if is_first && is_early && !self.peers.has_seeds() {
             return false;
         }
         let started = Instant::now();
-        let Some(Offered { head, peers }) = self.peers.highest().await else {
+        let Some(PeerGeneration { head, peers }) = self.peers.highest().await
+        else {
             return false;
         };
-        // A first one that is lower than another peer has told of would be
-        // a step back if this VM had that one before it started anew.
-        let least = self.heard.highest_generation().max(self.generation + 1);
-        if head.generation < least {
+        // A first generation lower than one that a peer has reported could be
+        // a rollback: this VM may have had the higher one in force before its
+        // restart.
+        let min_generation =
+            self.reports.highest_generation().max(self.generation + 1);
+        if head.generation < min_generation {
             return false;
         }
-        self.take_from(&peers, &head, started, apply).await
+        self.fetch_parts_from_peers(&peers, &head, started, apply).await
     }
 
-    async fn take_from(
+    async fn fetch_parts_from_peers(
         &mut self,
         peers: &[SocketAddr],
         head: &Head,
@@ -177,11 +185,11 @@
     ) -> bool {
         let cache = &mut self.cache;
         self.peers.read_missing(&head.root, cache, peers).await;
-        self.take(head, Source::Peer, started, apply)
+        self.apply_cached(head, Source::Peer, started, apply)
     }
 
-    /// Puts a generation in force whose objects are all here.
-    fn take(
+    /// Puts a generation in force. All of its objects must be in the cache.
+    fn apply_cached(
         &mut self,
         head: &Head,
         source: Source,
@@ -191,7 +199,7 @@
         let sections = match self.cache.sections(&head.root) {
             Ok(sections) => sections,
             Err(e) => {
-                note_failed(head, source, &e);
+                log_fetch_failed(head, source, &e);
                 return false;
             }
         };
@@ -225,7 +233,7 @@
     }
 }
 
-fn note_failed(head: &Head, source: Source, error: &FetchError) {
+fn log_fetch_failed(head: &Head, source: Source, error: &FetchError) {
     emit(
         Event::ManifestFetchFailed,
         &[
--- a/crates/node/src/outage.rs
+++ b/crates/node/src/outage.rs
@@ -1,17 +1,17 @@
-//! Outages of the platform's services: telling them, and waiting longer.
+//! Outages of the platform's services: events and backoff between polls.
 
 use std::time::{Duration, Instant};
 
 use chestnutreach_telemetry::{Event, emit};
 
-/// Longest wait between two tries during an outage; also how late its end
-/// may be noticed.
-const LONGEST_MS: u64 = 5_000;
-/// First wait after a failure, as a part of the ordinary one: most failures
-/// are over at once.
-const FIRST_PART: u64 = 4;
+/// Maximum interval between polls during an outage. The end of an outage is
+/// detected at most this much later.
+const MAX_BACKOFF_MS: u64 = 5_000;
+/// The first backoff is the poll interval divided by this number, since most
+/// failures are short.
+const FIRST_BACKOFF_DIVISOR: u64 = 4;
 
-/// Tells once that a service does not answer, and once that it does again.
+/// Logs the start and the end of an outage of a service once each.
 #[derive(Debug)]
 pub(crate) struct Outage {
     store: &'static str,
@@ -23,7 +23,7 @@
         Outage { store, since: None }
     }
 
-    pub(crate) fn failed(&mut self, error: &dyn std::fmt::Display) {
+    pub(crate) fn record_failure(&mut self, error: &dyn std::fmt::Display) {
         if self.since.is_none() {
             self.since = Some(Instant::now());
             emit(
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(crate) fn worked(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         if let Some(since) = self.since.take() {
             emit(
                 Event::StoreBack,
@@ -46,33 +46,33 @@
     }
 }
 
-/// How long to wait until the next look.
+/// Interval between polls, with exponential backoff after failures.
 #[derive(Debug)]
-pub(crate) struct Pause {
+pub(crate) struct PollInterval {
     poll_ms: u64,
     failures: u32,
 }
 
-impl Pause {
-    /// Looks this often while all is well.
-    pub(crate) fn new(poll_ms: u64) -> Pause {
-        Pause { poll_ms, failures: 0 }
+impl PollInterval {
+    /// Creates an interval of `poll_ms` while polls succeed.
+    pub(crate) fn new(poll_ms: u64) -> PollInterval {
+        PollInterval { poll_ms, failures: 0 }
     }
 
-    /// The wait after a look, spread over half to all of it, so that many
-    /// processes do not look at the same moment.
-    pub(crate) fn after(&mut self, has_worked: bool) -> Duration {
-        if has_worked {
+    /// The wait after a poll. Jitter between half of the interval and all of
+    /// it keeps many processes from polling at the same time.
+    pub(crate) fn next(&mut self, has_succeeded: bool) -> Duration {
+        if has_succeeded {
             self.failures = 0;
-            return spread(self.poll_ms);
+            return with_jitter(self.poll_ms);
         }
-        let first_ms = (self.poll_ms / FIRST_PART).max(1);
+        let first_ms = (self.poll_ms / FIRST_BACKOFF_DIVISOR).max(1);
         let doubled_ms = first_ms << self.failures.min(u64::BITS / 4);
         self.failures = self.failures.saturating_add(1);
-        spread(doubled_ms.min(self.poll_ms.max(LONGEST_MS)))
+        with_jitter(doubled_ms.min(self.poll_ms.max(MAX_BACKOFF_MS)))
     }
 }
 
-fn spread(interval_ms: u64) -> Duration {
+fn with_jitter(interval_ms: u64) -> Duration {
     Duration::from_millis(fastrand::u64(interval_ms / 2..=interval_ms))
 }
--- a/crates/node/src/peer_reports.rs
+++ b/crates/node/src/peer_reports.rs
@@ -1,8 +1,8 @@
-//! What peers have told of the manifest, and where to ask them.
+//! Manifest generations that peers have reported, and their control addresses.
 //!
-//! Every message between processes that says who they are carries the
-//! generation in force. Hearing a higher one than this process has makes it
-//! look at the store at once instead of at its next poll.
+//! Messages between processes carry the generation that the sender has in
+//! force. A higher generation than any reported before makes the follower poll
+//! the store at once instead of at its next interval.
 
 use std::{
     collections::BTreeMap,
@@ -15,30 +15,31 @@
 
 use chestnutreach_protocol::wire::Hello;
 
-/// What peers have told.
+/// The highest generation that peers have reported, and their addresses.
 #[derive(Debug)]
 pub struct PeerReports {
     generation: AtomicU64,
-    /// Where each VM takes control calls. One that has gone stays: it may
-    /// be back, and its address is only asked when the store is not there.
+    /// Control address of each VM. Addresses of disconnected peers are kept:
+    /// a peer may return, and the addresses are only used while the store is
+    /// unavailable or behind.
     control_addresses: Mutex<BTreeMap<String, SocketAddr>>,
-    wake: async_channel::Sender<()>,
-    woken: async_channel::Receiver<()>,
+    wake_sender: async_channel::Sender<()>,
+    wake_receiver: async_channel::Receiver<()>,
 }
 
 impl PeerReports {
-    /// Nothing heard yet.
+    /// Creates a record without reports.
     pub fn new() -> PeerReports {
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake_sender, wake_receiver) = async_channel::bounded(1);
         PeerReports {
             generation: AtomicU64::new(0),
             control_addresses: Mutex::default(),
-            wake,
-            woken,
+            wake_sender,
+            wake_receiver,
         }
     }
 
-    /// A link to a peer has opened.
+    /// Records the address and the generation in a peer's hello message.
     pub fn record_hello(&self, peer: &Hello) {
         if let Ok(address) = peer.control_address.parse() {
             let mut addresses =
@@ -48,30 +49,30 @@
         self.record_generation(peer.generation);
     }
 
-    /// Where the peers that were met take control calls.
+    /// Control addresses of the peers that have sent a hello message.
     pub fn control_addresses(&self) -> Vec<SocketAddr> {
         let addresses =
             self.control_addresses.lock().expect("no holder panics");
         addresses.values().copied().collect()
     }
 
-    /// A peer has this generation in force.
+    /// Records the generation that a peer has in force.
     pub fn record_generation(&self, generation: u64) {
         let old = self.generation.fetch_max(generation, Ordering::AcqRel);
         if generation > old {
-            // A full channel has woken the reader already.
-            let _ = self.wake.try_send(());
+            // If the channel is full, a wake-up is pending already.
+            let _ = self.wake_sender.try_send(());
         }
     }
 
-    /// The highest generation heard of.
+    /// The highest generation that a peer has reported.
     pub fn highest_generation(&self) -> u64 {
         self.generation.load(Ordering::Acquire)
     }
 
-    /// Waits until a higher generation than before is heard of.
+    /// Waits until a peer reports a higher generation than before.
     pub async fn wait_for_higher(&self) {
-        let _ = self.woken.recv().await;
+        let _ = self.wake_receiver.recv().await;
     }
 }
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,8 +1,8 @@
-//! The manifest as other processes have it.
+//! Fetches the manifest from other processes.
 //!
-//! Asked when the store does not answer, or cannot give all of a generation.
-//! What peers hand out is checked by digest, so that one that is wrong costs
-//! time and nothing else.
+//! Used while the store is unavailable or cannot return all objects of a
+//! generation. Objects from peers are verified by digest, so that a faulty
+//! peer costs time but cannot corrupt the manifest.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,84 +14,84 @@
 
 use crate::peer_reports::PeerReports;
 
-/// Most peers asked at once.
-const MAX_ASKED: usize = 16;
-/// Most peers tried for the objects of one generation.
-const MAX_SOURCES: usize = 4;
+/// Maximum number of peers queried at once.
+const MAX_QUERIED_PEERS: usize = 16;
+/// Maximum number of peers tried for the objects of one generation.
+const MAX_SOURCE_PEERS: usize = 4;
 
-/// Processes that may have the manifest.
+/// Client for the manifests of peers.
 #[derive(Debug)]
 pub struct PeerManifests {
     seeds: Vec<SocketAddr>,
-    heard: Arc<PeerReports>,
+    reports: Arc<PeerReports>,
     timeout: Duration,
 }
 
-/// A generation, and who has it in force.
-pub(crate) struct Offered {
+/// A generation, and the peers that have it in force.
+pub(crate) struct PeerGeneration {
     pub(crate) head: Head,
     pub(crate) peers: Vec<SocketAddr>,
 }
 
 impl PeerManifests {
-    /// Peers from the settings, and those that were met; each gets this
-    /// time for an answer.
+    /// Creates a client for the seed peers of the settings and the peers that
+    /// have reported a generation. `timeout` applies to each call.
     pub fn new(
         seeds: Vec<SocketAddr>,
-        heard: Arc<PeerReports>,
+        reports: Arc<PeerReports>,
         timeout: Duration,
     ) -> PeerManifests {
-        PeerManifests { seeds, heard, timeout }
+        PeerManifests { seeds, reports, timeout }
     }
 
-    /// Whether the settings name peers.
+    /// Whether the settings list seed peers.
     pub(crate) fn has_seeds(&self) -> bool {
         !self.seeds.is_empty()
     }
 
-    /// Some of the known peers, in no order.
-    pub(crate) fn some(&self) -> Vec<SocketAddr> {
-        let met = self.heard.control_addresses();
+    /// A random selection of the known peers.
+    pub(crate) fn sample(&self) -> Vec<SocketAddr> {
+        let reported = self.reports.control_addresses();
         let known: BTreeSet<SocketAddr> =
-            self.seeds.iter().copied().chain(met).collect();
+            self.seeds.iter().copied().chain(reported).collect();
         let mut known: Vec<SocketAddr> = known.into_iter().collect();
         fastrand::shuffle(&mut known);
-        known.truncate(MAX_ASKED);
+        known.truncate(MAX_QUERIED_PEERS);
         known
     }
 
-    /// The highest generation that any of the asked peers has in force.
-    pub(crate) async fn highest(&self) -> Option<Offered> {
-        let asked = self.some();
+    /// Queries peers for the highest generation that one has in force.
+    pub(crate) async fn highest(&self) -> Option<PeerGeneration> {
+        let queried = self.sample();
         let mut calls = Vec::new();
-        for address in &asked {
+        for address in &queried {
             calls.push(generation_of(*address, self.timeout));
         }
-        let answers = call_each(calls).await;
-        let heads: Vec<(SocketAddr, Head)> = asked
+        let responses = call_each(calls).await;
+        let heads: Vec<(SocketAddr, Head)> = queried
             .into_iter()
-            .zip(answers)
+            .zip(responses)
             .filter_map(|(address, info)| Some((address, head_of(info?)?)))
             .collect();
         let highest = heads.iter().max_by_key(|(_, head)| head.generation)?;
         let head = highest.1.clone();
-        let has_it = heads.iter().filter(|(_, h)| h.root == head.root);
-        let peers = has_it.map(|(address, _)| *address).collect();
-        Some(Offered { head, peers })
+        let holders = heads.iter().filter(|(_, h)| h.root == head.root);
+        let peers = holders.map(|(address, _)| *address).collect();
+        Some(PeerGeneration { head, peers })
     }
 
-    /// Takes what a generation still needs from these peers.
+    /// Fetches the missing objects of a generation from `peers`.
     pub(crate) async fn read_missing(
         &self,
         root: &[u8; 32],
         cache: &mut PartCache,
         peers: &[SocketAddr],
     ) {
-        for address in peers.iter().take(MAX_SOURCES) {
+        for address in peers.iter().take(MAX_SOURCE_PEERS) {
             if cache.missing(root).is_empty() {
                 return;
             }
-            // Whatever goes wrong with one, the next is asked.
+            // After any error, the next peer is tried.
             let _ = self.read_from(*address, root, cache).await;
         }
     }
@@ -106,14 +106,14 @@
         let client = client.call_timeout(self.timeout);
         loop {
             let missing = cache.missing(root);
-            let mut has_got = false;
+            let mut has_progress = false;
             for digest in missing {
                 let part = client.manifest_part(digest.as_bytes()).await?;
-                let taken = part.map(|bytes| cache.insert(digest, bytes));
-                has_got |= matches!(taken, Some(Ok(())));
+                let inserted = part.map(|bytes| cache.insert(digest, bytes));
+                has_progress |= matches!(inserted, Some(Ok(())));
             }
-            // The parts are known once the root is there.
-            if !has_got || cache.missing(root).is_empty() {
+            // The list of parts is known once the root object is cached.
+            if !has_progress || cache.missing(root).is_empty() {
                 return Ok(());
             }
         }
--- a/crates/node/src/threads.rs
+++ b/crates/node/src/threads.rs
@@ -1,4 +1,4 @@
-//! The threads that run a process's tasks.
+//! Threads that run the tasks of a process.
 
 use std::{io, sync::Arc, thread};
 
@@ -6,11 +6,11 @@
 use futures_lite::future;
 
 /// Starts `count` threads that run the executor's tasks until the process
-/// ends.
+/// exits.
 ///
 /// # Errors
 ///
-/// The system gives no more threads.
+/// The operating system could not start a thread.
 pub fn start(
     executor: &Arc<Executor<'static>>,
     count: usize,
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -1,7 +1,7 @@
-//! Bytes and counts of links as metrics.
+//! Metrics of links.
 //!
-//! Links count by themselves, without metrics on the path of a frame; what
-//! has come up is carried over once an interval.
+//! Links count bytes on their own, to keep metrics out of the frame path. The
+//! counts are added to the metrics once per interval.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 use chestnutreach_protocol::{Links, Traffic};
 use chestnutreach_telemetry::Metrics;
 
-/// Time between two looks; metrics lag by this much.
+/// Time between two updates; the metrics lag by at most this much.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Carries the counts of links over to metrics until the process ends.
+/// Updates the metrics from the counts of the links; never returns.
 pub async fn count_traffic(links: Links, metrics: Arc<Metrics>) {
     let mut counted = Traffic::default();
     loop {
--- a/crates/node/src/vm_list.rs
+++ b/crates/node/src/vm_list.rs
@@ -1,29 +1,30 @@
-//! Following the platform's list of VMs.
+//! Follows the platform's list of VMs.
 //!
-//! While the list does not answer, what was read last stays believed.
+//! While the list is unavailable, the last list that was read stays valid.
 
 use std::collections::BTreeSet;
 
 use async_io::Timer;
 use chestnutreach_platform::{VmListClient, vm_list::VmState};
 
-use crate::outage::{Outage, Pause};
+use crate::outage::{Outage, PollInterval};
 
-/// Follows the platform's list until the process ends; hands on the VMs that
-/// are listed as leaving, or none when the list does not answer.
+/// Follows the platform's list; never returns. Calls `apply` after each poll
+/// with the VMs that are listed as leaving, or `None` if the list is
+/// unavailable.
 pub async fn follow_vm_list(
     client: VmListClient,
     poll_ms: u64,
     apply: impl Fn(Option<BTreeSet<String>>),
 ) {
     let mut outage = Outage::new("vm_list");
-    let mut pause = Pause::new(poll_ms);
+    let mut poll_interval = PollInterval::new(poll_ms);
     loop {
         let listed = client.list().await;
-        let has_worked = listed.is_ok();
+        let has_succeeded = listed.is_ok();
         match listed {
             Ok(entries) => {
-                outage.worked();
+                outage.record_success();
                 let leaving = entries
                     .into_iter()
                     .filter(|entry| entry.state == VmState::Leaving)
@@ -32,10 +33,10 @@
                 apply(Some(leaving));
             }
             Err(e) => {
-                outage.failed(&e);
+                outage.record_failure(&e);
                 apply(None);
             }
         }
-        Timer::after(pause.after(has_worked)).await;
+        Timer::after(poll_interval.next(has_succeeded)).await;
     }
 }
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Looks during an outage of the store.
+//! Polls of the manifest during an outage of the store.
 
 use std::{
     io::Read as _,
@@ -22,7 +22,7 @@
 const POLL_MS: u64 = 100;
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Takes connections, reads a little and closes; counts them.
+/// A server that counts connections and closes each one without a response.
 fn broken_service() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -37,44 +37,48 @@
     (address, count)
 }
 
-fn follower(store: SocketAddr, heard: &Arc<PeerReports>) -> ManifestFollower {
+fn follower(
+    store: SocketAddr,
+    reports: &Arc<PeerReports>,
+) -> ManifestFollower {
     let table = Arc::new(TableClient::new(store, TIMEOUT));
     let objects = Arc::new(ObjectClient::new(store, TIMEOUT));
-    let peers = PeerManifests::new(Vec::new(), heard.clone(), TIMEOUT);
+    let peers = PeerManifests::new(Vec::new(), reports.clone(), TIMEOUT);
     let store = ManifestStore::new(table, objects);
-    ManifestFollower::new(store, peers, heard.clone(), POLL_MS)
+    ManifestFollower::new(store, peers, reports.clone(), POLL_MS)
 }
 
 fn run_for(time: Duration, follower: ManifestFollower) {
     let following = follower.run(|_, _| panic!("nothing to apply"));
-    let over = async {
+    let time_limit = async {
         Timer::after(time).await;
     };
-    async_io::block_on(following.or(over));
+    async_io::block_on(following.or(time_limit));
 }
 
 #[test]
-fn looks_become_rarer_while_the_store_is_down() {
+fn polls_back_off_while_the_store_is_unavailable() {
     let (store, count) = broken_service();
-    let heard = Arc::new(PeerReports::new());
-    // Looks after 25 ms, 50 ms and so on, each spread over half to all.
-    run_for(Duration::from_millis(3_000), follower(store, &heard));
-    let looks = count.load(Ordering::Relaxed);
-    assert!((4..=12).contains(&looks), "{looks}");
+    let reports = Arc::new(PeerReports::new());
+    // Polls follow after 25 ms, 50 ms and so on, each with jitter from half of
+    // the interval to all of it.
+    run_for(Duration::from_millis(3_000), follower(store, &reports));
+    let polls = count.load(Ordering::Relaxed);
+    assert!((4..=12).contains(&polls), "{polls}");
 }
 
 #[test]
-fn a_peer_that_tells_of_a_higher_generation_causes_one_look() {
+fn a_higher_generation_of_a_peer_triggers_one_poll() {
     let (store, count) = broken_service();
-    let heard = Arc::new(PeerReports::new());
-    let told = heard.clone();
-    let telling = thread::spawn(move || {
+    let reports = Arc::new(PeerReports::new());
+    let reports_of_peer = reports.clone();
+    let reporting = thread::spawn(move || {
         thread::sleep(Duration::from_millis(2_000));
         let before = count.load(Ordering::Relaxed);
         let peer = Hello { generation: 7, ..Hello::default() };
         let started = Instant::now();
         for _ in 0..100 {
-            told.record_hello(&peer);
+            reports_of_peer.record_hello(&peer);
         }
         while count.load(Ordering::Relaxed) == before {
             assert!(started.elapsed() < Duration::from_millis(400));
@@ -83,7 +87,7 @@
         thread::sleep(Duration::from_millis(200));
         count.load(Ordering::Relaxed) - before
     });
-    run_for(Duration::from_millis(3_000), follower(store, &heard));
-    let looks = telling.join().unwrap();
-    assert!((1..=2).contains(&looks), "{looks}");
+    run_for(Duration::from_millis(3_000), follower(store, &reports));
+    let polls = reporting.join().unwrap();
+    assert!((1..=2).contains(&polls), "{polls}");
 }
--- a/crates/side/src/backend.rs
+++ b/crates/side/src/backend.rs
@@ -25,9 +25,9 @@
 use futures_lite::FutureExt as _;
 
 use crate::{
-    gate::{Gate, ServerCapacity},
+    cooldown::Cooldown,
     node::Shared,
-    rest::Rest,
+    slot_queue::{ServerCapacity, SlotQueue},
     steps::{Batch, Owner, QueuedStep, StepQueue},
 };
 
@@ -35,14 +35,14 @@
 /// with a call outstanding is asked whether it is still there.
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Missed answers in a row after which a call is given up.
-const PROBE_MISSES: u32 = 2;
+const MAX_MISSED_PROBES: u32 = 2;
 /// Least rest of an engine: steps that wait would go to one that asks for
 /// none again and again.
-const LEAST_REST: Duration = Duration::from_millis(100);
+const MIN_COOLDOWN: Duration = Duration::from_millis(100);
 /// Guess of a speed that nobody states: nothing is too late by it.
-const UNKNOWN: f64 = 1e9;
+const UNKNOWN_TOKENS_PER_S: f64 = 1e9;
 /// Sequences freed in one call.
-const RELEASE_BATCH: usize = 256;
+const MAX_RELEASE_BATCH: usize = 256;
 
 /// What the manifest has a backend server do.
 pub(crate) struct Assigned {
@@ -65,15 +65,15 @@
     pub(crate) name: String,
     address: SocketAddr,
     assigned: ArcSwapOption<Assigned>,
-    pub(crate) gate: Gate,
+    pub(crate) slots: SlotQueue,
     pub(crate) steps: StepQueue,
     pub(crate) metrics: Arc<BackendMetrics>,
-    pub(crate) rest: Rest,
+    pub(crate) cooldown: Cooldown,
     table: Mutex<RunOnceTable>,
     is_healthy: AtomicBool,
     is_leaving: AtomicBool,
-    releases: async_channel::Sender<SequenceId>,
-    released: async_channel::Receiver<SequenceId>,
+    release_sender: async_channel::Sender<SequenceId>,
+    release_receiver: async_channel::Receiver<SequenceId>,
 }
 
 impl Backend {
@@ -83,7 +83,7 @@
         settings: &SideSettings,
         metrics: Arc<BackendMetrics>,
     ) -> Backend {
-        let (releases, released) = async_channel::unbounded();
+        let (release_sender, release_receiver) = async_channel::unbounded();
         let table = RunOnceTable::new(
             settings.run_once_capacity,
             settings.run_once_retention_ms,
@@ -92,15 +92,15 @@
             name: name.to_owned(),
             address,
             assigned: ArcSwapOption::empty(),
-            gate: Gate::new(settings.queue_limit_tokens),
+            slots: SlotQueue::new(settings.queue_limit_tokens),
             steps: StepQueue::new(settings.engine_calls),
             metrics,
-            rest: Rest::default(),
+            cooldown: Cooldown::default(),
             table: Mutex::new(table),
             is_healthy: AtomicBool::new(true),
             is_leaving: AtomicBool::new(false),
-            releases,
-            released,
+            release_sender,
+            release_receiver,
         }
     }
 
@@ -126,7 +126,7 @@
 
     /// Has the engine free what it holds for a sequence, soon.
     pub(crate) fn release_sequence(&self, sequence: SequenceId) {
-        let _ = self.releases.try_send(sequence);
+        let _ = self.release_sender.try_send(sequence);
     }
 
     /// Takes over what a manifest says of it; nothing if it says nothing.
@@ -138,7 +138,7 @@
         let Some(service) = manifest.services.get(&server.service) else {
             return;
         };
-        self.apply_places(manifest, server);
+        self.apply_capacity(manifest, server);
         if self.is_assigned_as(server) {
             return;
         }
@@ -160,37 +160,39 @@
         })));
     }
 
-    fn apply_places(&self, manifest: &Manifest, server: &BackendServer) {
+    fn apply_capacity(&self, manifest: &Manifest, server: &BackendServer) {
         let kind = server.accelerator.as_ref();
         let kind = kind.and_then(|k| manifest.accelerators.get(k));
         let share = layer_share(manifest, server);
         let guess = |whole: u32| f64::from(whole) / share;
-        self.gate.set_places(ServerCapacity {
+        self.slots.set_capacity(ServerCapacity {
             max_running: server.max_running,
-            prompt_tokens_per_s: kind
-                .map_or(UNKNOWN, |kind| guess(kind.prompt_tokens_per_s)),
-            output_tokens_per_s: kind
-                .map_or(UNKNOWN, |kind| guess(kind.output_tokens_per_s)),
+            prompt_tokens_per_s: kind.map_or(UNKNOWN_TOKENS_PER_S, |kind| {
+                guess(kind.prompt_tokens_per_s)
+            }),
+            output_tokens_per_s: kind.map_or(UNKNOWN_TOKENS_PER_S, |kind| {
+                guess(kind.output_tokens_per_s)
+            }),
         });
         for (name, account) in &manifest.accounts {
             if account.services.contains(&server.service) {
-                self.gate.set_weight(name, account.weight);
+                self.slots.set_weight(name, account.weight);
             }
         }
     }
 
     /// Learns the speed from a call that was answered.
-    fn note_call(
+    fn record_call(
         &self,
         steps: &[SequenceStep],
         results: &EngineResults,
         is_first: bool,
         started: Instant,
     ) {
-        let took = started.elapsed();
+        let elapsed = started.elapsed();
         self.metrics.steps.inc_by(steps.len() as u64);
-        self.metrics.step_time.observe(took.as_secs_f64());
-        let took_ms = took.as_secs_f64() * 1_000.0;
+        self.metrics.step_time.observe(elapsed.as_secs_f64());
+        let elapsed_ms = elapsed.as_secs_f64() * 1_000.0;
         let spans = results
             .iter()
             .flatten()
@@ -198,9 +200,9 @@
         if is_first {
             let longest = spans.clone().max().unwrap_or(0);
             let tokens = spans.map(u64::from).sum();
-            self.gate.learn_prompt(longest, tokens, took_ms);
+            self.slots.learn_prompt(longest, tokens, elapsed_ms);
         } else {
-            self.gate.learn_step(steps.len() as u32, took_ms);
+            self.slots.learn_step(steps.len() as u32, elapsed_ms);
         }
     }
 
@@ -231,16 +233,20 @@
             let is_first = batch.is_first;
             self.run_batch(backend, batch).await;
             if is_first {
-                backend.steps.first_call_ended();
+                backend.steps.first_step_call_ended();
             }
         }
     }
 
     async fn run_batch(self: &Arc<Self>, backend: &Arc<Backend>, b: Batch) {
         let is_first = b.is_first;
-        let rest = backend.rest.left();
-        if rest > Duration::ZERO {
-            self.put_off(backend, b.steps, &EngineError::in_cooldown(rest));
+        let cooldown = backend.cooldown.remaining();
+        if cooldown > Duration::ZERO {
+            self.defer_steps(
+                backend,
+                b.steps,
+                &EngineError::in_cooldown(cooldown),
+            );
             return;
         }
         let (owners, steps): (Vec<Owner>, Vec<SequenceStep>) =
@@ -249,48 +255,58 @@
         let started = Instant::now();
         match self.call_engine(backend, &steps, is_first).await {
             Ok(results) => {
-                backend.note_call(&steps, &results, is_first, started);
+                backend.record_call(&steps, &results, is_first, started);
                 for ((owner, step), result) in
                     owners.iter().zip(&steps).zip(results)
                 {
                     let at = step.position;
                     match owner {
-                        Owner::Run(run) => self.own_step_done(run, at, result),
-                        Owner::Seat(seat) => {
-                            self.seat_step_done(seat, at, result);
+                        Owner::Run(run) => {
+                            self.first_stage_step_done(run, at, result)
+                        }
+                        Owner::Reservation(reservation) => {
+                            self.later_stage_step_done(
+                                reservation,
+                                at,
+                                result,
+                            );
                         }
                     }
                 }
             }
-            Err(error) if let Some(rest) = error.cooldown() => {
-                self.take_rest(backend, rest.max(LEAST_REST));
+            Err(error) if let Some(cooldown) = error.cooldown() => {
+                self.enter_cooldown(backend, cooldown.max(MIN_COOLDOWN));
                 let steps = owners.into_iter().zip(steps);
                 let steps = steps.map(|(owner, step)| QueuedStep {
                     owner,
                     step,
                     is_first,
                 });
-                self.put_off(backend, steps.collect(), &error);
+                self.defer_steps(backend, steps.collect(), &error);
             }
             Err(error) => {
-                self.note_down(backend, &error);
+                self.report_down(backend, &error);
                 for owner in &owners {
-                    self.lose_step(owner, is_first, &error);
+                    self.fail_step(owner, is_first, &error);
                 }
             }
         }
     }
 
     /// Ends what a step belongs to that has no result.
-    pub(crate) fn lose_step(
+    pub(crate) fn fail_step(
         self: &Arc<Self>,
         owner: &Owner,
         is_first: bool,
         error: &EngineError,
     ) {
         match owner {
-            Owner::Run(run) => self.own_step_lost(run, is_first, error),
-            Owner::Seat(seat) => self.seat_step_lost(seat, error),
+            Owner::Run(run) => {
+                self.first_stage_step_lost(run, is_first, error)
+            }
+            Owner::Reservation(reservation) => {
+                self.later_stage_step_lost(reservation, error)
+            }
         }
     }
 
@@ -323,12 +339,12 @@
 
     /// Notes that a backend server does not answer, and asks it until it
     /// does.
-    pub(crate) fn note_down(
+    pub(crate) fn report_down(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
         error: &dyn std::fmt::Display,
     ) {
-        if self.go_down(backend) {
+        if self.mark_down(backend) {
             emit(
                 Event::BackendDown,
                 &[("backend", &backend.name), ("error", error)],
@@ -338,17 +354,17 @@
 
     /// Has a backend server count as down until it answers, which it is not
     /// asked while it is at rest; false if it is down.
-    pub(crate) fn go_down(self: &Arc<Self>, backend: &Arc<Backend>) -> bool {
+    pub(crate) fn mark_down(self: &Arc<Self>, backend: &Arc<Backend>) -> bool {
         if !backend.is_healthy.swap(false, Ordering::AcqRel) {
             return false;
         }
         self.send_status();
         let (side, backend) = (self.clone(), backend.clone());
         self.spawn(async move {
-            backend.rest.over().await;
-            while !is_back(&backend).await {
+            backend.cooldown.wait_until_over().await;
+            while !is_reachable(&backend).await {
                 Timer::after(PROBE_INTERVAL).await;
-                backend.rest.over().await;
+                backend.cooldown.wait_until_over().await;
             }
             backend.is_healthy.store(true, Ordering::Release);
             backend.resume_steps();
@@ -386,12 +402,12 @@
     engine: &EngineClient,
 ) -> Result<EngineResults, EngineError> {
     let mut misses = 0;
-    while misses < PROBE_MISSES {
+    while misses < MAX_MISSED_PROBES {
         Timer::after(PROBE_INTERVAL).await;
-        backend.rest.over().await;
-        misses = match look(backend, engine).await {
-            Look::Ready | Look::AtRest => 0,
-            Look::Missed => misses + 1,
+        backend.cooldown.wait_until_over().await;
+        misses = match check_readiness(backend, engine).await {
+            Readiness::Ready | Readiness::InCooldown => 0,
+            Readiness::Missed => misses + 1,
         };
     }
     let limit_ms = PROBE_INTERVAL.as_millis() as u64 * u64::from(misses) * 2;
@@ -401,37 +417,40 @@
 
 /// What a look at an engine showed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Look {
+enum Readiness {
     Ready,
     /// It is there and asked for rest.
-    AtRest,
+    InCooldown,
     /// It is not ready, or did not say so in time.
     Missed,
 }
 
-async fn look(backend: &Backend, engine: &EngineClient) -> Look {
+async fn check_readiness(
+    backend: &Backend,
+    engine: &EngineClient,
+) -> Readiness {
     let asked = async { Some(engine.ready().await) };
     let limit = async {
         Timer::after(PROBE_INTERVAL).await;
         None
     };
     match asked.or(limit).await {
-        Some(Ok(())) => Look::Ready,
+        Some(Ok(())) => Readiness::Ready,
         Some(Err(error)) => match error.cooldown() {
-            Some(rest) => {
-                backend.note_rest(rest);
-                Look::AtRest
+            Some(cooldown) => {
+                backend.record_cooldown(cooldown);
+                Readiness::InCooldown
             }
-            None => Look::Missed,
+            None => Readiness::Missed,
         },
-        None => Look::Missed,
+        None => Readiness::Missed,
     }
 }
 
-async fn is_back(backend: &Backend) -> bool {
+async fn is_reachable(backend: &Backend) -> bool {
     match backend.assigned().as_deref() {
         Some(Assigned { server: Server::Engine(engine), .. }) => {
-            look(backend, engine).await == Look::Ready
+            check_readiness(backend, engine).await == Readiness::Ready
         }
         // A plain service has no common health check; that it takes a
         // connection is what can be asked without running anything.
@@ -448,14 +467,14 @@
 }
 
 async fn run_releases(backend: &Backend) {
-    while let Ok(first) = backend.released.recv().await {
+    while let Ok(first) = backend.release_receiver.recv().await {
         let mut batch = vec![first];
-        while batch.len() < RELEASE_BATCH
-            && let Ok(next) = backend.released.try_recv()
+        while batch.len() < MAX_RELEASE_BATCH
+            && let Ok(next) = backend.release_receiver.try_recv()
         {
             batch.push(next);
         }
-        backend.rest.over().await;
+        backend.cooldown.wait_until_over().await;
         if let Some(assigned) = backend.assigned()
             && let Server::Engine(engine) = &assigned.server
         {
--- a/crates/side/src/rest.rs
+++ b/crates/side/src/cooldown.rs
@@ -18,19 +18,19 @@
 
 use crate::{
     backend::Backend,
-    gate::Waiting,
     node::Shared,
+    slot_queue::Waiting,
     steps::{Owner, QueuedStep},
 };
 
 /// Until when a backend server is at rest, and what waits for it.
 #[derive(Default)]
-pub(crate) struct Rest {
+pub(crate) struct Cooldown {
     until: Mutex<Option<Instant>>,
     steps: Mutex<Vec<QueuedStep>>,
 }
 
-impl Rest {
+impl Cooldown {
     fn lock(&self) -> MutexGuard<'_, Option<Instant>> {
         self.until.lock().expect("no holder panics")
     }
@@ -40,14 +40,14 @@
     }
 
     /// Takes that it asks for rest; of several, the latest end counts.
-    fn ask(&self, rest: Duration) {
-        let end = Instant::now() + rest;
+    fn extend(&self, cooldown: Duration) {
+        let end = Instant::now() + cooldown;
         let mut until = self.lock();
         *until = (*until).max(Some(end));
     }
 
     /// Time until it is over.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn remaining(&self) -> Duration {
         let until = *self.lock();
         until.map_or(Duration::ZERO, |until| {
             until.saturating_duration_since(Instant::now())
@@ -55,13 +55,13 @@
     }
 
     /// Waits until it is over, also where it is made longer meanwhile.
-    pub(crate) async fn over(&self) {
+    pub(crate) async fn wait_until_over(&self) {
         loop {
-            let left = self.left();
-            if left == Duration::ZERO {
+            let remaining = self.remaining();
+            if remaining == Duration::ZERO {
                 return;
             }
-            Timer::after(left).await;
+            Timer::after(remaining).await;
         }
     }
 }
@@ -69,21 +69,21 @@
 impl Backend {
     /// Has the steps go on that waited for the end of a rest.
     pub(crate) fn resume_steps(&self) {
-        let steps = std::mem::take(&mut *self.rest.lock_steps());
+        let steps = std::mem::take(&mut *self.cooldown.lock_steps());
         for step in steps {
             self.steps.push(step);
         }
     }
 
     /// Takes that it asks for rest.
-    pub(crate) fn note_rest(&self, rest: Duration) {
-        self.rest.ask(rest);
+    pub(crate) fn record_cooldown(&self, cooldown: Duration) {
+        self.cooldown.extend(cooldown);
         emit(
             Event::RestAsked,
             &[
                 ("backend", &self.name),
-                ("rest_ms", &rest.as_millis()),
-                ("left_ms", &self.rest.left().as_millis()),
+                ("rest_ms", &cooldown.as_millis()),
+                ("left_ms", &self.cooldown.remaining().as_millis()),
             ],
         );
     }
@@ -91,25 +91,32 @@
 
 impl Shared {
     /// Takes that a backend server turned work away and asks for rest.
-    pub(crate) fn take_rest(
+    pub(crate) fn enter_cooldown(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
-        rest: Duration,
+        cooldown: Duration,
     ) {
-        backend.note_rest(rest);
-        self.go_down(backend);
-        let left_ms = backend.rest.left().as_millis() as u64;
-        self.refuse_waiting(backend, left_ms);
+        backend.record_cooldown(cooldown);
+        self.mark_down(backend);
+        let remaining_ms = backend.cooldown.remaining().as_millis() as u64;
+        self.refuse_waiting(backend, remaining_ms);
     }
 
     /// Refuses what waits for a place; it may have one elsewhere.
-    fn refuse_waiting(self: &Arc<Self>, backend: &Backend, left_ms: u64) {
+    fn refuse_waiting(self: &Arc<Self>, backend: &Backend, remaining_ms: u64) {
         let reason = RefusalReason::BackendDown;
-        for waiting in backend.gate.take_waiting() {
+        for waiting in backend.slots.remove_all() {
             match waiting {
-                Waiting::Run(run) => self.refuse(&run, reason, "", left_ms),
-                Waiting::Seat(seat) => {
-                    self.refuse_seat(&seat, reason, &backend.name, left_ms);
+                Waiting::Run(run) => {
+                    self.refuse(&run, reason, "", remaining_ms)
+                }
+                Waiting::Reservation(reservation) => {
+                    self.refuse_reservation(
+                        &reservation,
+                        reason,
+                        &backend.name,
+                        remaining_ms,
+                    );
                 }
             }
         }
@@ -118,21 +125,21 @@
     /// Decides anew about steps that an engine at rest did not run. Those
     /// that wait go on once it answers a health check, so that many do not
     /// meet a server that asks for rest again.
-    pub(crate) fn put_off(
+    pub(crate) fn defer_steps(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
         steps: Vec<QueuedStep>,
         error: &EngineError,
     ) {
-        self.go_down(backend);
-        let left_ms = backend.rest.left().as_millis() as u64;
-        let over_at_ms = self.clock.now_ms() + left_ms;
+        self.mark_down(backend);
+        let remaining_ms = backend.cooldown.remaining().as_millis() as u64;
+        let end_ms = self.clock.now_ms() + remaining_ms;
         let (waiting, lost): (Vec<_>, Vec<_>) =
-            steps.into_iter().partition(|step| step.waits_until(over_at_ms));
+            steps.into_iter().partition(|step| step.can_wait_until(end_ms));
         for step in lost {
-            self.lose_step(&step.owner, step.is_first, error);
+            self.fail_step(&step.owner, step.is_first, error);
         }
-        backend.rest.lock_steps().extend(waiting);
+        backend.cooldown.lock_steps().extend(waiting);
         if backend.is_healthy() {
             // It was back before these were there.
             backend.resume_steps();
@@ -144,14 +151,16 @@
     /// Whether it waits for the end of a rest. The first step of a request
     /// does not: nothing of it has run, so it may begin elsewhere. Nor do
     /// those of an idempotent one, which goes on elsewhere.
-    fn waits_until(&self, over_at_ms: u64) -> bool {
+    fn can_wait_until(&self, end_ms: u64) -> bool {
         match &self.owner {
             Owner::Run(run) => {
                 !self.is_first
                     && !run.is_idempotent
-                    && over_at_ms < run.deadline_at_ms
+                    && end_ms < run.deadline_at_ms
+            }
+            Owner::Reservation(reservation) => {
+                end_ms < reservation.deadline_at_ms
             }
-            Owner::Seat(seat) => over_at_ms < seat.deadline_at_ms,
         }
     }
 }
--- a/crates/side/src/ended.rs
+++ b/crates/side/src/ended.rs
@@ -12,7 +12,7 @@
 use crate::run::Run;
 
 /// Bytes of answers kept at most.
-const LIMIT_BYTES: usize = 64 << 20;
+const MAX_BYTES: usize = 64 << 20;
 /// Bytes counted for each kept answer beside its text.
 const OVERHEAD_BYTES: usize = 512;
 
@@ -46,7 +46,7 @@
         }
         self.bytes += bytes;
         self.order.push_back((until_ms, request));
-        while self.bytes > LIMIT_BYTES && self.drop_oldest() {}
+        while self.bytes > MAX_BYTES && self.drop_oldest() {}
     }
 
     /// The ended request, if its answer is still kept.
--- a/crates/side/src/frames.rs
+++ b/crates/side/src/frames.rs
@@ -8,7 +8,7 @@
 };
 use chestnutreach_telemetry::{Event, emit};
 
-use crate::{node::Shared, run::Run, seat::Seat};
+use crate::{node::Shared, reservation::Reservation, run::Run};
 
 impl Shared {
     /// Handles an event of any link.
@@ -35,7 +35,7 @@
             Body::Release(m) => {
                 let id =
                     m.request.map_or(0, |id| RequestId::from(id).as_u128());
-                self.release_seats(id, m.attempt);
+                self.release_reservations(id, m.attempt);
             }
             Body::Query(m) => self.handle_query(link, &m),
             Body::Heartbeat(m) => self.heard.record_generation(m.generation),
@@ -69,13 +69,13 @@
             Event::LinkLost,
             &[("peer_vm", &link.peer().vm), ("cause", &format!("{reason:?}"))],
         );
-        let seats: Vec<Arc<Seat>> =
-            self.lock_seats().values().cloned().collect();
-        for seat in seats {
-            if seat.is_held_by(link) {
-                self.release_seat(&seat);
-            } else if seat.sends_over(link) {
-                self.seat_next_lost(&seat);
+        let reservations: Vec<Arc<Reservation>> =
+            self.lock_reservations().values().cloned().collect();
+        for reservation in reservations {
+            if reservation.is_requested_over(link) {
+                self.release_reservation(&reservation);
+            } else if reservation.forwards_over(link) {
+                self.next_stage_lost(&reservation);
             }
         }
         let runs: Vec<Arc<Run>> = self.lock_runs().values().cloned().collect();
--- a/crates/side/src/lib.rs
+++ b/crates/side/src/lib.rs
@@ -21,16 +21,16 @@
 //! | `sweep` | deadlines, lost entries, load reports |
 
 mod backend;
+mod cooldown;
 mod ended;
 mod frames;
-mod gate;
 pub mod node;
 mod plain;
 mod priority;
 mod report;
-mod rest;
+mod reservation;
 mod run;
-mod seat;
+mod slot_queue;
 mod steps;
 mod sweep;
 mod target;
--- a/crates/side/src/node.rs
+++ b/crates/side/src/node.rs
@@ -22,8 +22,8 @@
 use chestnutreach_telemetry::Metrics;
 
 use crate::{
-    backend::Backend, ended::EndedRuns, gate::Waiting, report::load_status,
-    run::Run, seat::Seat,
+    backend::Backend, ended::EndedRuns, report::load_status,
+    reservation::Reservation, run::Run, slot_queue::Waiting,
 };
 
 /// The role `side` of a process; clones are handles to the same one.
@@ -58,15 +58,15 @@
     executor: Arc<Executor<'static>>,
     links: OnceLock<Links>,
     pub(crate) generation: AtomicU64,
-    pub(crate) rights: ArcSwap<Rights>,
+    pub(crate) permissions: ArcSwap<Permissions>,
     pub(crate) is_leaving: AtomicBool,
     runs: Mutex<BTreeMap<u128, Arc<Run>>>,
-    seats: Mutex<BTreeMap<(u128, u32), Arc<Seat>>>,
+    reservations: Mutex<BTreeMap<(u128, u32), Arc<Reservation>>>,
     ended: Mutex<EndedRuns>,
 }
 
 /// Which account may use which service.
-pub(crate) type Rights = BTreeMap<String, BTreeSet<String>>;
+pub(crate) type Permissions = BTreeMap<String, BTreeSet<String>>;
 
 /// Work that a process still holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -112,10 +112,10 @@
             executor: executor.clone(),
             links: OnceLock::new(),
             generation: AtomicU64::new(0),
-            rights: ArcSwap::default(),
+            permissions: ArcSwap::default(),
             is_leaving: AtomicBool::new(false),
             runs: Mutex::default(),
-            seats: Mutex::default(),
+            reservations: Mutex::default(),
             ended: Mutex::default(),
         });
         let handler = {
@@ -138,12 +138,12 @@
         for backend in shared.backends.values() {
             backend.apply(manifest);
         }
-        let rights = manifest
+        let permissions = manifest
             .accounts
             .iter()
             .map(|(name, account)| (name.clone(), account.services.clone()))
             .collect();
-        shared.rights.store(Arc::new(rights));
+        shared.permissions.store(Arc::new(permissions));
         shared.generation.store(generation, Ordering::Release);
         shared.links().set_generation(generation);
         shared.send_status();
@@ -176,7 +176,7 @@
             let backend = run.backend.name.clone();
             shared.stop(&run, FailureReason::Stopped, &backend, detail);
         }
-        shared.cut_seats(detail);
+        shared.abort_reservations(detail);
     }
 
     /// Generation in force; 0 for none.
@@ -188,7 +188,7 @@
     pub fn in_flight(&self) -> InFlight {
         InFlight {
             runs: self.shared.lock_runs().len(),
-            reservations: self.shared.lock_seats().len(),
+            reservations: self.shared.lock_reservations().len(),
         }
     }
 
@@ -245,10 +245,10 @@
         self.runs.lock().expect("no holder panics")
     }
 
-    pub(crate) fn lock_seats(
+    pub(crate) fn lock_reservations(
         &self,
-    ) -> MutexGuard<'_, BTreeMap<(u128, u32), Arc<Seat>>> {
-        self.seats.lock().expect("no holder panics")
+    ) -> MutexGuard<'_, BTreeMap<(u128, u32), Arc<Reservation>>> {
+        self.reservations.lock().expect("no holder panics")
     }
 
     pub(crate) fn lock_ended(&self) -> MutexGuard<'_, EndedRuns> {
@@ -260,7 +260,7 @@
         self.lock_runs().get(&id).cloned()
     }
 
-    pub(crate) fn any_run(
+    pub(crate) fn find_run_by_wire_id(
         &self,
         request: Option<wire::RequestId>,
     ) -> Option<Arc<Run>> {
@@ -273,11 +273,11 @@
         request: Option<wire::RequestId>,
         attempt: u32,
     ) -> Option<Arc<Run>> {
-        self.any_run(request).filter(|run| run.attempt == attempt)
+        self.find_run_by_wire_id(request).filter(|run| run.attempt == attempt)
     }
 
     /// Forgets an open run, unless a newer attempt has its place.
-    pub(crate) fn forget_run(&self, run: &Arc<Run>) {
+    pub(crate) fn remove_run(&self, run: &Arc<Run>) {
         let mut runs = self.lock_runs();
         let is_current =
             runs.get(&run.id).is_some_and(|held| Arc::ptr_eq(held, run));
@@ -287,15 +287,17 @@
     }
 
     /// Gives a place back and lets what waited for it go on.
-    pub(crate) fn free_place(
+    pub(crate) fn release_slot(
         self: &Arc<Self>,
         backend: &Backend,
         cost_tokens: u64,
     ) {
         let now_ms = self.clock.now_ms();
-        match backend.gate.give_back(cost_tokens, now_ms) {
+        match backend.slots.release(cost_tokens, now_ms) {
             Some(Waiting::Run(run)) => self.reserve(&run),
-            Some(Waiting::Seat(seat)) => self.seat_placed(&seat),
+            Some(Waiting::Reservation(reservation)) => {
+                self.reservation_admitted(&reservation)
+            }
             None => {}
         }
     }
--- a/crates/side/src/plain.rs
+++ b/crates/side/src/plain.rs
@@ -59,30 +59,39 @@
         let timeout = self.clock.until(run.deadline_at_ms);
         match client.send(request, timeout).await {
             Ok((response, body)) => {
-                if let Some(rest) = rest::of(&response) {
-                    self.take_rest(&run.backend, rest);
+                if let Some(cooldown) = rest::of(&response) {
+                    self.enter_cooldown(&run.backend, cooldown);
                 }
-                self.pass_on(run, &response, &body);
+                self.forward_response(run, &response, &body);
             }
-            Err(e) => self.plain_lost(run, &e),
+            Err(e) => self.plain_call_failed(run, &e),
         }
     }
 
-    fn pass_on(self: &Arc<Self>, run: &Arc<Run>, r: &Response, body: &[u8]) {
+    fn forward_response(
+        self: &Arc<Self>,
+        run: &Arc<Run>,
+        r: &Response,
+        body: &[u8],
+    ) {
         let head = Part::Head(wire::PlainHead {
             status: u16::from(r.status()).into(),
             headers: to_headers(r),
         });
-        self.plain_part(run, head, 0);
+        self.record_plain_part(run, head, 0);
         for part in body.chunks(PART_BYTES) {
-            self.plain_part(run, Part::Data(part.to_vec()), part.len());
+            self.record_plain_part(run, Part::Data(part.to_vec()), part.len());
         }
         self.finish(run, FinishReason::Stop);
     }
 
-    fn plain_lost(self: &Arc<Self>, run: &Arc<Run>, error: &ClientError) {
+    fn plain_call_failed(
+        self: &Arc<Self>,
+        run: &Arc<Run>,
+        error: &ClientError,
+    ) {
         let name = &run.backend.name;
-        self.note_down(&run.backend, error);
+        self.report_down(&run.backend, error);
         if !error.may_have_run() {
             self.refuse(run, RefusalReason::BackendDown, name, 0);
             return;
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -39,7 +39,7 @@
     }
 
     pub(crate) fn backend_load(&self, backend: &Backend) -> BackendLoad {
-        let load = backend.gate.load();
+        let load = backend.slots.load();
         BackendLoad {
             backend: backend.name.clone(),
             running: load.running,
@@ -56,17 +56,17 @@
     }
 
     /// Counts a step that was not taken.
-    pub(crate) fn note_refused_step(&self, reason: &'static str) {
+    pub(crate) fn record_refused_step(&self, reason: &'static str) {
         self.metrics.step_refused(reason);
         emit(Event::StepRefused, &[("reason", &reason)]);
     }
 
     /// Sets the gauges of the backend servers.
-    pub(crate) fn note_gauges(&self) {
+    pub(crate) fn update_gauges(&self) {
         let mut records = 0;
         for backend in self.backends.values() {
             records += backend.table().len();
-            let load = backend.gate.load();
+            let load = backend.slots.load();
             let metrics = &backend.metrics;
             metrics.is_healthy.set(backend.is_healthy().into());
             metrics.running.set(load.running.into());
--- a/crates/side/src/seat/mod.rs
+++ b/crates/side/src/reservation/mod.rs
@@ -32,7 +32,7 @@
 use crate::backend::Backend;
 
 /// A place held for one attempt of a request.
-pub(crate) struct Seat {
+pub(crate) struct Reservation {
     pub(crate) request: u128,
     pub(crate) attempt: u32,
     stage_index: u32,
@@ -46,48 +46,48 @@
     pub(crate) wait_until_ms: u64,
     pub(crate) deadline_at_ms: u64,
     pub(crate) backend: Arc<Backend>,
-    first: Link,
-    _first_guard: BusyGuard,
+    first_stage: Link,
+    _busy_guard: BusyGuard,
     is_released: AtomicBool,
     state: Mutex<State>,
 }
 
 /// Where a seat stands with its backend server's gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Place {
+enum SlotState {
     /// Waits for a place.
     Waiting,
     /// Holds one.
     Held,
     /// Wants none any more.
-    Freed,
+    Released,
 }
 
 struct State {
-    place: Place,
-    gate: StepGate,
+    slot: SlotState,
+    step_gate: StepGate,
     next_link: Option<(Link, BusyGuard)>,
     /// Sampling settings, handed to the engine with the first step.
     parameters_json: Vec<u8>,
 }
 
-impl Seat {
+impl Reservation {
     pub(crate) fn is_released(&self) -> bool {
         self.is_released.load(Ordering::Acquire)
     }
 
     /// Whether it waits for a place.
     pub(crate) fn is_waiting(&self) -> bool {
-        self.lock().place == Place::Waiting
+        self.lock().slot == SlotState::Waiting
     }
 
     /// Whether the place is of no use once this link is lost.
-    pub(crate) fn is_held_by(&self, link: &Link) -> bool {
-        self.first.id() == link.id()
+    pub(crate) fn is_requested_over(&self, link: &Link) -> bool {
+        self.first_stage.id() == link.id()
     }
 
     /// Whether steps leave over this link.
-    pub(crate) fn sends_over(&self, link: &Link) -> bool {
+    pub(crate) fn forwards_over(&self, link: &Link) -> bool {
         let state = self.lock();
         state.next_link.as_ref().is_some_and(|(l, _)| l.id() == link.id())
     }
--- a/crates/side/src/seat/reserve.rs
+++ b/crates/side/src/reservation/reserve.rs
@@ -11,12 +11,12 @@
 };
 use chestnutreach_state::{Admission, StepGate};
 
-use super::{Place, Seat, State};
+use super::{Reservation, SlotState, State};
 use crate::{
     backend::Backend,
-    gate::SlotAdmission,
     node::Shared,
     priority::{step_priority, to_priority},
+    slot_queue::SlotAdmission,
     target::Target,
 };
 
@@ -29,8 +29,8 @@
     ) {
         let (request, attempt) = (m.request, m.attempt);
         let metrics = self.metrics.service(&m.service);
-        match self.try_seat(link, m) {
-            Ok(seat) => self.offer_seat(&seat),
+        match self.create_reservation(link, m) {
+            Ok(reservation) => self.request_reservation_slot(&reservation),
             Err(refusal) => {
                 let reason = refusal.reason;
                 metrics.attempt_refused(reason.as_str_name());
@@ -46,25 +46,31 @@
         }
     }
 
-    fn try_seat(
+    fn create_reservation(
         self: &Arc<Self>,
         link: &Link,
         m: wire::Reserve,
-    ) -> Result<Arc<Seat>, SeatRefusal> {
+    ) -> Result<Arc<Reservation>, ReservationRefusal> {
         let index = m.stage_index as usize;
         let (Some(stage), Some(request)) = (m.chain.get(index), m.request)
         else {
-            return Err(SeatRefusal::new(RefusalReason::WrongTarget, ""));
+            return Err(ReservationRefusal::new(
+                RefusalReason::WrongTarget,
+                "",
+            ));
         };
         let target =
             Target { stage, service: &m.service, account: &m.account };
         let backend = self.find_target(&target).map_err(|reason| {
             let retry_after_ms = self.retry_after_ms(stage, reason);
-            SeatRefusal { retry_after_ms, ..SeatRefusal::at(reason, stage) }
+            ReservationRefusal {
+                retry_after_ms,
+                ..ReservationRefusal::at(reason, stage)
+            }
         })?;
         let id = RequestId::from(request).as_u128();
-        self.admit_seat(&backend, id, &m)
-            .map_err(|reason| SeatRefusal::at(reason, stage))?;
+        self.admit_reservation(&backend, id, &m)
+            .map_err(|reason| ReservationRefusal::at(reason, stage))?;
         let cost_tokens =
             u64::from(m.prompt_tokens_estimate) + u64::from(m.max_tokens);
         let priority = to_priority(m.priority());
@@ -78,12 +84,12 @@
         let now_ms = self.clock.now_ms();
         let deadline_at_ms = now_ms + shape.deadline_ms;
         let state = State {
-            place: Place::Waiting,
-            gate: StepGate::new(m.attempt, stage.first_layer),
+            slot: SlotState::Waiting,
+            step_gate: StepGate::new(m.attempt, stage.first_layer),
             next_link: None,
             parameters_json: m.parameters_json,
         };
-        let seat = Arc::new(Seat {
+        let reservation = Arc::new(Reservation {
             request: id,
             attempt: m.attempt,
             stage_index: m.stage_index,
@@ -98,60 +104,84 @@
                 .min(now_ms + LATER_STAGE_MAX_WAIT_MS),
             deadline_at_ms,
             backend,
-            first: link.clone(),
-            _first_guard: link.busy(),
+            first_stage: link.clone(),
+            _busy_guard: link.busy(),
             is_released: AtomicBool::new(false),
             state: Mutex::new(state),
         });
-        self.lock_seats().insert(seat.key(), seat.clone());
-        Ok(seat)
+        self.lock_reservations()
+            .insert(reservation.key(), reservation.clone());
+        Ok(reservation)
     }
 
-    fn offer_seat(self: &Arc<Self>, seat: &Arc<Seat>) {
+    fn request_reservation_slot(
+        self: &Arc<Self>,
+        reservation: &Arc<Reservation>,
+    ) {
         let now_ms = self.clock.now_ms();
-        match seat.backend.gate.offer_later(seat, now_ms) {
-            SlotAdmission::Admitted => self.seat_placed(seat),
+        match reservation
+            .backend
+            .slots
+            .request_later_stage(reservation, now_ms)
+        {
+            SlotAdmission::Admitted => self.reservation_admitted(reservation),
             SlotAdmission::Queued => {}
             SlotAdmission::Full { retry_after_ms } => {
                 let reason = RefusalReason::Full;
-                let name = &seat.stage.backend;
-                self.refuse_seat(seat, reason, name, retry_after_ms);
+                let name = &reservation.stage.backend;
+                self.refuse_reservation(
+                    reservation,
+                    reason,
+                    name,
+                    retry_after_ms,
+                );
             }
             SlotAdmission::TooLate { retry_after_ms } => {
                 let reason = RefusalReason::TooLate;
-                let name = &seat.stage.backend;
-                self.refuse_seat(seat, reason, name, retry_after_ms);
+                let name = &reservation.stage.backend;
+                self.refuse_reservation(
+                    reservation,
+                    reason,
+                    name,
+                    retry_after_ms,
+                );
             }
         }
     }
 
     /// A place has been taken for a seat.
-    pub(crate) fn seat_placed(self: &Arc<Self>, seat: &Arc<Seat>) {
+    pub(crate) fn reservation_admitted(
+        self: &Arc<Self>,
+        reservation: &Arc<Reservation>,
+    ) {
         let is_wanted = {
-            let mut state = seat.lock();
-            let is_waiting = state.place == Place::Waiting;
+            let mut state = reservation.lock();
+            let is_waiting = state.slot == SlotState::Waiting;
             if is_waiting {
-                state.place = Place::Held;
+                state.slot = SlotState::Held;
             }
             is_waiting
         };
         if is_wanted {
-            self.connect_next(seat.clone());
+            self.connect_next(reservation.clone());
         } else {
-            self.free_place(&seat.backend, seat.cost_tokens);
+            self.release_slot(&reservation.backend, reservation.cost_tokens);
         }
     }
 
     /// No place came free for a seat in its time.
-    pub(crate) fn refuse_full(self: &Arc<Self>, seat: &Arc<Seat>) {
-        let retry_after_ms = seat.backend.gate.retry_after_ms();
+    pub(crate) fn refuse_full(
+        self: &Arc<Self>,
+        reservation: &Arc<Reservation>,
+    ) {
+        let retry_after_ms = reservation.backend.slots.retry_after_ms();
         let reason = RefusalReason::Full;
-        let name = &seat.stage.backend;
-        self.refuse_seat(seat, reason, name, retry_after_ms);
+        let name = &reservation.stage.backend;
+        self.refuse_reservation(reservation, reason, name, retry_after_ms);
     }
 
     /// Passes the run-once table of the backend server.
-    fn admit_seat(
+    fn admit_reservation(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
         id: u128,
@@ -163,7 +193,7 @@
         match admission {
             Admission::Run { superseded: None } => Ok(()),
             Admission::Run { superseded: Some(old) } => {
-                self.release_seats(id, old);
+                self.release_reservations(id, old);
                 Ok(())
             }
             Admission::Fenced => Err(RefusalReason::Fenced),
@@ -173,77 +203,81 @@
     }
 
     /// Connects to the next stage if there is one, then confirms.
-    fn connect_next(self: &Arc<Self>, seat: Arc<Seat>) {
-        let Some(next) = &seat.next else {
-            self.confirm(&seat);
+    fn connect_next(self: &Arc<Self>, reservation: Arc<Reservation>) {
+        let Some(next) = &reservation.next else {
+            self.confirm(&reservation);
             return;
         };
         let stages = std::slice::from_ref(next);
         if let Some(links) = self.existing_links(stages) {
-            self.set_next(&seat, &links[0]);
+            self.set_next(&reservation, &links[0]);
             return;
         }
         let side = self.clone();
         self.spawn(async move {
-            let Some(next) = seat.next.clone() else {
+            let Some(next) = reservation.next.clone() else {
                 return;
             };
-            match side.dial_links(std::slice::from_ref(&next)).await {
-                Ok(links) => side.set_next(&seat, &links[0]),
+            match side.connect_links(std::slice::from_ref(&next)).await {
+                Ok(links) => side.set_next(&reservation, &links[0]),
                 Err(backend) => {
                     let reason = RefusalReason::StageUnreachable;
-                    side.refuse_seat(&seat, reason, &backend, 0);
+                    side.refuse_reservation(&reservation, reason, &backend, 0);
                 }
             }
         });
     }
 
-    fn set_next(self: &Arc<Self>, seat: &Arc<Seat>, link: &Link) {
-        seat.lock().next_link = Some((link.clone(), link.busy()));
-        self.confirm(seat);
+    fn set_next(
+        self: &Arc<Self>,
+        reservation: &Arc<Reservation>,
+        link: &Link,
+    ) {
+        reservation.lock().next_link = Some((link.clone(), link.busy()));
+        self.confirm(reservation);
     }
 
-    fn confirm(&self, seat: &Seat) {
-        let _ = seat.first.send(Body::Reserved(wire::Reserved {
-            request: seat.wire_id(),
-            attempt: seat.attempt,
-            stage_index: seat.stage_index,
+    fn confirm(&self, reservation: &Reservation) {
+        let _ = reservation.first_stage.send(Body::Reserved(wire::Reserved {
+            request: reservation.wire_id(),
+            attempt: reservation.attempt,
+            stage_index: reservation.stage_index,
         }));
     }
 
-    pub(crate) fn refuse_seat(
+    pub(crate) fn refuse_reservation(
         self: &Arc<Self>,
-        seat: &Arc<Seat>,
+        reservation: &Arc<Reservation>,
         reason: RefusalReason,
         backend: &str,
         retry_after_ms: u64,
     ) {
-        let _ = seat.first.send(Body::Refused(wire::Refused {
-            request: seat.wire_id(),
-            attempt: seat.attempt,
+        let _ = reservation.first_stage.send(Body::Refused(wire::Refused {
+            request: reservation.wire_id(),
+            attempt: reservation.attempt,
             reason: reason.into(),
             backend: backend.to_owned(),
             retry_after_ms: retry_after_ms.min(u32::MAX.into()) as u32,
-            load: Some(self.backend_load(&seat.backend)),
+            load: Some(self.backend_load(&reservation.backend)),
         }));
-        self.release_seat(seat);
+        self.release_reservation(reservation);
     }
 }
 
 /// Why no place is held.
-struct SeatRefusal {
+struct ReservationRefusal {
     reason: RefusalReason,
     backend: String,
     retry_after_ms: u64,
 }
 
-impl SeatRefusal {
-    fn new(reason: RefusalReason, backend: &str) -> SeatRefusal {
+impl ReservationRefusal {
+    fn new(reason: RefusalReason, backend: &str) -> ReservationRefusal {
         let backend = backend.to_owned();
-        SeatRefusal { reason, backend, retry_after_ms: 0 }
+        ReservationRefusal { reason, backend, retry_after_ms: 0 }
     }
 
-    fn at(reason: RefusalReason, stage: &Stage) -> SeatRefusal {
-        SeatRefusal::new(reason, &stage.backend)
+    fn at(reason: RefusalReason, stage: &Stage) -> ReservationRefusal {
+        ReservationRefusal::new(reason, &stage.backend)
     }
 }
--- a/crates/side/src/seat/steps.rs
+++ b/crates/side/src/reservation/steps.rs
@@ -12,7 +12,7 @@
 };
 use chestnutreach_state::StepRefusal;
 
-use super::Seat;
+use super::Reservation;
 use crate::{
     node::Shared,
     steps::{Owner, QueuedStep, failure_reason},
@@ -22,16 +22,21 @@
     /// Takes a step from the stage before.
     pub(crate) fn handle_step(self: &Arc<Self>, m: wire::Step) {
         let id = m.request.map_or(0, |id| RequestId::from(id).as_u128());
-        let seat = self.lock_seats().get(&(id, m.first_layer)).cloned();
-        let Some(seat) = seat else {
-            self.note_refused_step("no_reservation");
+        let reservation =
+            self.lock_reservations().get(&(id, m.first_layer)).cloned();
+        let Some(reservation) = reservation else {
+            self.record_refused_step("no_reservation");
             return;
         };
         let (taken, is_first, parameters_json) = {
-            let mut state = seat.lock();
-            let is_first = state.gate.next_position() == 0;
-            let taken =
-                state.gate.take(m.attempt, m.first_layer, m.position, m.span);
+            let mut state = reservation.lock();
+            let is_first = state.step_gate.next_position() == 0;
+            let taken = state.step_gate.take(
+                m.attempt,
+                m.first_layer,
+                m.position,
+                m.span,
+            );
             let parameters = if taken.is_ok() {
                 std::mem::take(&mut state.parameters_json)
             } else {
@@ -40,37 +45,42 @@
             (taken, is_first, parameters)
         };
         if let Err(refusal) = taken {
-            self.note_refused_step(refusal.as_str());
+            self.record_refused_step(refusal.as_str());
             if refusal == StepRefusal::Gap {
                 let detail = format!("position {} after a gap", m.position);
                 let reason = FailureReason::Sequence;
-                self.fail_seat(&seat, reason, &seat.stage.backend, &detail);
+                self.fail_reservation(
+                    &reservation,
+                    reason,
+                    &reservation.stage.backend,
+                    &detail,
+                );
             }
             return;
         }
-        if is_first && !seat.backend.table().begin(id, m.attempt) {
-            self.note_refused_step("fenced");
+        if is_first && !reservation.backend.table().begin(id, m.attempt) {
+            self.record_refused_step("fenced");
             return;
         }
         let step = SequenceStep {
-            sequence: seat.sequence(),
+            sequence: reservation.sequence(),
             position: m.position,
-            priority: seat.priority,
+            priority: reservation.priority,
             input: StepInput::Activation { span: m.span, bytes: m.activation },
             parameters_json,
         };
-        let owner = Owner::Seat(seat.clone());
-        seat.backend.steps.push(QueuedStep { owner, step, is_first });
+        let owner = Owner::Reservation(reservation.clone());
+        reservation.backend.steps.push(QueuedStep { owner, step, is_first });
     }
 
     /// The engine has answered a step of a later stage.
-    pub(crate) fn seat_step_done(
+    pub(crate) fn later_stage_step_done(
         self: &Arc<Self>,
-        seat: &Arc<Seat>,
+        reservation: &Arc<Reservation>,
         position: u32,
         result: Result<SequenceOutput, SequenceError>,
     ) {
-        if seat.is_released() {
+        if reservation.is_released() {
             return;
         }
         let output = match result {
@@ -78,13 +88,18 @@
             Err(e) => {
                 let reason = FailureReason::BackendError;
                 let detail = format!("{e:?}");
-                self.fail_seat(seat, reason, &seat.stage.backend, &detail);
+                self.fail_reservation(
+                    reservation,
+                    reason,
+                    &reservation.stage.backend,
+                    &detail,
+                );
                 return;
             }
         };
         match output.output {
             StepOutput::Activation(activation) => {
-                self.send_next(seat, position, output.span, activation);
+                self.send_next(reservation, position, output.span, activation);
             }
             StepOutput::Token { token, text, is_stop } => {
                 let finish = if is_stop {
@@ -93,39 +108,44 @@
                     FinishReason::Unspecified
                 };
                 let result = wire::StepResult {
-                    request: seat.wire_id(),
-                    attempt: seat.attempt,
+                    request: reservation.wire_id(),
+                    attempt: reservation.attempt,
                     position: position + output.span,
                     token,
                     text,
                     finish: finish.into(),
                 };
-                let _ = seat.first.send(Body::StepResult(result));
+                let _ = reservation.first_stage.send(Body::StepResult(result));
             }
         }
     }
 
     fn send_next(
         self: &Arc<Self>,
-        seat: &Arc<Seat>,
+        reservation: &Arc<Reservation>,
         position: u32,
         span: u32,
         activation: Vec<u8>,
     ) {
-        let state = seat.lock();
+        let state = reservation.lock();
         let Some((link, _)) = &state.next_link else {
             drop(state);
             let detail = "no token from the last stage";
             let reason = FailureReason::Sequence;
-            self.fail_seat(seat, reason, &seat.stage.backend, detail);
+            self.fail_reservation(
+                reservation,
+                reason,
+                &reservation.stage.backend,
+                detail,
+            );
             return;
         };
         let message = wire::Step {
-            request: seat.wire_id(),
-            attempt: seat.attempt,
+            request: reservation.wire_id(),
+            attempt: reservation.attempt,
             position,
             span,
-            first_layer: seat.stage.end_layer,
+            first_layer: reservation.stage.end_layer,
             activation,
         };
         // A lost link is noticed by its close.
@@ -133,13 +153,18 @@
     }
 
     /// The engine gave no answer to a step of a later stage.
-    pub(crate) fn seat_step_lost(
+    pub(crate) fn later_stage_step_lost(
         self: &Arc<Self>,
-        seat: &Arc<Seat>,
+        reservation: &Arc<Reservation>,
         error: &EngineError,
     ) {
         let reason = failure_reason(error);
         let detail = error.to_string();
-        self.fail_seat(seat, reason, &seat.stage.backend, &detail);
+        self.fail_reservation(
+            reservation,
+            reason,
+            &reservation.stage.backend,
+            &detail,
+        );
     }
 }
--- a/crates/side/src/run/admit.rs
+++ b/crates/side/src/run/admit.rs
@@ -16,9 +16,9 @@
 use super::{Phase, Run, State, Work};
 use crate::{
     backend::Backend,
-    gate::SlotAdmission,
     node::Shared,
     priority::{to_priority, to_wire_priority},
+    slot_queue::SlotAdmission,
     target::Target,
 };
 
@@ -26,19 +26,19 @@
 const PLAIN_COST_TOKENS: u64 = 1;
 
 /// Parts of a run known before anything is decided.
-struct Asked {
+struct RunRequest {
     message: wire::Run,
     work: Work,
 }
 
-impl Asked {
-    fn from_message(mut message: wire::Run) -> Option<Asked> {
+impl RunRequest {
+    fn from_message(mut message: wire::Run) -> Option<RunRequest> {
         let work = match message.work.take()? {
             wire::run::Work::Generate(g) => Work::Generate(g),
             wire::run::Work::PlainCall(c) => Work::PlainCall(c),
         };
-        let is_sound = message.request.is_some() && !message.chain.is_empty();
-        is_sound.then_some(Asked { message, work })
+        let is_valid = message.request.is_some() && !message.chain.is_empty();
+        is_valid.then_some(RunRequest { message, work })
     }
 }
 
@@ -46,14 +46,14 @@
     /// Takes a request from an entry.
     pub(crate) fn handle_run(self: &Arc<Self>, link: &Link, m: wire::Run) {
         let reply = RefusalReply::to_run(&m);
-        let Some(asked) = Asked::from_message(m) else {
+        let Some(request) = RunRequest::from_message(m) else {
             reply.send(link, RefusalReason::WrongTarget, 0);
             return;
         };
         let target = Target {
-            stage: &asked.message.chain[0],
-            service: &asked.message.service,
-            account: &asked.message.account,
+            stage: &request.message.chain[0],
+            service: &request.message.service,
+            account: &request.message.account,
         };
         let backend = match self.find_target(&target) {
             Ok(backend) => backend,
@@ -63,20 +63,20 @@
                 return;
             }
         };
-        let run = Arc::new(self.new_run(asked, backend, link));
+        let run = Arc::new(self.new_run(request, backend, link));
         match self.admit(&run) {
-            Ok(()) => self.offer(&run),
+            Ok(()) => self.request_slot(&run),
             Err(reason) => reply.send(link, reason, 0),
         }
     }
 
     fn new_run(
         &self,
-        asked: Asked,
+        request: RunRequest,
         backend: Arc<Backend>,
         entry: &Link,
     ) -> Run {
-        let Asked { message: m, work } = asked;
+        let RunRequest { message: m, work } = request;
         let (shape, cost_tokens) = shape_of(&m, &work);
         let id = m.request.map_or(0, |id| RequestId::from(id).as_u128());
         let deadline_ms = u64::from(m.deadline_ms);
@@ -129,7 +129,7 @@
                 if let Some(old) = self.find_run(run.id) {
                     self.stop(&old, FailureReason::Cancelled, "", "");
                 }
-                self.release_seats(run.id, run.attempt - 1);
+                self.release_reservations(run.id, run.attempt - 1);
             }
             Admission::Fenced => return Err(RefusalReason::Fenced),
             Admission::AlreadyRun => {
@@ -147,9 +147,9 @@
         Ok(())
     }
 
-    fn offer(self: &Arc<Self>, run: &Arc<Run>) {
+    fn request_slot(self: &Arc<Self>, run: &Arc<Run>) {
         let now_ms = self.clock.now_ms();
-        match run.backend.gate.offer(run, now_ms) {
+        match run.backend.slots.request(run, now_ms) {
             SlotAdmission::Admitted => self.reserve(run),
             SlotAdmission::Queued => {}
             SlotAdmission::Full { retry_after_ms } => {
@@ -167,7 +167,7 @@
             let mut state = run.lock();
             if state.phase != Phase::Queued {
                 drop(state);
-                self.give_back(run);
+                self.release_run_slot(run);
                 return;
             }
             state.phase = Phase::Reserving;
@@ -181,7 +181,7 @@
             None => {
                 let (side, run) = (self.clone(), run.clone());
                 self.spawn(async move {
-                    match side.dial_links(&run.chain[1..]).await {
+                    match side.connect_links(&run.chain[1..]).await {
                         Ok(links) => side.begin_reserving(&run, &links),
                         Err(backend) => {
                             let reason = RefusalReason::StageUnreachable;
@@ -286,7 +286,7 @@
                     request_json: generate.request_json.clone(),
                     delivered_tokens: generate.delivered_tokens.clone(),
                 };
-                self.push_own_step(run, 0, input, true);
+                self.push_first_stage_step(run, 0, input, true);
             }
             Work::PlainCall(_) => self.spawn_plain_call(run),
         }
@@ -326,8 +326,8 @@
     let (prompt_tokens, output_tokens) = match work {
         Work::Generate(g) => {
             let delivered = g.delivered_tokens.len() as u32;
-            let rest = g.max_tokens.saturating_sub(delivered);
-            (g.prompt_tokens_estimate + delivered, rest)
+            let remaining = g.max_tokens.saturating_sub(delivered);
+            (g.prompt_tokens_estimate + delivered, remaining)
         }
         Work::PlainCall(_) => (0, 0),
     };
@@ -343,7 +343,7 @@
 }
 
 fn reserve_message(run: &Run, stage_index: u32, now_ms: u64) -> wire::Reserve {
-    let rest_ms = run.deadline_at_ms.saturating_sub(now_ms);
+    let remaining_ms = run.deadline_at_ms.saturating_sub(now_ms);
     let (model, parameters_json) = match &run.work {
         Work::Generate(g) => {
             // The prompt may be long; it is read once for all stages.
@@ -361,7 +361,7 @@
         account: run.account.clone(),
         priority: to_wire_priority(run.shape.priority).into(),
         is_idempotent: run.is_idempotent,
-        deadline_ms: rest_ms.min(u32::MAX.into()) as u32,
+        deadline_ms: remaining_ms.min(u32::MAX.into()) as u32,
         generation: run.generation,
         chain: run.chain.clone(),
         stage_index,
--- a/crates/side/src/run/end.rs
+++ b/crates/side/src/run/end.rs
@@ -129,9 +129,9 @@
         let metrics = self.metrics.service(&run.service);
         metrics.attempt_refused(reason.as_str_name());
         if was_queued {
-            run.backend.gate.remove_run(run);
+            run.backend.slots.remove_run(run);
             run.is_ended.store(true, Ordering::Release);
-            self.forget_run(run);
+            self.remove_run(run);
             return;
         }
         self.end(run);
@@ -152,9 +152,9 @@
             let _ = link.send(Body::Release(release));
         }
         run.backend.release_sequence(run.sequence());
-        self.forget_run(run);
+        self.remove_run(run);
         self.keep_answer(run, answer_bytes);
-        self.give_back(run);
+        self.release_run_slot(run);
     }
 
     fn keep_answer(&self, run: &Arc<Run>, answer_bytes: usize) {
@@ -168,20 +168,20 @@
     }
 
     /// Gives the place back and begins what waited for it.
-    pub(super) fn give_back(self: &Arc<Self>, run: &Arc<Run>) {
-        self.free_place(&run.backend, run.cost_tokens);
+    pub(super) fn release_run_slot(self: &Arc<Self>, run: &Arc<Run>) {
+        self.release_slot(&run.backend, run.cost_tokens);
     }
 
     /// Corrects what the account was charged by what was really used.
     fn charge(&self, run: &Run, state: &State) {
         let used = state.prompt_tokens + state.produced;
         let missed = i64::from(used) - run.cost_tokens as i64;
-        run.backend.gate.charge(&run.account, missed);
+        run.backend.slots.charge(&run.account, missed);
     }
 
     /// The entry has given the attempt up.
     pub(crate) fn handle_cancel(self: &Arc<Self>, m: &wire::Cancel) {
-        let Some(run) = self.any_run(m.request) else {
+        let Some(run) = self.find_run_by_wire_id(m.request) else {
             return;
         };
         if run.attempt <= m.attempt {
--- a/crates/side/src/run/query.rs
+++ b/crates/side/src/run/query.rs
@@ -26,7 +26,7 @@
             m.backend.is_empty() || run.backend.name == m.backend
         };
         match self.find_run(id).filter(is_meant) {
-            Some(run) => answer_query(&run, link, m),
+            Some(run) => respond_to_query(&run, link, m),
             None => {
                 let answer = self.query_ended(id, m);
                 let _ = link.send(Body::QueryAnswer(answer));
@@ -84,7 +84,7 @@
 
 /// Answers a question about a request that is in the map of open ones, and
 /// has the rest of its answer go to the asker.
-fn answer_query(run: &Arc<Run>, link: &Link, m: &wire::Query) {
+fn respond_to_query(run: &Arc<Run>, link: &Link, m: &wire::Query) {
     let mut answer = wire::QueryAnswer {
         request: m.request,
         attempt: run.attempt,
--- a/crates/side/src/run/tokens.rs
+++ b/crates/side/src/run/tokens.rs
@@ -29,7 +29,7 @@
 }
 
 impl Shared {
-    pub(super) fn push_own_step(
+    pub(super) fn push_first_stage_step(
         &self,
         run: &Arc<Run>,
         position: u32,
@@ -48,7 +48,7 @@
     }
 
     /// The engine of the first stage has answered a step.
-    pub(crate) fn own_step_done(
+    pub(crate) fn first_stage_step_done(
         self: &Arc<Self>,
         run: &Arc<Run>,
         position: u32,
@@ -100,7 +100,7 @@
     }
 
     /// The engine of the first stage gave no answer.
-    pub(crate) fn own_step_lost(
+    pub(crate) fn first_stage_step_lost(
         self: &Arc<Self>,
         run: &Arc<Run>,
         is_first: bool,
@@ -109,9 +109,9 @@
         let name = &run.backend.name;
         if is_first && !error.may_have_run() {
             // Nothing of the request has run anywhere.
-            let rest_ms =
+            let cooldown_ms =
                 error.cooldown().unwrap_or_default().as_millis() as u64;
-            self.refuse(run, RefusalReason::BackendDown, name, rest_ms);
+            self.refuse(run, RefusalReason::BackendDown, name, cooldown_ms);
             return;
         }
         let reason = failure_reason(error);
@@ -121,7 +121,7 @@
     /// The last stage has a token.
     pub(crate) fn handle_step_result(self: &Arc<Self>, m: wire::StepResult) {
         let Some(run) = self.current_run(m.request, m.attempt) else {
-            self.note_refused_step("no_run");
+            self.record_refused_step("no_run");
             return;
         };
         let is_stop = m.finish() == FinishReason::Stop;
@@ -139,7 +139,11 @@
         if expected != Some(position) {
             let is_repeat = expected.is_some_and(|e| position < e);
             drop(state);
-            self.note_refused_step(if is_repeat { "repeated" } else { "gap" });
+            self.record_refused_step(if is_repeat {
+                "repeated"
+            } else {
+                "gap"
+            });
             if !is_repeat {
                 let detail = "a token came before the one it follows";
                 self.stop(run, FailureReason::Sequence, "", detail);
@@ -164,12 +168,17 @@
             self.finish(run, FinishReason::Length);
         } else {
             let input = StepInput::Token(token.token);
-            self.push_own_step(run, position, input, false);
+            self.push_first_stage_step(run, position, input, false);
         }
     }
 
     /// A part of a plain answer.
-    pub(crate) fn plain_part(&self, run: &Run, part: Part, bytes: usize) {
+    pub(crate) fn record_plain_part(
+        &self,
+        run: &Run,
+        part: Part,
+        bytes: usize,
+    ) {
         let mut state = run.lock();
         let output = Output {
             request: run.wire_id(),
--- a/crates/side/src/gate.rs
+++ b/crates/side/src/slot_queue.rs
@@ -1,6 +1,7 @@
 //! Who may run on a backend server now, and who waits.
 //!
-//! The decisions are those of [`chestnutreach_routing::slot_queue`], under a lock.
+//! The decisions are those of [`chestnutreach_routing::slot_queue`]; this
+//! module adds a lock.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -9,7 +10,7 @@
     ServerCapacity, SlotAdmission,
 };
 
-use crate::{run::Run, seat::Seat};
+use crate::{reservation::Reservation, run::Run};
 
 /// A request that waits for a place, or may have one now.
 #[derive(Clone)]
@@ -17,25 +18,25 @@
     /// Its first stage is here.
     Run(Arc<Run>),
     /// A later stage is here.
-    Seat(Arc<Seat>),
+    Reservation(Arc<Reservation>),
 }
 
 /// Places and queue of one backend server.
-pub(crate) struct Gate {
+pub(crate) struct SlotQueue {
     inner: Mutex<slot_queue::SlotQueue<Waiting>>,
 }
 
-impl Gate {
+impl SlotQueue {
     /// A gate without places; see [`Gate::set_places`].
-    pub(crate) fn new(queue_limit_tokens: u64) -> Gate {
-        Gate {
+    pub(crate) fn new(queue_limit_tokens: u64) -> SlotQueue {
+        SlotQueue {
             inner: Mutex::new(slot_queue::SlotQueue::new(queue_limit_tokens)),
         }
     }
 
     /// Sets the count of places and the first guess of the speed.
-    pub(crate) fn set_places(&self, places: ServerCapacity) {
-        self.lock().set_capacity(places);
+    pub(crate) fn set_capacity(&self, capacity: ServerCapacity) {
+        self.lock().set_capacity(capacity);
     }
 
     /// Sets an account's share.
@@ -44,8 +45,12 @@
     }
 
     /// Gives a request a place, lets it wait or refuses it.
-    pub(crate) fn offer(&self, run: &Arc<Run>, now_ms: u64) -> SlotAdmission {
-        let asked = SlotRequest {
+    pub(crate) fn request(
+        &self,
+        run: &Arc<Run>,
+        now_ms: u64,
+    ) -> SlotAdmission {
+        let request = SlotRequest {
             account: &run.account,
             shape: &run.shape,
             cost_tokens: run.cost_tokens,
@@ -54,25 +59,25 @@
         };
         let mut rng = fastrand::Rng::new();
         let item = Waiting::Run(run.clone());
-        self.lock().request(&asked, item, now_ms, &mut rng)
+        self.lock().request(&request, item, now_ms, &mut rng)
     }
 
     /// Likewise for a later stage, unless the wait would be long.
-    pub(crate) fn offer_later(
+    pub(crate) fn request_later_stage(
         &self,
-        seat: &Arc<Seat>,
+        reservation: &Arc<Reservation>,
         now_ms: u64,
     ) -> SlotAdmission {
-        let asked = SlotRequest {
-            account: &seat.account,
-            shape: &seat.shape,
-            cost_tokens: seat.cost_tokens,
-            deadline_at_ms: seat.deadline_at_ms,
-            stage_count: seat.stage_count,
+        let request = SlotRequest {
+            account: &reservation.account,
+            shape: &reservation.shape,
+            cost_tokens: reservation.cost_tokens,
+            deadline_at_ms: reservation.deadline_at_ms,
+            stage_count: reservation.stage_count,
         };
         let mut rng = fastrand::Rng::new();
-        let item = Waiting::Seat(seat.clone());
-        self.lock().request_later_stage(&asked, item, now_ms, &mut rng)
+        let item = Waiting::Reservation(reservation.clone());
+        self.lock().request_later_stage(&request, item, now_ms, &mut rng)
     }
 
     /// When a refused caller should come back.
@@ -81,7 +86,7 @@
     }
 
     /// Gives a place back; what waited and may run now, if any.
-    pub(crate) fn give_back(
+    pub(crate) fn release(
         &self,
         cost_tokens: u64,
         now_ms: u64,
@@ -97,19 +102,22 @@
     }
 
     /// Takes a later stage's request out of the queue.
-    pub(crate) fn remove_seat(&self, seat: &Seat) {
+    pub(crate) fn remove_reservation(&self, reservation: &Reservation) {
         self.lock().remove(|queued| {
-            matches!(queued, Waiting::Seat(s) if std::ptr::eq(&**s, seat))
+            matches!(
+                queued,
+                Waiting::Reservation(r) if std::ptr::eq(&**r, reservation)
+            )
         });
     }
 
     /// Takes out all that wait.
-    pub(crate) fn take_waiting(&self) -> Vec<Waiting> {
+    pub(crate) fn remove_all(&self) -> Vec<Waiting> {
         self.lock().remove(|_| true)
     }
 
     /// Takes out the requests whose deadline has passed.
-    pub(crate) fn expire(&self, now_ms: u64) -> Vec<Waiting> {
+    pub(crate) fn remove_expired(&self, now_ms: u64) -> Vec<Waiting> {
         self.lock().expire(now_ms)
     }
 
--- a/crates/side/src/steps.rs
+++ b/crates/side/src/steps.rs
@@ -18,11 +18,11 @@
 use chestnutreach_engine::{EngineError, SequenceStep};
 use chestnutreach_protocol::wire::FailureReason;
 
-use crate::{run::Run, seat::Seat};
+use crate::{reservation::Reservation, run::Run};
 
 /// Calls with first steps at once. More would fill the engine's iterations
 /// with prompts, and each iteration is a token's wait.
-const MAX_FIRST_CALLS: usize = 3;
+const MAX_FIRST_STEP_CALLS: usize = 3;
 
 /// Whose step it is.
 #[derive(Clone)]
@@ -30,7 +30,7 @@
     /// A request whose first stage is here.
     Run(Arc<Run>),
     /// A request whose later stage is here.
-    Seat(Arc<Seat>),
+    Reservation(Arc<Reservation>),
 }
 
 impl Owner {
@@ -38,7 +38,7 @@
     pub(crate) fn is_wanted(&self) -> bool {
         match self {
             Owner::Run(run) => !run.is_ended(),
-            Owner::Seat(seat) => !seat.is_released(),
+            Owner::Reservation(reservation) => !reservation.is_released(),
         }
     }
 }
@@ -53,18 +53,18 @@
 /// The waiting steps of one engine.
 pub(crate) struct StepQueue {
     state: Mutex<State>,
-    wake: async_channel::Sender<()>,
-    woken: async_channel::Receiver<()>,
-    max_first_calls: usize,
+    wake_sender: async_channel::Sender<()>,
+    wake_receiver: async_channel::Receiver<()>,
+    max_first_step_calls: usize,
 }
 
 #[derive(Default)]
 struct State {
     /// By falling priority and then by arrival.
     tokens: BTreeMap<(u8, u64), QueuedStep>,
-    firsts: BTreeMap<(u8, u64), QueuedStep>,
+    first_steps: BTreeMap<(u8, u64), QueuedStep>,
     next_number: u64,
-    first_calls: usize,
+    first_step_calls: usize,
 }
 
 /// Steps for one call to the engine.
@@ -76,14 +76,14 @@
 impl StepQueue {
     /// A queue for an engine that takes `engine_calls` calls at once.
     pub(crate) fn new(engine_calls: usize) -> StepQueue {
-        let (wake, woken) = async_channel::unbounded();
+        let (wake_sender, wake_receiver) = async_channel::unbounded();
         StepQueue {
             state: Mutex::default(),
-            wake,
-            woken,
-            max_first_calls: engine_calls
+            wake_sender,
+            wake_receiver,
+            max_first_step_calls: engine_calls
                 .saturating_sub(1)
-                .clamp(1, MAX_FIRST_CALLS),
+                .clamp(1, MAX_FIRST_STEP_CALLS),
         }
     }
 
@@ -94,12 +94,12 @@
         state.next_number += 1;
         let key = (u8::MAX - step.step.priority, number);
         if step.is_first {
-            state.firsts.insert(key, step);
+            state.first_steps.insert(key, step);
         } else {
             state.tokens.insert(key, step);
         }
         drop(state);
-        let _ = self.wake.try_send(());
+        let _ = self.wake_sender.try_send(());
     }
 
     /// Waits for steps and takes up to `limit` of them.
@@ -109,24 +109,24 @@
                 return batch;
             }
             // The queue holds both ends of the channel, so it cannot close.
-            let _ = self.woken.recv().await;
+            let _ = self.wake_receiver.recv().await;
         }
     }
 
     /// Says that a call with first steps has ended.
-    pub(crate) fn first_call_ended(&self) {
-        self.lock().first_calls -= 1;
-        let _ = self.wake.try_send(());
+    pub(crate) fn first_step_call_ended(&self) {
+        self.lock().first_step_calls -= 1;
+        let _ = self.wake_sender.try_send(());
     }
 
     fn take(&self, limit: usize) -> Option<Batch> {
         let mut state = self.lock();
         let is_first = state.tokens.is_empty();
-        if is_first && state.first_calls >= self.max_first_calls {
+        if is_first && state.first_step_calls >= self.max_first_step_calls {
             return None;
         }
         let queue =
-            if is_first { &mut state.firsts } else { &mut state.tokens };
+            if is_first { &mut state.first_steps } else { &mut state.tokens };
         let mut steps = Vec::new();
         while steps.len() < limit
             && let Some((_, step)) = queue.pop_first()
@@ -139,7 +139,7 @@
             return None;
         }
         if is_first {
-            state.first_calls += 1;
+            state.first_step_calls += 1;
         }
         Some(Batch { steps, is_first })
     }
--- a/crates/side/src/sweep.rs
+++ b/crates/side/src/sweep.rs
@@ -9,65 +9,67 @@
 };
 
 use crate::{
-    gate::Waiting,
     node::Shared,
+    reservation::Reservation,
     run::{Phase, Run},
-    seat::Seat,
+    slot_queue::Waiting,
 };
 
 /// Time between two looks; a deadline may pass by this much.
-const INTERVAL: Duration = Duration::from_millis(20);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 /// Time past its deadline after which a place is freed unasked.
-const SEAT_GRACE_MS: u64 = 1_000;
+const RESERVATION_GRACE_MS: u64 = 1_000;
 /// Looks between two load reports.
-const LOAD_EVERY: u32 = 10;
+const SWEEPS_PER_LOAD_REPORT: u32 = 10;
 /// Looks between two reports on links that carry requests. Their frames keep
 /// the other end from asking for a heartbeat, which would have the loads.
-const TELL_EVERY: u32 = 50;
+const SWEEPS_PER_STATUS: u32 = 50;
 
 impl Shared {
     /// Looks at all requests again and again.
     pub(crate) async fn sweep(self: Arc<Self>) {
         let mut count: u32 = 0;
         loop {
-            Timer::after(INTERVAL).await;
+            Timer::after(SWEEP_INTERVAL).await;
             let now_ms = self.clock.now_ms();
             self.expire_queues(now_ms);
             self.expire_runs(now_ms);
-            self.expire_seats(now_ms);
+            self.expire_reservations(now_ms);
             self.lock_ended().expire(now_ms);
             count = count.wrapping_add(1);
-            if count.is_multiple_of(LOAD_EVERY) {
+            if count.is_multiple_of(SWEEPS_PER_LOAD_REPORT) {
                 self.links().set_loads(self.loads());
-                self.note_gauges();
+                self.update_gauges();
             }
-            if count.is_multiple_of(TELL_EVERY) {
-                self.tell_entries();
+            if count.is_multiple_of(SWEEPS_PER_STATUS) {
+                self.send_status_to_busy_entries();
             }
         }
     }
 
     /// Tells the loads to entries that have requests here.
-    fn tell_entries(&self) {
+    fn send_status_to_busy_entries(&self) {
         let open = self.links().open();
-        let is_told =
+        let is_busy_entry =
             |link: &&Link| link.is_busy() && link.peer().role() == Role::Entry;
         let status = self.status();
-        for link in open.iter().filter(is_told) {
+        for link in open.iter().filter(is_busy_entry) {
             let _ = link.send(status.clone());
         }
     }
 
     fn expire_queues(self: &Arc<Self>, now_ms: u64) {
         for backend in self.backends.values() {
-            for waiting in backend.gate.expire(now_ms) {
+            for waiting in backend.slots.remove_expired(now_ms) {
                 match waiting {
                     Waiting::Run(run) => {
                         let reason = RefusalReason::TooLate;
-                        let retry_after_ms = backend.gate.retry_after_ms();
+                        let retry_after_ms = backend.slots.retry_after_ms();
                         self.refuse(&run, reason, "", retry_after_ms);
                     }
-                    Waiting::Seat(seat) => self.refuse_full(&seat),
+                    Waiting::Reservation(reservation) => {
+                        self.refuse_full(&reservation)
+                    }
                 }
             }
         }
@@ -89,14 +91,16 @@
     /// Refuses later stages that waited too long, and frees places past their
     /// deadline: the first stage has ended the request by then, and its
     /// release may have been lost.
-    fn expire_seats(self: &Arc<Self>, now_ms: u64) {
-        let seats: Vec<Arc<Seat>> =
-            self.lock_seats().values().cloned().collect();
-        for seat in seats {
-            if now_ms >= seat.deadline_at_ms + SEAT_GRACE_MS {
-                self.release_seat(&seat);
-            } else if now_ms >= seat.wait_until_ms && seat.is_waiting() {
-                self.refuse_full(&seat);
+    fn expire_reservations(self: &Arc<Self>, now_ms: u64) {
+        let reservations: Vec<Arc<Reservation>> =
+            self.lock_reservations().values().cloned().collect();
+        for reservation in reservations {
+            if now_ms >= reservation.deadline_at_ms + RESERVATION_GRACE_MS {
+                self.release_reservation(&reservation);
+            } else if now_ms >= reservation.wait_until_ms
+                && reservation.is_waiting()
+            {
+                self.refuse_full(&reservation);
             }
         }
     }
--- a/crates/side/src/target.rs
+++ b/crates/side/src/target.rs
@@ -56,8 +56,8 @@
     }
 
     fn may_use(&self, target: &Target<'_>) -> bool {
-        let rights = self.rights.load();
-        let services = rights.get(target.account);
+        let permissions = self.permissions.load();
+        let services = permissions.get(target.account);
         services.is_some_and(|s| s.contains(target.service))
     }
 
@@ -71,10 +71,12 @@
             // Until the next looks at the backend server and the list.
             RefusalReason::BackendDown => {
                 let backend = self.backends.get(&stage.backend);
-                let rest = backend.map(|backend| backend.rest.left());
-                let rest_ms = rest.unwrap_or_default().as_millis() as u64;
+                let cooldown =
+                    backend.map(|backend| backend.cooldown.remaining());
+                let cooldown_ms =
+                    cooldown.unwrap_or_default().as_millis() as u64;
                 let probe_ms = PROBE_INTERVAL.as_millis() as u64;
-                rest_ms + probe_ms + fastrand::u64(0..=2 * probe_ms)
+                cooldown_ms + probe_ms + fastrand::u64(0..=2 * probe_ms)
             }
             RefusalReason::Leaving => {
                 self.settings.node.platform.vm_list_poll_ms
@@ -100,18 +102,18 @@
     /// # Errors
     ///
     /// Name of the first backend server whose side process was not reached.
-    pub(crate) async fn dial_links(
+    pub(crate) async fn connect_links(
         &self,
         stages: &[Stage],
     ) -> Result<Vec<Link>, String> {
-        let mut dialled = Vec::with_capacity(stages.len());
+        let mut links = Vec::with_capacity(stages.len());
         for stage in stages {
             let unreachable = || stage.backend.clone();
             let address: SocketAddr =
                 stage.side_address.parse().map_err(|_| unreachable())?;
             let link = self.links().connect(address).await;
-            dialled.push(link.map_err(|_| unreachable())?);
+            links.push(link.map_err(|_| unreachable())?);
         }
-        Ok(dialled)
+        Ok(links)
     }
 }
--- a/crates/site/src/backend.rs
+++ b/crates/site/src/backend.rs
@@ -1,35 +1,35 @@
-//! Backend servers, the kinds of accelerators, and the layers they hold.
+//! Backend servers, the layers they hold, and their models and accelerators.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 pub use chestnutreach_planner::LayerRange;
 
-/// What a backend server says of itself.
+/// State that a backend server reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
-    /// Its name; a restart may keep it.
+    /// Name; it may stay the same across restarts.
     pub id: String,
-    /// Unix time of its start, in milliseconds; none where it tells none.
+    /// Unix time of the process start, in milliseconds, if reported.
     pub started_unix_ms: Option<u64>,
-    /// Service that it serves.
+    /// Name of the service.
     pub service: String,
-    /// Where it listens.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// Whether it takes work.
+    /// Whether the server accepts requests.
     pub state: BackendState,
-    /// Requests that it runs at once.
+    /// Requests that the server runs concurrently.
     pub slots: u32,
-    /// Kind of its accelerator, for model engines.
+    /// Kind of accelerator; set for model engines only.
     pub kind: Option<String>,
-    /// Layers that it holds, if any.
+    /// Layers that the engine holds, if any.
     pub held: Option<LayerRange>,
 }
 
 impl Backend {
-    /// Name of this start of the server. What is known of one start holds
-    /// for no other.
+    /// Identifies one process lifetime of the server. State observed for one
+    /// incarnation does not apply to another.
     pub fn incarnation(&self) -> String {
         match self.started_unix_ms {
             Some(started_unix_ms) => format!("{}@{started_unix_ms}", self.id),
@@ -38,22 +38,22 @@
     }
 }
 
-/// Whether a backend server takes work.
+/// Whether a backend server accepts requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BackendState {
-    /// It takes work.
+    /// Accepts requests.
     Ready,
-    /// It ends what runs and leaves.
+    /// Finishes running requests and accepts no new ones.
     Draining,
 }
 
-/// What becomes of requests that pass through layers which an engine is
-/// ordered to give up.
+/// What an engine does with running requests that use layers which the
+/// engine is ordered to release.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StreamPolicy {
-    /// The engine lets them end before it takes other layers.
+    /// The requests finish before the engine loads other layers.
     Finish,
-    /// They are cut there.
+    /// The requests are aborted.
     Abort,
 }
 
@@ -64,48 +64,51 @@
     pub memory_mb: f64,
     /// Factor on the time of a step.
     pub pace: f64,
-    /// Factor on the time to read a prompt.
+    /// Factor on the prefill time.
     pub prefill_factor: f64,
 }
 
-/// A model that several engines hold in parts.
+/// A model whose layers are distributed over several engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
-    /// Layers.
+    /// Number of layers.
     pub layer_count: u32,
-    /// Memory of a layer, in megabytes.
+    /// Memory of one layer, in megabytes.
     pub layer_mb: f64,
-    /// Memory of a request for each token and layer, in bytes.
+    /// KV memory of a request per token and layer, in bytes.
     pub token_layer_bytes: f64,
     /// Time of one step through all layers at pace 1, in milliseconds.
     pub step_ms: f64,
-    /// Prompt tokens read a second through all layers at factor 1.
+    /// Prefill throughput through all layers at prefill factor 1, in tokens
+    /// per second.
     pub prefill_tokens_per_s: f64,
-    /// Bytes sent on for each token where a request changes the engine.
+    /// Bytes of activations per token that one stage sends to the next.
     pub activation_bytes: f64,
-    /// Rate between data centres that all engines share, in Mbit/s.
+    /// Bandwidth of the interconnect between data centres, shared by all
+    /// engines, in Mbit/s.
     pub interconnect_mbps: f64,
     /// Time to load the whole model, in seconds.
     pub load_s: f64,
-    /// Steps that a pass runs.
+    /// Steps per pass through the engines.
     pub stride: u32,
     /// Mean tokens of a prompt.
     pub typical_prompt_tokens: u32,
-    /// Mean tokens of an answer.
+    /// Mean output tokens of a request.
     pub typical_output_tokens: u32,
-    /// Age of what an engine reports, in milliseconds.
+    /// Age of the state that an engine reports, in milliseconds.
     pub report_lag_ms: f64,
     /// Kinds of accelerators by name.
     pub kinds: BTreeMap<String, AcceleratorKind>,
 }
 
 impl Model {
-    /// Most layers that fit into the memory of a kind.
+    /// Maximum number of layers that fit into the memory of an accelerator.
     pub fn max_layers(&self, kind: &AcceleratorKind) -> u32 {
         ((kind.memory_mb / self.layer_mb) as u32).min(self.layer_count)
     }
 
-    /// Tokens times layers of requests that fit beside so many layers.
+    /// KV capacity, in tokens times layers, that remains on an accelerator
+    /// which holds `layers` layers.
     pub fn token_layer_capacity(
         &self,
         kind: &AcceleratorKind,
@@ -115,20 +118,20 @@
         (free_mb.max(0.0) * 1e6 / self.token_layer_bytes) as u64
     }
 
-    /// Time of one step through so many layers, in milliseconds.
+    /// Time of one step through `layers` layers, in milliseconds.
     pub fn layers_step_ms(&self, kind: &AcceleratorKind, layers: u32) -> f64 {
         let share = f64::from(layers) / f64::from(self.layer_count.max(1));
         self.step_ms * kind.pace * share
     }
 
-    /// Time for which reading so many tokens takes up what joins data
-    /// centres, in milliseconds.
+    /// Time for which the prefill of `tokens` tokens occupies the interconnect
+    /// between data centres, in milliseconds.
     pub fn interconnect_prefill_ms(&self, tokens: u64) -> f64 {
         let bits = tokens as f64 * self.activation_bytes * 8.0;
         bits / (self.interconnect_mbps.max(1.0) * 1e3)
     }
 
-    /// Time to read a token through so many layers, in milliseconds.
+    /// Prefill time of one token through `layers` layers, in milliseconds.
     pub fn layers_prefill_ms(
         &self,
         kind: &AcceleratorKind,
--- a/crates/site/src/configuration.rs
+++ b/crates/site/src/configuration.rs
@@ -1,28 +1,29 @@
-//! Routes, services and keys in force.
+//! Routes, services and client accounts of a deployment.
 
 use std::collections::BTreeMap;
 
 use crate::backend::Model;
 
-/// A whole configuration.
+/// A configuration of a deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Higher for a newer one.
+    /// Version; a newer configuration has a higher one.
     pub version: u64,
-    /// Routes by host, those with the longest prefix first.
+    /// Routes by host, ordered by falling length of the prefix.
     pub routes: BTreeMap<String, Vec<Route>>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// What a client may send.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// Client account of each key; none where requests carry no key.
+    /// Client accounts by key; `None` if requests need no key.
     pub accounts: Option<BTreeMap<String, Account>>,
-    /// What is wrong with it, with place; the rest holds.
+    /// Invalid entries, which are left out of the other fields.
     pub findings: Vec<Finding>,
 }
 
 impl Configuration {
-    /// Whether every stream that a service may get can go on elsewhere.
+    /// Whether every stream that routes send to a service can be resumed at
+    /// another backend server.
     pub fn streams_are_resumable(&self, service: &str) -> bool {
         let routes = self.routes.values().flatten();
         let mut here =
@@ -41,12 +42,12 @@
     }
 }
 
-/// One thing that is wrong with a configuration.
+/// An error in a configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Where.
+    /// Location in the configuration.
     pub place: String,
-    /// What.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -55,30 +56,32 @@
 pub struct Account {
     /// Its name.
     pub name: String,
-    /// Rank of its requests, before that of the route; 0 is first.
+    /// Priority of its requests, which overrides that of the route; 0 is the
+    /// most urgent.
     pub priority: Option<u8>,
 }
 
-/// What may be repeated.
+/// Kind of the requests of a route, which decides about retries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
-    /// A request that may run more than once.
+    /// Requests that may run more than once.
     Idempotent,
-    /// A request that runs at most once.
+    /// Requests that run at most once.
     NonIdempotent,
-    /// A stream of events that runs at most once.
+    /// Event streams that run at most once.
     Stream,
-    /// A stream of events that may go on elsewhere after its last event.
+    /// Event streams that another backend server can resume after the last
+    /// event.
     ResumableStream,
 }
 
 impl RouteKind {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run can be retried.
     pub fn allows_retry(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
@@ -89,23 +92,23 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Paths that begin so belong to it.
+    /// Path prefix of the requests that the route matches.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of its requests.
     pub kind: RouteKind,
-    /// Longest time a client is kept waiting.
+    /// Maximum time until the response, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full credit.
+    /// Target for the response time, in milliseconds.
     pub target_ms: u64,
-    /// Rank, 0 is first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of backend servers that a request may be sent to.
     pub max_attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub is_public: bool,
-    /// Longest pause between events that is on time, in milliseconds.
+    /// Target for the gap between events, in milliseconds.
     pub gap_target_ms: Option<u64>,
-    /// Services that serve it, with weights.
+    /// Services that serve the route, with weights.
     pub shares: Vec<Share>,
 }
 
@@ -123,27 +126,28 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Most connections to one backend server, of all callers together.
+    /// Maximum number of connections to one backend server, for all callers
+    /// together.
     pub max_connections: usize,
-    /// The model that its engines share, if it has one.
+    /// The model that its engines run, if they do.
     pub model: Option<Model>,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on the size and timing of client requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Longest head.
+    /// Maximum size of a request head.
     pub max_head_bytes: usize,
-    /// Longest body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Timeout for receiving a request head.
     pub head_timeout_ms: u64,
-    /// Longest time without a request.
+    /// Timeout of a connection without a request.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// Used until a configuration is known.
+    /// The limits in force until the first configuration is read.
     fn default() -> Limits {
         Limits {
             max_head_bytes: 16 << 10,
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,14 +1,15 @@
-//! What a deployment states and what its backend servers say of themselves.
+//! Types for the settings of a deployment and the state of its backend
+//! servers.
 //!
-//! Plain types without I/O. The folder `platform/` decodes the messages of
-//! the users' platform into them, and everything that decides works on them.
+//! The types do no I/O. The folder `platform/` decodes the messages of the
+//! users' platform into them, and routing and planning take them as input.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`settings`] | what a process learns at its start |
-//! | [`configuration`] | routes, services and keys in force |
-//! | [`backend`] | backend servers, their kinds and layers |
-//! | [`tables`] | tables of the store that belong to us |
+//! | [`settings`] | settings of one process |
+//! | [`configuration`] | routes, services and client accounts |
+//! | [`backend`] | backend servers, models and accelerators |
+//! | [`tables`] | names of the tables that this system owns |
 //!
 //! # Example
 //!
@@ -21,7 +22,11 @@
 //!     token_layer_bytes: 7375.0,
 //!     ..Model::default()
 //! };
-//! let l4 = AcceleratorKind { memory_mb: 21_600.0, pace: 16.0, prefill_factor: 8.2 };
+//! let l4 = AcceleratorKind {
+//!     memory_mb: 21_600.0,
+//!     pace: 16.0,
+//!     prefill_factor: 8.2,
+//! };
 //! assert_eq!(model.max_layers(&l4), 12);
 //! assert_eq!(model.token_layer_capacity(&l4, 10), 555_932);
 //! ```
--- a/crates/site/src/settings.rs
+++ b/crates/site/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process learns at its start.
+//! Settings that a process reads at startup.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -11,60 +11,60 @@
     pub ip: IpAddr,
     /// Data centre of the VM.
     pub data_centre: String,
-    /// All data centres, in order of names.
+    /// All data centres, sorted by name.
     pub data_centres: Vec<String>,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub clients_address: SocketAddr,
-    /// Where the balancer asks whether to send clients.
+    /// Listen address for the readiness checks of the load balancer.
     pub ready_address: SocketAddr,
-    /// First and last port for traffic between our processes.
+    /// First and last port for traffic between processes of this system.
     pub internal_ports: (u16, u16),
-    /// Share of a core that the VM gives.
+    /// CPU share of the process, in cores.
     pub cpu_share: f64,
-    /// Memory of the process, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: u64,
-    /// Descriptors of the process.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// How often backend servers write their row, in milliseconds.
+    /// Interval at which backend servers write their row, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Where the store listens.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// What the store takes.
+    /// Rate limits of the store.
     pub store_rates: StoreRates,
-    /// Times and shares that are promised.
+    /// Time limits and rates that the system guarantees.
     pub bounds: Bounds,
 }
 
-/// What the store takes from all processes together.
+/// Rate limits of the store, for all processes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreRates {
-    /// Calls that write, a second.
+    /// Write calls per second.
     pub writes_per_s: f64,
-    /// Calls that read, a second.
+    /// Read calls per second.
     pub reads_per_s: f64,
 }
 
-/// Times and shares that are promised.
+/// Time limits and rates that the system guarantees.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// How long a leaving backend server may still get requests.
+    /// Time for which a draining backend server may still receive requests.
     pub drain_ms: u64,
-    /// Time from a stop signal to the kill.
+    /// Time from the stop signal until the process is killed.
     pub grace_ms: u64,
-    /// How long after its withdrawal a key may still be served.
+    /// Time after its revocation for which a key may still be accepted.
     pub revoke_ms: u64,
-    /// Whether that bound holds without exception.
+    /// Whether `revoke_ms` holds without exception.
     pub is_revoke_strict: bool,
-    /// How long after its acceptance a configuration must be in force.
+    /// Time after its acceptance until a configuration must be in force.
     pub config_apply_ms: u64,
-    /// Further arrivals at a service for each request to it.
+    /// Allowed retries per request to a service.
     pub retry_ratio: f64,
-    /// Window over which further arrivals are counted.
+    /// Window over which retries are counted.
     pub retry_window_ms: u64,
-    /// Further arrivals that are free in each window.
+    /// Retries allowed in each window in addition to `retry_ratio`.
     pub free_retries: f64,
-    /// How long work that waits for a dead engine stalls.
+    /// Maximum time for which a request stalls when its engine has failed.
     pub stall_ms: u64,
-    /// Time within which an event must be passed on.
+    /// Maximum time until an event is forwarded to the client.
     pub pass_ms: u64,
 }
--- a/crates/site/src/tables.rs
+++ b/crates/site/src/tables.rs
@@ -1,9 +1,9 @@
-//! Tables of the store that belong to us.
+//! Names of the store tables that this system owns.
 
-/// Entries find each other here: a row each, by name of the VM, with the
-/// address for messages between entries.
+/// Table for discovery between entries: one row per entry, keyed by the name
+/// of the VM, with the address for messages between entries.
 pub const ENTRIES: &str = "chestnutreach-entries";
-/// The planner's lease.
+/// Table that holds the planner's lease.
 pub const LEASE: &str = "chestnutreach-lease";
-/// Key of the lease's row.
+/// Key of the row that holds the lease.
 pub const LEASE_KEY: &str = "planner";
