--- a/crates/side/src/backend.rs
+++ b/crates/side/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend server: what it serves, who waits for it, whether it answers.
+//! A backend server of this process: its assignment, slots and health.
 
 use std::{
     net::SocketAddr,
@@ -31,28 +31,29 @@
     steps::{Batch, Owner, QueuedStep, StepQueue},
 };
 
-/// How often a backend server that does not answer is asked again, and one
-/// with a call outstanding is asked whether it is still there.
+/// Interval of health checks on a backend server that is down, and on an
+/// engine while a call to it is pending.
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Missed answers in a row after which a call is given up.
-const MAX_MISSED_PROBES: u32 = 2;
-/// Least rest of an engine: steps that wait would go to one that asks for
-/// none again and again.
+/// Failed health checks in a row after which a pending call is aborted.
+const MAX_FAILED_PROBES: u32 = 2;
+/// Minimum cooldown of an engine. Without a minimum, deferred steps would be
+/// retried in a tight loop at an engine that requests a cooldown of zero.
 const MIN_COOLDOWN: Duration = Duration::from_millis(100);
-/// Guess of a speed that nobody states: nothing is too late by it.
+/// Assumed speed where the manifest states none: so high that no request is
+/// refused as too late.
 const UNKNOWN_TOKENS_PER_S: f64 = 1e9;
-/// Sequences freed in one call.
+/// Maximum number of sequences released in one call.
 const MAX_RELEASE_BATCH: usize = 256;
 
-/// What the manifest has a backend server do.
-pub(crate) struct Assigned {
+/// What the manifest assigns to a backend server.
+pub(crate) struct Assignment {
     pub(crate) service: String,
     pub(crate) first_layer: u32,
     pub(crate) end_layer: u32,
     pub(crate) server: Server,
 }
 
-/// How the backend server is spoken to.
+/// Client for the backend server, by its kind.
 pub(crate) enum Server {
     /// An engine that holds a range of layers.
     Engine(Arc<EngineClient>),
@@ -60,11 +61,11 @@
     Plain(Arc<Client>),
 }
 
-/// A backend server beside this process.
+/// A backend server that this process is responsible for.
 pub(crate) struct Backend {
     pub(crate) name: String,
     address: SocketAddr,
-    assigned: ArcSwapOption<Assigned>,
+    assignment: ArcSwapOption<Assignment>,
     pub(crate) slots: SlotQueue,
     pub(crate) steps: StepQueue,
     pub(crate) metrics: Arc<BackendMetrics>,
@@ -91,7 +92,7 @@
         Backend {
             name: name.to_owned(),
             address,
-            assigned: ArcSwapOption::empty(),
+            assignment: ArcSwapOption::empty(),
             slots: SlotQueue::new(settings.queue_limit_tokens),
             steps: StepQueue::new(settings.engine_calls),
             metrics,
@@ -104,8 +105,8 @@
         }
     }
 
-    pub(crate) fn assigned(&self) -> Option<Arc<Assigned>> {
-        self.assigned.load_full()
+    pub(crate) fn assignment(&self) -> Option<Arc<Assignment>> {
+        self.assignment.load_full()
     }
 
     pub(crate) fn table(&self) -> MutexGuard<'_, RunOnceTable> {
@@ -124,22 +125,23 @@
         self.is_leaving.store(is_leaving, Ordering::Release);
     }
 
-    /// Has the engine free what it holds for a sequence, soon.
+    /// Queues a sequence for release on the engine.
     pub(crate) fn release_sequence(&self, sequence: SequenceId) {
         let _ = self.release_sender.try_send(sequence);
     }
 
-    /// Takes over what a manifest says of it; nothing if it says nothing.
+    /// Applies a manifest. A backend server that is not in the manifest has no
+    /// assignment.
     pub(crate) fn apply(&self, manifest: &Manifest) {
         let Some(server) = manifest.backend_servers.get(&self.name) else {
-            self.assigned.store(None);
+            self.assignment.store(None);
             return;
         };
         let Some(service) = manifest.services.get(&server.service) else {
             return;
         };
         self.apply_capacity(manifest, server);
-        if self.is_assigned_as(server) {
+        if self.has_assignment(server) {
             return;
         }
         let server_client = match &service.kind {
@@ -152,7 +154,7 @@
                 Server::Plain(Arc::new(Client::new(self.address, options)))
             }
         };
-        self.assigned.store(Some(Arc::new(Assigned {
+        self.assignment.store(Some(Arc::new(Assignment {
             service: server.service.clone(),
             first_layer: server.first_layer,
             end_layer: server.end_layer,
@@ -164,14 +166,14 @@
         let kind = server.accelerator.as_ref();
         let kind = kind.and_then(|k| manifest.accelerators.get(k));
         let share = layer_share(manifest, server);
-        let guess = |whole: u32| f64::from(whole) / share;
+        let scaled_speed = |whole: u32| f64::from(whole) / share;
         self.slots.set_capacity(ServerCapacity {
             max_running: server.max_running,
             prompt_tokens_per_s: kind.map_or(UNKNOWN_TOKENS_PER_S, |kind| {
-                guess(kind.prompt_tokens_per_s)
+                scaled_speed(kind.prompt_tokens_per_s)
             }),
             output_tokens_per_s: kind.map_or(UNKNOWN_TOKENS_PER_S, |kind| {
-                guess(kind.output_tokens_per_s)
+                scaled_speed(kind.output_tokens_per_s)
             }),
         });
         for (name, account) in &manifest.accounts {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Learns the speed from a call that was answered.
+    /// Records metrics of a successful call and learns the speed from it.
     fn record_call(
         &self,
         steps: &[SequenceStep],
@@ -198,16 +200,16 @@
             .flatten()
             .map(|output| output.span.saturating_sub(output.cached_tokens));
         if is_first {
-            let longest = spans.clone().max().unwrap_or(0);
+            let longest_span = spans.clone().max().unwrap_or(0);
             let tokens = spans.map(u64::from).sum();
-            self.slots.learn_prompt(longest, tokens, elapsed_ms);
+            self.slots.learn_prompt(longest_span, tokens, elapsed_ms);
         } else {
             self.slots.learn_step(steps.len() as u32, elapsed_ms);
         }
     }
 
-    fn is_assigned_as(&self, server: &BackendServer) -> bool {
-        self.assigned().is_some_and(|a| {
+    fn has_assignment(&self, server: &BackendServer) -> bool {
+        self.assignment().is_some_and(|a| {
             a.service == server.service
                 && a.first_layer == server.first_layer
                 && a.end_layer == server.end_layer
@@ -293,7 +295,7 @@
         }
     }
 
-    /// Ends what a step belongs to that has no result.
+    /// Fails or refuses the request of a step that has no result.
     pub(crate) fn fail_step(
         self: &Arc<Self>,
         owner: &Owner,
@@ -316,14 +318,15 @@
         steps: &[SequenceStep],
         is_first: bool,
     ) -> Result<EngineResults, EngineError> {
-        let assigned = backend.assigned();
-        let Some((assigned, engine)) =
-            assigned.as_ref().and_then(|a| match &a.server {
+        let assignment = backend.assignment();
+        let Some((assignment, engine)) =
+            assignment.as_ref().and_then(|a| match &a.server {
                 Server::Engine(engine) => Some((a, engine)),
                 Server::Plain(_) => None,
             })
         else {
-            let detail = "no longer an engine in the manifest";
+            let detail =
+                "the manifest no longer lists the server as an engine";
             return Err(EngineError::Protocol(detail.to_owned()));
         };
         let timeout_ms = if is_first {
@@ -332,13 +335,12 @@
             self.settings.step_timeout_ms
         };
         let timeout = Duration::from_millis(timeout_ms);
-        let (first, end) = (assigned.first_layer, assigned.end_layer);
+        let (first, end) = (assignment.first_layer, assignment.end_layer);
         let call = engine.infer(first, end, steps, timeout);
         call.or(watch_engine(backend, engine)).await
     }
 
-    /// Notes that a backend server does not answer, and asks it until it
-    /// does.
+    /// Marks a backend server as down and logs the error.
     pub(crate) fn report_down(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
@@ -352,8 +354,9 @@
         }
     }
 
-    /// Has a backend server count as down until it answers, which it is not
-    /// asked while it is at rest; false if it is down.
+    /// Marks a backend server as down until it passes a health check. Health
+    /// checks pause during a cooldown. Returns false if the server was down
+    /// before.
     pub(crate) fn mark_down(self: &Arc<Self>, backend: &Arc<Backend>) -> bool {
         if !backend.is_healthy.swap(false, Ordering::AcqRel) {
             return false;
@@ -375,7 +378,7 @@
     }
 }
 
-/// Share of a service's layers that a backend server holds.
+/// Fraction of a service's layers that a backend server holds.
 fn layer_share(manifest: &Manifest, server: &BackendServer) -> f64 {
     let service = manifest.services.get(&server.service);
     match service.map(|service| &service.kind) {
@@ -387,7 +390,7 @@
     }
 }
 
-/// An engine's answers to the steps of one call, in order.
+/// An engine's results for the steps of one call, in order.
 pub(crate) type EngineResults = Vec<
     Result<
         chestnutreach_engine::SequenceOutput,
@@ -395,65 +398,65 @@
     >,
 >;
 
-/// Ends with an error when an engine stops answering at all: a frozen engine
-/// is noticed long before the time that a long prompt may take.
+/// Completes with an error when an engine fails several health checks in a
+/// row. A frozen engine is detected long before the timeout of a long prompt.
 async fn watch_engine(
     backend: &Backend,
     engine: &EngineClient,
 ) -> Result<EngineResults, EngineError> {
-    let mut misses = 0;
-    while misses < MAX_MISSED_PROBES {
+    let mut failures = 0;
+    while failures < MAX_FAILED_PROBES {
         Timer::after(PROBE_INTERVAL).await;
         backend.cooldown.wait_until_over().await;
-        misses = match check_readiness(backend, engine).await {
+        failures = match check_readiness(backend, engine).await {
             Readiness::Ready | Readiness::InCooldown => 0,
-            Readiness::Missed => misses + 1,
+            Readiness::Failed => failures + 1,
         };
     }
-    let limit_ms = PROBE_INTERVAL.as_millis() as u64 * u64::from(misses) * 2;
+    let limit_ms = PROBE_INTERVAL.as_millis() as u64 * u64::from(failures) * 2;
     let address = engine.address();
     Err(EngineError::Timeout(ClientError::Timeout { address, limit_ms }))
 }
 
-/// What a look at an engine showed.
+/// Result of a health check on an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Readiness {
     Ready,
-    /// It is there and asked for rest.
+    /// The engine responded and requested a cooldown.
     InCooldown,
-    /// It is not ready, or did not say so in time.
-    Missed,
+    /// The engine is not ready or did not respond before the timeout.
+    Failed,
 }
 
 async fn check_readiness(
     backend: &Backend,
     engine: &EngineClient,
 ) -> Readiness {
-    let asked = async { Some(engine.ready().await) };
+    let response = async { Some(engine.ready().await) };
     let limit = async {
         Timer::after(PROBE_INTERVAL).await;
         None
     };
-    match asked.or(limit).await {
+    match response.or(limit).await {
         Some(Ok(())) => Readiness::Ready,
         Some(Err(error)) => match error.cooldown() {
             Some(cooldown) => {
                 backend.record_cooldown(cooldown);
                 Readiness::InCooldown
             }
-            None => Readiness::Missed,
+            None => Readiness::Failed,
         },
-        None => Readiness::Missed,
+        None => Readiness::Failed,
     }
 }
 
 async fn is_reachable(backend: &Backend) -> bool {
-    match backend.assigned().as_deref() {
-        Some(Assigned { server: Server::Engine(engine), .. }) => {
+    match backend.assignment().as_deref() {
+        Some(Assignment { server: Server::Engine(engine), .. }) => {
             check_readiness(backend, engine).await == Readiness::Ready
         }
-        // A plain service has no common health check; that it takes a
-        // connection is what can be asked without running anything.
+        // There is no common health check for plain services. Connecting is
+        // the only check that does not run a request.
         _ => {
             let connect =
                 chestnutreach_http::SharedStream::connect(backend.address);
@@ -475,10 +478,11 @@
             batch.push(next);
         }
         backend.cooldown.wait_until_over().await;
-        if let Some(assigned) = backend.assigned()
-            && let Server::Engine(engine) = &assigned.server
+        if let Some(assignment) = backend.assignment()
+            && let Server::Engine(engine) = &assignment.server
         {
-            // An engine that does not answer has lost its sequences anyway.
+            // Errors are ignored: an engine that does not respond has lost its
+            // sequences anyway.
             let _ = engine.release(&batch).await;
         }
     }
--- a/crates/side/src/cooldown.rs
+++ b/crates/side/src/cooldown.rs
@@ -1,10 +1,11 @@
-//! Rest that a backend server asks for.
+//! Cooldowns that backend servers request.
 //!
-//! A server that turns a call away with 503 and `Retry-After` wants nothing
-//! for that time, neither work nor health checks. This process is the only
-//! way to it, so to entries it is down until then. What waits for it is
-//! decided anew; a request that has begun here waits with its next step if
-//! the rest ends within its time, and fails else.
+//! A server that refuses a call with status 503 and `Retry-After` gets neither
+//! requests nor health checks for that time. All requests to the server pass
+//! through this process, so this process reports the server as down until the
+//! cooldown ends. Requests that wait for a slot are refused. A request that
+//! has begun keeps its next step queued if the cooldown ends before the
+//! deadline, and fails otherwise.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -23,7 +24,7 @@
     steps::{Owner, QueuedStep},
 };
 
-/// Until when a backend server is at rest, and what waits for it.
+/// The end of a backend server's cooldown, and the steps deferred until then.
 #[derive(Default)]
 pub(crate) struct Cooldown {
     until: Mutex<Option<Instant>>,
@@ -39,14 +40,15 @@
         self.steps.lock().expect("no holder panics")
     }
 
-    /// Takes that it asks for rest; of several, the latest end counts.
+    /// Extends the cooldown. The latest end of all requested cooldowns
+    /// applies.
     fn extend(&self, cooldown: Duration) {
         let end = Instant::now() + cooldown;
         let mut until = self.lock();
         *until = (*until).max(Some(end));
     }
 
-    /// Time until it is over.
+    /// Remaining time of the cooldown; zero if there is none.
     pub(crate) fn remaining(&self) -> Duration {
         let until = *self.lock();
         until.map_or(Duration::ZERO, |until| {
@@ -54,7 +56,8 @@
         })
     }
 
-    /// Waits until it is over, also where it is made longer meanwhile.
+    /// Waits until the cooldown is over, including extensions made during the
+    /// wait.
     pub(crate) async fn wait_until_over(&self) {
         loop {
             let remaining = self.remaining();
@@ -67,7 +70,7 @@
 }
 
 impl Backend {
-    /// Has the steps go on that waited for the end of a rest.
+    /// Queues the deferred steps again.
     pub(crate) fn resume_steps(&self) {
         let steps = std::mem::take(&mut *self.cooldown.lock_steps());
         for step in steps {
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Takes that it asks for rest.
+    /// Records a cooldown that the server requested.
     pub(crate) fn record_cooldown(&self, cooldown: Duration) {
         self.cooldown.extend(cooldown);
         emit(
@@ -90,7 +93,8 @@
 }
 
 impl Shared {
-    /// Takes that a backend server turned work away and asks for rest.
+    /// Handles a refused call with a requested cooldown: the server counts as
+    /// down, and waiting requests are refused.
     pub(crate) fn enter_cooldown(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
@@ -102,7 +106,8 @@
         self.refuse_waiting(backend, remaining_ms);
     }
 
-    /// Refuses what waits for a place; it may have one elsewhere.
+    /// Refuses the requests that wait for a slot, so that they can be retried
+    /// at another server.
     fn refuse_waiting(self: &Arc<Self>, backend: &Backend, remaining_ms: u64) {
         let reason = RefusalReason::BackendDown;
         for waiting in backend.slots.remove_all() {
@@ -122,9 +127,10 @@
         }
     }
 
-    /// Decides anew about steps that an engine at rest did not run. Those
-    /// that wait go on once it answers a health check, so that many do not
-    /// meet a server that asks for rest again.
+    /// Defers the steps that an engine in cooldown did not run, or fails those
+    /// that cannot wait. Deferred steps resume after a successful health
+    /// check, so that many steps do not reach a server that requests another
+    /// cooldown.
     pub(crate) fn defer_steps(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
@@ -141,16 +147,17 @@
         }
         backend.cooldown.lock_steps().extend(waiting);
         if backend.is_healthy() {
-            // It was back before these were there.
+            // The server recovered before these steps were deferred.
             backend.resume_steps();
         }
     }
 }
 
 impl QueuedStep {
-    /// Whether it waits for the end of a rest. The first step of a request
-    /// does not: nothing of it has run, so it may begin elsewhere. Nor do
-    /// those of an idempotent one, which goes on elsewhere.
+    /// Whether the step can wait for the end of a cooldown. A first step does
+    /// not wait: nothing has run yet, so the request can start at another
+    /// server. Steps of an idempotent request do not wait either, since the
+    /// request can be retried at another server.
     fn can_wait_until(&self, end_ms: u64) -> bool {
         match &self.owner {
             Owner::Run(run) => {
--- a/crates/side/src/ended.rs
+++ b/crates/side/src/ended.rs
@@ -1,8 +1,9 @@
-//! Answers of requests that have ended, kept so that they can be asked for.
+//! Outputs of ended requests, kept for later queries.
 //!
-//! An entry whose connection went silent, or another entry after the first
-//! died, asks by request id. The store is bounded in bytes and in time; what
-//! it has dropped is answered from the run-once table alone.
+//! An entry whose connection was lost, or another entry after the first one
+//! failed, queries a request by its id. Outputs are kept up to a limit in
+//! bytes and in time; queries for dropped outputs get only the state in the
+//! run-once table.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,12 +12,12 @@
 
 use crate::run::Run;
 
-/// Bytes of answers kept at most.
+/// Maximum size of the kept outputs.
 const MAX_BYTES: usize = 64 << 20;
-/// Bytes counted for each kept answer beside its text.
-const OVERHEAD_BYTES: usize = 512;
+/// Bytes accounted for each ended request in addition to its output.
+const RUN_OVERHEAD_BYTES: usize = 512;
 
-/// Ended requests by number.
+/// Ended requests by id.
 #[derive(Default)]
 pub(crate) struct EndedRuns {
     runs: BTreeMap<u128, Kept>,
@@ -31,14 +32,14 @@
 }
 
 impl EndedRuns {
-    /// Keeps a request's answer until `until_ms`.
+    /// Keeps the output of a request until `until_ms`.
     pub(crate) fn insert(
         &mut self,
         run: Arc<Run>,
-        answer_bytes: usize,
+        output_bytes: usize,
         until_ms: u64,
     ) {
-        let bytes = answer_bytes + OVERHEAD_BYTES;
+        let bytes = output_bytes + RUN_OVERHEAD_BYTES;
         let request = run.id;
         let kept = Kept { run, until_ms, bytes };
         if let Some(old) = self.runs.insert(request, kept) {
@@ -49,15 +50,16 @@
         while self.bytes > MAX_BYTES && self.drop_oldest() {}
     }
 
-    /// The ended request, if its answer is still kept.
+    /// Returns the ended request if its output is still kept.
     pub(crate) fn find(&self, request: u128) -> Option<Arc<Run>> {
         self.runs.get(&request).map(|kept| kept.run.clone())
     }
 
-    /// Drops answers whose time has passed.
+    /// Drops outputs whose retention time has passed.
     pub(crate) fn expire(&mut self, now_ms: u64) {
-        // Times differ by kind of request, so an answer may stay behind one
-        // that is kept longer; the bound on bytes holds all the same.
+        // The retention time differs between requests, so an output may be
+        // kept too long behind one with a longer time. The limit in bytes
+        // holds regardless.
         while let Some((until_ms, _)) = self.order.front() {
             if *until_ms > now_ms {
                 return;
--- a/crates/side/src/frames.rs
+++ b/crates/side/src/frames.rs
@@ -1,4 +1,4 @@
-//! What arrives on links.
+//! Dispatch of link events and received frames.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 impl Shared {
     /// Handles an event of any link.
-    pub(crate) fn handle(self: &Arc<Self>, event: LinkEvent) {
+    pub(crate) fn handle_link_event(self: &Arc<Self>, event: LinkEvent) {
         match event {
             LinkEvent::Opened(link) => self.link_opened(&link),
             LinkEvent::Frame(link, body) => self.handle_frame(&link, body),
@@ -40,7 +40,8 @@
             Body::Query(m) => self.handle_query(link, &m),
             Body::Heartbeat(m) => self.heard.record_generation(m.generation),
             Body::Status(m) => self.heard.record_generation(m.generation),
-            // The link has dealt with these, or they are for an entry.
+            // The link has handled these already, or they are meant for an
+            // entry.
             Body::Hello(_)
             | Body::HelloRefused(_)
             | Body::Accepted(_)
@@ -53,7 +54,8 @@
 
     fn link_opened(&self, link: &Link) {
         match link.peer().role() {
-            // All entries are told how many they are.
+            // The status contains the number of entries, so all entries get a
+            // new one.
             Role::Entry => self.send_status(),
             _ => drop(link.send(self.status())),
         }
@@ -80,11 +82,11 @@
         }
         let runs: Vec<Arc<Run>> = self.lock_runs().values().cloned().collect();
         for run in runs {
-            self.run_lost_link(&run, link);
+            self.handle_lost_link(&run, link);
         }
     }
 
-    fn run_lost_link(self: &Arc<Self>, run: &Arc<Run>, link: &Link) {
+    fn handle_lost_link(self: &Arc<Self>, run: &Arc<Run>, link: &Link) {
         let lost_stage = {
             let mut state = run.lock();
             let is_entry = state
--- a/crates/side/src/lib.rs
+++ b/crates/side/src/lib.rs
@@ -1,24 +1,25 @@
-//! The role `side`: the only way to the backend servers beside it.
+//! The role `side`: a proxy in front of the backend servers in its settings.
 //!
-//! Whatever needs an exact count or an exact order is decided here, in
-//! memory: admission, fair shares, run-once and the order of steps.
+//! All requests to these backend servers pass through the side process.
+//! Decisions that need an exact count or order are made here, in memory:
+//! admission, fair shares, run-once and the order of steps.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`node`] | the process as a whole |
-//! | `backend` | one backend server: what it serves, its health |
-//! | `gate` | who may run on it now, and who waits |
-//! | `steps` | steps that wait for an engine, and calls to it |
-//! | `run` | a request whose first stage is here |
-//! | `seat` | a request whose later stage is here |
-//! | `plain` | a request for a plain service |
-//! | `rest` | rest that a backend server asks for |
-//! | `priority` | priorities as each part has them |
-//! | `ended` | answers kept for who asks again |
-//! | `target` | which backend server a request means, how stages are reached |
-//! | `report` | what the process tells of itself |
-//! | `frames` | what arrives on links |
-//! | `sweep` | deadlines, lost entries, load reports |
+//! | [`node`] | the role as a whole |
+//! | `backend` | a backend server: assignment, slots, health |
+//! | `slot_queue` | slots of a backend server and the queue for them |
+//! | `steps` | queue of steps for an engine, and batches |
+//! | `run` | requests whose first stage runs here |
+//! | `reservation` | requests of which a later stage runs here |
+//! | `plain` | requests for plain services |
+//! | `cooldown` | cooldowns that backend servers request |
+//! | `priority` | conversions of priorities |
+//! | `ended` | outputs of ended requests, kept for queries |
+//! | `target` | target of a request, links to stages |
+//! | `report` | status for peers, operators and metrics |
+//! | `frames` | dispatch of link events and frames |
+//! | `sweep` | deadlines, orphaned requests, load reports |
 
 mod backend;
 mod cooldown;
--- a/crates/side/src/node.rs
+++ b/crates/side/src/node.rs
@@ -1,4 +1,4 @@
-//! The process as a whole: its backend servers, requests and links.
+//! The role `side` as a whole: its backend servers, requests and links.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,29 +26,29 @@
     reservation::Reservation, run::Run, slot_queue::Waiting,
 };
 
-/// The role `side` of a process; clones are handles to the same one.
+/// The role `side` of a process; clones share the same state.
 #[derive(Clone)]
 pub struct Side {
     shared: Arc<Shared>,
 }
 
-/// What a side is made of.
+/// Components for [`Side::start`].
 pub struct SideParts {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: SideSettings,
-    /// Who it is.
+    /// Identity of the process towards its peers.
     pub identity: Identity,
-    /// Where it counts.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// What peers tell of the manifest.
+    /// Manifest generations that peers report.
     pub peer_reports: Arc<PeerReports>,
-    /// Runs its tasks.
+    /// Executor for the tasks of the role.
     pub executor: Arc<Executor<'static>>,
-    /// Where other processes of the system connect.
+    /// Listener for links of other processes of the system.
     pub inner: Async<TcpListener>,
 }
 
-/// What all parts of the process share.
+/// State shared by all tasks of the role.
 pub(crate) struct Shared {
     pub(crate) settings: SideSettings,
     pub(crate) clock: Clock,
@@ -65,28 +65,27 @@
     ended: Mutex<EndedRuns>,
 }
 
-/// Which account may use which service.
+/// Services that each client account may use.
 pub(crate) type Permissions = BTreeMap<String, BTreeSet<String>>;
 
-/// Work that a process still holds.
+/// Requests that a process has not finished yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct InFlight {
-    /// Requests whose first stage is here.
+    /// Requests whose first stage runs here.
     pub runs: usize,
-    /// Requests whose later stage is here.
+    /// Reservations for requests of which a later stage runs here.
     pub reservations: usize,
 }
 
 impl InFlight {
-    /// Whether nothing is left.
+    /// Whether no requests are left.
     pub fn is_empty(&self) -> bool {
         self.runs == 0 && self.reservations == 0
     }
 }
 
 impl Side {
-    /// Starts the role on an executor; it serves nothing until a manifest is
-    /// applied.
+    /// Starts the role. All requests are refused until a manifest is applied.
     pub fn start(parts: SideParts) -> Side {
         let SideParts { settings, metrics, executor, .. } = parts;
         let backends = settings
@@ -120,7 +119,7 @@
         });
         let handler = {
             let shared = shared.clone();
-            Arc::new(move |event| shared.handle(event))
+            Arc::new(move |event| shared.handle_link_event(event))
         };
         let links = Links::new(parts.identity, options, executor, handler);
         shared.links.set(links.clone()).ok();
@@ -149,14 +148,15 @@
         shared.send_status();
     }
 
-    /// Takes no new work from now on, and says so on every link at once.
+    /// Sets whether the process is leaving and sends the new status on every
+    /// link. A leaving process accepts no new requests.
     pub fn set_leaving(&self, is_leaving: bool) {
         self.shared.is_leaving.store(is_leaving, Ordering::Release);
         self.shared.send_status();
     }
 
-    /// Likewise for one backend server; false when it is not beside this
-    /// process.
+    /// Sets whether one backend server is leaving. Returns false if this
+    /// process has no such backend server.
     pub fn set_backend_leaving(&self, name: &str, is_leaving: bool) -> bool {
         let Some(backend) = self.shared.backends.get(name) else {
             return false;
@@ -166,7 +166,8 @@
         true
     }
 
-    /// Ends all work that is still held, and tells who asked for it.
+    /// Aborts all requests and reports the failure to their entries and first
+    /// stages.
     pub fn abort_all(&self) {
         let shared = &self.shared;
         let detail = "the side process has stopped";
@@ -179,12 +180,12 @@
         shared.abort_reservations(detail);
     }
 
-    /// Generation in force; 0 for none.
+    /// Manifest generation in force; 0 if there is none.
     pub fn generation(&self) -> u64 {
         self.shared.generation.load(Ordering::Acquire)
     }
 
-    /// Work still held.
+    /// Requests that are not finished yet.
     pub fn in_flight(&self) -> InFlight {
         InFlight {
             runs: self.shared.lock_runs().len(),
@@ -197,12 +198,12 @@
         self.shared.links()
     }
 
-    /// Loads of the backend servers at this moment.
+    /// Current loads of the backend servers.
     pub fn loads(&self) -> Vec<BackendLoad> {
         self.shared.loads()
     }
 
-    /// State of the process, for operators.
+    /// Status of the process, for operators.
     pub fn status(&self) -> serde_json::Value {
         let held = self.in_flight();
         let backends: Vec<serde_json::Value> =
@@ -219,7 +220,7 @@
         })
     }
 
-    /// Whether the process or the backend server is leaving.
+    /// Whether the process, or the given backend server, is leaving.
     pub fn is_leaving(&self, backend: Option<&str>) -> bool {
         let is_leaving = self.shared.is_leaving.load(Ordering::Acquire);
         let backend = backend.and_then(|n| self.shared.backends.get(n));
@@ -255,7 +256,7 @@
         self.ended.lock().expect("no holder panics")
     }
 
-    /// The open run of a request.
+    /// The active run of a request.
     pub(crate) fn find_run(&self, id: u128) -> Option<Arc<Run>> {
         self.lock_runs().get(&id).cloned()
     }
@@ -267,7 +268,7 @@
         self.find_run(RequestId::from(request?).as_u128())
     }
 
-    /// The open run of a request if it is this attempt.
+    /// The active run of a request if its attempt is `attempt`.
     pub(crate) fn current_run(
         &self,
         request: Option<wire::RequestId>,
@@ -276,7 +277,7 @@
         self.find_run_by_wire_id(request).filter(|run| run.attempt == attempt)
     }
 
-    /// Forgets an open run, unless a newer attempt has its place.
+    /// Removes an active run, unless a newer attempt has replaced it.
     pub(crate) fn remove_run(&self, run: &Arc<Run>) {
         let mut runs = self.lock_runs();
         let is_current =
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Gives a place back and lets what waited for it go on.
+    /// Releases a slot and admits the next waiting request.
     pub(crate) fn release_slot(
         self: &Arc<Self>,
         backend: &Backend,
--- a/crates/side/src/plain.rs
+++ b/crates/side/src/plain.rs
@@ -1,4 +1,4 @@
-//! A request for a plain service: one call, passed on as it is.
+//! Requests for plain services: each is forwarded as a single call.
 
 use std::{str::FromStr as _, sync::Arc};
 
@@ -15,9 +15,10 @@
     run::{Run, Work},
 };
 
-/// Bytes of an answer sent on in one part.
+/// Maximum size of one part of a forwarded response body.
 const PART_BYTES: usize = 64 * 1024;
-/// Headers that belong to one connection or are made anew.
+/// Headers that are not forwarded: they belong to one connection or are
+/// generated again.
 const HOP_HEADERS: [&str; 6] = [
     "connection",
     "content-length",
@@ -28,7 +29,7 @@
 ];
 
 impl Shared {
-    /// Calls the plain service of a run that holds its place.
+    /// Calls the plain service of a run that holds a slot.
     pub(crate) fn spawn_plain_call(self: &Arc<Self>, run: &Arc<Run>) {
         let (side, run) = (self.clone(), run.clone());
         self.spawn(async move { side.call_plain(&run).await });
@@ -36,7 +37,7 @@
 
     async fn call_plain(self: &Arc<Self>, run: &Arc<Run>) {
         let name = &run.backend.name;
-        let client = match run.backend.assigned().as_deref() {
+        let client = match run.backend.assignment().as_deref() {
             Some(a) => match &a.server {
                 Server::Plain(client) => client.clone(),
                 Server::Engine(_) => {
@@ -109,10 +110,10 @@
     client: &chestnutreach_http::Client,
 ) -> Result<Request, String> {
     let Work::PlainCall(call) = &run.work else {
-        return Err("not a call of a plain service".to_owned());
+        return Err("the request is not a call of a plain service".to_owned());
     };
     let method = Method::from_str(&call.method)
-        .map_err(|_| format!("method {:?} is not known", call.method))?;
+        .map_err(|_| format!("unknown method {:?}", call.method))?;
     let url = client
         .url(&call.target)
         .map_err(|e| format!("target {:?}: {e}", call.target))?;
@@ -124,7 +125,7 @@
     request.insert_header("x-request-id", id);
     request.set_body(call.body.clone());
     for header in &call.headers {
-        // A body resets the content type.
+        // Setting the body resets the content type.
         if header.name.eq_ignore_ascii_case("content-type") {
             request.insert_header("content-type", header.value.as_str());
         }
--- a/crates/side/src/priority.rs
+++ b/crates/side/src/priority.rs
@@ -1,9 +1,11 @@
-//! Priorities as the wire, the router and engines have them.
+//! Conversions between the priorities of the protocol, the routing and the
+//! engines.
 
 use chestnutreach_protocol::wire;
 use chestnutreach_routing::Priority;
 
-/// A priority as engines take it, higher first.
+/// Converts a priority to that of an engine, where the highest value is the
+/// most urgent.
 pub(crate) fn step_priority(priority: Priority) -> u8 {
     match priority {
         Priority::Low => 1,
@@ -12,7 +14,7 @@
     }
 }
 
-/// A priority from the wire; none given is an ordinary one.
+/// Converts a priority from the protocol; unspecified means normal.
 pub(crate) fn to_priority(priority: wire::Priority) -> Priority {
     match priority {
         wire::Priority::Low => Priority::Low,
@@ -23,7 +25,7 @@
     }
 }
 
-/// A priority as it is sent.
+/// Converts a priority to that of the protocol.
 pub(crate) fn to_wire_priority(priority: Priority) -> wire::Priority {
     match priority {
         Priority::Low => wire::Priority::Low,
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -1,4 +1,4 @@
-//! What the process tells of itself: to peers, operators and metrics.
+//! Status of the process for peers, operators and metrics.
 
 use std::{collections::BTreeSet, sync::atomic::Ordering};
 
@@ -8,7 +8,7 @@
 use crate::{backend::Backend, node::Shared};
 
 impl Shared {
-    /// Tells every peer the state of this process.
+    /// Sends the status of this process to every peer.
     pub(crate) fn send_status(&self) {
         self.links().broadcast(&self.status());
     }
@@ -22,8 +22,8 @@
         })
     }
 
-    /// Entries that have a link to this process. Each VM counts once, also
-    /// while a lost link and its successor are both still open.
+    /// Number of entries that have a link to this process. Each VM counts
+    /// once, even while a lost link and its replacement are both open.
     fn entry_count(&self) -> u32 {
         let open = self.links().open();
         let peers = open.iter().map(|link| link.peer());
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Counts a step that was not taken.
+    /// Counts and logs a refused step.
     pub(crate) fn record_refused_step(&self, reason: &'static str) {
         self.metrics.step_refused(reason);
         emit(Event::StepRefused, &[("reason", &reason)]);
     }
 
-    /// Sets the gauges of the backend servers.
+    /// Updates the gauges of the backend servers.
     pub(crate) fn update_gauges(&self) {
         let mut records = 0;
         for backend in self.backends.values() {
--- a/crates/side/src/reservation/mod.rs
+++ b/crates/side/src/reservation/mod.rs
@@ -1,15 +1,15 @@
-//! A request whose later stage is here.
+//! Requests of which a later stage runs here.
 //!
-//! The first stage's process reserves a place, for which the request may wait
-//! a while; the stage before sends the steps, and each is taken only in its
-//! order. A place is freed by a release from the first stage, or when the
-//! connection to it is lost.
+//! The process of the first stage reserves a slot, for which the reservation
+//! may wait a limited time. The previous stage sends the steps, which are
+//! accepted only in order. A release message from the first stage, or the loss
+//! of the link to the first stage, ends the reservation.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | `reserve` | from the first stage's frame to a held place |
+//! | `reserve` | from the reserve message to an admitted reservation |
 //! | `steps` | steps through this stage |
-//! | `release` | the ends of a place |
+//! | `release` | failure and release of reservations |
 
 mod release;
 mod reserve;
@@ -31,7 +31,7 @@
 
 use crate::backend::Backend;
 
-/// A place held for one attempt of a request.
+/// A slot that is held or requested for one attempt of a request.
 pub(crate) struct Reservation {
     pub(crate) request: u128,
     pub(crate) attempt: u32,
@@ -52,14 +52,14 @@
     state: Mutex<State>,
 }
 
-/// Where a seat stands with its backend server's gate.
+/// State of a reservation in the slot queue of its backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum SlotState {
-    /// Waits for a place.
+    /// Waits for a slot.
     Waiting,
-    /// Holds one.
+    /// Holds a slot.
     Held,
-    /// Wants none any more.
+    /// Needs no slot any more.
     Released,
 }
 
@@ -67,7 +67,7 @@
     slot: SlotState,
     step_gate: StepGate,
     next_link: Option<(Link, BusyGuard)>,
-    /// Sampling settings, handed to the engine with the first step.
+    /// Sampling parameters, sent to the engine with the first step.
     parameters_json: Vec<u8>,
 }
 
@@ -76,17 +76,18 @@
         self.is_released.load(Ordering::Acquire)
     }
 
-    /// Whether it waits for a place.
+    /// Whether the reservation waits for a slot.
     pub(crate) fn is_waiting(&self) -> bool {
         self.lock().slot == SlotState::Waiting
     }
 
-    /// Whether the place is of no use once this link is lost.
+    /// Whether the first stage is connected over this link. The reservation is
+    /// useless once the link is lost.
     pub(crate) fn is_requested_over(&self, link: &Link) -> bool {
         self.first_stage.id() == link.id()
     }
 
-    /// Whether steps leave over this link.
+    /// Whether steps are forwarded over this link.
     pub(crate) fn forwards_over(&self, link: &Link) -> bool {
         let state = self.lock();
         state.next_link.as_ref().is_some_and(|(l, _)| l.id() == link.id())
--- a/crates/side/src/reservation/release.rs
+++ b/crates/side/src/reservation/release.rs
@@ -1,4 +1,4 @@
-//! The ends of a place.
+//! Failure and release of reservations.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -12,7 +12,7 @@
 use crate::node::Shared;
 
 impl Shared {
-    /// The link to the next stage was lost.
+    /// Fails a reservation whose link to the next stage was lost.
     pub(crate) fn next_stage_lost(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
@@ -28,7 +28,7 @@
         );
     }
 
-    /// The process stops and gives no seat more time.
+    /// Fails all reservations when the process stops.
     pub(crate) fn abort_reservations(self: &Arc<Self>, detail: &str) {
         let reservations: Vec<Arc<Reservation>> =
             self.lock_reservations().values().cloned().collect();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Tells the first stage that this one cannot go on, and frees the place.
+    /// Reports a failure to the first stage and releases the reservation.
     pub(super) fn fail_reservation(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
@@ -74,7 +74,8 @@
         self.release_reservation(reservation);
     }
 
-    /// Frees the places of a request for every attempt up to this one.
+    /// Releases the reservations of a request for every attempt up to
+    /// `attempt`.
     pub(crate) fn release_reservations(
         self: &Arc<Self>,
         id: u128,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Frees one place.
+    /// Releases a reservation and its slot.
     pub(crate) fn release_reservation(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
@@ -109,8 +110,8 @@
                 reservations.remove(&reservation.key());
             }
         }
-        // Whether the request was whole is the first stage's to know; here
-        // it only counts that it began.
+        // Only the first stage knows whether the request has finished. This
+        // table only needs to know that the request has begun.
         reservation.backend.table().fail(
             reservation.request,
             reservation.attempt,
--- a/crates/side/src/reservation/reserve.rs
+++ b/crates/side/src/reservation/reserve.rs
@@ -1,4 +1,4 @@
-//! From the first stage's frame to a held place.
+//! From the reserve message of the first stage to an admitted reservation.
 
 use std::sync::{Arc, Mutex, atomic::AtomicBool};
 
@@ -21,7 +21,7 @@
 };
 
 impl Shared {
-    /// Holds a place for a later stage, or refuses.
+    /// Handles a reserve message: creates a reservation or refuses.
     pub(crate) fn handle_reserve(
         self: &Arc<Self>,
         link: &Link,
@@ -149,12 +149,12 @@
         }
     }
 
-    /// A place has been taken for a seat.
+    /// Handles the admission of a reservation to a slot.
     pub(crate) fn reservation_admitted(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
     ) {
-        let is_wanted = {
+        let is_admitted = {
             let mut state = reservation.lock();
             let is_waiting = state.slot == SlotState::Waiting;
             if is_waiting {
@@ -162,14 +162,14 @@
             }
             is_waiting
         };
-        if is_wanted {
+        if is_admitted {
             self.connect_next(reservation.clone());
         } else {
             self.release_slot(&reservation.backend, reservation.cost_tokens);
         }
     }
 
-    /// No place came free for a seat in its time.
+    /// Refuses a reservation that got no slot in time.
     pub(crate) fn refuse_full(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
@@ -180,7 +180,8 @@
         self.refuse_reservation(reservation, reason, name, retry_after_ms);
     }
 
-    /// Passes the run-once table of the backend server.
+    /// Registers the request in the run-once table of the backend server and
+    /// releases the reservations of a superseded attempt.
     fn admit_reservation(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
@@ -202,7 +203,8 @@
         }
     }
 
-    /// Connects to the next stage if there is one, then confirms.
+    /// Connects to the next stage, if there is one, and confirms the
+    /// reservation.
     fn connect_next(self: &Arc<Self>, reservation: Arc<Reservation>) {
         let Some(next) = &reservation.next else {
             self.confirm(&reservation);
@@ -210,7 +212,7 @@
         };
         let stages = std::slice::from_ref(next);
         if let Some(links) = self.existing_links(stages) {
-            self.set_next(&reservation, &links[0]);
+            self.set_next_link(&reservation, &links[0]);
             return;
         }
         let side = self.clone();
@@ -219,7 +221,7 @@
                 return;
             };
             match side.connect_links(std::slice::from_ref(&next)).await {
-                Ok(links) => side.set_next(&reservation, &links[0]),
+                Ok(links) => side.set_next_link(&reservation, &links[0]),
                 Err(backend) => {
                     let reason = RefusalReason::StageUnreachable;
                     side.refuse_reservation(&reservation, reason, &backend, 0);
@@ -228,7 +230,7 @@
         });
     }
 
-    fn set_next(
+    fn set_next_link(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
         link: &Link,
@@ -264,7 +266,7 @@
     }
 }
 
-/// Why no place is held.
+/// Why a reservation was refused.
 struct ReservationRefusal {
     reason: RefusalReason,
     backend: String,
--- a/crates/side/src/reservation/steps.rs
+++ b/crates/side/src/reservation/steps.rs
@@ -1,4 +1,4 @@
-//! Steps through a later stage.
+//! Steps of a later stage.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 };
 
 impl Shared {
-    /// Takes a step from the stage before.
+    /// Handles a step from the previous stage.
     pub(crate) fn handle_step(self: &Arc<Self>, m: wire::Step) {
         let id = m.request.map_or(0, |id| RequestId::from(id).as_u128());
         let reservation =
@@ -28,23 +28,23 @@
             self.record_refused_step("no_reservation");
             return;
         };
-        let (taken, is_first, parameters_json) = {
+        let (order_check, is_first, parameters_json) = {
             let mut state = reservation.lock();
             let is_first = state.step_gate.next_position() == 0;
-            let taken = state.step_gate.take(
+            let order_check = state.step_gate.take(
                 m.attempt,
                 m.first_layer,
                 m.position,
                 m.span,
             );
-            let parameters = if taken.is_ok() {
+            let parameters = if order_check.is_ok() {
                 std::mem::take(&mut state.parameters_json)
             } else {
                 Vec::new()
             };
-            (taken, is_first, parameters)
+            (order_check, is_first, parameters)
         };
-        if let Err(refusal) = taken {
+        if let Err(refusal) = order_check {
             self.record_refused_step(refusal.as_str());
             if refusal == StepRefusal::Gap {
                 let detail = format!("position {} after a gap", m.position);
@@ -73,7 +73,8 @@
         reservation.backend.steps.push(QueuedStep { owner, step, is_first });
     }
 
-    /// The engine has answered a step of a later stage.
+    /// Handles the engine's result of a step: forwards activations to the next
+    /// stage and a token to the first stage.
     pub(crate) fn later_stage_step_done(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
@@ -130,7 +131,7 @@
         let state = reservation.lock();
         let Some((link, _)) = &state.next_link else {
             drop(state);
-            let detail = "no token from the last stage";
+            let detail = "the last stage returned no token";
             let reason = FailureReason::Sequence;
             self.fail_reservation(
                 reservation,
@@ -148,11 +149,11 @@
             first_layer: reservation.stage.end_layer,
             activation,
         };
-        // A lost link is noticed by its close.
+        // A lost link is handled when its close event arrives.
         let _ = link.send(Body::Step(message));
     }
 
-    /// The engine gave no answer to a step of a later stage.
+    /// Fails a reservation whose step got no result from the engine.
     pub(crate) fn later_stage_step_lost(
         self: &Arc<Self>,
         reservation: &Arc<Reservation>,
--- a/crates/side/src/run/admit.rs
+++ b/crates/side/src/run/admit.rs
@@ -1,4 +1,4 @@
-//! From the entry's frame to the first step.
+//! From the run message of an entry to the first step.
 
 use std::sync::{Arc, Mutex, OnceLock, atomic::AtomicBool};
 
@@ -22,10 +22,10 @@
     target::Target,
 };
 
-/// Tokens that a plain call counts as.
+/// Cost of a plain call, in tokens.
 const PLAIN_COST_TOKENS: u64 = 1;
 
-/// Parts of a run known before anything is decided.
+/// A validated run message.
 struct RunRequest {
     message: wire::Run,
     work: Work,
@@ -43,7 +43,7 @@
 }
 
 impl Shared {
-    /// Takes a request from an entry.
+    /// Handles a request from an entry.
     pub(crate) fn handle_run(self: &Arc<Self>, link: &Link, m: wire::Run) {
         let reply = RefusalReply::to_run(&m);
         let Some(request) = RunRequest::from_message(m) else {
@@ -91,7 +91,7 @@
             cached_tokens: 0,
             produced: 0,
             outputs: Vec::new(),
-            answer_bytes: 0,
+            output_bytes: 0,
             finished: None,
             failure: None,
         };
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Passes the run-once table, stopping an older attempt if need be.
+    /// Registers the run in the run-once table and stops a superseded attempt.
     fn admit(self: &Arc<Self>, run: &Arc<Run>) -> Result<(), RefusalReason> {
         let admission = run.backend.table().admit(
             run.id,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// The run holds its place: asks the other stages for theirs.
+    /// Handles the admission of a run to a slot: reserves the other stages.
     pub(crate) fn reserve(self: &Arc<Self>, run: &Arc<Run>) {
         {
             let mut state = run.lock();
@@ -193,9 +193,9 @@
         }
     }
 
-    /// Asks the first of the later stages. They are asked in the order of
-    /// their layers: whoever waits for one holds only earlier ones, so that
-    /// no two requests can wait for each other.
+    /// Reserves the first of the later stages. Stages are reserved in the
+    /// order of their layers: a request that waits for a stage holds only
+    /// earlier stages, which rules out deadlocks between requests.
     fn begin_reserving(self: &Arc<Self>, run: &Arc<Run>, links: &[Link]) {
         {
             let mut state = run.lock();
@@ -212,8 +212,8 @@
         let now_ms = self.clock.now_ms();
         let message = reserve_message(run, index as u32, now_ms);
         let is_sent = {
-            // The lock is held while sending: a refusal that comes meanwhile
-            // must not send its releases before the reservation.
+            // The lock is held while sending: a concurrent refusal must not
+            // send its releases before this reserve message.
             let state = run.lock();
             if state.phase != Phase::Reserving {
                 return;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// A later stage holds its reservation: on to the next.
+    /// Handles the confirmation of a later stage and reserves the next one.
     pub(crate) fn handle_reserved(self: &Arc<Self>, m: &wire::Reserved) {
         let Some(run) = self.current_run(m.request, m.attempt) else {
             return;
@@ -248,7 +248,7 @@
         }
     }
 
-    /// A later stage has refused: nothing has run.
+    /// Handles the refusal of a later stage. No step has run yet.
     pub(crate) fn handle_stage_refused(
         self: &Arc<Self>,
         link: &Link,
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Every stage is held: the request begins.
+    /// Starts a request after all stages are reserved.
     fn accept(self: &Arc<Self>, run: &Arc<Run>) {
         if !run.backend.table().begin(run.id, run.attempt) {
             self.refuse(run, RefusalReason::Fenced, "", 0);
@@ -293,7 +293,7 @@
     }
 }
 
-/// Answers a request that is refused before it is anything here.
+/// Reply to a request that is refused before a run is registered for it.
 struct RefusalReply {
     request: Option<wire::RequestId>,
     attempt: u32,
@@ -346,7 +346,8 @@
     let remaining_ms = run.deadline_at_ms.saturating_sub(now_ms);
     let (model, parameters_json) = match &run.work {
         Work::Generate(g) => {
-            // The prompt may be long; it is read once for all stages.
+            // The prompt may be long, so the request is parsed once for all
+            // stages.
             let parameters = run
                 .parameters_json
                 .get_or_init(|| parameters_of(&g.request_json));
@@ -372,7 +373,7 @@
     }
 }
 
-/// The caller's request without its prompt.
+/// Returns the caller's request without its prompt.
 fn parameters_of(request_json: &[u8]) -> Vec<u8> {
     let parsed = serde_json::from_slice::<serde_json::Value>(request_json);
     let Ok(serde_json::Value::Object(mut object)) = parsed else {
--- a/crates/side/src/run/end.rs
+++ b/crates/side/src/run/end.rs
@@ -1,4 +1,4 @@
-//! The ends of a request, and what they free.
+//! The end of a request and the release of its resources.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -14,7 +14,7 @@
 use crate::node::Shared;
 
 impl Shared {
-    /// The answer is whole.
+    /// Ends a run whose output is complete.
     pub(crate) fn finish(
         self: &Arc<Self>,
         run: &Arc<Run>,
@@ -37,7 +37,8 @@
             load: Some(load),
         };
         state.finished = Some(finished.clone());
-        // The table first: whoever sees the answer finds it recorded.
+        // The run-once table is updated first, so that the state is recorded
+        // before the entry sees the end of the output.
         run.backend.table().finish(run.id, run.attempt, now_ms);
         state.send_entry(Body::Finished(finished));
         self.charge(run, &state);
@@ -45,7 +46,7 @@
         self.end(run);
     }
 
-    /// Ends a run early: failed if it has begun, refused otherwise.
+    /// Ends a run early: fails it if it has begun, refuses it otherwise.
     pub(crate) fn stop(
         self: &Arc<Self>,
         run: &Arc<Run>,
@@ -96,7 +97,7 @@
         self.end(run);
     }
 
-    /// Refuses a run of which nothing has run.
+    /// Refuses a run of which no step has run.
     pub(crate) fn refuse(
         self: &Arc<Self>,
         run: &Arc<Run>,
@@ -137,13 +138,13 @@
         self.end(run);
     }
 
-    /// Frees what an ended run holds, here and on the other stages.
+    /// Releases the resources of an ended run, here and on the other stages.
     fn end(self: &Arc<Self>, run: &Arc<Run>) {
         run.is_ended.store(true, Ordering::Release);
-        let (stages, answer_bytes) = {
+        let (stages, output_bytes) = {
             let mut state = run.lock();
             state.entry = None;
-            (std::mem::take(&mut state.stages), state.answer_bytes)
+            (std::mem::take(&mut state.stages), state.output_bytes)
         };
         let request = run.wire_id();
         let attempt = run.attempt;
@@ -153,33 +154,33 @@
         }
         run.backend.release_sequence(run.sequence());
         self.remove_run(run);
-        self.keep_answer(run, answer_bytes);
+        self.keep_output(run, output_bytes);
         self.release_run_slot(run);
     }
 
-    fn keep_answer(&self, run: &Arc<Run>, answer_bytes: usize) {
+    fn keep_output(&self, run: &Arc<Run>, output_bytes: usize) {
         let keep_ms = if run.is_kept {
             self.settings.run_once_retention_ms
         } else {
             self.settings.orphan_limit_ms
         };
         let until_ms = self.clock.now_ms() + keep_ms;
-        self.lock_ended().insert(run.clone(), answer_bytes, until_ms);
+        self.lock_ended().insert(run.clone(), output_bytes, until_ms);
     }
 
-    /// Gives the place back and begins what waited for it.
+    /// Releases the slot of a run and admits the next waiting request.
     pub(super) fn release_run_slot(self: &Arc<Self>, run: &Arc<Run>) {
         self.release_slot(&run.backend, run.cost_tokens);
     }
 
-    /// Corrects what the account was charged by what was really used.
+    /// Corrects the charge of the account by the tokens that were used.
     fn charge(&self, run: &Run, state: &State) {
         let used = state.prompt_tokens + state.produced;
-        let missed = i64::from(used) - run.cost_tokens as i64;
-        run.backend.slots.charge(&run.account, missed);
+        let difference = i64::from(used) - run.cost_tokens as i64;
+        run.backend.slots.charge(&run.account, difference);
     }
 
-    /// The entry has given the attempt up.
+    /// Handles the cancellation of an attempt by the entry.
     pub(crate) fn handle_cancel(self: &Arc<Self>, m: &wire::Cancel) {
         let Some(run) = self.find_run_by_wire_id(m.request) else {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// A later stage cannot go on.
+    /// Handles the failure of a later stage.
     pub(crate) fn handle_step_failed(self: &Arc<Self>, m: &wire::StepFailed) {
         if let Some(run) = self.current_run(m.request, m.attempt) {
             self.stop(&run, m.reason(), &m.backend, &m.detail);
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -1,16 +1,16 @@
-//! A request whose first stage is here.
+//! Requests whose first stage runs here.
 //!
-//! This process keeps the request's step state: it reserves the other
-//! stages, feeds each token back into the first stage, hands the tokens to
-//! the entry, and ends the request on every stage. It is moved on by frames
-//! and engine answers, never by a task that waits.
+//! This process keeps the state of the request: it reserves the other stages,
+//! feeds each token back into the first stage, sends the tokens to the entry
+//! and ends the request on every stage. Received frames and engine results
+//! drive the state; no task waits per request.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | `admit` | from the entry's frame to the first step |
-//! | `tokens` | steps and the tokens that come of them |
-//! | `end` | the ends of a request, and what they free |
-//! | `query` | questions of entries that lost a connection |
+//! | `admit` | from the run message of the entry to the first step |
+//! | `tokens` | steps of the first stage and output tokens |
+//! | `end` | the end of a request and the release of its resources |
+//! | `query` | queries of entries that lost a connection |
 
 mod admit;
 mod end;
@@ -32,11 +32,11 @@
 
 use crate::backend::Backend;
 
-/// What is to be done.
+/// Work that a request asks for.
 pub(crate) enum Work {
-    /// Tokens from a model.
+    /// Token generation by a model.
     Generate(wire::Generate),
-    /// One call of a plain service.
+    /// A call of a plain service.
     PlainCall(wire::PlainCall),
 }
 
@@ -55,49 +55,49 @@
     pub(crate) shape: RequestShape,
     pub(crate) cost_tokens: u64,
     pub(crate) backend: Arc<Backend>,
-    /// The caller's request without its prompt, once it is asked for.
+    /// The caller's request without its prompt; computed on first use.
     parameters_json: OnceLock<Vec<u8>>,
     is_ended: AtomicBool,
     state: Mutex<State>,
 }
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// Waits for a place on its backend server.
+    /// Waits for a slot of its backend server.
     Queued,
-    /// Holds its place, waits for the other stages.
+    /// Holds a slot and waits for the reservations of the other stages.
     Reserving,
-    /// Has begun.
+    /// The first step has been queued, or the call started.
     Running,
-    /// Ran to its end.
+    /// Ended with a complete output.
     Finished,
-    /// Ended early; failed if it had begun.
+    /// Ended early: failed if the run had begun, refused otherwise.
     Stopped,
 }
 
 pub(crate) struct State {
     pub(crate) phase: Phase,
     pub(crate) entry: Option<(Link, BusyGuard)>,
-    /// When the request is given up unless an entry asks for it.
+    /// When the request is cancelled unless an entry attaches to it.
     pub(crate) orphan_until_ms: Option<u64>,
-    /// Links to stages 1.. in order.
+    /// Links to the stages from index 1 on, in order.
     stages: Vec<(Link, BusyGuard)>,
-    /// Last stage that holds its reservation.
+    /// Index of the last stage that has confirmed its reservation.
     reserved: u32,
-    /// Positions of the first step: prompt and delivered tokens.
+    /// Number of positions of the first step: prompt and delivered tokens.
     first_span: Option<u32>,
     prompt_tokens: u32,
     cached_tokens: u32,
     produced: u32,
     outputs: Vec<Output>,
-    answer_bytes: usize,
+    output_bytes: usize,
     finished: Option<wire::Finished>,
     failure: Option<FailureReason>,
 }
 
 impl Run {
-    /// Whether nothing more will be done for it.
+    /// Whether the run has ended.
     pub(crate) fn is_ended(&self) -> bool {
         self.is_ended.load(Ordering::Acquire)
     }
@@ -114,7 +114,7 @@
         SequenceId { request: self.id, attempt: self.attempt }
     }
 
-    /// Tokens the caller had before this attempt.
+    /// Number of tokens delivered by earlier attempts.
     fn delivered(&self) -> u32 {
         match &self.work {
             Work::Generate(g) => g.delivered_tokens.len() as u32,
@@ -131,29 +131,29 @@
 }
 
 impl State {
-    /// Sends to the entry if one is there; a lost entry is noticed by its
-    /// link's close.
+    /// Sends a message to the attached entry, if any. A lost entry is handled
+    /// when the close event of its link arrives.
     fn send_entry(&self, body: Body) {
         if let Some((link, _)) = &self.entry {
             let _ = link.send(body);
         }
     }
 
-    /// Keeps a part of the answer and sends it on.
-    fn output(&mut self, output: Output, bytes: usize) {
-        self.answer_bytes += bytes;
+    /// Stores a part of the output and sends it to the entry.
+    fn record_output(&mut self, output: Output, bytes: usize) {
+        self.output_bytes += bytes;
         self.send_entry(Body::Output(output.clone()));
         self.outputs.push(output);
     }
 
-    /// Parts of the answer from a position on.
+    /// Parts of the output from `position` on.
     fn outputs_from(&self, position: u32) -> Vec<Output> {
         let from = self.outputs.partition_point(|o| o.position < position);
         self.outputs[from..].to_vec()
     }
 
-    /// Fills in what there is of the answer.
-    fn fill_answer(
+    /// Fills in the output and the end of the request as far as known.
+    fn fill_query_answer(
         &self,
         run: &Run,
         m: &wire::Query,
@@ -165,14 +165,14 @@
         answer.failure = self.failure.unwrap_or_default().into();
     }
 
-    /// Whether another entry than the asker still takes the answer.
-    fn is_taken_by_another(&self, asker: &Link) -> bool {
+    /// Whether an entry other than the querying one is attached.
+    fn is_attached_to_other(&self, querying: &Link) -> bool {
         self.entry.as_ref().is_some_and(|(link, _)| {
-            !link.is_closed() && link.peer().boot_id != asker.peer().boot_id
+            !link.is_closed() && link.peer().boot_id != querying.peer().boot_id
         })
     }
 
-    /// Index of the stage that a link leads to.
+    /// Index of the stage that is connected over a link.
     pub(crate) fn stage_of(&self, link_id: u64) -> Option<usize> {
         let at = self.stages.iter().position(|(l, _)| l.id() == link_id)?;
         Some(at + 1)
--- a/crates/side/src/run/query.rs
+++ b/crates/side/src/run/query.rs
@@ -1,4 +1,4 @@
-//! Questions of entries that lost a connection, or whose peer died.
+//! Queries of entries that lost a connection or took over from a failed entry.
 
 use std::sync::Arc;
 
@@ -12,7 +12,8 @@
 use crate::node::Shared;
 
 impl Shared {
-    /// What is known of a request; an entry may take over its answer.
+    /// Responds with the state of a request. The querying entry may attach to
+    /// the request to receive its further output.
     pub(crate) fn handle_query(
         self: &Arc<Self>,
         link: &Link,
@@ -22,10 +23,10 @@
             return;
         };
         let id = RequestId::from(request).as_u128();
-        let is_meant = |run: &Arc<Run>| {
+        let is_on_backend = |run: &Arc<Run>| {
             m.backend.is_empty() || run.backend.name == m.backend
         };
-        match self.find_run(id).filter(is_meant) {
+        match self.find_run(id).filter(is_on_backend) {
             Some(run) => respond_to_query(&run, link, m),
             None => {
                 let answer = self.query_ended(id, m);
@@ -45,7 +46,7 @@
         let mut known = self.query_tables(id, m, now_ms);
         if let Some(run) = ended {
             let state = run.lock();
-            state.fill_answer(&run, m, &mut answer);
+            state.fill_query_answer(&run, m, &mut answer);
             if state.phase == Phase::Finished {
                 known = run_once::RunState::Finished;
             }
@@ -54,8 +55,8 @@
         answer
     }
 
-    /// Asks the table of the backend server meant, or of all if none is
-    /// named, and takes the answer that says most.
+    /// Queries the run-once table of the given backend server, or of all if
+    /// none is given, and returns the most conclusive state.
     fn query_tables(
         &self,
         id: u128,
@@ -76,14 +77,14 @@
                     5
                 }
             })
-            // A backend server that was never beside this process has run
+            // A backend server that this process does not know has run
             // nothing here.
             .unwrap_or(run_once::RunState::NeverSeen)
     }
 }
 
-/// Answers a question about a request that is in the map of open ones, and
-/// has the rest of its answer go to the asker.
+/// Responds to a query about an active request, and attaches the querying
+/// entry if the query asks for it.
 fn respond_to_query(run: &Arc<Run>, link: &Link, m: &wire::Query) {
     let mut answer = wire::QueryAnswer {
         request: m.request,
@@ -91,13 +92,13 @@
         state: wire::RunState::Running.into(),
         ..wire::QueryAnswer::default()
     };
-    // The answer is sent under the lock, so that no later part of the
-    // request's answer can go before it.
+    // The response is sent while the lock is held, so that no later part of
+    // the output can overtake the response.
     let mut state = run.lock();
     match state.phase {
         Phase::Finished => {
             answer.state = wire::RunState::Finished.into();
-            state.fill_answer(run, m, &mut answer);
+            state.fill_query_answer(run, m, &mut answer);
         }
         Phase::Stopped => {
             let is_failed = state.failure.is_some();
@@ -107,11 +108,11 @@
                 wire::RunState::Refused
             };
             answer.state = known.into();
-            state.fill_answer(run, m, &mut answer);
+            state.fill_query_answer(run, m, &mut answer);
         }
         Phase::Queued | Phase::Reserving | Phase::Running => {
             answer.is_attached =
-                m.is_attach && !state.is_taken_by_another(link);
+                m.is_attach && !state.is_attached_to_other(link);
             if answer.is_attached {
                 state.entry = Some((link.clone(), link.busy()));
                 state.orphan_until_ms = None;
--- a/crates/side/src/run/tokens.rs
+++ b/crates/side/src/run/tokens.rs
@@ -1,4 +1,4 @@
-//! Steps of the first stage, and the tokens that come of them.
+//! Steps of the first stage, and output tokens.
 
 use std::sync::Arc;
 
@@ -18,10 +18,10 @@
     steps::{Owner, QueuedStep, failure_reason},
 };
 
-/// Bytes counted for a kept token beside its text.
+/// Bytes accounted for a kept token in addition to its text.
 const TOKEN_OVERHEAD_BYTES: usize = 64;
 
-/// A token as an engine gave it.
+/// A token from an engine.
 struct Token {
     token: u32,
     text: String,
@@ -47,7 +47,8 @@
         run.backend.steps.push(QueuedStep { owner, step, is_first });
     }
 
-    /// The engine of the first stage has answered a step.
+    /// Handles the first stage's result of a step: forwards activations to the
+    /// next stage, or handles the token of a whole model.
     pub(crate) fn first_stage_step_done(
         self: &Arc<Self>,
         run: &Arc<Run>,
@@ -75,7 +76,7 @@
             StepOutput::Activation(activation) => {
                 let Some(next) = run.chain.get(1) else {
                     drop(state);
-                    let detail = "no token from a whole model";
+                    let detail = "the only stage returned no token";
                     let reason = FailureReason::Sequence;
                     self.stop(run, reason, &run.backend.name, detail);
                     return;
@@ -88,18 +89,18 @@
                     first_layer: next.first_layer,
                     activation,
                 };
-                // A lost link is noticed by its close.
+                // A lost link is handled when its close event arrives.
                 let _ = state.stages[0].0.send(Body::Step(message));
             }
             StepOutput::Token { token, text, is_stop } => {
                 drop(state);
                 let at = position + output.span;
-                self.token(run, at, Token { token, text, is_stop });
+                self.handle_token(run, at, Token { token, text, is_stop });
             }
         }
     }
 
-    /// The engine of the first stage gave no answer.
+    /// Refuses or fails a run whose step got no result from the engine.
     pub(crate) fn first_stage_step_lost(
         self: &Arc<Self>,
         run: &Arc<Run>,
@@ -108,7 +109,7 @@
     ) {
         let name = &run.backend.name;
         if is_first && !error.may_have_run() {
-            // Nothing of the request has run anywhere.
+            // No step of the request has run.
             let cooldown_ms =
                 error.cooldown().unwrap_or_default().as_millis() as u64;
             self.refuse(run, RefusalReason::BackendDown, name, cooldown_ms);
@@ -118,7 +119,7 @@
         self.stop(run, reason, name, &error.to_string());
     }
 
-    /// The last stage has a token.
+    /// Handles a token from the last stage.
     pub(crate) fn handle_step_result(self: &Arc<Self>, m: wire::StepResult) {
         let Some(run) = self.current_run(m.request, m.attempt) else {
             self.record_refused_step("no_run");
@@ -126,11 +127,16 @@
         };
         let is_stop = m.finish() == FinishReason::Stop;
         let token = Token { token: m.token, text: m.text, is_stop };
-        self.token(&run, m.position, token);
+        self.handle_token(&run, m.position, token);
     }
 
-    /// Takes the next token: hands it on and begins the next step.
-    fn token(self: &Arc<Self>, run: &Arc<Run>, position: u32, token: Token) {
+    /// Sends the next token to the entry and queues the next step.
+    fn handle_token(
+        self: &Arc<Self>,
+        run: &Arc<Run>,
+        position: u32,
+        token: Token,
+    ) {
         let mut state = run.lock();
         if state.phase != Phase::Running {
             return;
@@ -145,7 +151,7 @@
                 "gap"
             });
             if !is_repeat {
-                let detail = "a token came before the one it follows";
+                let detail = "a token arrived before its predecessor";
                 self.stop(run, FailureReason::Sequence, "", detail);
             }
             return;
@@ -160,7 +166,7 @@
             position: number,
             part: Some(Part::Token(wire_token)),
         };
-        state.output(output, bytes);
+        state.record_output(output, bytes);
         drop(state);
         if token.is_stop {
             self.finish(run, FinishReason::Stop);
@@ -172,7 +178,7 @@
         }
     }
 
-    /// A part of a plain answer.
+    /// Records a part of a plain response and sends it to the entry.
     pub(crate) fn record_plain_part(
         &self,
         run: &Run,
@@ -186,7 +192,7 @@
             position: state.outputs.len() as u32,
             part: Some(part),
         };
-        state.output(output, bytes);
+        state.record_output(output, bytes);
         state.produced += 1;
     }
 }
--- a/crates/side/src/slot_queue.rs
+++ b/crates/side/src/slot_queue.rs
@@ -1,4 +1,4 @@
-//! Who may run on a backend server now, and who waits.
+//! Slots of a backend server, and the queue of requests that wait for them.
 //!
 //! The decisions are those of [`chestnutreach_routing::slot_queue`]; this
 //! module adds a lock.
@@ -12,39 +12,39 @@
 
 use crate::{reservation::Reservation, run::Run};
 
-/// A request that waits for a place, or may have one now.
+/// A request that waits for a slot.
 #[derive(Clone)]
 pub(crate) enum Waiting {
-    /// Its first stage is here.
+    /// The first stage of the request runs here.
     Run(Arc<Run>),
-    /// A later stage is here.
+    /// A later stage of the request runs here.
     Reservation(Arc<Reservation>),
 }
 
-/// Places and queue of one backend server.
+/// Slots and queue of one backend server.
 pub(crate) struct SlotQueue {
     inner: Mutex<slot_queue::SlotQueue<Waiting>>,
 }
 
 impl SlotQueue {
-    /// A gate without places; see [`Gate::set_places`].
+    /// Creates a queue without slots; see [`SlotQueue::set_capacity`].
     pub(crate) fn new(queue_limit_tokens: u64) -> SlotQueue {
         SlotQueue {
             inner: Mutex::new(slot_queue::SlotQueue::new(queue_limit_tokens)),
         }
     }
 
-    /// Sets the count of places and the first guess of the speed.
+    /// Sets the number of slots and the initial speed.
     pub(crate) fn set_capacity(&self, capacity: ServerCapacity) {
         self.lock().set_capacity(capacity);
     }
 
-    /// Sets an account's share.
+    /// Sets the weight of a client account.
     pub(crate) fn set_weight(&self, account: &str, weight: u32) {
         self.lock().set_weight(account, weight);
     }
 
-    /// Gives a request a place, lets it wait or refuses it.
+    /// Requests a slot for a run: admits, queues or refuses the run.
     pub(crate) fn request(
         &self,
         run: &Arc<Run>,
@@ -62,7 +62,8 @@
         self.lock().request(&request, item, now_ms, &mut rng)
     }
 
-    /// Likewise for a later stage, unless the wait would be long.
+    /// Requests a slot for a later stage. The reservation is refused if the
+    /// wait would be long.
     pub(crate) fn request_later_stage(
         &self,
         reservation: &Arc<Reservation>,
@@ -80,12 +81,12 @@
         self.lock().request_later_stage(&request, item, now_ms, &mut rng)
     }
 
-    /// When a refused caller should come back.
+    /// Time after which a refused caller should retry.
     pub(crate) fn retry_after_ms(&self) -> u64 {
         self.lock().retry_after_ms(&mut fastrand::Rng::new())
     }
 
-    /// Gives a place back; what waited and may run now, if any.
+    /// Releases a slot and returns the next request to admit, if any.
     pub(crate) fn release(
         &self,
         cost_tokens: u64,
@@ -94,14 +95,14 @@
         self.lock().release(cost_tokens, now_ms)
     }
 
-    /// Takes a request out of the queue.
+    /// Removes a run from the queue.
     pub(crate) fn remove_run(&self, run: &Run) {
         self.lock().remove(|queued| {
             matches!(queued, Waiting::Run(r) if std::ptr::eq(&**r, run))
         });
     }
 
-    /// Takes a later stage's request out of the queue.
+    /// Removes a reservation from the queue.
     pub(crate) fn remove_reservation(&self, reservation: &Reservation) {
         self.lock().remove(|queued| {
             matches!(
@@ -111,32 +112,35 @@
         });
     }
 
-    /// Takes out all that wait.
+    /// Removes all requests from the queue.
     pub(crate) fn remove_all(&self) -> Vec<Waiting> {
         self.lock().remove(|_| true)
     }
 
-    /// Takes out the requests whose deadline has passed.
+    /// Removes the requests whose deadline has passed.
     pub(crate) fn remove_expired(&self, now_ms: u64) -> Vec<Waiting> {
         self.lock().expire(now_ms)
     }
 
-    /// Learns from a call that ran first steps with these tokens.
+    /// Learns the prefill speed from a call with first steps: `longest` is the
+    /// largest number of tokens of a step, `tokens` the sum.
     pub(crate) fn learn_prompt(&self, longest: u32, tokens: u64, ms: f64) {
         self.lock().learn_prompt(longest, tokens, ms);
     }
 
-    /// Learns from a call that ran one token of each of `batch` requests.
+    /// Learns the speed of output tokens from a call that ran one token of
+    /// each of `batch` requests.
     pub(crate) fn learn_step(&self, batch: u32, ms: f64) {
         self.lock().learn_step(batch, ms);
     }
 
-    /// Charges an account for tokens that the estimate missed.
+    /// Charges an account for the difference between used and estimated
+    /// tokens.
     pub(crate) fn charge(&self, account: &str, tokens: i64) {
         self.lock().charge(account, tokens);
     }
 
-    /// Load at this moment.
+    /// Current load.
     pub(crate) fn load(&self) -> SlotQueueLoad {
         self.lock().load()
     }
--- a/crates/side/src/steps.rs
+++ b/crates/side/src/steps.rs
@@ -1,14 +1,15 @@
-//! Steps that wait for an engine, and the calls that run them.
+//! Queue of the steps for an engine, and their batches.
 //!
-//! Steps of many requests go to the engine in one call, since an engine runs
-//! a batch in about the time of one. A call holds either first steps or
-//! single tokens: a first step runs a whole prompt and would hold up every
-//! token behind it. Few calls are first steps, the rest is left for tokens.
+//! Steps of many requests are sent to the engine in one call, since an engine
+//! runs a batch in about the time of a single step. A call contains either
+//! first steps or single tokens: a first step runs a whole prompt and would
+//! delay every token in the same call. The number of concurrent calls with
+//! first steps is limited, so that the other calls remain for tokens.
 //!
-//! An engine begins its next iteration with the calls that wait there. A
-//! step that waits here for a call to return misses it by an instant and is
-//! late by a whole iteration, so there are more calls than an engine has
-//! iterations under way.
+//! An engine starts each iteration with the calls that are pending at that
+//! time. A step that waits here for a call to return just misses the start and
+//! is delayed by a whole iteration. Therefore more calls run concurrently than
+//! the engine has iterations in progress.
 
 use std::{
     collections::BTreeMap,
@@ -20,22 +21,23 @@
 
 use crate::{reservation::Reservation, run::Run};
 
-/// Calls with first steps at once. More would fill the engine's iterations
-/// with prompts, and each iteration is a token's wait.
+/// Maximum number of concurrent calls with first steps. More calls would fill
+/// the engine's iterations with prompts, and every token waits for an
+/// iteration.
 const MAX_FIRST_STEP_CALLS: usize = 3;
 
-/// Whose step it is.
+/// The request that a step belongs to.
 #[derive(Clone)]
 pub(crate) enum Owner {
-    /// A request whose first stage is here.
+    /// A request whose first stage runs here.
     Run(Arc<Run>),
-    /// A request whose later stage is here.
+    /// A request of which a later stage runs here.
     Reservation(Arc<Reservation>),
 }
 
 impl Owner {
-    /// Whether the step would still be used.
-    pub(crate) fn is_wanted(&self) -> bool {
+    /// Whether the result of the step is still needed.
+    pub(crate) fn is_needed(&self) -> bool {
         match self {
             Owner::Run(run) => !run.is_ended(),
             Owner::Reservation(reservation) => !reservation.is_released(),
@@ -43,7 +45,7 @@
     }
 }
 
-/// A step that waits for its engine.
+/// A step that waits for a call to its engine.
 pub(crate) struct QueuedStep {
     pub(crate) owner: Owner,
     pub(crate) step: SequenceStep,
@@ -60,8 +62,9 @@
 
 #[derive(Default)]
 struct State {
-    /// By falling priority and then by arrival.
-    tokens: BTreeMap<(u8, u64), QueuedStep>,
+    /// Steps of single tokens, by falling priority and then by arrival.
+    token_steps: BTreeMap<(u8, u64), QueuedStep>,
+    /// First steps, in the same order.
     first_steps: BTreeMap<(u8, u64), QueuedStep>,
     next_number: u64,
     first_step_calls: usize,
@@ -74,7 +77,7 @@
 }
 
 impl StepQueue {
-    /// A queue for an engine that takes `engine_calls` calls at once.
+    /// Creates a queue for an engine with `engine_calls` concurrent calls.
     pub(crate) fn new(engine_calls: usize) -> StepQueue {
         let (wake_sender, wake_receiver) = async_channel::unbounded();
         StepQueue {
@@ -96,7 +99,7 @@
         if step.is_first {
             state.first_steps.insert(key, step);
         } else {
-            state.tokens.insert(key, step);
+            state.token_steps.insert(key, step);
         }
         drop(state);
         let _ = self.wake_sender.try_send(());
@@ -108,12 +111,13 @@
             if let Some(batch) = self.take(limit) {
                 return batch;
             }
-            // The queue holds both ends of the channel, so it cannot close.
+            // The queue owns both ends of the channel, so the channel never
+            // closes.
             let _ = self.wake_receiver.recv().await;
         }
     }
 
-    /// Says that a call with first steps has ended.
+    /// Records the end of a call with first steps.
     pub(crate) fn first_step_call_ended(&self) {
         self.lock().first_step_calls -= 1;
         let _ = self.wake_sender.try_send(());
@@ -121,17 +125,20 @@
 
     fn take(&self, limit: usize) -> Option<Batch> {
         let mut state = self.lock();
-        let is_first = state.tokens.is_empty();
+        let is_first = state.token_steps.is_empty();
         if is_first && state.first_step_calls >= self.max_first_step_calls {
             return None;
         }
-        let queue =
-            if is_first { &mut state.first_steps } else { &mut state.tokens };
+        let queue = if is_first {
+            &mut state.first_steps
+        } else {
+            &mut state.token_steps
+        };
         let mut steps = Vec::new();
         while steps.len() < limit
             && let Some((_, step)) = queue.pop_first()
         {
-            if step.owner.is_wanted() {
+            if step.owner.is_needed() {
                 steps.push(step);
             }
         }
@@ -149,7 +156,7 @@
     }
 }
 
-/// Why a request cannot go on whose step an engine did not run.
+/// Failure reason of a request whose step got no result from the engine.
 pub(crate) fn failure_reason(error: &EngineError) -> FailureReason {
     match error {
         EngineError::Timeout(..) => FailureReason::BackendSilent,
--- a/crates/side/src/sweep.rs
+++ b/crates/side/src/sweep.rs
@@ -1,4 +1,4 @@
-//! What comes with time: deadlines, requests without an entry, load reports.
+//! Periodic work: deadlines, orphaned requests and load reports.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,18 +15,19 @@
     slot_queue::Waiting,
 };
 
-/// Time between two looks; a deadline may pass by this much.
+/// Interval of the sweeps; deadlines are enforced at most this much late.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
-/// Time past its deadline after which a place is freed unasked.
+/// Time past its deadline after which a reservation is released without a
+/// message from its first stage.
 const RESERVATION_GRACE_MS: u64 = 1_000;
-/// Looks between two load reports.
+/// Sweeps per load report.
 const SWEEPS_PER_LOAD_REPORT: u32 = 10;
-/// Looks between two reports on links that carry requests. Their frames keep
-/// the other end from asking for a heartbeat, which would have the loads.
+/// Sweeps per status message on links with active requests. Frames on such
+/// links keep the peer from requesting heartbeats, which contain the loads.
 const SWEEPS_PER_STATUS: u32 = 50;
 
 impl Shared {
-    /// Looks at all requests again and again.
+    /// Runs the sweeps; never returns.
     pub(crate) async fn sweep(self: Arc<Self>) {
         let mut count: u32 = 0;
         loop {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Tells the loads to entries that have requests here.
+    /// Sends the loads to entries that have requests here.
     fn send_status_to_busy_entries(&self) {
         let open = self.links().open();
         let is_busy_entry =
@@ -82,15 +83,15 @@
                 let detail = "the deadline has passed";
                 self.stop(&run, FailureReason::Deadline, "", detail);
             } else if self.is_orphan(&run, now_ms) {
-                let detail = "its entry has gone";
+                let detail = "the entry has disconnected";
                 self.stop(&run, FailureReason::Cancelled, "", detail);
             }
         }
     }
 
-    /// Refuses later stages that waited too long, and frees places past their
-    /// deadline: the first stage has ended the request by then, and its
-    /// release may have been lost.
+    /// Refuses reservations that waited too long for a slot, and releases
+    /// reservations past their deadline: the first stage has ended the request
+    /// by then, and its release message may have been lost.
     fn expire_reservations(self: &Arc<Self>, now_ms: u64) {
         let reservations: Vec<Arc<Reservation>> =
             self.lock_reservations().values().cloned().collect();
@@ -105,8 +106,9 @@
         }
     }
 
-    /// Whether nobody has asked for a request in time. One that is kept runs
-    /// on once it has begun: its answer will be asked for by its key.
+    /// Whether no entry has attached to a request before the orphan limit. A
+    /// kept request continues once it has begun: a later query fetches its
+    /// output by key.
     fn is_orphan(&self, run: &Run, now_ms: u64) -> bool {
         let state = run.lock();
         let is_past = state.orphan_until_ms.is_some_and(|t| now_ms >= t);
--- a/crates/side/src/target.rs
+++ b/crates/side/src/target.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request means, and how its stages are reached.
+//! Target backend server of a request, and links to its stages.
 
 use std::{
     net::SocketAddr,
@@ -15,7 +15,7 @@
     node::Shared,
 };
 
-/// Which backend server a request means, and for whom.
+/// The stage that a request asks for, and its client account.
 pub(crate) struct Target<'a> {
     pub(crate) stage: &'a Stage,
     pub(crate) service: &'a str,
@@ -23,7 +23,8 @@
 }
 
 impl Shared {
-    /// The backend server that a request means, if it may run there.
+    /// Returns the target backend server of a request if the request may run
+    /// there.
     pub(crate) fn find_target(
         &self,
         target: &Target<'_>,
@@ -35,13 +36,13 @@
         }
         let backend = self.backends.get(&stage.backend);
         let backend = backend.ok_or(RefusalReason::WrongTarget)?;
-        let assigned =
-            backend.assigned().ok_or(RefusalReason::UnknownService)?;
-        if assigned.service != target.service || !self.may_use(target) {
+        let assignment =
+            backend.assignment().ok_or(RefusalReason::UnknownService)?;
+        if assignment.service != target.service || !self.may_use(target) {
             return Err(RefusalReason::UnknownService);
         }
-        let is_range = assigned.first_layer == stage.first_layer
-            && assigned.end_layer == stage.end_layer;
+        let is_range = assignment.first_layer == stage.first_layer
+            && assignment.end_layer == stage.end_layer;
         if !is_range {
             return Err(RefusalReason::WrongTarget);
         }
@@ -61,14 +62,15 @@
         services.is_some_and(|s| s.contains(target.service))
     }
 
-    /// When to come back after a refusal that no queue explains.
+    /// Time after which to retry a refusal that does not come from a queue.
     pub(crate) fn retry_after_ms(
         &self,
         stage: &Stage,
         reason: RefusalReason,
     ) -> u64 {
         match reason {
-            // Until the next looks at the backend server and the list.
+            // The times of the next health check and of the next poll of the
+            // VM list.
             RefusalReason::BackendDown => {
                 let backend = self.backends.get(&stage.backend);
                 let cooldown =
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Open links to stages, if all are open.
+    /// Returns the links to stages if all of them are open.
     pub(crate) fn existing_links(
         &self,
         stages: &[Stage],
@@ -97,11 +99,12 @@
             .collect()
     }
 
-    /// Links to stages, dialled where need be.
+    /// Returns links to stages and connects those that are not open.
     ///
     /// # Errors
     ///
-    /// Name of the first backend server whose side process was not reached.
+    /// Returns the name of the first backend server whose side process is
+    /// unreachable.
     pub(crate) async fn connect_links(
         &self,
         stages: &[Stage],
--- a/crates/side/tests/attach.rs
+++ b/crates/side/tests/attach.rs
@@ -1,4 +1,4 @@
-//! An entry that loses its connection goes on over a new one.
+//! An entry that loses its connection continues over a new one.
 
 mod support;
 
@@ -15,15 +15,15 @@
 use futures_lite::FutureExt as _;
 
 const TOKENS: u32 = 400;
-/// Connections given up while one answer is sent.
+/// Number of connections closed while one output is sent.
 const REATTACHES: u32 = 40;
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// Each question takes the answer over onto a new connection while tokens
-/// are on their way: none may come before the answer to the question, which
-/// says where the rest begins.
+/// Each query attaches the output to a new connection while tokens are being
+/// sent. No token may arrive before the response to the query, which
+/// determines where the remaining output starts.
 #[test]
-fn an_answer_moves_between_connections_without_a_gap() {
+fn an_output_moves_between_connections_without_a_gap() {
     let engine = EngineOptions::new("desk-llm", 0, 4, 4).unwrap();
     let engine = Running::engine(engine).unwrap();
     let executor = Arc::new(Executor::new());
@@ -33,7 +33,7 @@
     let positions = block_on(async {
         let limit = async {
             Timer::after(LIMIT).await;
-            panic!("no whole answer within {LIMIT:?}");
+            panic!("output is not complete after {LIMIT:?}");
         };
         follow(&links, &events, address).or(limit).await
     });
@@ -41,8 +41,8 @@
     assert_eq!(positions, expected);
 }
 
-/// Runs one request, giving up its connection again and again; the positions
-/// in the order they came.
+/// Runs one request and repeatedly replaces its connection. Returns the
+/// positions in the order of arrival.
 async fn follow(
     links: &Links,
     events: &async_channel::Receiver<LinkEvent>,
--- a/crates/side/tests/later_stage.rs
+++ b/crates/side/tests/later_stage.rs
@@ -1,4 +1,5 @@
-//! A later stage that has no place free lets a request wait for a while.
+//! A later stage without a free slot lets a reservation wait for a limited
+//! time.
 
 mod support;
 
@@ -16,46 +17,47 @@
 
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// What became of a reservation.
+/// Result of a reserve message.
 #[derive(Debug, Eq, PartialEq)]
-enum Told {
+enum Reply {
     Reserved(RequestId),
     Refused(RequestId, RefusalReason),
 }
 
 #[test]
-fn a_place_that_comes_free_goes_to_who_waits() {
-    with_full_stage(|link, told, address, held| async move {
+fn a_released_slot_goes_to_a_waiting_reservation() {
+    with_full_stage(|link, replies, address, held| async move {
         let waiting = reserve(&link, address);
         release(&link, held[0]);
-        assert_eq!(told.next().await, Told::Reserved(waiting));
+        assert_eq!(replies.next().await, Reply::Reserved(waiting));
     });
 }
 
 #[test]
-fn who_waits_too_long_is_refused() {
-    with_full_stage(|link, told, address, _| async move {
+fn a_reservation_that_waits_too_long_is_refused() {
+    with_full_stage(|link, replies, address, _| async move {
         let waiting = reserve(&link, address);
         let full = RefusalReason::Full;
-        assert_eq!(told.next().await, Told::Refused(waiting, full));
+        assert_eq!(replies.next().await, Reply::Refused(waiting, full));
     });
 }
 
-/// Whoever is released while it waits neither keeps a place nor blocks it.
+/// A reservation that is released while it waits must not take a slot or block
+/// the queue.
 #[test]
-fn a_place_is_not_given_to_who_has_gone() {
-    with_full_stage(|link, told, address, held| async move {
-        let gone = reserve(&link, address);
-        release(&link, gone);
+fn a_released_reservation_gets_no_slot() {
+    with_full_stage(|link, replies, address, held| async move {
+        let released = reserve(&link, address);
+        release(&link, released);
         release(&link, held[0]);
         let next = reserve(&link, address);
-        assert_eq!(told.next().await, Told::Reserved(next));
+        assert_eq!(replies.next().await, Reply::Reserved(next));
     });
 }
 
-/// Runs a test with a stage whose every place is held.
+/// Runs a test with a stage whose slots are all held.
 fn with_full_stage<F: Future<Output = ()>>(
-    test: impl FnOnce(Link, Answers, SocketAddr, Vec<RequestId>) -> F,
+    test: impl FnOnce(Link, Replies, SocketAddr, Vec<RequestId>) -> F,
 ) {
     let engine = EngineOptions::new("desk-llm", 2, 4, 4).unwrap();
     let engine = Running::engine(engine).unwrap();
@@ -65,39 +67,39 @@
     let (links, events) = support::peer(&executor, "side-0", Role::Side);
     block_on(async {
         let link = links.connect(address).await.unwrap();
-        let told = Answers { events };
+        let replies = Replies { events };
         let mut held = Vec::new();
-        for _ in 0..support::PLACES {
+        for _ in 0..support::SLOTS {
             let request = reserve(&link, address);
-            assert_eq!(told.next().await, Told::Reserved(request));
+            assert_eq!(replies.next().await, Reply::Reserved(request));
             held.push(request);
         }
-        test(link, told, address, held).await;
+        test(link, replies, address, held).await;
     });
 }
 
-struct Answers {
+struct Replies {
     events: async_channel::Receiver<LinkEvent>,
 }
 
-impl Answers {
-    async fn next(&self) -> Told {
+impl Replies {
+    async fn next(&self) -> Reply {
         let limit = async {
             Timer::after(LIMIT).await;
-            panic!("no answer within {LIMIT:?}");
+            panic!("no reply within {LIMIT:?}");
         };
         self.next_untimed().or(limit).await
     }
 
-    async fn next_untimed(&self) -> Told {
+    async fn next_untimed(&self) -> Reply {
         loop {
             match self.events.recv().await {
                 Ok(LinkEvent::Frame(_, Body::Reserved(m))) => {
-                    return Told::Reserved(m.request.unwrap().into());
+                    return Reply::Reserved(m.request.unwrap().into());
                 }
                 Ok(LinkEvent::Frame(_, Body::Refused(m))) => {
                     let request = m.request.unwrap().into();
-                    return Told::Refused(request, m.reason());
+                    return Reply::Refused(request, m.reason());
                 }
                 _ => {}
             }
--- a/crates/side/tests/support/mod.rs
+++ b/crates/side/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A side process in this process, before one engine.
+//! The role `side`, run in the test process in front of one engine.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -15,9 +15,9 @@
 use chestnutreach_side::{Side, SideParts};
 use chestnutreach_telemetry::Metrics;
 
-/// Requests that the engine runs at once.
+/// Requests that the engine runs concurrently, as in the manifest below.
 #[allow(dead_code, reason = "not every test file needs it")]
-pub const PLACES: u32 = 4;
+pub const SLOTS: u32 = 4;
 
 const MANIFEST: &str = "
 [deployment]
@@ -66,8 +66,8 @@
 checks-fencing = yes
 ";
 
-/// Starts a side process whose backend server "whole" holds the layers from
-/// `first_layer` on, of four; its inner address.
+/// Starts the role `side` with the backend server "whole", which holds the
+/// layers from `first_layer` to the last of four. Returns the inner address.
 pub fn start_side(
     executor: &Arc<Executor<'static>>,
     engine: SocketAddr,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Links of another process, and what happens on them.
+/// Creates the links of another process, and a channel with their events.
 pub fn peer(
     executor: &Arc<Executor<'static>>,
     vm: &str,
