--- a/crates/node/src/outage.rs
+++ b/crates/node/src/outage.rs
@@ -59,8 +59,9 @@
         PollInterval { poll_ms, failures: 0 }
     }
 
-    /// The wait after a poll. Jitter between half of the interval and all of
-    /// it keeps many processes from polling at the same time.
+    /// Returns the wait after a poll: a random time between half of the
+    /// interval and the whole interval, so that many processes do not poll at
+    /// the same time.
     pub(crate) fn next(&mut self, has_succeeded: bool) -> Duration {
         if has_succeeded {
             self.failures = 0;
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -60,8 +60,8 @@
 fn polls_back_off_while_the_store_is_unavailable() {
     let (store, count) = broken_service();
     let reports = Arc::new(PeerReports::new());
-    // Polls follow after 25 ms, 50 ms and so on, each with jitter from half of
-    // the interval to all of it.
+    // Polls follow after 25 ms, 50 ms and so on; jitter shortens each interval
+    // by up to half.
     run_for(Duration::from_millis(3_000), follower(store, &reports));
     let polls = count.load(Ordering::Relaxed);
     assert!((4..=12).contains(&polls), "{polls}");
--- a/crates/side/src/run/query.rs
+++ b/crates/side/src/run/query.rs
@@ -13,7 +13,7 @@
 
 impl Shared {
     /// Responds with the state of a request. The querying entry may attach to
-    /// the request to receive its further output.
+    /// the request to receive the remaining output.
     pub(crate) fn handle_query(
         self: &Arc<Self>,
         link: &Link,
