--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -303,5 +303,5 @@
     };
     common.note_stopping(cause, in_flight());
     let drain = Drain::start(node.drain_limit_ms);
-    Ok(drain.finish(in_flight, || side.abort_all()).await)
+    Ok(drain.finish(in_flight, || side.abort_requests()).await)
 }
--- a/crates/side/src/node.rs
+++ b/crates/side/src/node.rs
@@ -168,7 +168,7 @@
 
     /// Aborts all requests and reports the failure to their entries and first
     /// stages.
-    pub fn abort_all(&self) {
+    pub fn abort_requests(&self) {
         let shared = &self.shared;
         let detail = "the side process has stopped";
         let runs: Vec<Arc<Run>> =
