--- a/crates/side/src/backend.rs
+++ b/crates/side/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend server: what it serves, who waits for it, whether it answers.
+//! A backend server of this process: its assignment, slots and health.
 
 use std::{
     net::SocketAddr,
@@ -25,34 +25,35 @@
 use futures_lite::FutureExt as _;
 
 use crate::{
-    gate::{Gate, ServerCapacity},
+    cooldown::Cooldown,
     node::Shared,
-    rest::Rest,
+    slot_queue::{ServerCapacity, SlotQueue},
     steps::{Batch, Owner, QueuedStep, StepQueue},
 };
 
-/// How often a backend server that does not answer is asked again, and one
-/// with a call outstanding is asked whether it is still there.
+/// Interval of health checks on a backend server that is down, and on an
+/// engine while a call to it is pending.
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Missed answers in a row after which a call is given up.
-const PROBE_MISSES: u32 = 2;
-/// Least rest of an engine: steps that wait would go to one that asks for
-/// none again and again.
-const LEAST_REST: Duration = Duration::from_millis(100);
-/// Guess of a speed that nobody states: nothing is too late by it.
-const UNKNOWN: f64 = 1e9;
-/// Sequences freed in one call.
-const RELEASE_BATCH: usize = 256;
-
-/// What the manifest has a backend server do.
-pub(crate) struct Assigned {
+/// Failed health checks in a row after which a pending call is aborted.
+const MAX_FAILED_PROBES: u32 = 2;
+/// Minimum cooldown of an engine. Without a minimum, deferred steps would be
+/// retried in a tight loop at an engine that requests a cooldown of zero.
+const MIN_COOLDOWN: Duration = Duration::from_millis(100);
+/// Assumed speed where the manifest states none: so high that no request is
+/// refused as too late.
+const UNKNOWN_TOKENS_PER_S: f64 = 1e9;
+/// Maximum number of sequences released in one call.
+const MAX_RELEASE_BATCH: usize = 256;
+
+/// What the manifest assigns to a backend server.
+pub(crate) struct Assignment {
     pub(crate) service: String,
     pub(crate) first_layer: u32,
     pub(crate) end_layer: u32,
     pub(crate) server: Server,
 }
 
-/// How the backend server is spoken to.
+/// Client for the backend server, by its kind.
 pub(crate) enum Server {
     /// An engine that holds a range of layers.
     Engine(Arc<EngineClient>),
@@ -60,20 +61,20 @@
     Plain(Arc<Client>),
 }
 
-/// A backend server beside this process.
+/// A backend server that this process is responsible for.
 pub(crate) struct Backend {
     pub(crate) name: String,
     address: SocketAddr,
-    assigned: ArcSwapOption<Assigned>,
-    pub(crate) gate: Gate,
+    assignment: ArcSwapOption<Assignment>,
+    pub(crate) slots: SlotQueue,
     pub(crate) steps: StepQueue,
     pub(crate) metrics: Arc<BackendMetrics>,
-    pub(crate) rest: Rest,
+    pub(crate) cooldown: Cooldown,
     table: Mutex<RunOnceTable>,
     is_healthy: AtomicBool,
     is_leaving: AtomicBool,
-    releases: async_channel::Sender<SequenceId>,
-    released: async_channel::Receiver<SequenceId>,
+    release_sender: async_channel::Sender<SequenceId>,
+    release_receiver: async_channel::Receiver<SequenceId>,
 }
 
 impl Backend {
@@ -83,7 +84,7 @@
         settings: &SideSettings,
         metrics: Arc<BackendMetrics>,
     ) -> Backend {
-        let (releases, released) = async_channel::unbounded();
+        let (release_sender, release_receiver) = async_channel::unbounded();
         let table = RunOnceTable::new(
             settings.run_once_capacity,
             settings.run_once_retention_ms,
@@ -91,21 +92,21 @@
         Backend {
             name: name.to_owned(),
             address,
-            assigned: ArcSwapOption::empty(),
-            gate: Gate::new(settings.queue_limit_tokens),
+            assignment: ArcSwapOption::empty(),
+            slots: SlotQueue::new(settings.queue_limit_tokens),
             steps: StepQueue::new(settings.engine_calls),
             metrics,
-            rest: Rest::default(),
+            cooldown: Cooldown::default(),
             table: Mutex::new(table),
             is_healthy: AtomicBool::new(true),
             is_leaving: AtomicBool::new(false),
-            releases,
-            released,
+            release_sender,
+            release_receiver,
         }
     }
 
-    pub(crate) fn assigned(&self) -> Option<Arc<Assigned>> {
-        self.assigned.load_full()
+    pub(crate) fn assignment(&self) -> Option<Arc<Assignment>> {
+        self.assignment.load_full()
     }
 
     pub(crate) fn table(&self) -> MutexGuard<'_, RunOnceTable> {
@@ -124,22 +125,23 @@
         self.is_leaving.store(is_leaving, Ordering::Release);
     }
 
-    /// Has the engine free what it holds for a sequence, soon.
+    /// Queues a sequence for release on the engine.
     pub(crate) fn release_sequence(&self, sequence: SequenceId) {
-        let _ = self.releases.try_send(sequence);
+        let _ = self.release_sender.try_send(sequence);
     }
 
-    /// Takes over what a manifest says of it; nothing if it says nothing.
+    /// Applies a manifest. A backend server that is not in the manifest has no
+    /// assignment.
     pub(crate) fn apply(&self, manifest: &Manifest) {
         let Some(server) = manifest.backend_servers.get(&self.name) else {
-            self.assigned.store(None);
+            self.assignment.store(None);
             return;
         };
         let Some(service) = manifest.services.get(&server.service) else {
             return;
         };
-        self.apply_places(manifest, server);
-        if self.is_assigned_as(server) {
+        self.apply_capacity(manifest, server);
+        if self.has_assignment(server) {
             return;
         }
         let server_client = match &service.kind {
@@ -152,7 +154,7 @@
                 Server::Plain(Arc::new(Client::new(self.address, options)))
             }
         };
-        self.assigned.store(Some(Arc::new(Assigned {
+        self.assignment.store(Some(Arc::new(Assignment {
             service: server.service.clone(),
             first_layer: server.first_layer,
             end_layer: server.end_layer,
@@ -160,52 +162,54 @@
         })));
     }
 
-    fn apply_places(&self, manifest: &Manifest, server: &BackendServer) {
+    fn apply_capacity(&self, manifest: &Manifest, server: &BackendServer) {
         let kind = server.accelerator.as_ref();
         let kind = kind.and_then(|k| manifest.accelerators.get(k));
         let share = layer_share(manifest, server);
-        let guess = |whole: u32| f64::from(whole) / share;
-        self.gate.set_places(ServerCapacity {
+        let scaled_speed = |whole: u32| f64::from(whole) / share;
+        self.slots.set_capacity(ServerCapacity {
             max_running: server.max_running,
-            prompt_tokens_per_s: kind
-                .map_or(UNKNOWN, |kind| guess(kind.prompt_tokens_per_s)),
-            output_tokens_per_s: kind
-                .map_or(UNKNOWN, |kind| guess(kind.output_tokens_per_s)),
+            prompt_tokens_per_s: kind.map_or(UNKNOWN_TOKENS_PER_S, |kind| {
+                scaled_speed(kind.prompt_tokens_per_s)
+            }),
+            output_tokens_per_s: kind.map_or(UNKNOWN_TOKENS_PER_S, |kind| {
+                scaled_speed(kind.output_tokens_per_s)
+            }),
         });
         for (name, account) in &manifest.accounts {
             if account.services.contains(&server.service) {
-                self.gate.set_weight(name, account.weight);
+                self.slots.set_weight(name, account.weight);
             }
         }
     }
 
-    /// Learns the speed from a call that was answered.
-    fn note_call(
+    /// Records metrics of a successful call and learns the speed from it.
+    fn record_call(
         &self,
         steps: &[SequenceStep],
         results: &EngineResults,
         is_first: bool,
         started: Instant,
     ) {
-        let took = started.elapsed();
+        let elapsed = started.elapsed();
         self.metrics.steps.inc_by(steps.len() as u64);
-        self.metrics.step_time.observe(took.as_secs_f64());
-        let took_ms = took.as_secs_f64() * 1_000.0;
+        self.metrics.step_time.observe(elapsed.as_secs_f64());
+        let elapsed_ms = elapsed.as_secs_f64() * 1_000.0;
         let spans = results
             .iter()
             .flatten()
             .map(|output| output.span.saturating_sub(output.cached_tokens));
         if is_first {
-            let longest = spans.clone().max().unwrap_or(0);
+            let longest_span = spans.clone().max().unwrap_or(0);
             let tokens = spans.map(u64::from).sum();
-            self.gate.learn_prompt(longest, tokens, took_ms);
+            self.slots.learn_prompt(longest_span, tokens, elapsed_ms);
         } else {
-            self.gate.learn_step(steps.len() as u32, took_ms);
+            self.slots.learn_step(steps.len() as u32, elapsed_ms);
         }
     }
 
-    fn is_assigned_as(&self, server: &BackendServer) -> bool {
-        self.assigned().is_some_and(|a| {
+    fn has_assignment(&self, server: &BackendServer) -> bool {
+        self.assignment().is_some_and(|a| {
             a.service == server.service
                 && a.first_layer == server.first_layer
                 && a.end_layer == server.end_layer
@@ -231,16 +235,20 @@
             let is_first = batch.is_first;
             self.run_batch(backend, batch).await;
             if is_first {
-                backend.steps.first_call_ended();
+                backend.steps.first_step_call_ended();
             }
         }
     }
 
     async fn run_batch(self: &Arc<Self>, backend: &Arc<Backend>, b: Batch) {
         let is_first = b.is_first;
-        let rest = backend.rest.left();
-        if rest > Duration::ZERO {
-            self.put_off(backend, b.steps, &EngineError::at_rest(rest));
+        let cooldown = backend.cooldown.remaining();
+        if cooldown > Duration::ZERO {
+            self.defer_steps(
+                backend,
+                b.steps,
+                &EngineError::in_cooldown(cooldown),
+            );
             return;
         }
         let (owners, steps): (Vec<Owner>, Vec<SequenceStep>) =
@@ -249,48 +257,58 @@
         let started = Instant::now();
         match self.call_engine(backend, &steps, is_first).await {
             Ok(results) => {
-                backend.note_call(&steps, &results, is_first, started);
+                backend.record_call(&steps, &results, is_first, started);
                 for ((owner, step), result) in
                     owners.iter().zip(&steps).zip(results)
                 {
                     let at = step.position;
                     match owner {
-                        Owner::Run(run) => self.own_step_done(run, at, result),
-                        Owner::Seat(seat) => {
-                            self.seat_step_done(seat, at, result);
+                        Owner::Run(run) => {
+                            self.first_stage_step_done(run, at, result)
+                        }
+                        Owner::Reservation(reservation) => {
+                            self.later_stage_step_done(
+                                reservation,
+                                at,
+                                result,
+                            );
                         }
                     }
                 }
             }
-            Err(error) if let Some(rest) = error.rest() => {
-                self.take_rest(backend, rest.max(LEAST_REST));
+            Err(error) if let Some(cooldown) = error.cooldown() => {
+                self.enter_cooldown(backend, cooldown.max(MIN_COOLDOWN));
                 let steps = owners.into_iter().zip(steps);
                 let steps = steps.map(|(owner, step)| QueuedStep {
                     owner,
                     step,
                     is_first,
                 });
-                self.put_off(backend, steps.collect(), &error);
+                self.defer_steps(backend, steps.collect(), &error);
             }
             Err(error) => {
-                self.note_down(backend, &error);
+                self.report_down(backend, &error);
                 for owner in &owners {
-                    self.lose_step(owner, is_first, &error);
+                    self.fail_step(owner, is_first, &error);
                 }
             }
         }
     }
 
-    /// Ends what a step belongs to that has no result.
-    pub(crate) fn lose_step(
+    /// Fails or refuses the request of a step that has no result.
+    pub(crate) fn fail_step(
         self: &Arc<Self>,
         owner: &Owner,
         is_first: bool,
         error: &EngineError,
     ) {
         match owner {
-            Owner::Run(run) => self.own_step_lost(run, is_first, error),
-            Owner::Seat(seat) => self.seat_step_lost(seat, error),
+            Owner::Run(run) => {
+                self.first_stage_step_lost(run, is_first, error)
+            }
+            Owner::Reservation(reservation) => {
+                self.later_stage_step_lost(reservation, error)
+            }
         }
     }
 
@@ -300,14 +318,15 @@
         steps: &[SequenceStep],
         is_first: bool,
     ) -> Result<EngineResults, EngineError> {
-        let assigned = backend.assigned();
-        let Some((assigned, engine)) =
-            assigned.as_ref().and_then(|a| match &a.server {
+        let assignment = backend.assignment();
+        let Some((assignment, engine)) =
+            assignment.as_ref().and_then(|a| match &a.server {
                 Server::Engine(engine) => Some((a, engine)),
                 Server::Plain(_) => None,
             })
         else {
-            let detail = "no longer an engine in the manifest";
+            let detail =
+                "the manifest no longer lists the server as an engine";
             return Err(EngineError::Protocol(detail.to_owned()));
         };
         let timeout_ms = if is_first {
@@ -316,19 +335,18 @@
             self.settings.step_timeout_ms
         };
         let timeout = Duration::from_millis(timeout_ms);
-        let (first, end) = (assigned.first_layer, assigned.end_layer);
+        let (first, end) = (assignment.first_layer, assignment.end_layer);
         let call = engine.infer(first, end, steps, timeout);
         call.or(watch_engine(backend, engine)).await
     }
 
-    /// Notes that a backend server does not answer, and asks it until it
-    /// does.
-    pub(crate) fn note_down(
+    /// Marks a backend server as down and logs the error.
+    pub(crate) fn report_down(
         self: &Arc<Self>,
         backend: &Arc<Backend>,
         error: &dyn std::fmt::Display,
     ) {
-        if self.go_down(backend) {
+        if self.mark_down(backend) {
             emit(
                 Event::BackendDown,
                 &[("backend", &backend.name), ("error", error)],
@@ -336,19 +354,20 @@
         }
     }
 
-    /// Has a backend server count as down until it answers, which it is not
-    /// asked while it is at rest; false if it is down.
-    pub(crate) fn go_down(self: &Arc<Self>, backend: &Arc<Backend>) -> bool {
+    /// Marks a backend server as down until it passes a health check. Health
+    /// checks pause during a cooldown. Returns false if the server was down
+    /// before.
+    pub(crate) fn mark_down(self: &Arc<Self>, backend: &Arc<Backend>) -> bool {
         if !backend.is_healthy.swap(false, Ordering::AcqRel) {
             return false;
         }
         self.send_status();
         let (side, backend) = (self.clone(), backend.clone());
         self.spawn(async move {
-            backend.rest.over().await;
-            while !is_back(&backend).await {
+            backend.cooldown.wait_until_over().await;
+            while !is_reachable(&backend).await {
                 Timer::after(PROBE_INTERVAL).await;
-                backend.rest.over().await;
+                backend.cooldown.wait_until_over().await;
             }
             backend.is_healthy.store(true, Ordering::Release);
             backend.resume_steps();
@@ -359,7 +378,7 @@
     }
 }
 
-/// Share of a service's layers that a backend server holds.
+/// Fraction of a service's layers that a backend server holds.
 fn layer_share(manifest: &Manifest, server: &BackendServer) -> f64 {
     let service = manifest.services.get(&server.service);
     match service.map(|service| &service.kind) {
@@ -371,7 +390,7 @@
     }
 }
 
-/// An engine's answers to the steps of one call, in order.
+/// An engine's results for the steps of one call, in order.
 pub(crate) type EngineResults = Vec<
     Result<
         chestnutreach_engine::SequenceOutput,
@@ -379,62 +398,65 @@
     >,
 >;
 
-/// Ends with an error when an engine stops answering at all: a frozen engine
-/// is noticed long before the time that a long prompt may take.
+/// Completes with an error when an engine fails several health checks in a
+/// row. A frozen engine is detected long before the timeout of a long prompt.
 async fn watch_engine(
     backend: &Backend,
     engine: &EngineClient,
 ) -> Result<EngineResults, EngineError> {
-    let mut misses = 0;
-    while misses < PROBE_MISSES {
+    let mut failures = 0;
+    while failures < MAX_FAILED_PROBES {
         Timer::after(PROBE_INTERVAL).await;
-        backend.rest.over().await;
-        misses = match look(backend, engine).await {
-            Look::Ready | Look::AtRest => 0,
-            Look::Missed => misses + 1,
+        backend.cooldown.wait_until_over().await;
+        failures = match check_readiness(backend, engine).await {
+            Readiness::Ready | Readiness::InCooldown => 0,
+            Readiness::Failed => failures + 1,
         };
     }
-    let limit_ms = PROBE_INTERVAL.as_millis() as u64 * u64::from(misses) * 2;
+    let limit_ms = PROBE_INTERVAL.as_millis() as u64 * u64::from(failures) * 2;
     let address = engine.address();
     Err(EngineError::Timeout(ClientError::Timeout { address, limit_ms }))
 }
 
-/// What a look at an engine showed.
+/// Result of a health check on an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Look {
+enum Readiness {
     Ready,
-    /// It is there and asked for rest.
-    AtRest,
-    /// It is not ready, or did not say so in time.
-    Missed,
+    /// The engine responded and requested a cooldown.
+    InCooldown,
+    /// The engine is not ready or did not respond before the timeout.
+    Failed,
 }
 
-async fn look(backend: &Backend, engine: &EngineClient) -> Look {
-    let asked = async { Some(engine.ready().await) };
+async fn check_readiness(
+    backend: &Backend,
+    engine: &EngineClient,
+) -> Readiness {
+    let response = async { Some(engine.ready().await) };
     let limit = async {
         Timer::after(PROBE_INTERVAL).await;
         None
     };
-    match asked.or(limit).await {
-        Some(Ok(())) => Look::Ready,
-        Some(Err(error)) => match error.rest() {
-            Some(rest) => {
-                backend.note_rest(rest);
-                Look::AtRest
+    match response.or(limit).await {
+        Some(Ok(())) => Readiness::Ready,
+        Some(Err(error)) => match error.cooldown() {
+            Some(cooldown) => {
+                backend.record_cooldown(cooldown);
+                Readiness::InCooldown
             }
-            None => Look::Missed,
+            None => Readiness::Failed,
         },
-        None => Look::Missed,
+        None => Readiness::Failed,
     }
 }
 
-async fn is_back(backend: &Backend) -> bool {
-    match backend.assigned().as_deref() {
-        Some(Assigned { server: Server::Engine(engine), .. }) => {
-            look(backend, engine).await == Look::Ready
+async fn is_reachable(backend: &Backend) -> bool {
+    match backend.assignment().as_deref() {
+        Some(Assignment { server: Server::Engine(engine), .. }) => {
+            check_readiness(backend, engine).await == Readiness::Ready
         }
-        // A plain service has no common health check; that it takes a
-        // connection is what can be asked without running anything.
+        // There is no common health check for plain services. Connecting is
+        // the only check that does not run a request.
         _ => {
             let connect =
                 chestnutreach_http::SharedStream::connect(backend.address);
@@ -448,18 +470,19 @@
 }
 
 async fn run_releases(backend: &Backend) {
-    while let Ok(first) = backend.released.recv().await {
+    while let Ok(first) = backend.release_receiver.recv().await {
         let mut batch = vec![first];
-        while batch.len() < RELEASE_BATCH
-            && let Ok(next) = backend.released.try_recv()
+        while batch.len() < MAX_RELEASE_BATCH
+            && let Ok(next) = backend.release_receiver.try_recv()
         {
             batch.push(next);
         }
-        backend.rest.over().await;
-        if let Some(assigned) = backend.assigned()
-            && let Server::Engine(engine) = &assigned.server
+        backend.cooldown.wait_until_over().await;
+        if let Some(assignment) = backend.assignment()
+            && let Server::Engine(engine) = &assignment.server
         {
-            // An engine that does not answer has lost its sequences anyway.
+            // Errors are ignored: an engine that does not respond has lost its
+            // sequences anyway.
             let _ = engine.release(&batch).await;
         }
     }
--- a/crates/side/src/frames.rs
+++ b/crates/side/src/frames.rs
@@ -1,4 +1,4 @@
-//! What arrives on links.
+//! Dispatch of link events and received frames.
 
 use std::sync::Arc;
 
@@ -8,11 +8,11 @@
 };
 use chestnutreach_telemetry::{Event, emit};
 
-use crate::{node::Shared, run::Run, seat::Seat};
+use crate::{node::Shared, reservation::Reservation, run::Run};
 
 impl Shared {
     /// Handles an event of any link.
-    pub(crate) fn handle(self: &Arc<Self>, event: LinkEvent) {
+    pub(crate) fn handle_link_event(self: &Arc<Self>, event: LinkEvent) {
         match event {
             LinkEvent::Opened(link) => self.link_opened(&link),
             LinkEvent::Frame(link, body) => self.handle_frame(&link, body),
@@ -35,12 +35,13 @@
             Body::Release(m) => {
                 let id =
                     m.request.map_or(0, |id| RequestId::from(id).as_u128());
-                self.release_seats(id, m.attempt);
+                self.release_reservations(id, m.attempt);
             }
             Body::Query(m) => self.handle_query(link, &m),
-            Body::Heartbeat(m) => self.heard.note(m.generation),
-            Body::Status(m) => self.heard.note(m.generation),
-            // The link has dealt with these, or they are for an entry.
+            Body::Heartbeat(m) => self.heard.record_generation(m.generation),
+            Body::Status(m) => self.heard.record_generation(m.generation),
+            // The link has handled these already, or they are meant for an
+            // entry.
             Body::Hello(_)
             | Body::HelloRefused(_)
             | Body::Accepted(_)
@@ -53,11 +54,12 @@
 
     fn link_opened(&self, link: &Link) {
         match link.peer().role() {
-            // All entries are told how many they are.
+            // The status contains the number of entries, so all entries get a
+            // new one.
             Role::Entry => self.send_status(),
             _ => drop(link.send(self.status())),
         }
-        self.heard.met(link.peer());
+        self.heard.record_hello(link.peer());
         emit(Event::LinkOpened, &[("peer_vm", &link.peer().vm)]);
     }
 
@@ -69,22 +71,22 @@
             Event::LinkLost,
             &[("peer_vm", &link.peer().vm), ("cause", &format!("{reason:?}"))],
         );
-        let seats: Vec<Arc<Seat>> =
-            self.lock_seats().values().cloned().collect();
-        for seat in seats {
-            if seat.is_held_by(link) {
-                self.release_seat(&seat);
-            } else if seat.sends_over(link) {
-                self.seat_next_lost(&seat);
+        let reservations: Vec<Arc<Reservation>> =
+            self.lock_reservations().values().cloned().collect();
+        for reservation in reservations {
+            if reservation.is_requested_over(link) {
+                self.release_reservation(&reservation);
+            } else if reservation.forwards_over(link) {
+                self.next_stage_lost(&reservation);
             }
         }
         let runs: Vec<Arc<Run>> = self.lock_runs().values().cloned().collect();
         for run in runs {
-            self.run_lost_link(&run, link);
+            self.handle_lost_link(&run, link);
         }
     }
 
-    fn run_lost_link(self: &Arc<Self>, run: &Arc<Run>, link: &Link) {
+    fn handle_lost_link(self: &Arc<Self>, run: &Arc<Run>, link: &Link) {
         let lost_stage = {
             let mut state = run.lock();
             let is_entry = state
--- a/crates/side/src/run/tokens.rs
+++ b/crates/side/src/run/tokens.rs
@@ -1,4 +1,4 @@
-//! Steps of the first stage, and the tokens that come of them.
+//! Steps of the first stage, and output tokens.
 
 use std::sync::Arc;
 
@@ -18,10 +18,10 @@
     steps::{Owner, QueuedStep, failure_reason},
 };
 
-/// Bytes counted for a kept token beside its text.
+/// Bytes accounted for a kept token in addition to its text.
 const TOKEN_OVERHEAD_BYTES: usize = 64;
 
-/// A token as an engine gave it.
+/// A token from an engine.
 struct Token {
     token: u32,
     text: String,
@@ -29,7 +29,7 @@
 }
 
 impl Shared {
-    pub(super) fn push_own_step(
+    pub(super) fn push_first_stage_step(
         &self,
         run: &Arc<Run>,
         position: u32,
@@ -47,8 +47,9 @@
         run.backend.steps.push(QueuedStep { owner, step, is_first });
     }
 
-    /// The engine of the first stage has answered a step.
-    pub(crate) fn own_step_done(
+    /// Handles the first stage's result of a step: forwards activations to the
+    /// next stage, or handles the token of a whole model.
+    pub(crate) fn first_stage_step_done(
         self: &Arc<Self>,
         run: &Arc<Run>,
         position: u32,
@@ -75,7 +76,7 @@
             StepOutput::Activation(activation) => {
                 let Some(next) = run.chain.get(1) else {
                     drop(state);
-                    let detail = "no token from a whole model";
+                    let detail = "the only stage returned no token";
                     let reason = FailureReason::Sequence;
                     self.stop(run, reason, &run.backend.name, detail);
                     return;
@@ -88,19 +89,19 @@
                     first_layer: next.first_layer,
                     activation,
                 };
-                // A lost link is noticed by its close.
+                // A lost link is handled when its close event arrives.
                 let _ = state.stages[0].0.send(Body::Step(message));
             }
             StepOutput::Token { token, text, is_stop } => {
                 drop(state);
                 let at = position + output.span;
-                self.token(run, at, Token { token, text, is_stop });
+                self.handle_token(run, at, Token { token, text, is_stop });
             }
         }
     }
 
-    /// The engine of the first stage gave no answer.
-    pub(crate) fn own_step_lost(
+    /// Refuses or fails a run whose step got no result from the engine.
+    pub(crate) fn first_stage_step_lost(
         self: &Arc<Self>,
         run: &Arc<Run>,
         is_first: bool,
@@ -108,28 +109,34 @@
     ) {
         let name = &run.backend.name;
         if is_first && !error.may_have_run() {
-            // Nothing of the request has run anywhere.
-            let rest_ms = error.rest().unwrap_or_default().as_millis() as u64;
-            self.refuse(run, RefusalReason::BackendDown, name, rest_ms);
+            // No step of the request has run.
+            let cooldown_ms =
+                error.cooldown().unwrap_or_default().as_millis() as u64;
+            self.refuse(run, RefusalReason::BackendDown, name, cooldown_ms);
             return;
         }
         let reason = failure_reason(error);
         self.stop(run, reason, name, &error.to_string());
     }
 
-    /// The last stage has a token.
+    /// Handles a token from the last stage.
     pub(crate) fn handle_step_result(self: &Arc<Self>, m: wire::StepResult) {
         let Some(run) = self.current_run(m.request, m.attempt) else {
-            self.note_refused_step("no_run");
+            self.record_refused_step("no_run");
             return;
         };
         let is_stop = m.finish() == FinishReason::Stop;
         let token = Token { token: m.token, text: m.text, is_stop };
-        self.token(&run, m.position, token);
+        self.handle_token(&run, m.position, token);
     }
 
-    /// Takes the next token: hands it on and begins the next step.
-    fn token(self: &Arc<Self>, run: &Arc<Run>, position: u32, token: Token) {
+    /// Sends the next token to the entry and queues the next step.
+    fn handle_token(
+        self: &Arc<Self>,
+        run: &Arc<Run>,
+        position: u32,
+        token: Token,
+    ) {
         let mut state = run.lock();
         if state.phase != Phase::Running {
             return;
@@ -138,9 +145,13 @@
         if expected != Some(position) {
             let is_repeat = expected.is_some_and(|e| position < e);
             drop(state);
-            self.note_refused_step(if is_repeat { "repeated" } else { "gap" });
+            self.record_refused_step(if is_repeat {
+                "repeated"
+            } else {
+                "gap"
+            });
             if !is_repeat {
-                let detail = "a token came before the one it follows";
+                let detail = "a token arrived before its predecessor";
                 self.stop(run, FailureReason::Sequence, "", detail);
             }
             return;
@@ -155,7 +166,7 @@
             position: number,
             part: Some(Part::Token(wire_token)),
         };
-        state.output(output, bytes);
+        state.record_output(output, bytes);
         drop(state);
         if token.is_stop {
             self.finish(run, FinishReason::Stop);
@@ -163,12 +174,17 @@
             self.finish(run, FinishReason::Length);
         } else {
             let input = StepInput::Token(token.token);
-            self.push_own_step(run, position, input, false);
+            self.push_first_stage_step(run, position, input, false);
         }
     }
 
-    /// A part of a plain answer.
-    pub(crate) fn plain_part(&self, run: &Run, part: Part, bytes: usize) {
+    /// Records a part of a plain response and sends it to the entry.
+    pub(crate) fn record_plain_part(
+        &self,
+        run: &Run,
+        part: Part,
+        bytes: usize,
+    ) {
         let mut state = run.lock();
         let output = Output {
             request: run.wire_id(),
@@ -176,7 +192,7 @@
             position: state.outputs.len() as u32,
             part: Some(part),
         };
-        state.output(output, bytes);
+        state.record_output(output, bytes);
         state.produced += 1;
     }
 }
--- a/crates/side/tests/support/mod.rs
+++ b/crates/side/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A side process in this process, before one engine.
+//! The role `side`, run in the test process in front of one engine.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -8,16 +8,16 @@
 use async_executor::Executor;
 use async_io::Async;
 use chestnutreach_config::{DaemonSettings, Manifest, settings::SideSettings};
-use chestnutreach_node::Heard;
+use chestnutreach_node::PeerReports;
 use chestnutreach_protocol::{
     Identity, LinkEvent, LinkOptions, Links, wire::Role,
 };
 use chestnutreach_side::{Side, SideParts};
 use chestnutreach_telemetry::Metrics;
 
-/// Requests that the engine runs at once.
+/// Requests that the engine runs concurrently, as in the manifest below.
 #[allow(dead_code, reason = "not every test file needs it")]
-pub const PLACES: u32 = 4;
+pub const SLOTS: u32 = 4;
 
 const MANIFEST: &str = "
 [deployment]
@@ -66,8 +66,8 @@
 checks-fencing = yes
 ";
 
-/// Starts a side process whose backend server "whole" holds the layers from
-/// `first_layer` on, of four; its inner address.
+/// Starts the role `side` with the backend server "whole", which holds the
+/// layers from `first_layer` to the last of four. Returns the inner address.
 pub fn start_side(
     executor: &Arc<Executor<'static>>,
     engine: SocketAddr,
@@ -79,7 +79,7 @@
         settings: settings(engine),
         identity: Identity::new("side-1", Role::Side, "hall-a"),
         metrics: Arc::new(Metrics::new("side", "side-1")),
-        heard: Arc::new(Heard::new()),
+        peer_reports: Arc::new(PeerReports::new()),
         executor: executor.clone(),
         inner,
     });
@@ -107,7 +107,7 @@
     }
 }
 
-/// Links of another process, and what happens on them.
+/// Creates the links of another process, and a channel with their events.
 pub fn peer(
     executor: &Arc<Executor<'static>>,
     vm: &str,
