--- a/crates/direct/src/cluster/alerts.rs
+++ b/crates/direct/src/cluster/alerts.rs
@@ -13,7 +13,7 @@
 
 /// What is told with the next alert.
 #[derive(Debug, Default)]
-pub(crate) struct Pending {
+pub(crate) struct PendingAlert {
     /// Engines, by their short hash.
     pub(crate) engines: BTreeMap<u32, EngineUse>,
     /// Requests of which something is new.
@@ -24,7 +24,7 @@
     notices: BTreeSet<u32>,
 }
 
-impl Pending {
+impl PendingAlert {
     /// The trials as they are told.
     pub(crate) fn trials(&self) -> Vec<RequestTrial> {
         let trial =
@@ -38,7 +38,8 @@
     /// What engines said, as it is told.
     pub(crate) fn notices(&self, core: &Core) -> Vec<EngineNotice> {
         let (listed, now_ms) = (core.fleet.index(), now_ms());
-        let news = |hash| permits::news_of(listed.by_hash.get(hash)?, now_ms);
+        let news =
+            |hash| permits::peer_notice(listed.by_hash.get(hash)?, now_ms);
         self.notices.iter().filter_map(news).collect()
     }
 }
@@ -46,7 +47,7 @@
 /// What waits for the next alert.
 #[derive(Debug)]
 pub(crate) struct Alerts {
-    pending: Mutex<Pending>,
+    pending: Mutex<PendingAlert>,
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
@@ -59,7 +60,7 @@
 }
 
 impl Alerts {
-    fn lock(&self) -> MutexGuard<'_, Pending> {
+    fn lock(&self) -> MutexGuard<'_, PendingAlert> {
         self.pending.lock().expect("no holder panics")
     }
 
@@ -98,7 +99,7 @@
         let _ = self.receiver.recv().await;
     }
 
-    pub(crate) fn take(&self) -> Pending {
+    pub(crate) fn take(&self) -> PendingAlert {
         std::mem::take(&mut *self.lock())
     }
 }
--- a/crates/direct/src/cluster/backend_rows.rs
+++ b/crates/direct/src/cluster/backend_rows.rs
@@ -16,14 +16,14 @@
 
 use crate::{
     clock::now_ms,
-    cluster::{engine::Engine, fleet::Applied},
+    cluster::{engine::Engine, fleet::RowOutcome},
     core::{Core, NEEDS_BACKENDS},
 };
 
 /// Longest text of what is wrong with a row: it may quote the row.
 const MAX_ERROR_CHARS: usize = 160;
 /// How long lapsed entries are kept after the store's return.
-const KEEP_LAPSED_MS: u64 = 1_900;
+const LAPSED_GRACE_MS: u64 = 1_900;
 
 /// Takes all rows of the list.
 pub(crate) fn apply_all(core: &Arc<Core>, rows: &Rows) {
@@ -39,7 +39,7 @@
         apply_row(core, row, true);
     }
     core.readiness.clear(NEEDS_BACKENDS);
-    note_read(core, rows, before);
+    log_read(core, rows, before);
 }
 
 /// Takes a row that is new or has changed.
@@ -49,7 +49,7 @@
 
 /// Sums up a read of the whole list: a line for each engine at each start
 /// were 31,000 of 100,000 lines at 68 entries before 130 engines.
-fn note_read(core: &Core, rows: &Rows, before: usize) {
+fn log_read(core: &Core, rows: &Rows, before: usize) {
     let engines = core.fleet.all();
     let is_draining =
         |e: &Arc<Engine>| e.lock().row.state == BackendState::Draining;
@@ -73,41 +73,41 @@
 
 fn apply_row(core: &Arc<Core>, row: &Row, is_whole: bool) {
     if row.is_dropped {
-        core.unusable_rows.forget(&row.key);
+        core.unusable_rows.remove(&row.key);
         remove(core, &row.key, row.version);
         return;
     }
     let backend = match backends::try_backend(row) {
         Ok(backend) => backend,
-        Err(error) => return disown(core, row, &error),
+        Err(error) => return handle_unusable(core, row, &error),
     };
     let data_centre = core.data_centre(&backend.data_centre);
     let is_leaving = backend.state == BackendState::Draining;
     match core.fleet.apply(backend, row.version, data_centre, is_whole) {
-        Applied::Known if is_leaving => core.streams.nudge_all(),
-        Applied::Known => {}
+        RowOutcome::Known if is_leaving => core.streams.nudge_all(),
+        RowOutcome::Known => {}
         // What ran on the start before it, if there was one, has ended.
-        Applied::New => core.streams.nudge_all(),
-        Applied::OfEarlierStart => {
+        RowOutcome::New => core.streams.nudge_all(),
+        RowOutcome::EarlierStart => {
             let error = "it tells of no start, or of an earlier one";
-            return note_unusable(core, row, error);
+            return log_unusable(core, row, error);
         }
     }
-    core.unusable_rows.forget(&row.key);
+    core.unusable_rows.remove(&row.key);
 }
 
 /// Takes that a row is no engine's: another writer may have put it there, and
 /// an engine of that name may serve on.
-fn disown(core: &Core, row: &Row, error: &str) {
-    if core.fleet.disown(&row.key) {
+fn handle_unusable(core: &Core, row: &Row, error: &str) {
+    if core.fleet.mark_row_unusable(&row.key) {
         core.streams.nudge_all();
     }
-    note_unusable(core, row, error);
+    log_unusable(core, row, error);
 }
 
 /// Tells of a row that names no backend server, once until it is readable.
-fn note_unusable(core: &Core, row: &Row, error: &str) {
-    if !core.unusable_rows.is_news(&row.key) {
+fn log_unusable(core: &Core, row: &Row, error: &str) {
+    if !core.unusable_rows.mark_logged(&row.key) {
         return;
     }
     let error: String = error.chars().take(MAX_ERROR_CHARS).collect();
@@ -123,9 +123,9 @@
 
 /// Takes an entry out, or keeps it for a moment after an outage.
 fn remove(core: &Arc<Core>, id: &str, row_version: u64) {
-    let keep_ms = keep_lapsed_ms(core.feeds.backends.back_ms());
+    let keep_ms = lapsed_grace_left_ms(core.feeds.backends.back_ms());
     if keep_ms == 0 {
-        take_out(core, id, row_version, 0);
+        remove_now(core, id, row_version, 0);
         return;
     }
     let (executor, core) = (core.executor.clone(), core.clone());
@@ -137,13 +137,13 @@
             .get(&id)
             .is_some_and(|engine| engine.lock().row_version > row_version);
         if !is_back {
-            take_out(&core, &id, row_version, keep_ms);
+            remove_now(&core, &id, row_version, keep_ms);
         }
     };
     executor.spawn(later).detach();
 }
 
-fn take_out(core: &Core, id: &str, row_version: u64, held_back_ms: u64) {
+fn remove_now(core: &Core, id: &str, row_version: u64, held_back_ms: u64) {
     let Some(engine) = core.fleet.remove(id) else {
         return;
     };
@@ -160,10 +160,10 @@
 }
 
 /// How long an entry that is missing is still kept after the store's return.
-fn keep_lapsed_ms(back_ms: u64) -> u64 {
+fn lapsed_grace_left_ms(back_ms: u64) -> u64 {
     let since_ms = now_ms().saturating_sub(back_ms);
     match back_ms {
         0 => 0,
-        _ => KEEP_LAPSED_MS.saturating_sub(since_ms),
+        _ => LAPSED_GRACE_MS.saturating_sub(since_ms),
     }
 }
--- a/crates/direct/src/cluster/engine.rs
+++ b/crates/direct/src/cluster/engine.rs
@@ -18,12 +18,12 @@
 use crate::{clock::now_ms, cluster::notices::Notices, rate::Rate};
 
 /// Progress so recent shows that an engine lives.
-pub(crate) const FLOWING_MS: u64 = 60;
+pub(crate) const RECENT_PROGRESS_MS: u64 = 60;
 
 /// Units in which entries tell each other memory, in tokens times layers.
-const TOLD_UNIT: u64 = 1_000;
+const REPORTED_UNIT_TOKEN_LAYERS: u64 = 1_000;
 /// A connection made so recently need not be made again.
-const REDIAL_MS: u64 = 125;
+const MIN_RECONNECT_INTERVAL_MS: u64 = 125;
 /// Most doublings of a time that grows with failures in a row.
 const MAX_DOUBLINGS: u32 = 4;
 
@@ -43,14 +43,14 @@
     /// Memory that requests of this entry use, in tokens times layers.
     own_token_layers: AtomicU64,
     /// Requests of this entry that were sent to it first.
-    own_first: AtomicU64,
+    own_first_count: AtomicU64,
     /// Time that reading for own requests takes at its usual pace, in
     /// milliseconds.
-    own_work: Rate,
+    own_prefill: Rate,
     /// The same of all other entries.
-    others_token_layers: AtomicU64,
-    others_first: AtomicU64,
-    others_work_ms_per_s: AtomicU64,
+    peer_token_layers: AtomicU64,
+    peer_first_count: AtomicU64,
+    peer_prefill_ms_per_s: AtomicU64,
     /// When a stream through it last made progress.
     progress_ms: AtomicU64,
     pub(crate) is_probing: AtomicBool,
@@ -85,20 +85,20 @@
     /// for later parts of paths: those do not reach it from this entry.
     pub(crate) cooldown_until_ms: u64,
     /// When a connection was last made.
-    pub(crate) reached_ms: u64,
+    pub(crate) connected_ms: u64,
     /// Dials that reached it since work last flowed through it.
-    pub(crate) dials_in_vain: u32,
+    pub(crate) connects_without_progress: u32,
     /// When another entry last told of it in an alert.
     pub(crate) alerted_ms: u64,
     /// When it was last heard how slow it is.
-    pub(crate) slow_heard_ms: u64,
+    pub(crate) slowness_received_ms: u64,
     /// When its report was last asked for.
-    pub(crate) asked_ms: u64,
+    pub(crate) report_requested_ms: u64,
     /// Failures in a row.
     pub(crate) failures: u32,
     /// Orders that it had begun when it last reported.
     pub(crate) orders_begun: u64,
-    others: BTreeMap<u64, EngineUsage>,
+    peer_usage: BTreeMap<u64, EngineUsage>,
     /// When it was first seen leaving.
     pub(crate) leaving_since_ms: Option<u64>,
     /// It said so itself in an answer, which holds as long as this start.
@@ -130,7 +130,10 @@
     }
 
     /// Takes what the planner tells of its moves; true if that is new.
-    pub(crate) fn take_move(&mut self, to: Option<LayerRange>) -> bool {
+    pub(crate) fn set_planned_layers(
+        &mut self,
+        to: Option<LayerRange>,
+    ) -> bool {
         let to = to.filter(|to| self.row.held != Some(*to));
         let is_new = to.is_some() && self.planned_layers != to;
         self.planned_layers = to;
@@ -140,19 +143,23 @@
     /// Whether a dial may show something new: not while work flows through
     /// it, and more rarely the more dials have reached it in vain, since
     /// all that wait for something else would dial it.
-    pub(crate) fn is_dial_due(&mut self, now_ms: u64, quiet_ms: u64) -> bool {
-        if quiet_ms < FLOWING_MS {
-            self.dials_in_vain = 0;
+    pub(crate) fn is_connect_due(
+        &mut self,
+        now_ms: u64,
+        quiet_ms: u64,
+    ) -> bool {
+        if quiet_ms < RECENT_PROGRESS_MS {
+            self.connects_without_progress = 0;
             return false;
         }
-        let doublings = self.dials_in_vain.min(MAX_DOUBLINGS);
-        let pause_ms = REDIAL_MS << doublings;
-        now_ms.saturating_sub(self.reached_ms) >= pause_ms
+        let doublings = self.connects_without_progress.min(MAX_DOUBLINGS);
+        let pause_ms = MIN_RECONNECT_INTERVAL_MS << doublings;
+        now_ms.saturating_sub(self.connected_ms) >= pause_ms
     }
 
     /// Takes that it said in an answer that it leaves; false if that was
     /// known.
-    pub(crate) fn say_leaving(&mut self, now_ms: u64) -> bool {
+    pub(crate) fn mark_leaving(&mut self, now_ms: u64) -> bool {
         self.leaving_since_ms.get_or_insert(now_ms);
         !std::mem::replace(&mut self.has_said_leaving, true)
     }
@@ -176,7 +183,7 @@
     }
 
     /// Takes what the list says.
-    pub(crate) fn take_row(&mut self, row: Backend, version: u64) {
+    pub(crate) fn apply_row(&mut self, row: Backend, version: u64) {
         let is_leaving =
             row.state == BackendState::Draining || self.has_said_leaving;
         self.leaving_since_ms = match (is_leaving, self.leaving_since_ms) {
@@ -252,11 +259,11 @@
             service: row.service.clone(),
             data_centre,
             own_token_layers: AtomicU64::new(0),
-            own_first: AtomicU64::new(0),
-            others_token_layers: AtomicU64::new(0),
-            others_first: AtomicU64::new(0),
-            others_work_ms_per_s: AtomicU64::new(0),
-            own_work: Rate::default(),
+            own_first_count: AtomicU64::new(0),
+            peer_token_layers: AtomicU64::new(0),
+            peer_first_count: AtomicU64::new(0),
+            peer_prefill_ms_per_s: AtomicU64::new(0),
+            own_prefill: Rate::default(),
             progress_ms: AtomicU64::new(0),
             is_probing: AtomicBool::new(false),
             is_watched: AtomicBool::new(false),
@@ -272,14 +279,14 @@
                 slowness: 1.0,
                 backoff_until_ms: 0,
                 cooldown_until_ms: 0,
-                reached_ms: 0,
-                dials_in_vain: 0,
+                connected_ms: 0,
+                connects_without_progress: 0,
                 alerted_ms: 0,
-                slow_heard_ms: 0,
-                asked_ms: 0,
+                slowness_received_ms: 0,
+                report_requested_ms: 0,
                 failures: 0,
                 orders_begun: 0,
-                others: BTreeMap::new(),
+                peer_usage: BTreeMap::new(),
                 leaving_since_ms: None,
                 has_said_leaving: false,
                 planned_layers: None,
@@ -292,40 +299,44 @@
     }
 
     pub(crate) fn used_token_layers(&self) -> u64 {
-        let others = self.others_token_layers.load(Relaxed);
+        let others = self.peer_token_layers.load(Relaxed);
         self.own_token_layers.load(Relaxed) + others
     }
 
     /// Memory that requests use, where so many entries have not told.
     pub(crate) fn estimated_token_layers(&self, untold_entries: u64) -> u64 {
         let own = self.own_token_layers.load(Relaxed);
-        let told = self.others_token_layers.load(Relaxed);
+        let told = self.peer_token_layers.load(Relaxed);
         KnownUse { own, told, untold_entries }.planned()
     }
 
     pub(crate) fn first_count(&self) -> u64 {
-        self.own_first.load(Relaxed) + self.others_first.load(Relaxed)
+        self.own_first_count.load(Relaxed)
+            + self.peer_first_count.load(Relaxed)
     }
 
     /// What this entry uses, as it tells the others.
     pub(crate) fn own_usage(&self, now_ms: u64) -> EngineUsage {
-        let used = self.own_token_layers.load(Relaxed).div_ceil(TOLD_UNIT);
+        let used = self
+            .own_token_layers
+            .load(Relaxed)
+            .div_ceil(REPORTED_UNIT_TOKEN_LAYERS);
         EngineUsage {
             kilo_token_layers: used as u32,
-            first_count: self.own_first.load(Relaxed) as u32,
-            work_ms_per_s: self.own_work.per_s(now_ms) as u32,
+            first_count: self.own_first_count.load(Relaxed) as u32,
+            work_ms_per_s: self.own_prefill.per_s(now_ms) as u32,
         }
     }
 
     /// Counts reading that a request brings, at the engine's usual pace.
     pub(crate) fn record_prefill(&self, work_ms: f64, now_ms: u64) {
-        self.own_work.note(work_ms, now_ms);
+        self.own_prefill.note(work_ms, now_ms);
     }
 
     /// Share of its time that reading takes at its usual pace.
     pub(crate) fn prefill_utilisation(&self, now_ms: u64) -> f64 {
-        let others = self.others_work_ms_per_s.load(Relaxed) as f64;
-        (self.own_work.per_s(now_ms) + others) / 1e3
+        let others = self.peer_prefill_ms_per_s.load(Relaxed) as f64;
+        (self.own_prefill.per_s(now_ms) + others) / 1e3
     }
 
     /// Takes what another entry uses; none once it has gone.
@@ -336,8 +347,8 @@
     ) {
         let mut state = self.lock();
         let old = match told {
-            Some(told) => state.others.insert(boot_id, told),
-            None => state.others.remove(&boot_id),
+            Some(told) => state.peer_usage.insert(boot_id, told),
+            None => state.peer_usage.remove(&boot_id),
         };
         let (old, new) = (old.unwrap_or_default(), told.unwrap_or_default());
         // Under the lock: the sums are those of the map.
@@ -348,9 +359,9 @@
                 sum.store(others + new * unit, Relaxed);
             };
         let memory = |told: &EngineUsage| told.kilo_token_layers;
-        change(&self.others_token_layers, memory, TOLD_UNIT);
-        change(&self.others_first, |told| told.first_count, 1);
-        change(&self.others_work_ms_per_s, |told| told.work_ms_per_s, 1);
+        change(&self.peer_token_layers, memory, REPORTED_UNIT_TOKEN_LAYERS);
+        change(&self.peer_first_count, |told| told.first_count, 1);
+        change(&self.peer_prefill_ms_per_s, |told| told.work_ms_per_s, 1);
     }
 
     pub(crate) fn record_progress(&self, now_ms: u64) {
@@ -359,7 +370,7 @@
 
     /// Whether work flowed through it or a dial reached it of late.
     pub(crate) fn is_alive(&self, now_ms: u64, within_ms: u64) -> bool {
-        let reached_ms = self.lock().reached_ms;
+        let reached_ms = self.lock().connected_ms;
         self.quiet_ms(now_ms) < within_ms
             || now_ms.saturating_sub(reached_ms) < within_ms
     }
@@ -373,7 +384,7 @@
     /// one; false if there is none, or if it is at rest.
     pub(crate) fn try_admit(&self, request: u64, now_ms: u64) -> bool {
         !self.lock().is_in_cooldown(now_ms)
-            && self.notices.try_take(request, now_ms)
+            && self.notices.try_take_permit(request, now_ms)
     }
 
     pub(crate) fn is_suspect(&self) -> bool {
@@ -397,7 +408,7 @@
         is_first: bool,
     ) -> Reservation {
         engine.own_token_layers.fetch_add(token_layers, Relaxed);
-        engine.own_first.fetch_add(is_first.into(), Relaxed);
+        engine.own_first_count.fetch_add(is_first.into(), Relaxed);
         Reservation { engine: engine.clone(), token_layers, is_first }
     }
 }
@@ -406,6 +417,6 @@
     fn drop(&mut self) {
         let engine = &self.engine;
         engine.own_token_layers.fetch_sub(self.token_layers, Relaxed);
-        engine.own_first.fetch_sub(self.is_first.into(), Relaxed);
+        engine.own_first_count.fetch_sub(self.is_first.into(), Relaxed);
     }
 }
--- a/crates/direct/src/cluster/engine_watcher.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -22,29 +22,29 @@
 };
 
 /// Entries that watch an engine: one may be busy, cut off or about to end.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_ENGINE: usize = 2;
 /// An entry that has just started does not know the others yet, and would
 /// watch all engines.
-const LEAST_AGE_MS: u64 = 1_800;
+const MIN_UPTIME_MS: u64 = 1_800;
 /// Time between looks at whose duty an engine is.
-const LOOK: Duration = Duration::from_millis(500);
+const ASSIGNMENT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for a dial, which is in no hurry.
-const DIAL: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// A connection that ends sooner makes the next dial wait longer: an engine
 /// with a long queue resets those that it has no room for.
-const LIVES_MS: u64 = 500;
+const SHORT_CONNECTION_MS: u64 = 500;
 /// Pause before the next dial then, and most doublings of it.
-const REDIAL: Duration = Duration::from_millis(300);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(300);
 const MAX_DOUBLINGS: u32 = 4;
 
 /// The live entries of each data centre, by its index.
-struct Around {
-    here: BTreeMap<usize, Vec<u64>>,
+struct LiveEntries {
+    by_data_centre: BTreeMap<usize, Vec<u64>>,
     all: Vec<u64>,
 }
 
-impl Around {
-    fn new(core: &Core) -> Around {
+impl LiveEntries {
+    fn new(core: &Core) -> LiveEntries {
         let names = core.settings.data_centres.iter().enumerate();
         let now_ms = now_ms();
         let mut here: BTreeMap<usize, Vec<u64>> = names
@@ -52,20 +52,20 @@
             .collect();
         here.entry(core.own_data_centre()).or_default().push(core.boot_id);
         let all = here.values().flatten().copied().collect();
-        Around { here, all }
+        LiveEntries { by_data_centre: here, all }
     }
 
     /// Whether an engine is this entry's to watch: one of its data centre,
     /// or of one that has no entry.
-    fn is_own(&self, core: &Core, engine: &Engine) -> bool {
-        let here = self.here.get(&engine.data_centre);
+    fn is_assigned(&self, core: &Core, engine: &Engine) -> bool {
+        let here = self.by_data_centre.get(&engine.data_centre);
         let entries = here.filter(|h| !h.is_empty()).unwrap_or(&self.all);
         entries.contains(&core.boot_id)
             && duty::holds(
                 core.boot_id,
                 entries.iter().copied(),
                 engine.hash.into(),
-                WATCHERS,
+                WATCHERS_PER_ENGINE,
             )
     }
 }
@@ -73,14 +73,14 @@
 /// Watches the engines that are this entry's, until the process ends.
 pub(crate) async fn run(core: Arc<Core>) {
     loop {
-        Timer::after(LOOK).await;
-        if core.age_ms() < LEAST_AGE_MS {
+        Timer::after(ASSIGNMENT_CHECK_INTERVAL).await;
+        if core.age_ms() < MIN_UPTIME_MS {
             continue;
         }
-        let around = Around::new(&core);
+        let around = LiveEntries::new(&core);
         for engine in core.fleet.all() {
             if is_watchable(&core, &engine)
-                && around.is_own(&core, &engine)
+                && around.is_assigned(&core, &engine)
                 && !engine.is_watched.swap(true, Relaxed)
             {
                 let watch = watch(core.clone(), engine);
@@ -100,19 +100,19 @@
 async fn watch(core: Arc<Core>, engine: Arc<Engine>) {
     let mut short_lived = 0;
     while is_watchable(&core, &engine)
-        && Around::new(&core).is_own(&core, &engine)
+        && LiveEntries::new(&core).is_assigned(&core, &engine)
     {
         let since_ms = now_ms();
-        match Outbound::connect(engine.address, DIAL).await {
+        match Outbound::connect(engine.address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
-                probe::clear(&core, &engine);
+                probe::record_connected(&core, &engine);
                 connection.ended().await;
                 // Idle for long, or its process has ended: the next dial
                 // shows.
             }
             Err(e) => probe::record_unreachable(&core, &engine, &e),
         }
-        if now_ms() - since_ms >= LIVES_MS {
+        if now_ms() - since_ms >= SHORT_CONNECTION_MS {
             short_lived = 0;
             continue;
         }
@@ -120,7 +120,7 @@
         let doublings = (short_lived - 1).min(MAX_DOUBLINGS);
         // The first time at once: it may have ended just after the dial.
         if short_lived > 1 {
-            Timer::after(REDIAL * (1 << doublings)).await;
+            Timer::after(RECONNECT_PAUSE * (1 << doublings)).await;
         }
     }
     engine.is_watched.store(false, Relaxed);
--- a/crates/direct/src/cluster/feed_follower.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -24,97 +24,97 @@
     clock::now_ms,
     cluster::{
         backend_rows,
-        feed_health::Health,
-        feed_server::Asker,
-        feeds::{Feed, STALE_MS, rows_of},
+        feed_health::StoreHealth,
+        feed_server::FeedClient,
+        feeds::{Feed, STALE_MS, into_rows},
     },
     core::Core,
 };
 
 /// Wait of a call of the configuration's feed. Two calls that fail must fit
 /// into the bound on withdrawn keys, 5 s in the shipped deployments.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(2_200);
+const CONFIGURATION_POLL_WAIT: Duration = Duration::from_millis(2_200);
 /// Wait of a call of the list's feed.
-const LIST_WAIT: Duration = Duration::from_millis(3_500);
+const BACKENDS_POLL_WAIT: Duration = Duration::from_millis(3_500);
 /// Wait of either at the store where others ask this entry: what they know
 /// is as much older as a call waits.
-const READER_WAIT: Duration = Duration::from_millis(1_200);
+const SHARED_READER_WAIT: Duration = Duration::from_millis(1_200);
 /// Age of what is known from which on a call waits only so long at the store:
 /// who asks it in place of a reader that failed must know at once.
-const OLD_MS: u64 = 1_000;
-const WAIT_WHILE_OLD: Duration = Duration::from_millis(50);
+const SHORT_WAIT_AGE_MS: u64 = 1_000;
+const STALE_READER_WAIT: Duration = Duration::from_millis(50);
 /// Wait of either at another entry.
-const ENTRY_WAIT: Duration = Duration::from_millis(600);
+const PEER_WAIT: Duration = Duration::from_millis(600);
 /// The same where what is known is old, and the next one may know better.
-const ENTRY_WAIT_WHILE_OLD: Duration = Duration::from_millis(150);
+const STALE_PEER_WAIT: Duration = Duration::from_millis(150);
 /// Age from which on the next one hardly knows better: the store is away.
-const HOPELESS_MS: u64 = 4_000;
+const OUTAGE_AGE_MS: u64 = 4_000;
 /// Shortest time between two lines that tell which other entry is asked.
-const TOLD_EVERY_MS: u64 = 5_000;
+const SOURCE_LOG_INTERVAL_MS: u64 = 5_000;
 /// Time beyond its wait after which a call counts as lost.
-const CALL_SLACK: Duration = Duration::from_millis(500);
+const STORE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 /// The same at another entry, which is near.
-const ENTRY_SLACK: Duration = Duration::from_millis(250);
+const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 /// Time for reading a whole table.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 /// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Pause between calls of the list, so that changes that come together cost
 /// one call.
-const LIST_PAUSE: Duration = Duration::from_millis(250);
+const BACKENDS_PAUSE: Duration = Duration::from_millis(250);
 /// Entries for which the pause is once as long, and most times that it is.
-const ENTRIES_FOR_PAUSE: u32 = 12;
+const ENTRIES_PER_PAUSE: u32 = 12;
 const MAX_PAUSES: u32 = 2;
 
 /// What a feed brings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Kind {
+enum FeedKind {
     Configuration,
     Backends,
 }
 
 /// Follows the configuration.
 pub(crate) async fn follow_configuration(core: Arc<Core>) {
-    Follower::new(core, Kind::Configuration).run().await;
+    Follower::new(core, FeedKind::Configuration).run().await;
 }
 
 /// Follows the list of backend servers.
 pub(crate) async fn follow_backends(core: Arc<Core>) {
-    Follower::new(core, Kind::Backends).run().await;
+    Follower::new(core, FeedKind::Backends).run().await;
 }
 
 struct Follower {
     core: Arc<Core>,
-    kind: Kind,
+    kind: FeedKind,
     store: StoreClient,
-    asker: Option<Asker>,
-    health: Health,
+    client: Option<FeedClient>,
+    health: StoreHealth,
     /// Version up to which everything was taken.
-    after: Option<u64>,
+    applied_version: Option<u64>,
     /// Whom it asked last.
     source: Source,
     /// When that was last told.
-    told_ms: u64,
+    source_logged_ms: u64,
 }
 
 impl Follower {
-    fn new(core: Arc<Core>, kind: Kind) -> Follower {
+    fn new(core: Arc<Core>, kind: FeedKind) -> Follower {
         let store = StoreClient::new(core.settings.store_address);
-        let table = feed_of(&core, kind).table;
+        let table = feed_for(&core, kind).table;
         Follower {
             core,
             kind,
             store,
-            asker: None,
-            health: Health::new(table),
-            after: None,
+            client: None,
+            health: StoreHealth::new(table),
+            applied_version: None,
             source: Source::Store,
-            told_ms: 0,
+            source_logged_ms: 0,
         }
     }
 
     fn feed(&self) -> &Feed {
-        feed_of(&self.core, self.kind)
+        feed_for(&self.core, self.kind)
     }
 
     async fn run(mut self) {
@@ -125,12 +125,12 @@
                 others: &others,
                 must_read: self.core.is_planner.load(Relaxed),
             };
-            let source = self.feed().choose(&around);
-            self.note_source(source);
+            let source = self.feed().choose_source(&around);
+            self.change_source(source);
             let is_shared = others.len() + 1 >= FEWEST;
             let outcome = match source {
-                Source::Store => self.ask_store(is_shared).await,
-                Source::Entry(entry) => self.ask_entry(entry).await,
+                Source::Store => self.fetch_from_store(is_shared).await,
+                Source::Entry(entry) => self.fetch_from_peer(entry).await,
             };
             self.feed().record_outcome(source, outcome);
             self.pause(source, outcome).await;
@@ -141,157 +141,163 @@
         if outcome == Outcome::Failed {
             Timer::after(RETRY_PAUSE).await;
         }
-        if self.kind == Kind::Backends && source == Source::Store {
-            Timer::after(list_pause(&self.core)).await;
+        if self.kind == FeedKind::Backends && source == Source::Store {
+            Timer::after(backends_pause(&self.core)).await;
         }
     }
 
-    async fn ask_store(&mut self, is_shared: bool) -> Outcome {
-        let result = match self.after {
-            None => self.read_store().await,
-            Some(version) => self.feed_store(version, is_shared).await,
+    async fn fetch_from_store(&mut self, is_shared: bool) -> Outcome {
+        let result = match self.applied_version {
+            None => self.read_full_table().await,
+            Some(version) => self.poll_store(version, is_shared).await,
         };
         match result {
             Ok(version) => {
-                let feed = feed_of(&self.core, self.kind);
-                self.health.answered(feed, version);
-                self.note_reached();
-                self.after = Some(version);
+                let feed = feed_for(&self.core, self.kind);
+                self.health.record_response(feed, version);
+                self.record_store_available();
+                self.applied_version = Some(version);
                 Outcome::Fresh
             }
             Err(StoreError::HistoryGone) => {
-                self.after = None;
+                self.applied_version = None;
                 Outcome::Fresh
             }
             Err(e) => {
-                self.health.failed(&self.core, &e);
-                self.note_lost();
+                self.health.record_failure(&self.core, &e);
+                self.record_store_failure();
                 Outcome::Failed
             }
         }
     }
 
-    async fn read_store(&self) -> Result<u64, StoreError> {
+    async fn read_full_table(&self) -> Result<u64, StoreError> {
         let asked_ms = now_ms();
         let table = self.feed().table;
         let rows = self.store.read_table(table, READ_TIMEOUT).await?;
-        self.take_all(&rows);
-        self.confirm(asked_ms);
+        self.apply_all(&rows);
+        self.record_confirmed(asked_ms);
         Ok(rows.version)
     }
 
-    async fn feed_store(
+    async fn poll_store(
         &self,
         after: u64,
         is_shared: bool,
     ) -> Result<u64, StoreError> {
         let usual = match (is_shared, self.kind) {
-            (true, _) if self.feed().age_ms() > OLD_MS => WAIT_WHILE_OLD,
-            (true, _) => READER_WAIT,
-            (false, Kind::Configuration) => CONFIGURATION_WAIT,
-            (false, Kind::Backends) => LIST_WAIT,
+            (true, _) if self.feed().age_ms() > SHORT_WAIT_AGE_MS => {
+                STALE_READER_WAIT
+            }
+            (true, _) => SHARED_READER_WAIT,
+            (false, FeedKind::Configuration) => CONFIGURATION_POLL_WAIT,
+            (false, FeedKind::Backends) => BACKENDS_POLL_WAIT,
         };
-        let wait = self.health.wait(usual);
+        let wait = self.health.poll_wait(usual);
         let asked_ms = now_ms();
         let table = self.feed().table;
-        let feed = self.store.feed(table, after, wait, wait + CALL_SLACK);
+        let feed =
+            self.store.feed(table, after, wait, wait + STORE_TIMEOUT_MARGIN);
         let rows = feed.await?;
-        self.take_changes(&rows);
+        self.apply_changes(&rows);
         // A call that came back empty has waited at the store.
         let waited_ms = match rows.rows.is_empty() {
             true => wait.as_millis() as u64,
             false => 0,
         };
-        self.confirm((asked_ms + waited_ms).min(now_ms()));
+        self.record_confirmed((asked_ms + waited_ms).min(now_ms()));
         Ok(rows.version.max(after))
     }
 
-    async fn ask_entry(&mut self, entry: u64) -> Outcome {
+    async fn fetch_from_peer(&mut self, entry: u64) -> Outcome {
         let Some(address) = self.core.peers.feed_address(entry) else {
             return Outcome::Failed;
         };
-        let kept = self.asker.take().filter(|a| a.address() == address);
-        let asker = kept.unwrap_or_else(|| Asker::new(address));
+        let kept = self.client.take().filter(|a| a.address() == address);
+        let asker = kept.unwrap_or_else(|| FeedClient::new(address));
         let table = self.feed().table;
         let wait = match self.feed().age_ms() {
-            STALE_MS..HOPELESS_MS => ENTRY_WAIT_WHILE_OLD,
-            _ => ENTRY_WAIT,
+            STALE_MS..OUTAGE_AGE_MS => STALE_PEER_WAIT,
+            _ => PEER_WAIT,
         };
-        let timeout = wait + ENTRY_SLACK;
-        let asked = asker.ask(table, self.after, wait, timeout).await;
+        let timeout = wait + PEER_TIMEOUT_MARGIN;
+        let asked =
+            asker.fetch(table, self.applied_version, wait, timeout).await;
         let Some(asked) = asked else { return Outcome::Failed };
-        self.asker = Some(asker);
+        self.client = Some(asker);
         let answer = asked.answer;
         let age_ms = answer.confirmed_age_ms;
-        let confirmed_ms = asked.made_ms.saturating_sub(age_ms);
+        let confirmed_ms = asked.created_ms.saturating_sub(age_ms);
         if let Some(back_age_ms) = answer.back_age_ms {
-            let back_ms = asked.made_ms.saturating_sub(back_age_ms);
-            self.feed().note_back(back_ms);
+            let back_ms = asked.created_ms.saturating_sub(back_age_ms);
+            self.feed().record_recovery(back_ms);
         }
         let is_whole = answer.is_whole;
-        let rows = rows_of(answer);
+        let rows = into_rows(answer);
         match is_whole {
-            true => self.take_all(&rows),
-            false => self.take_changes(&rows),
+            true => self.apply_all(&rows),
+            false => self.apply_changes(&rows),
         }
-        self.after = self.after.max(Some(rows.version));
-        self.confirm(confirmed_ms);
+        self.applied_version = self.applied_version.max(Some(rows.version));
+        self.record_confirmed(confirmed_ms);
         if age_ms > STALE_MS {
             return Outcome::Stale;
         }
-        self.health.set_aside();
-        self.note_reached();
+        self.health.record_peer_response();
+        self.record_store_available();
         Outcome::Fresh
     }
 
     /// Takes all rows, unless what is known here is newer, as it may be than
     /// what another entry knows.
-    fn take_all(&self, rows: &Rows) {
+    fn apply_all(&self, rows: &Rows) {
         if !self.feed().replace(rows) {
             return;
         }
         match self.kind {
-            Kind::Configuration => {
+            FeedKind::Configuration => {
                 for row in &rows.rows {
                     apply_configuration(&self.core, row);
                 }
             }
-            Kind::Backends => backend_rows::apply_all(&self.core, rows),
+            FeedKind::Backends => backend_rows::apply_all(&self.core, rows),
         }
     }
 
-    fn take_changes(&self, rows: &Rows) {
-        self.feed().extend(rows);
+    fn apply_changes(&self, rows: &Rows) {
+        self.feed().apply_changes(rows);
         for row in &rows.rows {
             match self.kind {
-                Kind::Configuration => apply_configuration(&self.core, row),
-                Kind::Backends => backend_rows::apply(&self.core, row),
+                FeedKind::Configuration => {
+                    apply_configuration(&self.core, row)
+                }
+                FeedKind::Backends => backend_rows::apply(&self.core, row),
             }
         }
     }
 
-    fn confirm(&self, then_ms: u64) {
-        self.feed().confirm(then_ms);
-        if self.kind == Kind::Configuration {
+    fn record_confirmed(&self, then_ms: u64) {
+        self.feed().record_confirmed(then_ms);
+        if self.kind == FeedKind::Configuration {
             self.core.confirm(then_ms);
         }
     }
 
-    fn note_reached(&self) {
-        if self.kind == Kind::Configuration {
+    fn record_store_available(&self) {
+        if self.kind == FeedKind::Configuration {
             self.core.store_lost_ms.store(0, Relaxed);
         }
     }
 
-    fn note_lost(&self) {
-        if self.kind == Kind::Configuration {
+    fn record_store_failure(&self) {
+        if self.kind == FeedKind::Configuration {
             self.core.note_store_lost();
             // What the key check says may have changed by time alone.
             self.core.are_keys_fresh();
         }
     }
 
-    fn note_source(&mut self, source: Source) {
+    fn change_source(&mut self, source: Source) {
         if source == self.source {
             return;
         }
@@ -303,10 +309,12 @@
         self.feed().set_source(source);
         // While the store is away, one entry after the other is asked.
         let now_ms = now_ms();
-        if is_same_kind && now_ms < self.told_ms + TOLD_EVERY_MS {
+        if is_same_kind
+            && now_ms < self.source_logged_ms + SOURCE_LOG_INTERVAL_MS
+        {
             return;
         }
-        self.told_ms = now_ms;
+        self.source_logged_ms = now_ms;
         let (name, boot_id) = match source {
             Source::Store => ("store", String::new()),
             Source::Entry(boot_id) => ("entry", boot_id.to_string()),
@@ -323,18 +331,18 @@
     }
 }
 
-fn feed_of(core: &Core, kind: Kind) -> &Feed {
+fn feed_for(core: &Core, kind: FeedKind) -> &Feed {
     match kind {
-        Kind::Configuration => &core.feeds.configuration,
-        Kind::Backends => &core.feeds.backends,
+        FeedKind::Configuration => &core.feeds.configuration,
+        FeedKind::Backends => &core.feeds.backends,
     }
 }
 
 /// Every change of the list costs a call of each entry, so many entries take
 /// more changes together.
-fn list_pause(core: &Core) -> Duration {
+fn backends_pause(core: &Core) -> Duration {
     let entries = core.peers.entry_count() as u32;
-    LIST_PAUSE * (entries / ENTRIES_FOR_PAUSE).clamp(1, MAX_PAUSES)
+    BACKENDS_PAUSE * (entries / ENTRIES_PER_PAUSE).clamp(1, MAX_PAUSES)
 }
 
 fn apply_configuration(core: &Core, row: &Row) {
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -22,12 +22,12 @@
 use crate::{clock::now_ms, cluster::feeds::Feed, core::Core};
 
 /// Longest wait that another entry is given.
-const MOST_WAIT: Duration = Duration::from_millis(2_000);
+const MAX_WAIT: Duration = Duration::from_millis(2_000);
 /// Connections at once: entries of a data centre, with both feeds, while old
 /// connections are not closed yet.
 const MAX_CONNECTIONS: usize = 256;
 /// Time for a connection within a data centre.
-const DIAL: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Longest answer: a configuration of 1,600 accounts is far below it.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
@@ -48,7 +48,7 @@
         let serve = async move {
             let _slot = accepted.slot;
             let options = ServerOptions::new();
-            let answer = |received| answer(&core_here, received);
+            let answer = |received| handle(&core_here, received);
             // Who asked dials again, whatever became of this connection.
             let _ = serve_connection(accepted.socket, &options, answer).await;
         };
@@ -56,7 +56,7 @@
     }
 }
 
-async fn answer(core: &Core, received: Received) -> Response {
+async fn handle(core: &Core, received: Received) -> Response {
     let url = received.request.url();
     let number = |name: &str| {
         let mut pairs = url.query_pairs();
@@ -64,18 +64,18 @@
         pair.1.parse::<u64>().ok()
     };
     let table = url.path().strip_prefix("/feed/").unwrap_or("");
-    let Some(feed) = core.feeds.of(table) else {
+    let Some(feed) = core.feeds.by_table(table) else {
         return Response::new(404);
     };
-    feed.note_asked();
+    feed.record_request();
     let asked_ms = now_ms();
     let after = number("after");
     if let Some(after) = after {
         let wait = Duration::from_millis(number("wait-ms").unwrap_or(0));
-        wait_for_news(feed, after, wait.min(MOST_WAIT)).await;
+        wait_for_change(feed, after, wait.min(MAX_WAIT)).await;
     }
     let waited_ms = now_ms() - asked_ms;
-    let Some(answer) = feed.answer(after) else {
+    let Some(answer) = feed.response_after(after) else {
         return Response::new(503);
     };
     let answer = FeedAnswer { waited_ms, ..answer };
@@ -84,9 +84,9 @@
     response
 }
 
-async fn wait_for_news(feed: &Feed, after: u64, wait: Duration) {
+async fn wait_for_change(feed: &Feed, after: u64, wait: Duration) {
     let listed = feed.changed.list();
-    if feed.version().is_some() && feed.has_news(after) {
+    if feed.version().is_some() && feed.has_changes_after(after) {
         return;
     }
     let end = async {
@@ -96,24 +96,24 @@
 }
 
 /// What another entry answered.
-pub(crate) struct Asked {
+pub(crate) struct FetchedFeed {
     pub(crate) answer: FeedAnswer,
     /// Before this the answer was surely not made.
-    pub(crate) made_ms: u64,
+    pub(crate) created_ms: u64,
 }
 
 /// Asks another entry for what changed.
-pub(crate) struct Asker {
+pub(crate) struct FeedClient {
     client: Client,
 }
 
-impl Asker {
+impl FeedClient {
     /// Of the entry that answers at this address.
-    pub(crate) fn new(address: SocketAddr) -> Asker {
+    pub(crate) fn new(address: SocketAddr) -> FeedClient {
         let options = ClientOptions::new()
-            .connect_timeout(DIAL)
+            .connect_timeout(CONNECT_TIMEOUT)
             .max_answer_bytes(MAX_ANSWER_BYTES);
-        Asker { client: Client::new(address, options) }
+        FeedClient { client: Client::new(address, options) }
     }
 
     pub(crate) fn address(&self) -> SocketAddr {
@@ -121,13 +121,13 @@
     }
 
     /// What changed after a version within a wait.
-    pub(crate) async fn ask(
+    pub(crate) async fn fetch(
         &self,
         table: &str,
         after: Option<u64>,
         wait: Duration,
         timeout: Duration,
-    ) -> Option<Asked> {
+    ) -> Option<FetchedFeed> {
         let asked_ms = now_ms();
         let target = match after {
             Some(after) => {
@@ -146,6 +146,6 @@
         // It was made that long after it was asked for, at least; how long
         // either was on its way is not known.
         let made_ms = (asked_ms + answer.waited_ms).min(now_ms());
-        Some(Asked { answer, made_ms })
+        Some(FetchedFeed { answer, created_ms: made_ms })
     }
 }
--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -45,7 +45,7 @@
     }
 
     /// The feed of a table.
-    pub(crate) fn of(&self, table: &str) -> Option<&Feed> {
+    pub(crate) fn by_table(&self, table: &str) -> Option<&Feed> {
         let all = [&self.configuration, &self.backends];
         all.into_iter().find(|feed| feed.table == table)
     }
@@ -56,15 +56,15 @@
 pub(crate) struct Feed {
     pub(crate) table: &'static str,
     /// Number of the duty to read it.
-    duty: u64,
+    assignment: u64,
     copy: Mutex<TableCopy>,
     sources: Mutex<Sources>,
     /// When the store last confirmed the copy.
     confirmed_ms: AtomicU64,
     /// When the store was back after an outage; 0 if there was none.
-    back_ms: AtomicU64,
+    recovered_ms: AtomicU64,
     /// Boot id of the entry that is asked; 0 for the store.
-    asks: AtomicU64,
+    source_boot_id: AtomicU64,
     /// Those who wait for a change.
     pub(crate) changed: Nudges,
 }
@@ -73,18 +73,18 @@
     fn new(table: &'static str, duty: u64) -> Feed {
         Feed {
             table,
-            duty,
+            assignment: duty,
             copy: Mutex::default(),
             sources: Mutex::default(),
             confirmed_ms: AtomicU64::new(0),
-            back_ms: AtomicU64::new(0),
-            asks: AtomicU64::new(0),
+            recovered_ms: AtomicU64::new(0),
+            source_boot_id: AtomicU64::new(0),
             changed: Nudges::default(),
         }
     }
 
-    pub(crate) fn choose(&self, around: &Around<'_>) -> Source {
-        self.sources().choose(around, self.duty, now_ms())
+    pub(crate) fn choose_source(&self, around: &Around<'_>) -> Source {
+        self.sources().choose(around, self.assignment, now_ms())
     }
 
     /// Keeps whom this entry asks now, for operators.
@@ -93,12 +93,12 @@
             Source::Store => 0,
             Source::Entry(boot_id) => boot_id,
         };
-        self.asks.store(asks, Relaxed);
+        self.source_boot_id.store(asks, Relaxed);
     }
 
     /// What operators are shown.
     pub(crate) fn status(&self) -> serde_json::Value {
-        let asks = match self.asks.load(Relaxed) {
+        let asks = match self.source_boot_id.load(Relaxed) {
             0 => "store".to_owned(),
             boot_id => boot_id.to_string(),
         };
@@ -110,7 +110,7 @@
         })
     }
 
-    pub(crate) fn note_asked(&self) {
+    pub(crate) fn record_request(&self) {
         self.sources().note_asked(now_ms());
     }
 
@@ -128,29 +128,29 @@
     }
 
     /// The store confirmed the copy then, as far as is known.
-    pub(crate) fn confirm(&self, then_ms: u64) {
+    pub(crate) fn record_confirmed(&self, then_ms: u64) {
         self.confirmed_ms.fetch_max(then_ms, Relaxed);
     }
 
     pub(crate) fn back_ms(&self) -> u64 {
-        self.back_ms.load(Relaxed)
+        self.recovered_ms.load(Relaxed)
     }
 
-    pub(crate) fn note_back(&self, back_ms: u64) {
-        self.back_ms.fetch_max(back_ms, Relaxed);
+    pub(crate) fn record_recovery(&self, back_ms: u64) {
+        self.recovered_ms.fetch_max(back_ms, Relaxed);
     }
 
     /// Takes all rows; false where newer ones are known.
     pub(crate) fn replace(&self, rows: &Rows) -> bool {
-        let changes = rows.rows.iter().map(change_of).collect();
+        let changes = rows.rows.iter().map(row_change).collect();
         let is_taken = self.copy().replace(changes, rows.version);
         self.changed.nudge_all();
         is_taken
     }
 
     /// Takes rows that changed.
-    pub(crate) fn extend(&self, rows: &Rows) {
-        let changes = rows.rows.iter().map(change_of).collect();
+    pub(crate) fn apply_changes(&self, rows: &Rows) {
+        let changes = rows.rows.iter().map(row_change).collect();
         self.copy().extend(changes, rows.version);
         if !rows.rows.is_empty() {
             self.changed.nudge_all();
@@ -158,20 +158,23 @@
     }
 
     /// Whether the copy has something newer than a version.
-    pub(crate) fn has_news(&self, version: u64) -> bool {
+    pub(crate) fn has_changes_after(&self, version: u64) -> bool {
         self.copy().has_news(version)
     }
 
     /// What is told to an entry that knows a version; none while nothing is
     /// known here.
-    pub(crate) fn answer(&self, after: Option<u64>) -> Option<FeedAnswer> {
+    pub(crate) fn response_after(
+        &self,
+        after: Option<u64>,
+    ) -> Option<FeedAnswer> {
         let copy = self.copy();
         let version = copy.version()?;
         let changes = after.and_then(|after| copy.after(after));
         let is_whole = changes.is_none();
         let rows = match changes {
-            Some(changes) => changes.into_iter().map(told_row).collect(),
-            None => copy.all().map(told_row).collect(),
+            Some(changes) => changes.into_iter().map(feed_row).collect(),
+            None => copy.all().map(feed_row).collect(),
         };
         let back_ms = Some(self.back_ms()).filter(|ms| *ms > 0);
         Some(FeedAnswer {
@@ -194,7 +197,7 @@
 }
 
 /// Rows as the store would have answered them.
-pub(crate) fn rows_of(answer: FeedAnswer) -> Rows {
+pub(crate) fn into_rows(answer: FeedAnswer) -> Rows {
     let row = |told: FeedRow| Row {
         key: told.key,
         is_dropped: told.value.is_none(),
@@ -205,7 +208,7 @@
     Rows { rows: answer.rows.into_iter().map(row).collect(), version }
 }
 
-fn change_of(row: &Row) -> Change {
+fn row_change(row: &Row) -> Change {
     Change {
         key: row.key.clone(),
         value: (!row.is_dropped).then(|| row.value.clone()),
@@ -213,7 +216,7 @@
     }
 }
 
-fn told_row(change: &Change) -> FeedRow {
+fn feed_row(change: &Change) -> FeedRow {
     FeedRow {
         key: change.key.clone(),
         value: change.value.clone(),
--- a/crates/direct/src/cluster/fleet.rs
+++ b/crates/direct/src/cluster/fleet.rs
@@ -22,9 +22,9 @@
     engines: Mutex<BTreeMap<String, Arc<Engine>>>,
     /// The same as the path of a request reads them; none once they changed,
     /// until they are next read.
-    listed: ArcSwapOption<FleetIndex>,
+    index: ArcSwapOption<FleetIndex>,
     /// Latest end of a rest that any of them asked for.
-    rest_until_ms: AtomicU64,
+    latest_cooldown_until_ms: AtomicU64,
 }
 
 /// Backend servers by what they are sought by.
@@ -54,13 +54,13 @@
 }
 
 /// What came of a row.
-pub(crate) enum Applied {
+pub(crate) enum RowOutcome {
     /// The start was known.
     Known,
     /// A start that was not known; what ran under its id has ended.
     New,
     /// It is older than what is known, or tells no start where one is known.
-    OfEarlierStart,
+    EarlierStart,
 }
 
 impl Fleet {
@@ -83,13 +83,13 @@
 
     /// All backend servers, for look-ups.
     pub(crate) fn index(&self) -> Arc<FleetIndex> {
-        match &*self.listed.load() {
+        match &*self.index.load() {
             Some(listed) => listed.clone(),
-            None => self.list(),
+            None => self.rebuild_index(),
         }
     }
 
-    fn list(&self) -> Arc<FleetIndex> {
+    fn rebuild_index(&self) -> Arc<FleetIndex> {
         let engines = self.lock();
         let mut of_services: BTreeMap<String, ServiceEngines> =
             BTreeMap::new();
@@ -105,7 +105,7 @@
             by_hash: by_hash.collect(),
         });
         // Under the lock: a change after it takes this out again.
-        self.listed.store(Some(listed.clone()));
+        self.index.store(Some(listed.clone()));
         listed
     }
 
@@ -134,25 +134,25 @@
         row_version: u64,
         data_centre: usize,
         is_whole: bool,
-    ) -> Applied {
+    ) -> RowOutcome {
         let known = self.get(&row.id);
         let told = known.as_ref().map_or(StartOrder::Later, |known| {
             StartOrder::of(row.started_unix_ms, known.started_unix_ms)
         });
         if told == StartOrder::Earlier {
-            return Applied::OfEarlierStart;
+            return RowOutcome::EarlierStart;
         }
         if known.is_some() || !is_whole {
-            note_listed(&row, row_version, known.as_deref());
+            log_listed(&row, row_version, known.as_deref());
         }
         if let Some(engine) = &known
             && told == StartOrder::Same
         {
             let mut state = engine.lock();
             if row_version >= state.row_version {
-                state.take_row(row, row_version);
+                state.apply_row(row, row_version);
             }
-            return Applied::Known;
+            return RowOutcome::Known;
         }
         if let Some(old) = &known {
             old.lock().is_replaced = true;
@@ -164,13 +164,13 @@
         let engine = Arc::new(Engine::new(row, row_version, data_centre));
         let mut engines = self.lock();
         engines.insert(engine.id.clone(), engine);
-        self.listed.store(None);
-        Applied::New
+        self.index.store(None);
+        RowOutcome::New
     }
 
     /// Takes that the list has no row of an engine under an id; true if an
     /// engine is used no more for it.
-    pub(crate) fn disown(&self, id: &str) -> bool {
+    pub(crate) fn mark_row_unusable(&self, id: &str) -> bool {
         let Some(engine) = self.get(id) else { return false };
         let was_unusable =
             std::mem::replace(&mut engine.lock().is_row_unusable, true);
@@ -185,14 +185,14 @@
             let told = moves.iter().find(|told| told.engine == engine.hash);
             let to = told
                 .map(|told| LayerRange::new(told.first_layer, told.end_layer));
-            is_any_new |= engine.lock().take_move(to);
+            is_any_new |= engine.lock().set_planned_layers(to);
         }
         is_any_new
     }
 
     /// A backend server asked for rest until then.
     pub(crate) fn record_cooldown(&self, until_ms: u64) {
-        self.rest_until_ms.fetch_max(until_ms, Relaxed);
+        self.latest_cooldown_until_ms.fetch_max(until_ms, Relaxed);
     }
 
     /// Time until the first of some backend servers is ready that could be
@@ -204,7 +204,7 @@
         engines: impl Iterator<Item = &'a Arc<Engine>>,
         now_ms: u64,
     ) -> Option<u64> {
-        if now_ms >= self.rest_until_ms.load(Relaxed) {
+        if now_ms >= self.latest_cooldown_until_ms.load(Relaxed) {
             return None;
         }
         let left_ms = |engine: &Arc<Engine>| {
@@ -219,7 +219,7 @@
     pub(crate) fn remove(&self, id: &str) -> Option<Arc<Engine>> {
         let engine = {
             let mut engines = self.lock();
-            self.listed.store(None);
+            self.index.store(None);
             engines.remove(id)?
         };
         engine.lock().is_removed = true;
@@ -243,7 +243,7 @@
     accepts_work(state, now_ms) && !state.is_in_cooldown(now_ms)
 }
 
-fn note_listed(row: &Backend, row_version: u64, known: Option<&Engine>) {
+fn log_listed(row: &Backend, row_version: u64, known: Option<&Engine>) {
     let is_same = known.is_some_and(|engine| {
         let old = &engine.lock().row;
         old.state == row.state
--- a/crates/direct/src/cluster/notices.rs
+++ b/crates/direct/src/cluster/notices.rs
@@ -25,14 +25,14 @@
 /// Time over which requests of this entry are counted for the logs.
 const SENT_WINDOW_MS: u64 = 4_000;
 /// Shortest time between two lines, or alerts, that tell of the same limit.
-const TOLD_EVERY_MS: u64 = 1_000;
+const MIN_REPORT_INTERVAL_MS: u64 = 1_000;
 /// Change of a limit that others are told of at once.
-const TELLING_CHANGE: f64 = 0.1;
+const MIN_REPORTED_CHANGE: f64 = 0.1;
 /// How long others are told of an answer that ended a limit.
-const END_TOLD_MS: u64 = 3_000;
+const LIMIT_END_REPORT_MS: u64 = 3_000;
 
 /// How long an issuer that does not answer is not asked.
-const AVOIDED_MS: u64 = 1_000;
+const ISSUER_BACKOFF_MS: u64 = 1_000;
 
 /// What one backend server said of itself.
 #[derive(Debug, Default)]
@@ -47,11 +47,11 @@
     limit: ServerLimit,
     /// When the request of the last answer to this entry that named none was
     /// sent.
-    own_unnamed_ms: Option<u64>,
+    own_absent_sent_ms: Option<u64>,
     /// When a limit last ended.
     ended_ms: Option<u64>,
     /// When the logs and the others were last told of the limit, and which.
-    told: Option<(u64, f64)>,
+    last_reported: Option<(u64, f64)>,
     /// When requests of this entry were sent.
     sent: VecDeque<u64>,
     permits: PermitStock,
@@ -65,14 +65,14 @@
 struct Issuer {
     boot_id: u64,
     /// One that did not answer, and until when it is not asked.
-    avoided: Option<(u64, u64)>,
+    backoff: Option<(u64, u64)>,
 }
 
 /// What a change of what is known came to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Change {
     None,
-    Named,
+    Announced,
     Ended(u64),
 }
 
@@ -83,7 +83,7 @@
 
     /// A request of this entry goes to the server.
     pub(crate) fn record_sent(&self, now_ms: u64) {
-        self.lock().sent_of_late(now_ms).push_back(now_ms);
+        self.lock().recent_sent(now_ms).push_back(now_ms);
     }
 
     /// The limit that holds.
@@ -101,7 +101,7 @@
 
     /// Takes the permit for a request, where it needs one; false if there is
     /// none.
-    pub(crate) fn try_take(&self, request: u64, now_ms: u64) -> bool {
+    pub(crate) fn try_take_permit(&self, request: u64, now_ms: u64) -> bool {
         !self.is_limited.load(Relaxed)
             || self.lock().permits.try_take(request, now_ms)
     }
@@ -118,12 +118,12 @@
     }
 
     /// What the issuer is to be told now.
-    pub(crate) fn ask(&self, now_ms: u64) -> Option<Ask> {
+    pub(crate) fn next_permit_request(&self, now_ms: u64) -> Option<Ask> {
         self.lock().permits.ask(now_ms)
     }
 
     /// Takes what the issuer grants.
-    pub(crate) fn hear_grant(
+    pub(crate) fn apply_grant(
         &self,
         from: u64,
         grant: Grant,
@@ -150,10 +150,10 @@
         let mut state = self.lock();
         if state.permits.is_unanswered(now_ms) {
             let silent = state.issuer.boot_id;
-            state.issuer.avoided = Some((silent, now_ms + AVOIDED_MS));
+            state.issuer.backoff = Some((silent, now_ms + ISSUER_BACKOFF_MS));
             state.permits.change_issuer();
         }
-        let avoided = state.issuer.avoided;
+        let avoided = state.issuer.backoff;
         let avoided = avoided.filter(|(_, until_ms)| *until_ms > now_ms);
         let avoided: Vec<u64> = avoided.map(|a| a.0).into_iter().collect();
         state.issuer.boot_id = choose(&avoided);
@@ -167,7 +167,7 @@
         let in_force = state.limit.in_force();
         let is_ended_of_late = state
             .ended_ms
-            .is_some_and(|at| now_ms.saturating_sub(at) < END_TOLD_MS);
+            .is_some_and(|at| now_ms.saturating_sub(at) < LIMIT_END_REPORT_MS);
         let is_any =
             in_force.is_some() || is_ended_of_late || state.has_said_leaving;
         if !is_any {
@@ -178,7 +178,7 @@
             engine: 0,
             limit_per_s: in_force.map_or(0.0, |named| named.per_s),
             named_age_ms: in_force.map_or(0, |n| age_ms(n.received_ms)),
-            unnamed_age_ms: state.own_unnamed_ms.map(age_ms),
+            unnamed_age_ms: state.own_absent_sent_ms.map(age_ms),
             issuer: state.issuer.boot_id,
             is_leaving: state.has_said_leaving,
         })
@@ -192,14 +192,14 @@
             "per_s": limit.per_s,
             "named_age_ms": now_ms.saturating_sub(limit.received_ms),
             "issuer": state.issuer.boot_id.to_string(),
-            "sent_4s": state.sent_of_late(now_ms).len(),
+            "sent_4s": state.recent_sent(now_ms).len(),
         })
     }
 }
 
 impl State {
     /// Requests of this entry within the window.
-    fn sent_of_late(&mut self, now_ms: u64) -> &mut VecDeque<u64> {
+    fn recent_sent(&mut self, now_ms: u64) -> &mut VecDeque<u64> {
         let is_old = |at: &u64| at + SENT_WINDOW_MS < now_ms;
         while self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
@@ -208,7 +208,7 @@
     }
 
     /// Changes what is known of the limit; what came of it.
-    fn change(
+    fn update_limit(
         &mut self,
         change: impl FnOnce(&mut ServerLimit),
         now_ms: u64,
@@ -220,19 +220,19 @@
                 self.ended_ms = Some(now_ms);
                 Change::Ended(ended.received_ms)
             }
-            (None, Some(_)) => Change::Named,
+            (None, Some(_)) => Change::Announced,
             _ => Change::None,
         }
     }
 
     /// Whether the logs and the others are to be told of the limit now.
-    fn is_to_be_told(&mut self, per_s: f64, now_ms: u64) -> bool {
-        let is_known = self.told.is_some_and(|(at_ms, told)| {
-            let is_same = (per_s - told).abs() <= TELLING_CHANGE * told;
-            now_ms.saturating_sub(at_ms) < TOLD_EVERY_MS && is_same
+    fn should_report(&mut self, per_s: f64, now_ms: u64) -> bool {
+        let is_known = self.last_reported.is_some_and(|(at_ms, told)| {
+            let is_same = (per_s - told).abs() <= MIN_REPORTED_CHANGE * told;
+            now_ms.saturating_sub(at_ms) < MIN_REPORT_INTERVAL_MS && is_same
         });
         if !is_known {
-            self.told = Some((now_ms, per_s));
+            self.last_reported = Some((now_ms, per_s));
         }
         !is_known
     }
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -20,10 +20,10 @@
 const MISDIRECTED: u16 = 421;
 /// Most that a message takes from one entry to another: what it tells of an
 /// answer without a limit is taken to be that much older.
-const MESSAGE_MS: u64 = 50;
+const MAX_MESSAGE_DELAY_MS: u64 = 50;
 /// Names of who got an answer: this entry, or another one that told.
 const OWN: &str = "own";
-const TOLD: &str = "told";
+const PEER: &str = "told";
 
 /// The head of an answer, with what it answers.
 #[derive(Clone, Copy)]
@@ -43,9 +43,9 @@
     if answered.head.status == MISDIRECTED {
         return;
     }
-    take_rest(core, engine, answered);
+    apply_cooldown(core, engine, answered);
     if notices::is_leaving(answered.head.values(notices::LEAVING)) {
-        take_leaving(core, engine, answered.request, OWN);
+        apply_leaving(core, engine, answered.request, OWN);
     }
     let now_ms = now_ms();
     let values = answered.head.values(notices::LIMIT);
@@ -54,26 +54,31 @@
             let name = |limit: &mut ServerLimit| {
                 limit.note_named(per_s, now_ms);
             };
-            engine.notices.lock().change(name, now_ms)
+            engine.notices.lock().update_limit(name, now_ms)
         }
         LimitNotice::None => {
             let sent_ms = answered.sent_ms;
             let mut state = engine.notices.lock();
-            state.own_unnamed_ms = state.own_unnamed_ms.max(Some(sent_ms));
-            state.change(|limit| limit.note_unnamed(sent_ms), now_ms)
+            state.own_absent_sent_ms =
+                state.own_absent_sent_ms.max(Some(sent_ms));
+            state.update_limit(|limit| limit.note_unnamed(sent_ms), now_ms)
         }
         LimitNotice::Malformed => {
             core.metrics.malformed_limits.inc();
             Change::None
         }
     };
-    let source = Source { name: OWN, request: answered.request };
+    let source = NoticeSource { name: OWN, request: answered.request };
     let age_ms = now_ms.saturating_sub(answered.sent_ms);
-    settle(core, engine, change, &source, age_ms);
+    publish_change(core, engine, change, &source, age_ms);
 }
 
 /// Takes a rest that a server wants.
-fn take_rest(core: &Core, engine: &Engine, answered: &ResponseContext<'_>) {
+fn apply_cooldown(
+    core: &Core,
+    engine: &Engine,
+    answered: &ResponseContext<'_>,
+) {
     let head = answered.head;
     let rest = match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
         RestNotice::None => return,
@@ -103,7 +108,7 @@
 
 /// Takes that a server said that it leaves: it gets nothing new, and streams
 /// leave it as they do one that the list says drains.
-fn take_leaving(
+fn apply_leaving(
     core: &Core,
     engine: &Engine,
     request: &str,
@@ -113,13 +118,13 @@
     let listed_ms = {
         let mut state = engine.lock();
         let listed_ms = state.leaving_ms(now_ms);
-        if !state.say_leaving(now_ms) {
+        if !state.mark_leaving(now_ms) {
             return;
         }
         listed_ms
     };
     engine.notices.lock().has_said_leaving = true;
-    core.permits.note_change(engine.hash);
+    core.permits.record_change(engine.hash);
     core.streams.nudge_all();
     if source == OWN {
         core.alerts.queue_notice(engine.hash);
@@ -143,7 +148,7 @@
     told: &EngineNotice,
 ) {
     if told.is_leaving {
-        take_leaving(core, engine, "", TOLD);
+        apply_leaving(core, engine, "", PEER);
     }
     let now_ms = now_ms();
     let ago = |age_ms: u64| now_ms.saturating_sub(age_ms);
@@ -153,26 +158,28 @@
             limit.note_named(told.limit_per_s, ago(told.named_age_ms));
         }
         if let Some(age_ms) = told.unnamed_age_ms {
-            limit.note_unnamed(ago(age_ms).saturating_sub(MESSAGE_MS));
+            limit.note_unnamed(
+                ago(age_ms).saturating_sub(MAX_MESSAGE_DELAY_MS),
+            );
         }
     };
-    let change = engine.notices.lock().change(take, now_ms);
-    let source = Source { name: TOLD, request: "" };
-    settle(core, engine, change, &source, told.named_age_ms);
+    let change = engine.notices.lock().update_limit(take, now_ms);
+    let source = NoticeSource { name: PEER, request: "" };
+    publish_change(core, engine, change, &source, told.named_age_ms);
 }
 
 /// From whom a change is known.
-struct Source<'a> {
+struct NoticeSource<'a> {
     name: &'static str,
     request: &'a str,
 }
 
 /// Puts a change in force, and tells of it.
-fn settle(
+fn publish_change(
     core: &Core,
     engine: &Engine,
     change: Change,
-    source: &Source<'_>,
+    source: &NoticeSource<'_>,
     age_ms: u64,
 ) {
     let now_ms = now_ms();
@@ -180,12 +187,12 @@
     let limit = state.limit.in_force();
     engine.notices.is_limited.store(limit.is_some(), Relaxed);
     let is_to_be_told = match limit {
-        Some(named) => state.is_to_be_told(named.per_s, now_ms),
+        Some(named) => state.should_report(named.per_s, now_ms),
         None => change != Change::None,
     };
     drop(state);
     if change != Change::None {
-        core.permits.note_change(engine.hash);
+        core.permits.record_change(engine.hash);
     }
     if !is_to_be_told {
         return;
@@ -197,24 +204,24 @@
         Change::Ended(named_ms) => {
             let named_age_ms = now_ms.saturating_sub(named_ms);
             let event = Event::LimitEnded;
-            emit_limit(event, engine, source, ("named_age_ms", named_age_ms));
+            log_limit(event, engine, source, ("named_age_ms", named_age_ms));
         }
-        Change::None | Change::Named => {
+        Change::None | Change::Announced => {
             let event = Event::LimitNamed;
-            emit_limit(event, engine, source, ("answer_age_ms", age_ms));
+            log_limit(event, engine, source, ("answer_age_ms", age_ms));
         }
     }
 }
 
-fn emit_limit(
+fn log_limit(
     event: Event,
     engine: &Engine,
-    source: &Source<'_>,
+    source: &NoticeSource<'_>,
     (age_name, age_ms): (&'static str, u64),
 ) {
     let mut state = engine.notices.lock();
     let last = state.limit.last_named().map_or(0.0, |named| named.per_s);
-    let sent_4s = state.sent_of_late(now_ms()).len();
+    let sent_4s = state.recent_sent(now_ms()).len();
     drop(state);
     emit(
         event,
--- a/crates/direct/src/cluster/peer_table.rs
+++ b/crates/direct/src/cluster/peer_table.rs
@@ -20,7 +20,7 @@
 
 /// How long an entry shares what joins data centres after it used it: a part
 /// lets it cross once in some seconds only.
-const CROSSES_MS: u64 = 5_000;
+const INTERCONNECT_USE_MS: u64 = 5_000;
 /// Entries assumed before others were heard.
 const ASSUMED_ENTRIES: usize = 8;
 
@@ -32,15 +32,15 @@
     peers: Mutex<BTreeMap<SocketAddr, Peer>>,
     /// What processes told, by boot id. It outlives them for a window: what
     /// they sent counts that long.
-    told: Mutex<BTreeMap<u64, Told>>,
+    sent_reports: Mutex<BTreeMap<u64, SentReport>>,
     /// When entries fell silent that did not say that they stop, by address.
     lost_ms: Mutex<BTreeMap<SocketAddr, u64>>,
     /// Names of those that were found since they were last taken.
     found: Mutex<Vec<String>>,
     /// When another entry last said that it holds the planner's lease.
-    planner_ms: AtomicU64,
+    planner_received_ms: AtomicU64,
     /// Highest number of a lease whose holder said that it gave it up.
-    resigned: AtomicU64,
+    released_lease_number: AtomicU64,
     /// Moves that the last planner heard told of, and when.
     moves: Mutex<(u64, Vec<OpenMove>)>,
 }
@@ -56,18 +56,18 @@
     feed_port: u16,
     crossing_bytes_per_s: f64,
     /// When it last told that it sends between data centres; 0 if never.
-    crossed_ms: u64,
+    interconnect_used_ms: u64,
 }
 
 /// An entry that fell silent.
 #[derive(Debug)]
-pub(crate) struct Silent {
+pub(crate) struct SilentPeer {
     pub(crate) vm: String,
     pub(crate) boot_id: u64,
     pub(crate) silent_ms: u64,
 }
 
-impl Silent {
+impl SilentPeer {
     /// Its name in logs, with the time for which it was silent.
     pub(crate) fn name(&self) -> String {
         format!("{}/{} {}", self.vm, self.boot_id, self.silent_ms)
@@ -76,7 +76,7 @@
 
 /// What a message changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Heard {
+pub(crate) enum StateOutcome {
     /// It is older than one before.
     Stale,
     /// Of a process that was known.
@@ -87,7 +87,7 @@
 
 /// What a process told that it sent to services.
 #[derive(Debug, Default)]
-struct Told {
+struct SentReport {
     heard_ms: u64,
     /// Requests and further arrivals by service.
     sent: BTreeMap<String, Sent>,
@@ -95,16 +95,19 @@
 
 /// How many are near and far.
 #[derive(Clone, Copy, Debug)]
-struct Counts {
+struct PeerCounts {
     near: usize,
     far: usize,
 }
 
-impl Counts {
-    fn of(peers: &BTreeMap<SocketAddr, Peer>, data_centre: &str) -> Counts {
+impl PeerCounts {
+    fn of(
+        peers: &BTreeMap<SocketAddr, Peer>,
+        data_centre: &str,
+    ) -> PeerCounts {
         let is_near = |p: &&Peer| p.whom(data_centre) == Whom::Near;
         let near = peers.values().filter(is_near).count();
-        Counts { near, far: peers.len() - near }
+        PeerCounts { near, far: peers.len() - near }
     }
 
     fn of_whom(self, whom: Whom) -> usize {
@@ -162,21 +165,21 @@
         if self.lock().values().any(|peer| peer.boot_id == 0) {
             return Vec::new();
         }
-        let told = self.told.lock().expect("no holder panics");
-        let sent = |told: &Told| told.sent.get(service).copied();
+        let told = self.sent_reports.lock().expect("no holder panics");
+        let sent = |told: &SentReport| told.sent.get(service).copied();
         told.values().map(|t| sent(t).unwrap_or_default()).collect()
     }
 
     /// Whether another entry plans, as far as is known.
     pub(crate) fn has_planner(&self, now_ms: u64) -> bool {
-        let heard_ms = self.planner_ms.load(Relaxed);
+        let heard_ms = self.planner_received_ms.load(Relaxed);
         let silent_ms = planner_silent_ms(self.lock().len());
         heard_ms > 0 && now_ms.saturating_sub(heard_ms) < silent_ms
     }
 
     /// Time since another entry last said that it plans.
     pub(crate) fn planner_silent_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.planner_ms.load(Relaxed))
+        now_ms.saturating_sub(self.planner_received_ms.load(Relaxed))
     }
 
     /// All entries that are heard and go on, by boot id.
@@ -193,7 +196,7 @@
         now_ms: u64,
     ) -> bool {
         let peers = self.lock();
-        let counts = Counts::of(&peers, &self.data_centre);
+        let counts = PeerCounts::of(&peers, &self.data_centre);
         let is_heard =
             |p: &&Peer| counts.is_heard(p, &self.data_centre, now_ms);
         let heard = || peers.values().filter(is_heard);
@@ -212,7 +215,7 @@
         is_wanted: impl Fn(&Peer) -> bool,
     ) -> Vec<u64> {
         let peers = self.lock();
-        let counts = Counts::of(&peers, &self.data_centre);
+        let counts = PeerCounts::of(&peers, &self.data_centre);
         let is_live = |peer: &&Peer| {
             !peer.is_stopping
                 && is_wanted(peer)
@@ -256,20 +259,23 @@
     /// Other entries that told of late that they send between data centres.
     pub(crate) fn interconnect_user_count(&self, now_ms: u64) -> usize {
         let crosses = |peer: &&Peer| {
-            let at_ms = peer.crossed_ms;
-            at_ms > 0 && now_ms.saturating_sub(at_ms) < CROSSES_MS
+            let at_ms = peer.interconnect_used_ms;
+            at_ms > 0 && now_ms.saturating_sub(at_ms) < INTERCONNECT_USE_MS
         };
         self.lock().values().filter(crosses).count()
     }
 
     /// Highest number of a lease whose holder said that it gave it up.
     pub(crate) fn resigned(&self) -> u64 {
-        self.resigned.load(Relaxed)
+        self.released_lease_number.load(Relaxed)
     }
 
     /// Moves of engines of a service that the last planner told of, with the
     /// time when each was ordered.
-    pub(crate) fn told_moves(&self, service: &str) -> Vec<(u64, OpenMove)> {
+    pub(crate) fn announced_moves(
+        &self,
+        service: &str,
+    ) -> Vec<(u64, OpenMove)> {
         let moves = self.moves.lock().expect("no holder panics");
         let given_ms =
             |given: &OpenMove| moves.0.saturating_sub(given.age_ms.into());
@@ -283,12 +289,16 @@
     }
 
     /// Takes a message of a process.
-    pub(crate) fn hear(&self, from: SocketAddr, state: &PeerState) -> Heard {
+    pub(crate) fn apply_state(
+        &self,
+        from: SocketAddr,
+        state: &PeerState,
+    ) -> StateOutcome {
         let mut peers = self.lock();
         let peer = peers.entry(from).or_default();
         let is_new = peer.boot_id != state.boot_id;
         if !is_new && state.sequence <= peer.sequence {
-            return Heard::Stale;
+            return StateOutcome::Stale;
         }
         let old = (peer.boot_id != 0).then_some(peer.boot_id);
         if is_new {
@@ -305,31 +315,31 @@
         peer.crossing_bytes_per_s =
             f64::from(state.crossing_kilobytes_per_s) * 1e3;
         if state.crossing_kilobytes_per_s > 0 {
-            peer.crossed_ms = now_ms();
+            peer.interconnect_used_ms = now_ms();
         }
         drop(peers);
         if is_new {
             self.lost_ms.lock().expect("no holder panics").remove(&from);
         }
-        self.resigned.fetch_max(state.resigned, Relaxed);
+        self.released_lease_number.fetch_max(state.resigned, Relaxed);
         if state.is_planner {
-            self.planner_ms.fetch_max(now_ms(), Relaxed);
+            self.planner_received_ms.fetch_max(now_ms(), Relaxed);
             let mut moves = self.moves.lock().expect("no holder panics");
             *moves = (now_ms(), state.open_moves.clone());
         }
-        if is_new { Heard::New(old) } else { Heard::Known }
+        if is_new { StateOutcome::New(old) } else { StateOutcome::Known }
     }
 
     /// Keeps what a process sent to services within the window.
-    pub(crate) fn take_sent(&self, state: &PeerState, window_ms: u64) {
+    pub(crate) fn record_sent(&self, state: &PeerState, window_ms: u64) {
         let now_ms = now_ms();
         let sent = state.services.iter();
         let sent = sent.map(|s| {
             let sent = Sent { requests: s.requests, further: s.further };
             (s.service.clone(), sent)
         });
-        let new = Told { heard_ms: now_ms, sent: sent.collect() };
-        let mut told = self.told.lock().expect("no holder panics");
+        let new = SentReport { heard_ms: now_ms, sent: sent.collect() };
+        let mut told = self.sent_reports.lock().expect("no holder panics");
         told.insert(state.boot_id, new);
         told.retain(|_, t| now_ms.saturating_sub(t.heard_ms) < window_ms);
     }
@@ -340,11 +350,11 @@
     }
 
     /// Takes out the entries that were silent for long.
-    pub(crate) fn take_silent(&self) -> Vec<Silent> {
+    pub(crate) fn remove_silent(&self) -> Vec<SilentPeer> {
         let now_ms = now_ms();
         let mut out = Vec::new();
         let mut peers = self.lock();
-        let counts = Counts::of(&peers, &self.data_centre);
+        let counts = PeerCounts::of(&peers, &self.data_centre);
         let mut lost = self.lost_ms.lock().expect("no holder panics");
         lost.retain(|_, at| now_ms.saturating_sub(*at) < CUT_COUNTS_MS);
         peers.retain(|address, peer| {
@@ -358,7 +368,7 @@
             if is_silent && peer.boot_id != 0 {
                 let vm = peer.vm.clone();
                 let boot_id = peer.boot_id;
-                out.push(Silent { vm, boot_id, silent_ms });
+                out.push(SilentPeer { vm, boot_id, silent_ms });
             }
             !is_silent
         });
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -29,25 +29,25 @@
     cluster::{
         alerts::percent,
         engine::{Engine, EngineUsage},
-        peer_table::{Heard, Silent},
+        peer_table::{SilentPeer, StateOutcome},
         permits, probe, suspects,
     },
     core::Core,
 };
 
 /// Time between messages.
-const TELL_EVERY: Duration = Duration::from_millis(EVERY_MS);
+const STATE_INTERVAL: Duration = Duration::from_millis(EVERY_MS);
 /// Time for a call of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time before the table is read again after a failure.
-const READ_AGAIN: Duration = Duration::from_millis(1_500);
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
 /// Time between later looks at the table: entries hear each other from their
 /// first messages on.
-const READ_EVERY: Duration = Duration::from_secs(60);
+const TABLE_READ_INTERVAL: Duration = Duration::from_secs(60);
 /// Time within which alerts are gathered.
-const ALERT_GATHERS: Duration = Duration::from_millis(2);
+const ALERT_BATCH_WINDOW: Duration = Duration::from_millis(2);
 /// Most names of entries in a line of the logs.
-const MAX_NAMES: usize = 24;
+const MAX_LOGGED_PEERS: usize = 24;
 /// Longest datagram taken.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
@@ -63,42 +63,42 @@
 /// Tells the others and hears them, until the process ends.
 pub(crate) async fn run(core: Arc<Core>, socket: Async<UdpSocket>) {
     let socket = Arc::new(socket);
-    let told = tell(core.clone(), socket.clone());
+    let told = send_states(core.clone(), socket.clone());
     core.executor.spawn(told).detach();
-    let alerted = tell_alerts(core.clone(), socket.clone());
+    let alerted = send_alerts(core.clone(), socket.clone());
     core.executor.spawn(alerted).detach();
     let permits = permits::run(core.clone(), socket.clone());
     core.executor.spawn(permits).detach();
-    core.executor.spawn(find(core.clone())).detach();
+    core.executor.spawn(discover(core.clone())).detach();
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((count, from)) = socket.recv_from(&mut bytes).await else {
-            Timer::after(TELL_EVERY).await;
+            Timer::after(STATE_INTERVAL).await;
             continue;
         };
         if let Ok(state) = PeerState::decode(&bytes[..count]) {
-            take(&core, from, &state);
+            handle_message(&core, from, &state);
         }
     }
 }
 
-async fn tell(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
+async fn send_states(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     let mut sequence = 0;
     let mut rounds = [Rounds::default(), Rounds::default()];
     loop {
         sequence += 1;
         let bytes = own_state(&core, sequence).encode_to_vec();
-        for address in told_now(&core, &mut rounds) {
+        for address in recipients(&core, &mut rounds) {
             // A datagram that is lost is made up for by the next one.
             let _ = socket.send_to(&bytes, address).await;
         }
-        forget_silent(&core);
-        Timer::after(TELL_EVERY).await;
+        remove_silent(&core);
+        Timer::after(STATE_INTERVAL).await;
     }
 }
 
 /// Who is told now: some of this data centre, fewer of the others.
-fn told_now(core: &Core, rounds: &mut [Rounds; 2]) -> Vec<SocketAddr> {
+fn recipients(core: &Core, rounds: &mut [Rounds; 2]) -> Vec<SocketAddr> {
     let is_planner = core.is_planner.load(Relaxed);
     let turn = |(whom, rounds): (Whom, &mut Rounds)| {
         let told = if is_planner { Whom::ByPlanner } else { whom };
@@ -110,14 +110,14 @@
 
 /// Tells all others at once what was just found of engines: by turns the
 /// last of many would hear of it a second later.
-async fn tell_alerts(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
+async fn send_alerts(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     loop {
         core.alerts.wait().await;
         // Engines that were lost together are told together.
-        Timer::after(ALERT_GATHERS).await;
+        Timer::after(ALERT_BATCH_WINDOW).await;
         let pending = core.alerts.take();
         let suspects = pending.suspects.iter();
-        let news_of = |of: &Fingerprint| core.suspects.news_of(*of);
+        let news_of = |of: &Fingerprint| core.suspects.report_of(*of);
         let alert = PeerState {
             boot_id: core.boot_id,
             is_alert: true,
@@ -182,21 +182,21 @@
         data_centre: core.settings.data_centre.clone(),
         feed_port: core.feed_port.load(Relaxed).into(),
         is_alert: false,
-        suspects: suspect_news(core),
-        notices: core.permits.news(core),
+        suspects: suspect_reports(core),
+        notices: core.permits.notices(core),
         ..PeerState::default()
     }
 }
 
-fn suspect_news(core: &Core) -> Vec<SuspectRequest> {
+fn suspect_reports(core: &Core) -> Vec<SuspectRequest> {
     if core.suspects.is_empty() {
         return Vec::new();
     }
-    core.suspects.news(states_per_s(core))
+    core.suspects.reports(received_states_per_s(core))
 }
 
 /// States that an entry hears in a second, about as many as it sends.
-fn states_per_s(core: &Core) -> f64 {
+fn received_states_per_s(core: &Core) -> f64 {
     let at_once = [Whom::Near, Whom::Far]
         .into_iter()
         .map(|whom| core.peers.addresses_of(whom).len().min(whom.at_once()));
@@ -204,33 +204,33 @@
     at_once as f64 * 1e3 / EVERY_MS as f64
 }
 
-fn take(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
+fn handle_message(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
     if state.boot_id == core.boot_id || state.boot_id == 0 {
         return;
     }
-    suspects::hear(core, state);
-    permits::hear(core, from, state);
+    suspects::handle_message(core, state);
+    permits::handle_message(core, from, state);
     if state.is_alert {
-        take_alert(core, state);
+        apply_alert(core, state);
         return;
     }
-    match core.peers.hear(from, state) {
-        Heard::Stale => return,
-        Heard::Known => {}
-        Heard::New(old) => {
+    match core.peers.apply_state(from, state) {
+        StateOutcome::Stale => return,
+        StateOutcome::Known => {}
+        StateOutcome::New(old) => {
             if let Some(old) = old {
-                forget_use(core, old);
+                remove_usage(core, old);
             }
         }
     }
-    core.peers.take_sent(state, core.settings.bounds.retry_window_ms);
+    core.peers.record_sent(state, core.settings.bounds.retry_window_ms);
     if state.is_planner {
         core.take_moves(&state.open_moves);
     }
-    take_use(core, state);
+    apply_usage(core, state);
 }
 
-fn take_use(core: &Arc<Core>, state: &PeerState) {
+fn apply_usage(core: &Arc<Core>, state: &PeerState) {
     let listed = core.fleet.index();
     let told: BTreeSet<u32> = state.engines.iter().map(|u| u.engine).collect();
     for hash in core.peer_usage.replace(state.boot_id, told) {
@@ -246,16 +246,16 @@
             work_ms_per_s: used.work_ms_per_s,
         };
         engine.set_peer_usage(state.boot_id, Some(told_use));
-        take_news(core, engine, used);
+        apply_engine_update(core, engine, used);
     }
 }
 
-fn take_alert(core: &Arc<Core>, state: &PeerState) {
+fn apply_alert(core: &Arc<Core>, state: &PeerState) {
     let listed = core.fleet.index();
     for told in &state.engines {
         let Some(engine) = listed.by_hash.get(&told.engine) else { continue };
         engine.lock().alerted_ms = now_ms();
-        take_news(core, engine, told);
+        apply_engine_update(core, engine, told);
     }
 }
 
@@ -263,44 +263,48 @@
 /// looked at, not believed: the other one may itself be cut off. And not at
 /// each message: many that are cut off would have all others dial all
 /// engines. How slow it is the engine has said itself.
-fn take_news(core: &Arc<Core>, engine: &Arc<Engine>, told: &EngineUse) {
+fn apply_engine_update(
+    core: &Arc<Core>,
+    engine: &Arc<Engine>,
+    told: &EngineUse,
+) {
     let is_suspect = engine.is_suspect();
     let is_news = match (told.is_suspect, told.is_cleared) {
-        (true, _) => !is_suspect && is_dial_due(engine),
+        (true, _) => !is_suspect && is_connect_due(engine),
         (false, is_cleared) => is_cleared && is_suspect,
     };
     if is_news {
-        let task = probe::probe_alerted(core.clone(), engine.clone());
+        let task = probe::probe_after_alert(core.clone(), engine.clone());
         core.executor.spawn(task).detach();
     }
     if told.slowness_percent > 0 {
         let slowness = f64::from(told.slowness_percent) / 100.0;
-        probe::take_slowness(engine, slowness, now_ms());
+        probe::record_slowness(engine, slowness, now_ms());
     }
 }
 
-fn is_dial_due(engine: &Engine) -> bool {
+fn is_connect_due(engine: &Engine) -> bool {
     let now_ms = now_ms();
-    engine.lock().is_dial_due(now_ms, engine.quiet_ms(now_ms))
+    engine.lock().is_connect_due(now_ms, engine.quiet_ms(now_ms))
 }
 
 /// Forgets those that are silent, and sums up who came and went since.
-fn forget_silent(core: &Core) {
-    let silent = core.peers.take_silent();
+fn remove_silent(core: &Core) {
+    let silent = core.peers.remove_silent();
     for silent in &silent {
-        forget_use(core, silent.boot_id);
+        remove_usage(core, silent.boot_id);
     }
-    let lost = silent.iter().map(Silent::name).collect();
-    note_peers(core, Event::PeerLost, lost);
-    note_peers(core, Event::PeerFound, core.peers.take_found());
+    let lost = silent.iter().map(SilentPeer::name).collect();
+    log_peers(core, Event::PeerLost, lost);
+    log_peers(core, Event::PeerFound, core.peers.take_found());
 }
 
-fn note_peers(core: &Core, event: Event, names: Vec<String>) {
+fn log_peers(core: &Core, event: Event, names: Vec<String>) {
     if names.is_empty() {
         return;
     }
     let told: Vec<&str> =
-        names.iter().take(MAX_NAMES).map(String::as_str).collect();
+        names.iter().take(MAX_LOGGED_PEERS).map(String::as_str).collect();
     let known = core.peers.addresses().len();
     emit(
         event,
@@ -312,7 +316,7 @@
     );
 }
 
-fn forget_use(core: &Core, boot_id: u64) {
+fn remove_usage(core: &Core, boot_id: u64) {
     let listed = core.fleet.index();
     for hash in core.peer_usage.replace(boot_id, BTreeSet::new()) {
         if let Some(engine) = listed.by_hash.get(&hash) {
@@ -326,22 +330,23 @@
 /// Of two entries that start together, one reads the table after the other
 /// has written its row, and tells it; so one read after the own row is there
 /// is enough, and the later ones only make up for what went wrong.
-async fn find(core: Arc<Core>) {
+async fn discover(core: Arc<Core>) {
     let store = StoreClient::new(core.settings.store_address);
     let own = SocketAddr::new(core.settings.ip, port(&core));
     let mut is_listed = false;
     loop {
-        let pause = match find_once(&core, &store, own, &mut is_listed).await {
-            Ok(Looked::Read) => READ_EVERY,
-            Ok(Looked::Written) => Duration::ZERO,
-            Err(_) => READ_AGAIN,
-        };
+        let pause =
+            match discover_once(&core, &store, own, &mut is_listed).await {
+                Ok(Discovery::Read) => TABLE_READ_INTERVAL,
+                Ok(Discovery::Written) => Duration::ZERO,
+                Err(_) => READ_RETRY_PAUSE,
+            };
         Timer::after(pause).await;
     }
 }
 
 /// What a look at the table came to.
-enum Looked {
+enum Discovery {
     /// It was read while the own row was there.
     Read,
     /// The own row was not there before.
@@ -349,12 +354,12 @@
 }
 
 /// Reads the table, and writes the own row where it is not there yet.
-async fn find_once(
+async fn discover_once(
     core: &Core,
     store: &StoreClient,
     own: SocketAddr,
     is_listed: &mut bool,
-) -> Result<Looked, StoreError> {
+) -> Result<Discovery, StoreError> {
     let rows = store.read_table(ENTRIES, STORE_TIMEOUT).await?;
     for row in &rows.rows {
         let address = std::str::from_utf8(&row.value)
@@ -366,7 +371,7 @@
         }
     }
     if *is_listed {
-        return Ok(Looked::Read);
+        return Ok(Discovery::Read);
     }
     let value = own.to_string();
     let vm = &core.settings.vm;
@@ -374,5 +379,5 @@
         .write_row(ENTRIES, vm, None, value.as_bytes(), STORE_TIMEOUT)
         .await?;
     *is_listed = true;
-    Ok(Looked::Written)
+    Ok(Discovery::Written)
 }
--- a/crates/direct/src/cluster/permits.rs
+++ b/crates/direct/src/cluster/permits.rs
@@ -32,22 +32,22 @@
 mod messages;
 mod round;
 
-use messages::{ask_message, from_ask, from_grant};
+use messages::{grant_from, request_from, request_message};
 use round::Round;
 
 /// Servers of which others are told in one message, which has a bounded size.
-const MOST_TOLD: usize = 128;
+const MAX_REPORTED_SERVERS: usize = 128;
 /// Time between looks at what is wanted and granted.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between looks of a request that waits a moment for a permit.
-const PASSING_LOOK: Duration = Duration::from_millis(3);
+const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(3);
 
 /// Permits that this entry grants, and for which servers any are needed.
 #[derive(Debug)]
 pub(crate) struct PermitTable {
     state: Mutex<State>,
     /// Servers of which others are told.
-    told_count: AtomicUsize,
+    reported_count: AtomicUsize,
     /// Servers with a limit that holds.
     limited_count: AtomicUsize,
     sender: Sender<()>,
@@ -59,10 +59,10 @@
     /// Short hashes of servers that said something new of themselves.
     changed: Vec<u32>,
     /// Servers of which others are told, by short hash.
-    told: BTreeMap<u32, Arc<Engine>>,
+    reported: BTreeMap<u32, Arc<Engine>>,
     issuers: BTreeMap<u32, PermitIssuer>,
     /// Whom other entries chose for a server, by their boot ids.
-    choices: BTreeMap<u64, BTreeMap<u32, u64>>,
+    chosen_issuers: BTreeMap<u64, BTreeMap<u32, u64>>,
     /// What is to be sent, by address.
     outbox: BTreeMap<SocketAddr, PeerState>,
 }
@@ -72,7 +72,7 @@
         let (sender, receiver) = async_channel::bounded(1);
         PermitTable {
             state: Mutex::default(),
-            told_count: AtomicUsize::new(0),
+            reported_count: AtomicUsize::new(0),
             limited_count: AtomicUsize::new(0),
             sender,
             receiver,
@@ -92,7 +92,7 @@
     }
 
     /// A server said something new of itself.
-    pub(crate) fn note_change(&self, engine: u32) {
+    pub(crate) fn record_change(&self, engine: u32) {
         self.lock().changed.push(engine);
         self.wake();
     }
@@ -102,22 +102,22 @@
     }
 
     /// What others are told of what servers said.
-    pub(crate) fn news(&self, core: &Core) -> Vec<EngineNotice> {
-        if self.told_count.load(Relaxed) == 0 {
+    pub(crate) fn notices(&self, core: &Core) -> Vec<EngineNotice> {
+        if self.reported_count.load(Relaxed) == 0 {
             return Vec::new();
         }
         let now_ms = now_ms();
         let mut state = self.lock();
-        state.take_changes(core, now_ms);
-        let news = |engine: &Arc<Engine>| news_of(engine, now_ms);
+        state.apply_changes(core, now_ms);
+        let news = |engine: &Arc<Engine>| peer_notice(engine, now_ms);
         // Where there are more, each message has others of them.
-        let count = state.told.len();
-        let skipped = match count > MOST_TOLD {
+        let count = state.reported.len();
+        let skipped = match count > MAX_REPORTED_SERVERS {
             true => fastrand::usize(..count),
             false => 0,
         };
-        let told = state.told.values().cycle().skip(skipped);
-        told.take(count.min(MOST_TOLD)).filter_map(news).collect()
+        let told = state.reported.values().cycle().skip(skipped);
+        told.take(count.min(MAX_REPORTED_SERVERS)).filter_map(news).collect()
     }
 
     /// Permits that are out, by server and entry, for operators.
@@ -137,7 +137,10 @@
 }
 
 /// What is told of what a server said.
-pub(crate) fn news_of(engine: &Engine, now_ms: u64) -> Option<EngineNotice> {
+pub(crate) fn peer_notice(
+    engine: &Engine,
+    now_ms: u64,
+) -> Option<EngineNotice> {
     let news = engine.notices.peer_notice(now_ms)?;
     Some(EngineNotice { engine: engine.hash, ..news })
 }
@@ -152,12 +155,12 @@
 ) -> bool {
     let asked_ms = now_ms();
     let has_permit = engine.notices.request_permit(want, asked_ms)
-        && comes_soon(core, engine, want, asked_ms).await;
-    note_sought(engine, id, asked_ms, has_permit);
+        && wait_for_permit(core, engine, want, asked_ms).await;
+    log_permit_wait(engine, id, asked_ms, has_permit);
     has_permit
 }
 
-async fn comes_soon(
+async fn wait_for_permit(
     core: &Core,
     engine: &Engine,
     want: Want,
@@ -166,7 +169,7 @@
     let notices = &engine.notices;
     core.permits.wake();
     while now_ms() < asked_ms + PASSING_WANT_MS {
-        Timer::after(PASSING_LOOK).await;
+        Timer::after(PERMIT_POLL_INTERVAL).await;
         if notices.may_send(now_ms()) {
             return true;
         }
@@ -177,7 +180,12 @@
     false
 }
 
-fn note_sought(engine: &Engine, id: &str, asked_ms: u64, has_permit: bool) {
+fn log_permit_wait(
+    engine: &Engine,
+    id: &str,
+    asked_ms: u64,
+    has_permit: bool,
+) {
     let Some(limit) = engine.notices.limit() else { return };
     let now_ms = now_ms();
     emit(
@@ -198,7 +206,7 @@
 pub(crate) async fn run(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     loop {
         wait(&core.permits).await;
-        look(&core);
+        poll(&core);
         let outbox = std::mem::take(&mut core.permits.lock().outbox);
         for (address, state) in outbox {
             let state =
@@ -218,33 +226,36 @@
         return woken.await;
     }
     let next = async {
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(POLL_INTERVAL).await;
     };
     woken.or(next).await;
 }
 
 /// Asks for what is wanted and grants what there is.
-fn look(core: &Core) {
+fn poll(core: &Core) {
     let round = Round::new(core);
     let mut state = core.permits.lock();
-    state.take_changes(core, round.now_ms);
+    state.apply_changes(core, round.now_ms);
     for engine in state.limited() {
-        let issuer = round.choose(&engine);
+        let issuer = round.choose_issuer(&engine);
         if issuer == core.boot_id {
-            round.grant(&mut state, &engine, None);
+            round.issue(&mut state, &engine, None);
         }
-        let Some(ask) = engine.notices.ask(round.now_ms) else { continue };
+        let Some(ask) = engine.notices.next_permit_request(round.now_ms)
+        else {
+            continue;
+        };
         if issuer == core.boot_id {
-            round.take_ask(&mut state, &engine, core.boot_id, ask);
+            round.apply_request(&mut state, &engine, core.boot_id, ask);
         } else if let Some(address) = core.peers.address_of(issuer) {
             let out = state.outbox.entry(address).or_default();
-            out.permit_asks.push(ask_message(engine.hash, ask));
+            out.permit_asks.push(request_message(engine.hash, ask));
         }
     }
 }
 
 /// Takes what another entry tells of servers, and of permits.
-pub(crate) fn hear(core: &Core, from: SocketAddr, told: &PeerState) {
+pub(crate) fn handle_message(core: &Core, from: SocketAddr, told: &PeerState) {
     let is_silent = told.notices.is_empty()
         && told.permit_asks.is_empty()
         && told.permit_grants.is_empty();
@@ -260,19 +271,19 @@
     let round = Round::new(core);
     for grant in &told.permit_grants {
         if let Some(engine) = listed.by_hash.get(&grant.engine) {
-            let of = from_grant(grant);
+            let of = grant_from(grant);
             let (boot_id, pause_ms) = (told.boot_id, round.pause_ms);
-            engine.notices.hear_grant(boot_id, of, pause_ms, round.now_ms);
+            engine.notices.apply_grant(boot_id, of, pause_ms, round.now_ms);
         }
     }
     let mut state = core.permits.lock();
     if !told.is_alert {
-        state.take_choices(told);
+        state.record_choices(told);
     }
     for ask in &told.permit_asks {
         if let Some(engine) = listed.by_hash.get(&ask.engine) {
-            let of = from_ask(ask);
-            round.answer(&mut state, engine, (from, told.boot_id), of);
+            let of = request_from(ask);
+            round.handle_request(&mut state, engine, (from, told.boot_id), of);
         }
     }
     if !state.outbox.is_empty() {
@@ -283,14 +294,14 @@
 impl State {
     /// Takes servers that said something new, and forgets those of which
     /// nothing is told any more.
-    fn take_changes(&mut self, core: &Core, now_ms: u64) {
+    fn apply_changes(&mut self, core: &Core, now_ms: u64) {
         let listed = core.fleet.index();
         for hash in std::mem::take(&mut self.changed) {
             if let Some(engine) = listed.by_hash.get(&hash) {
-                self.told.insert(hash, engine.clone());
+                self.reported.insert(hash, engine.clone());
             }
         }
-        self.told.retain(|hash, engine| {
+        self.reported.retain(|hash, engine| {
             listed.by_hash.contains_key(hash)
                 && engine.notices.peer_notice(now_ms).is_some()
         });
@@ -298,20 +309,20 @@
             self.limited().iter().map(|engine| engine.hash).collect();
         self.issuers.retain(|hash, _| limited.contains(hash));
         if limited.is_empty() {
-            self.choices.clear();
+            self.chosen_issuers.clear();
         }
-        core.permits.told_count.store(self.told.len(), Relaxed);
+        core.permits.reported_count.store(self.reported.len(), Relaxed);
         core.permits.limited_count.store(limited.len(), Relaxed);
     }
 
     /// Servers with a limit that holds.
     fn limited(&self) -> Vec<Arc<Engine>> {
-        let told = self.told.values();
+        let told = self.reported.values();
         told.filter(|e| e.notices.limit().is_some()).cloned().collect()
     }
 
     /// Takes whom another entry chose.
-    fn take_choices(&mut self, told: &PeerState) {
+    fn record_choices(&mut self, told: &PeerState) {
         let choice = |notice: &EngineNotice| (notice.engine, notice.issuer);
         let is_chosen = |notice: &&EngineNotice| {
             notice.limit_per_s > 0.0 && notice.issuer != 0
@@ -319,20 +330,24 @@
         let chosen = told.notices.iter().filter(is_chosen);
         let choices: BTreeMap<u32, u64> = chosen.map(choice).collect();
         match choices.is_empty() {
-            true => self.choices.remove(&told.boot_id),
-            false => self.choices.insert(told.boot_id, choices),
+            true => self.chosen_issuers.remove(&told.boot_id),
+            false => self.chosen_issuers.insert(told.boot_id, choices),
         };
     }
 
-    fn issuer(&mut self, engine: &Engine, now_ms: u64) -> &mut PermitIssuer {
+    fn issuer_for(
+        &mut self,
+        engine: &Engine,
+        now_ms: u64,
+    ) -> &mut PermitIssuer {
         let new = || PermitIssuer::new(now_ms, &mut fastrand::Rng::new());
         self.issuers.entry(engine.hash).or_insert_with(new)
     }
 
-    fn choices_of(&self, engine: u32) -> BTreeMap<u64, u64> {
+    fn choices_for(&self, engine: u32) -> BTreeMap<u64, u64> {
         let choice = |(entry, chosen): (&u64, &BTreeMap<u32, u64>)| {
             Some((*entry, *chosen.get(&engine)?))
         };
-        self.choices.iter().filter_map(choice).collect()
+        self.chosen_issuers.iter().filter_map(choice).collect()
     }
 }
--- a/crates/direct/src/cluster/permits/messages.rs
+++ b/crates/direct/src/cluster/permits/messages.rs
@@ -3,7 +3,7 @@
 use chestnutreach_protocol::peers::{PermitAsk, PermitGrant};
 use chestnutreach_routing::{Ask, Grant};
 
-pub(super) fn ask_message(engine: u32, ask: Ask) -> PermitAsk {
+pub(super) fn request_message(engine: u32, ask: Ask) -> PermitAsk {
     PermitAsk {
         engine,
         number: ask.number,
@@ -16,7 +16,7 @@
     }
 }
 
-pub(super) fn from_ask(told: &PermitAsk) -> Ask {
+pub(super) fn request_from(told: &PermitAsk) -> Ask {
     Ask {
         number: told.number,
         series: told.series,
@@ -33,7 +33,7 @@
     PermitGrant { engine, answers, series, granted }
 }
 
-pub(super) fn from_grant(told: &PermitGrant) -> Grant {
+pub(super) fn grant_from(told: &PermitGrant) -> Grant {
     let PermitGrant { answers, series, granted, .. } = *told;
     Grant { answers, series, granted }
 }
--- a/crates/direct/src/cluster/permits/round.rs
+++ b/crates/direct/src/cluster/permits/round.rs
@@ -9,18 +9,18 @@
 use chestnutreach_membership::issuer::View;
 use chestnutreach_routing::{Ask, Grant};
 
-use super::{State, messages::grant_message, news_of};
+use super::{State, messages::grant_message, peer_notice};
 use crate::{clock::now_ms, cluster::engine::Engine, core::Core};
 
 /// Pause of an entry that was granted nothing, for each entry there is: all
 /// together ask some sixty times a second for each server.
-const PAUSE_EACH_MS: u64 = 15;
+const PAUSE_PER_ENTRY_MS: u64 = 15;
 /// Longest such pause.
-const MOST_PAUSE_MS: u64 = 500;
+const MAX_PAUSE_MS: u64 = 500;
 /// A process younger than this that hears nobody may be one of many.
-const MIN_ALONE_AGE_MS: u64 = 5_000;
+const MIN_ALONE_UPTIME_MS: u64 = 5_000;
 /// Entries assumed by one that hears nobody yet.
-const ASSUMED_ENTRIES: usize = 8;
+const ASSUMED_PEERS: usize = 8;
 
 /// One look, with what is known of the entries then.
 pub(super) struct Round<'a> {
@@ -28,7 +28,7 @@
     pub(super) now_ms: u64,
     live: Vec<u64>,
     /// Other entries that run, as far as is known.
-    known: usize,
+    peer_count: usize,
     /// Pause of an entry that was granted nothing.
     pub(super) pause_ms: u64,
 }
@@ -37,33 +37,33 @@
     pub(super) fn new(core: &Core) -> Round<'_> {
         let now_ms = now_ms();
         let known = match core.peers.running_count(now_ms) {
-            0 if core.age_ms() < MIN_ALONE_AGE_MS => ASSUMED_ENTRIES,
+            0 if core.age_ms() < MIN_ALONE_UPTIME_MS => ASSUMED_PEERS,
             known => known,
         };
-        let pause_ms = PAUSE_EACH_MS * (1 + known as u64);
+        let pause_ms = PAUSE_PER_ENTRY_MS * (1 + known as u64);
         Round {
             core,
             now_ms,
             live: core.peers.live(now_ms),
-            known,
-            pause_ms: pause_ms.min(MOST_PAUSE_MS),
+            peer_count: known,
+            pause_ms: pause_ms.min(MAX_PAUSE_MS),
         }
     }
 
-    fn view<'v>(&'v self, choices: &'v BTreeMap<u64, u64>) -> View<'v> {
+    fn issuer_view<'v>(&'v self, choices: &'v BTreeMap<u64, u64>) -> View<'v> {
         View {
             own: self.core.boot_id,
             is_leaving: self.core.stopping_for_ms().is_some(),
             live: &self.live,
-            known: self.known,
+            known: self.peer_count,
             choices,
         }
     }
 
     /// Whom this entry asks for permits of a server.
-    pub(super) fn choose(&self, engine: &Engine) -> u64 {
+    pub(super) fn choose_issuer(&self, engine: &Engine) -> u64 {
         let none = BTreeMap::new();
-        let view = self.view(&none);
+        let view = self.issuer_view(&none);
         let duty = u64::from(engine.hash);
         let choose = |silent: &[u64]| view.issuer(duty, silent);
         engine.notices.choose_issuer(choose, self.now_ms)
@@ -71,7 +71,7 @@
 
     /// Answers an entry that asks; one that does not know that the limit has
     /// ended is told so.
-    pub(super) fn answer(
+    pub(super) fn handle_request(
         &self,
         state: &mut State,
         engine: &Arc<Engine>,
@@ -79,39 +79,39 @@
         ask: Ask,
     ) {
         if engine.notices.limit().is_none() {
-            let news = news_of(engine, self.now_ms);
+            let news = peer_notice(engine, self.now_ms);
             let out = state.outbox.entry(from).or_default();
             out.notices.extend(news);
-        } else if self.choose(engine) == self.core.boot_id {
-            self.take_ask(state, engine, boot_id, ask);
+        } else if self.choose_issuer(engine) == self.core.boot_id {
+            self.apply_request(state, engine, boot_id, ask);
         }
     }
 
     /// Takes what an entry wants, and grants what there is.
-    pub(super) fn take_ask(
+    pub(super) fn apply_request(
         &self,
         state: &mut State,
         engine: &Engine,
         from: u64,
         ask: Ask,
     ) {
-        let issuer = state.issuer(engine, self.now_ms);
+        let issuer = state.issuer_for(engine, self.now_ms);
         issuer.hear(from, ask, self.now_ms);
-        self.grant(state, engine, Some(from));
+        self.issue(state, engine, Some(from));
     }
 
     /// Grants what there is of a server's permits, and tells those who got
     /// some and who asked.
-    pub(super) fn grant(
+    pub(super) fn issue(
         &self,
         state: &mut State,
         engine: &Engine,
         asker: Option<u64>,
     ) {
         let Some(limit) = engine.notices.limit() else { return };
-        let choices = state.choices_of(engine.hash);
-        let part = self.view(&choices).part();
-        let issuer = state.issuer(engine, self.now_ms);
+        let choices = state.choices_for(engine.hash);
+        let part = self.issuer_view(&choices).part();
+        let issuer = state.issuer_for(engine, self.now_ms);
         issuer.fill(limit.per_s * part, self.now_ms);
         let mut told: BTreeSet<u64> =
             issuer.issue(self.now_ms).into_iter().collect();
@@ -119,11 +119,11 @@
         let grants: Vec<(u64, Grant)> =
             told.into_iter().map(|to| (to, issuer.grant(to))).collect();
         for (to, grant) in grants {
-            self.tell_grant(state, engine, to, grant);
+            self.deliver_grant(state, engine, to, grant);
         }
     }
 
-    fn tell_grant(
+    fn deliver_grant(
         &self,
         state: &mut State,
         engine: &Engine,
@@ -132,7 +132,7 @@
     ) {
         if to == self.core.boot_id {
             let notices = &engine.notices;
-            notices.hear_grant(to, grant, self.pause_ms, self.now_ms);
+            notices.apply_grant(to, grant, self.pause_ms, self.now_ms);
         } else if let Some(address) = self.core.peers.address_of(to) {
             let out = state.outbox.entry(address).or_default();
             out.permit_grants.push(grant_message(engine.hash, grant));
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -23,34 +23,36 @@
     clock::now_ms,
     cluster::{
         alerts::percent,
-        engine::{Engine, Evidence, FLOWING_MS, StartOrder, Suspicion},
+        engine::{
+            Engine, Evidence, RECENT_PROGRESS_MS, StartOrder, Suspicion,
+        },
     },
     core::Core,
     request::{exchange, path::Path},
 };
 
 /// Time for a dial; ways are below 2 ms and engines accept within 1 ms.
-const DIAL: Duration = Duration::from_millis(25);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(25);
 /// Dials before silence counts: a lost packet is sent again only after 1 s.
-const DIALS: usize = 2;
+const CONNECT_ATTEMPTS: usize = 2;
 /// Time for a report.
-const REPORT: Duration = Duration::from_millis(250);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Shortest time between two reports of an engine.
-const REPORT_EVERY_MS: u64 = 1_500;
+const MIN_REPORT_INTERVAL_MS: u64 = 1_500;
 /// Time between looks at suspected engines.
-const RECHECK: Duration = Duration::from_millis(400);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Rounds of such looks until an entry looks at an engine that others watch:
 /// they tell when it is back.
-const OTHERS_EVERY: u32 = 5;
+const UNWATCHED_RECHECK_ROUNDS: u32 = 5;
 /// What others said of a slow engine is asked anew after so long.
-const SLOW_HEARD_MS: u64 = 4_000;
+const SLOWNESS_REFRESH_MS: u64 = 4_000;
 /// An alert of another entry so recent need not be repeated.
-const ALERTED_MS: u64 = 1_000;
+const MIN_ALERT_INTERVAL_MS: u64 = 1_000;
 /// Share of engines that are silent from which on no more are suspected: more
 /// than a data centre's fault takes away.
-const OWN_FAULT_SHARE: f64 = 0.4;
+const PARTITION_SILENT_SHARE: f64 = 0.4;
 /// Slowness below it is told as none.
-const SLOW_FROM: f64 = 1.2;
+const MIN_SLOWNESS: f64 = 1.2;
 
 pub(crate) fn record_unreachable(
     core: &Core,
@@ -61,7 +63,7 @@
         io::ErrorKind::TimedOut => Evidence::Silent,
         _ => Evidence::Refused,
     };
-    if evidence == Evidence::Silent && is_own_fault(core) {
+    if evidence == Evidence::Silent && is_partitioned(core) {
         return;
     }
     suspect(core, engine, evidence);
@@ -69,14 +71,14 @@
 
 /// Whether so many engines are silent that rather this VM is cut off, or too
 /// slow to dial in time.
-fn is_own_fault(core: &Core) -> bool {
+fn is_partitioned(core: &Core) -> bool {
     let engines = core.fleet.all();
     let is_silent = |engine: &&Arc<Engine>| {
         let suspicion = engine.lock().suspicion;
         suspicion.is_some_and(|s| s.evidence == Evidence::Silent)
     };
     let silent = engines.iter().filter(is_silent).count();
-    silent as f64 >= OWN_FAULT_SHARE * engines.len() as f64
+    silent as f64 >= PARTITION_SILENT_SHARE * engines.len() as f64
 }
 
 /// Takes an engine out of new paths and tells the streams on it.
@@ -110,27 +112,31 @@
     core.streams.nudge_all();
     // Others that wait for an engine may not reach those that they need.
     if evidence != Evidence::Stalled {
-        alert(core, engine, EngineUse { is_suspect: true, ..news(engine) });
+        queue_alert(
+            core,
+            engine,
+            EngineUse { is_suspect: true, ..empty_update(engine) },
+        );
     }
 }
 
-fn news(engine: &Engine) -> EngineUse {
+fn empty_update(engine: &Engine) -> EngineUse {
     EngineUse { engine: engine.hash, ..EngineUse::default() }
 }
 
 /// Tells all others, unless one of them just did.
-fn alert(core: &Core, engine: &Engine, news: EngineUse) {
+fn queue_alert(core: &Core, engine: &Engine, news: EngineUse) {
     let alerted_ms = engine.lock().alerted_ms;
-    if now_ms().saturating_sub(alerted_ms) >= ALERTED_MS {
+    if now_ms().saturating_sub(alerted_ms) >= MIN_ALERT_INTERVAL_MS {
         core.alerts.queue_engine(news);
     }
 }
 
-pub(crate) fn clear(core: &Core, engine: &Engine) {
+pub(crate) fn record_connected(core: &Core, engine: &Engine) {
     let now_ms = now_ms();
     let mut state = engine.lock();
-    state.reached_ms = now_ms;
-    state.dials_in_vain += 1;
+    state.connected_ms = now_ms;
+    state.connects_without_progress += 1;
     let Some(suspicion) = state.suspicion else {
         return;
     };
@@ -150,29 +156,37 @@
             ("suspected_ms", &(now_ms - suspicion.since_ms)),
         ],
     );
-    alert(core, engine, EngineUse { is_cleared: true, ..news(engine) });
+    queue_alert(
+        core,
+        engine,
+        EngineUse { is_cleared: true, ..empty_update(engine) },
+    );
 }
 
 /// Dials an engine and takes what that shows.
 pub(crate) async fn probe(core: Arc<Core>, engine: Arc<Engine>) {
-    probe_within(core, engine, DIALS).await;
+    probe_with_attempts(core, engine, CONNECT_ATTEMPTS).await;
 }
 
 /// The same where another entry has dialled it in vain just now: a packet
 /// that is lost here as well is less likely than that it is dead, and what
 /// streams pause for is to end within 300 ms.
-pub(crate) async fn probe_alerted(core: Arc<Core>, engine: Arc<Engine>) {
-    probe_within(core, engine, 1).await;
+pub(crate) async fn probe_after_alert(core: Arc<Core>, engine: Arc<Engine>) {
+    probe_with_attempts(core, engine, 1).await;
 }
 
-async fn probe_within(core: Arc<Core>, engine: Arc<Engine>, dials: usize) {
+async fn probe_with_attempts(
+    core: Arc<Core>,
+    engine: Arc<Engine>,
+    dials: usize,
+) {
     if engine.is_probing.swap(true, Relaxed) {
         return;
     }
-    let dialled = dial(&engine, dials).await;
+    let dialled = connect(&engine, dials).await;
     engine.is_probing.store(false, Relaxed);
     match dialled {
-        Ok(()) => clear(&core, &engine),
+        Ok(()) => record_connected(&core, &engine),
         Err(e) => record_unreachable(&core, &engine, &e),
     }
 }
@@ -202,7 +216,9 @@
             is_patient
                 && Outbound::connect(engine.address, limit).await.is_err()
         }
-        EndProof::Lives => is_gone && dial(engine, DIALS).await.is_err(),
+        EndProof::Lives => {
+            is_gone && connect(engine, CONNECT_ATTEMPTS).await.is_err()
+        }
     }
 }
 
@@ -227,10 +243,12 @@
 }
 
 /// Dials; a lost packet alone is no failure.
-async fn dial(engine: &Engine, dials: usize) -> io::Result<()> {
+async fn connect(engine: &Engine, dials: usize) -> io::Result<()> {
     let mut dialled = Ok(());
     for _ in 0..dials {
-        dialled = Outbound::connect(engine.address, DIAL).await.map(|_| ());
+        dialled = Outbound::connect(engine.address, CONNECT_TIMEOUT)
+            .await
+            .map(|_| ());
         let is_silent = |e: &io::Error| e.kind() == io::ErrorKind::TimedOut;
         if !dialled.as_ref().is_err_and(is_silent) {
             break;
@@ -244,7 +262,7 @@
     let now_ms = now_ms();
     for stage in &path.stages {
         let engine = &stage.engine;
-        if !engine.lock().is_dial_due(now_ms, engine.quiet_ms(now_ms)) {
+        if !engine.lock().is_connect_due(now_ms, engine.quiet_ms(now_ms)) {
             continue;
         }
         let task = probe(core.clone(), engine.clone());
@@ -255,19 +273,19 @@
 /// Asks the engines of a path for reports, where that was not done of late.
 pub(crate) fn request_path_reports(core: &Arc<Core>, path: &Path) {
     for stage in &path.stages {
-        ask_one(core, &stage.engine);
+        request_engine_report(core, &stage.engine);
     }
 }
 
-fn ask_one(core: &Arc<Core>, engine: &Arc<Engine>) {
+fn request_engine_report(core: &Arc<Core>, engine: &Arc<Engine>) {
     let now_ms = now_ms();
     let mut state = engine.lock();
-    let is_asked_of_late =
-        now_ms.saturating_sub(state.asked_ms) < REPORT_EVERY_MS;
+    let is_asked_of_late = now_ms.saturating_sub(state.report_requested_ms)
+        < MIN_REPORT_INTERVAL_MS;
     if is_asked_of_late || state.is_in_cooldown(now_ms) {
         return;
     }
-    state.asked_ms = now_ms;
+    state.report_requested_ms = now_ms;
     drop(state);
     let task = request_report(core.clone(), engine.clone());
     core.executor.spawn(task).detach();
@@ -275,11 +293,12 @@
 
 pub(crate) async fn request_report(core: Arc<Core>, engine: Arc<Engine>) {
     let body = exchange::report(&engine);
-    let Ok(Ok((200, body))) = exchange::within(REPORT, body).await else {
+    let Ok(Ok((200, body))) = exchange::within(REPORT_TIMEOUT, body).await
+    else {
         return;
     };
     match try_report(&body) {
-        Ok(report) => take_report(&core, &engine, &report),
+        Ok(report) => apply_report(&core, &engine, &report),
         Err(error) => emit(
             Event::RelayAnswered,
             &[("backend", &engine.id), ("at", &error)],
@@ -287,8 +306,8 @@
     }
 }
 
-fn take_report(core: &Core, engine: &Engine, report: &Report) {
-    match told_by(engine, report) {
+fn apply_report(core: &Core, engine: &Engine, report: &Report) {
+    match report_start_order(engine, report) {
         StartOrder::Same => {}
         // It came late, or is of another writer.
         StartOrder::Earlier => return,
@@ -296,19 +315,21 @@
         StartOrder::Later => return suspect(core, engine, Evidence::Refused),
     }
     let slowness = match report.slowness {
-        slowness if slowness < SLOW_FROM => 1.0,
+        slowness if slowness < MIN_SLOWNESS => 1.0,
         slowness => slowness,
     };
-    if take_slowness(engine, slowness, now_ms()) {
+    if record_slowness(engine, slowness, now_ms()) {
         let slowness_percent = percent(slowness);
-        core.alerts
-            .queue_engine(EngineUse { slowness_percent, ..news(engine) });
+        core.alerts.queue_engine(EngineUse {
+            slowness_percent,
+            ..empty_update(engine)
+        });
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
         let Some(dead) = core.fleet.by_address(stalled.at) else { continue };
         // It may be back, while the report is of before.
-        let is_flowing = dead.quiet_ms(now_ms()) < FLOWING_MS;
+        let is_flowing = dead.quiet_ms(now_ms()) < RECENT_PROGRESS_MS;
         if !is_flowing && dead.incarnation != engine.incarnation {
             suspect(core, &dead, Evidence::Stalled);
         }
@@ -316,7 +337,7 @@
 }
 
 /// Of which start a report tells.
-fn told_by(engine: &Engine, report: &Report) -> StartOrder {
+fn report_start_order(engine: &Engine, report: &Report) -> StartOrder {
     match engine.started_unix_ms {
         Some(known) => StartOrder::of(report.started_unix_ms, Some(known)),
         None => StartOrder::Same,
@@ -324,7 +345,7 @@
 }
 
 /// Takes how slow an engine said that it is; true if that is new.
-pub(crate) fn take_slowness(
+pub(crate) fn record_slowness(
     engine: &Engine,
     slowness: f64,
     now_ms: u64,
@@ -332,7 +353,7 @@
     let mut state = engine.lock();
     let is_same = (state.slowness - slowness).abs() < 0.1;
     state.slowness = slowness;
-    state.slow_heard_ms = now_ms;
+    state.slowness_received_ms = now_ms;
     drop(state);
     if !is_same {
         emit(
@@ -351,22 +372,26 @@
 /// watches at once, the others where nobody tells of them.
 pub(crate) async fn recheck(core: Arc<Core>) {
     for round in 0_u32.. {
-        Timer::after(RECHECK).await;
-        let is_round_of_all = round % OTHERS_EVERY == 0;
+        Timer::after(RECHECK_INTERVAL).await;
+        let is_round_of_all = round % UNWATCHED_RECHECK_ROUNDS == 0;
         for engine in core.fleet.all() {
             let is_watched = engine.is_watched.load(Relaxed);
             let (is_suspect, is_slow, heard_ms) = {
                 let state = engine.lock();
                 let is_slow = state.slowness > 1.0;
-                (state.suspicion.is_some(), is_slow, state.slow_heard_ms)
+                (
+                    state.suspicion.is_some(),
+                    is_slow,
+                    state.slowness_received_ms,
+                )
             };
             if is_suspect && (is_watched || is_round_of_all) {
                 let task = probe(core.clone(), engine.clone());
                 core.executor.spawn(task).detach();
             } else if is_slow && !is_suspect {
                 let heard_for_ms = now_ms().saturating_sub(heard_ms);
-                if is_watched || heard_for_ms >= SLOW_HEARD_MS {
-                    ask_one(&core, &engine);
+                if is_watched || heard_for_ms >= SLOWNESS_REFRESH_MS {
+                    request_engine_report(&core, &engine);
                 }
             }
         }
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -30,10 +30,10 @@
 };
 
 /// Pauses before looks at whether an engine has crashed.
-const CRASH_LOOKS: [Duration; 3] =
+const CRASH_CHECK_PAUSES: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(8), Duration::from_millis(20)];
 /// Pause before the last one.
-const LAST_CRASH_LOOK: Duration = Duration::from_millis(200);
+const LATE_CRASH_CHECK_PAUSE: Duration = Duration::from_millis(200);
 
 /// Requests under which engines crashed, and their trials.
 #[derive(Debug, Default)]
@@ -50,8 +50,8 @@
 }
 
 /// What a change came to for its request.
-struct Changed {
-    is_news: bool,
+struct VerdictChange {
+    is_new: bool,
     before: Verdict,
     now: Verdict,
 }
@@ -105,11 +105,11 @@
     }
 
     /// Changes what is known of a request; true from `change` is news.
-    fn change(
+    fn update(
         &self,
         of: Fingerprint,
         change: impl FnOnce(&mut Suspects, u64) -> bool,
-    ) -> Changed {
+    ) -> VerdictChange {
         let now_ms = now_ms();
         let mut state = self.lock();
         let suspects = &mut state.suspects;
@@ -117,7 +117,7 @@
         let is_news = change(suspects, now_ms);
         let now = suspects.verdict(of, now_ms);
         self.count.store(suspects.len(), Relaxed);
-        Changed { is_news, before, now }
+        VerdictChange { is_new: is_news, before, now }
     }
 
     /// Whether nothing is known of any request.
@@ -140,7 +140,7 @@
 
     /// What is told of requests with the next state, of which each entry hears
     /// so many a second; what has expired is forgotten.
-    pub(crate) fn news(&self, states_per_s: f64) -> Vec<SuspectRequest> {
+    pub(crate) fn reports(&self, states_per_s: f64) -> Vec<SuspectRequest> {
         let now_ms = now_ms();
         let mut rng = fastrand::Rng::new();
         let mut state = self.lock();
@@ -152,7 +152,7 @@
     }
 
     /// What is told at once of a request.
-    pub(crate) fn news_of(&self, of: Fingerprint) -> Option<SuspectRequest> {
+    pub(crate) fn report_of(&self, of: Fingerprint) -> Option<SuspectRequest> {
         let news = self.lock().suspects.news_of(of, now_ms());
         news.map(to_message)
     }
@@ -225,10 +225,10 @@
 /// at again, the last time without the request waiting for it. One that is
 /// silent is not waited for.
 pub(crate) async fn check_crash(core: &Arc<Core>, run: FailedRun) -> bool {
-    for pause in CRASH_LOOKS {
+    for pause in CRASH_CHECK_PAUSES {
         Timer::after(pause).await;
         if probe::confirm_crash(core, &run.engine).await {
-            note_crash(core, &run);
+            record_crash(core, &run);
             return true;
         }
         if run.engine.is_suspect() {
@@ -244,18 +244,18 @@
 pub(crate) fn check_crash_later(core: &Arc<Core>, run: FailedRun) {
     let core_here = core.clone();
     let look = async move {
-        Timer::after(LAST_CRASH_LOOK).await;
+        Timer::after(LATE_CRASH_CHECK_PAUSE).await;
         if probe::confirm_crash(&core_here, &run.engine).await {
-            note_crash(&core_here, &run);
+            record_crash(&core_here, &run);
         }
     };
     core.executor.spawn(look).detach();
 }
 
 /// Takes that an engine crashed under a run that had only just begun.
-fn note_crash(core: &Core, run: &FailedRun) {
+fn record_crash(core: &Core, run: &FailedRun) {
     let fingerprint = run.fingerprint;
-    let changed = core.suspects.change(fingerprint, |suspects, now_ms| {
+    let changed = core.suspects.update(fingerprint, |suspects, now_ms| {
         let server = run.engine.hash;
         suspects.note_crash(fingerprint, server, run.is_in_trial, now_ms)
     });
@@ -273,9 +273,9 @@
             ("crashes", &changed.now.crashes()),
         ],
     );
-    if changed.is_news {
+    if changed.is_new {
         core.alerts.queue_suspect(fingerprint);
-        note_change(core, fingerprint, &changed, "own");
+        announce_quarantine(core, fingerprint, &changed, "own");
     }
 }
 
@@ -299,8 +299,8 @@
 ) -> bool {
     let clear =
         |suspects: &mut Suspects, now_ms| suspects.clear(fingerprint, now_ms);
-    let changed = core.suspects.change(fingerprint, clear);
-    if !changed.is_news {
+    let changed = core.suspects.update(fingerprint, clear);
+    if !changed.is_new {
         return false;
     }
     emit(
@@ -318,10 +318,10 @@
 
 /// Tells of a request that is quarantined now and was not before, and has
 /// the streams that run it leave their engines.
-fn note_change(
+fn announce_quarantine(
     core: &Core,
     fingerprint: Fingerprint,
-    changed: &Changed,
+    changed: &VerdictChange,
     source: &str,
 ) {
     let now_ms = now_ms();
@@ -360,23 +360,23 @@
 }
 
 /// Takes what another entry tells of requests and their trials.
-pub(crate) fn hear(core: &Core, told: &PeerState) {
+pub(crate) fn handle_message(core: &Core, told: &PeerState) {
     for suspect in &told.suspects {
         let news = from_message(suspect);
         let fingerprint = news.fingerprint;
         let hear =
             |suspects: &mut Suspects, now_ms| suspects.hear(&news, now_ms);
-        let changed = core.suspects.change(fingerprint, hear);
-        if changed.is_news {
-            note_change(core, fingerprint, &changed, "told");
+        let changed = core.suspects.update(fingerprint, hear);
+        if changed.is_new {
+            announce_quarantine(core, fingerprint, &changed, "told");
         }
     }
     for trial in &told.trials {
-        hear_trial(core, told.boot_id, trial);
+        apply_trial(core, told.boot_id, trial);
     }
 }
 
-fn hear_trial(core: &Core, holder: u64, told: &RequestTrial) {
+fn apply_trial(core: &Core, holder: u64, told: &RequestTrial) {
     let fingerprint = Fingerprint(told.fingerprint);
     let trials = &mut core.suspects.lock().trials;
     match told.engine {
--- a/crates/direct/src/cluster/unusable_rows.rs
+++ b/crates/direct/src/cluster/unusable_rows.rs
@@ -15,22 +15,22 @@
 /// Keys of rows that were told.
 #[derive(Debug, Default)]
 pub(crate) struct UnusableRows {
-    told: Mutex<BTreeSet<String>>,
+    logged: Mutex<BTreeSet<String>>,
 }
 
 impl UnusableRows {
     /// Whether a row is to be told: it was not yet, and there is room.
-    pub(crate) fn is_news(&self, key: &str) -> bool {
+    pub(crate) fn mark_logged(&self, key: &str) -> bool {
         let mut told = self.lock();
         told.len() < MAX_ROWS && told.insert(key.to_owned())
     }
 
     /// The row is readable again, or gone.
-    pub(crate) fn forget(&self, key: &str) {
+    pub(crate) fn remove(&self, key: &str) {
         self.lock().remove(key);
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeSet<String>> {
-        self.told.lock().expect("no holder panics")
+        self.logged.lock().expect("no holder panics")
     }
 }
--- a/crates/direct/src/placement/authority.rs
+++ b/crates/direct/src/placement/authority.rs
@@ -15,19 +15,19 @@
     /// gives no layer up. Else the layers of engines that die are lacking
     /// until the lease of a killed holder ends, and while no entry reaches
     /// the store.
-    StandIn,
+    Deputy,
 }
 
 impl Authority {
     pub(crate) fn of(core: &Core, lease: &Lease) -> Option<Authority> {
-        let held = lease.may_act().map(Authority::Lease);
-        held.or_else(|| core.stands_in().then_some(Authority::StandIn))
+        let held = lease.active_fencing_number().map(Authority::Lease);
+        held.or_else(|| core.stands_in().then_some(Authority::Deputy))
     }
 
     pub(crate) fn scope(self) -> Scope {
         match self {
             Authority::Lease(_) => Scope::All,
-            Authority::StandIn => Scope::NothingGivenUp,
+            Authority::Deputy => Scope::NothingGivenUp,
         }
     }
 
@@ -35,19 +35,17 @@
     pub(crate) fn fence(self) -> Option<u64> {
         match self {
             Authority::Lease(number) => Some(number.as_u64()),
-            Authority::StandIn => None,
+            Authority::Deputy => None,
         }
     }
 }
 
-pub(crate) fn note_mandate(
+pub(crate) fn log_authority_change(
     last: Option<Authority>,
     mandate: Option<Authority>,
 ) {
-    let (before, now) = (
-        last == Some(Authority::StandIn),
-        mandate == Some(Authority::StandIn),
-    );
+    let (before, now) =
+        (last == Some(Authority::Deputy), mandate == Some(Authority::Deputy));
     if before != now {
         emit(Event::StandIn, &[("stands_in", &now)]);
     }
--- a/crates/direct/src/placement/lease.rs
+++ b/crates/direct/src/placement/lease.rs
@@ -18,43 +18,46 @@
 use crate::{clock::now_ms, core::Core};
 
 /// Time that a candidate must see the row unchanged.
-const DURATION_MS: u64 = 3_000;
+const LEASE_DURATION_MS: u64 = 3_000;
 /// How long before its end the holder renews.
 const RENEW_BEFORE_MS: u64 = 1_400;
 /// How long before the end of the lease the holder stops.
-const MARGIN_MS: u64 = 500;
+const STOP_MARGIN_MS: u64 = 500;
 /// Time without the store after which its holder gives the lease up.
-const CUT_MS: u64 = 500;
+const STORE_FAILURE_LIMIT_MS: u64 = 500;
 /// Time between looks at the state machine.
-const TICK: Duration = Duration::from_millis(150);
+const TICK_INTERVAL: Duration = Duration::from_millis(150);
 /// Entries that seek the lease: enough that one reaches the store. If all 68
 /// of a fleet sought it, each takeover would cost some 400 calls.
-const CANDIDATES: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 /// Number of the duty to seek it.
-const LEASE_DUTY: u64 = 3;
+const LEASE_ASSIGNMENT: u64 = 3;
 /// Time without a holder after which all seek it: a candidate must see the
 /// row unchanged for 3 s.
-const ALL_SEEK_MS: u64 = 6_000;
+const ALL_CANDIDATES_AFTER_MS: u64 = 6_000;
 /// Time for a call of the store.
-const TIMEOUT: Duration = Duration::from_millis(700);
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The lease as one entry holds or seeks it.
 pub(crate) struct Lease {
     holder: Mutex<LeaseHolder>,
     store: StoreClient,
     /// The row as last read or written, with its version at the store.
-    known: Mutex<Option<(LeaseRow, u64)>>,
+    last_row: Mutex<Option<(LeaseRow, u64)>>,
 }
 
 impl Lease {
     pub(crate) fn new(core: &Core) -> Lease {
-        let options =
-            LeaseOptions::new(DURATION_MS, RENEW_BEFORE_MS, MARGIN_MS)
-                .expect("the constants make a lease");
+        let options = LeaseOptions::new(
+            LEASE_DURATION_MS,
+            RENEW_BEFORE_MS,
+            STOP_MARGIN_MS,
+        )
+        .expect("the constants make a lease");
         Lease {
             holder: Mutex::new(LeaseHolder::new(core.boot_id, options)),
             store: StoreClient::new(core.settings.store_address),
-            known: Mutex::default(),
+            last_row: Mutex::default(),
         }
     }
 
@@ -63,7 +66,7 @@
     }
 
     /// The number under which this entry may plan at this moment.
-    pub(crate) fn may_act(&self) -> Option<FencingNumber> {
+    pub(crate) fn active_fencing_number(&self) -> Option<FencingNumber> {
         self.holder().may_act(now_ms())
     }
 
@@ -71,16 +74,17 @@
     pub(crate) async fn run(&self, core: Arc<Core>) {
         let mut last = LeaseState::Idle;
         loop {
-            self.resign_if_cut(&core);
+            self.resign_if_partitioned(&core);
             if let Some(command) = self.next_command(&core) {
-                let answer = self.carry_out(command).await;
+                let answer = self.execute(command).await;
                 self.holder().answer(answer, now_ms());
             }
             let state = self.holder().state();
-            note_change(last, state);
+            log_change(last, state);
             last = state;
-            core.is_planner.store(self.may_act().is_some(), Relaxed);
-            Timer::after(TICK).await;
+            core.is_planner
+                .store(self.active_fencing_number().is_some(), Relaxed);
+            Timer::after(TICK_INTERVAL).await;
         }
     }
 
@@ -91,7 +95,8 @@
         holder.holder_resigned(resigned);
         let is_held = matches!(holder.state(), LeaseState::Held { .. });
         let has_planner = core.peers.has_planner(now_ms());
-        let seeks = !has_planner && !is_cut(core) && is_candidate(core);
+        let seeks =
+            !has_planner && !is_store_unreachable(core) && is_candidate(core);
         if !is_held && !seeks {
             return None;
         }
@@ -100,8 +105,8 @@
 
     /// A holder that does not reach the store says so and stops: another one
     /// need not wait for the end of its turn.
-    fn resign_if_cut(&self, core: &Core) {
-        if !is_cut(core) {
+    fn resign_if_partitioned(&self, core: &Core) {
+        if !is_store_unreachable(core) {
             return;
         }
         if let Some(number) = self.holder().resign(now_ms()) {
@@ -112,16 +117,16 @@
     /// Gives the lease back, so that another entry need not wait; the others
     /// hear of it even if the store does not answer.
     pub(crate) async fn release(&self, core: &Core) {
-        if let Some(number) = self.may_act() {
+        if let Some(number) = self.active_fencing_number() {
             core.resigned.store(number.as_u64(), Relaxed);
         }
         let command = self.holder().release(now_ms());
         if let Some(command) = command {
-            self.carry_out(command).await;
+            self.execute(command).await;
         }
     }
 
-    async fn carry_out(&self, command: LeaseCommand) -> StoreAnswer {
+    async fn execute(&self, command: LeaseCommand) -> StoreAnswer {
         match command {
             LeaseCommand::Read => self.read().await,
             LeaseCommand::Write { expected, row } => {
@@ -131,10 +136,10 @@
     }
 
     async fn read(&self) -> StoreAnswer {
-        match self.store.read_row(LEASE, LEASE_KEY, TIMEOUT).await {
+        match self.store.read_row(LEASE, LEASE_KEY, STORE_TIMEOUT).await {
             Ok(row) => {
                 let known = row.as_ref().and_then(decode);
-                *self.known.lock().expect("no holder panics") = known;
+                *self.last_row.lock().expect("no holder panics") = known;
                 StoreAnswer::Row(known.map(|(row, _)| row))
             }
             Err(_) => StoreAnswer::Unavailable,
@@ -146,7 +151,7 @@
         expected: Option<LeaseRow>,
         row: LeaseRow,
     ) -> StoreAnswer {
-        let known = *self.known.lock().expect("no holder panics");
+        let known = *self.last_row.lock().expect("no holder panics");
         if known.map(|(row, _)| row) != expected {
             return StoreAnswer::Conflict;
         }
@@ -158,11 +163,12 @@
             LEASE_KEY,
             Some(version),
             &value,
-            TIMEOUT,
+            STORE_TIMEOUT,
         );
         match write.await {
             Ok(version) => {
-                let mut known = self.known.lock().expect("no holder panics");
+                let mut known =
+                    self.last_row.lock().expect("no holder panics");
                 *known = Some((row, version));
                 StoreAnswer::Written
             }
@@ -178,27 +184,27 @@
 fn is_candidate(core: &Core) -> bool {
     let now_ms = now_ms();
     let unheld_ms = core.age_ms().min(core.peers.planner_silent_ms(now_ms));
-    unheld_ms >= ALL_SEEK_MS
+    unheld_ms >= ALL_CANDIDATES_AFTER_MS
         || duty::holds(
             core.boot_id,
             core.peers.live(now_ms),
-            LEASE_DUTY,
-            CANDIDATES,
+            LEASE_ASSIGNMENT,
+            MAX_CANDIDATES,
         )
 }
 
 /// Whether the store has been out of reach for so long that another entry
 /// should plan.
-fn is_cut(core: &Core) -> bool {
+fn is_store_unreachable(core: &Core) -> bool {
     let since_ms = core.store_lost_ms.load(Relaxed);
-    since_ms > 0 && now_ms().saturating_sub(since_ms) > CUT_MS
+    since_ms > 0 && now_ms().saturating_sub(since_ms) > STORE_FAILURE_LIMIT_MS
 }
 
 fn decode(row: &Row) -> Option<(LeaseRow, u64)> {
     Some((serde_json::from_slice(&row.value).ok()?, row.version))
 }
 
-fn note_change(last: LeaseState, state: LeaseState) {
+fn log_change(last: LeaseState, state: LeaseState) {
     let number = |state: LeaseState| match state {
         LeaseState::Held { fencing_number, .. } => Some(fencing_number),
         _ => None,
--- a/crates/direct/src/placement/orders.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -28,30 +28,30 @@
     },
     core::Core,
     placement::{
-        authority::{Authority, note_mandate},
+        authority::{Authority, log_authority_change},
         lease::Lease,
     },
     request::exchange::{self, within},
 };
 
 /// Time between plans.
-const PLAN_EVERY: Duration = Duration::from_millis(150);
+const PLAN_INTERVAL: Duration = Duration::from_millis(150);
 /// The plan for an empty fleet waits until no new engine has come for so
 /// long, so that it is made for all.
 const SETTLED_MS: u64 = 500;
 /// Time for an order.
-const ORDER: Duration = Duration::from_millis(600);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Plans while this entry holds the lease, or stands in for its holder.
 pub(crate) async fn run(core: Arc<Core>, lease: Arc<Lease>) {
     let mut planner = Planner::default();
     let mut last = None;
     loop {
-        Timer::after(PLAN_EVERY).await;
+        Timer::after(PLAN_INTERVAL).await;
         let mandate = Authority::of(&core, &lease);
         if mandate != last {
             planner = Planner::default();
-            note_mandate(last, mandate);
+            log_authority_change(last, mandate);
             last = mandate;
         }
         if let Some(mandate) = mandate {
@@ -67,11 +67,11 @@
 #[derive(Default)]
 struct Planner {
     /// Orders, by service.
-    books: BTreeMap<String, OrderBook>,
+    trackers: BTreeMap<String, OrderBook>,
     engine_count: usize,
-    grown_ms: u64,
+    last_growth_ms: u64,
     /// What was last told of each service's cover.
-    told: BTreeMap<String, String>,
+    logged_coverage: BTreeMap<String, String>,
     accepted: Accepted,
 }
 
@@ -81,12 +81,12 @@
 
 impl Planner {
     fn open_count(&self) -> usize {
-        self.books.values().map(OrderBook::open_count).sum()
+        self.trackers.values().map(OrderBook::open_count).sum()
     }
 
     /// What others are told, for the next planner.
     fn open_moves(&self, core: &Core) -> Vec<(u64, peers::OpenMove)> {
-        let books = self.books.iter();
+        let books = self.trackers.iter();
         let moves = books.flat_map(|(service, book)| {
             book.open_moves().map(move |open| (service, open))
         });
@@ -112,7 +112,7 @@
         if !self.has_settled(core) {
             return;
         }
-        self.take_accepted();
+        self.apply_accepted();
         for service in configuration.services.values() {
             if let Some(model) = &service.model {
                 self.plan(core, lease, mandate, &service.name, model);
@@ -120,10 +120,10 @@
         }
     }
 
-    fn take_accepted(&mut self) {
+    fn apply_accepted(&mut self) {
         let mut accepted = self.accepted.lock().expect("no holder panics");
         for (engine, orders_begun) in accepted.drain(..) {
-            for book in self.books.values_mut() {
+            for book in self.trackers.values_mut() {
                 book.accept(&engine, orders_begun);
             }
         }
@@ -138,10 +138,10 @@
         let count = engines.len();
         let now_ms = now_ms();
         if count > self.engine_count {
-            self.grown_ms = now_ms;
+            self.last_growth_ms = now_ms;
         }
         self.engine_count = count;
-        count > 0 && now_ms.saturating_sub(self.grown_ms) >= SETTLED_MS
+        count > 0 && now_ms.saturating_sub(self.last_growth_ms) >= SETTLED_MS
     }
 
     fn plan(
@@ -154,19 +154,20 @@
     ) {
         let engines = core.fleet.of_service(service);
         let known: Vec<KnownEngine<'_>> =
-            engines.all.iter().map(|e| known_engine(model, e)).collect();
+            engines.all.iter().map(|e| observed_engine(model, e)).collect();
         let layout_model = LayoutModel {
             layer_count: model.layer_count,
             layer_mb: model.layer_mb,
             token_layer_bytes: model.token_layer_bytes,
-            first_tokens: first_tokens(model, &engines.all),
+            first_tokens: first_stage_tokens(model, &engines.all),
         };
-        self.note_cover(core, service, &layout_model, &known);
-        if !self.books.contains_key(service) {
-            let book = OrderBook::new(told_moves(core, service, &engines.all));
-            self.books.insert(service.to_owned(), book);
+        self.log_coverage(core, service, &layout_model, &known);
+        if !self.trackers.contains_key(service) {
+            let book =
+                OrderBook::new(recent_moves(core, service, &engines.all));
+            self.trackers.insert(service.to_owned(), book);
         }
-        let book = self.books.get_mut(service).expect("it was just added");
+        let book = self.trackers.get_mut(service).expect("it was just added");
         let scope = mandate.scope();
         for due in book.due(&layout_model, &known, scope, now_ms()) {
             // Deciding took time; another one may plan by now.
@@ -174,19 +175,19 @@
                 return;
             }
             let engine = engines.all[due.engine].clone();
-            let given = GivenOrder {
+            let given = IssuedOrder {
                 engine,
                 due,
                 mandate,
                 service: service.to_owned(),
                 accepted: self.accepted.clone(),
             };
-            core.executor.spawn(order(core.clone(), given)).detach();
+            core.executor.spawn(send_order(core.clone(), given)).detach();
         }
     }
 
     /// Tells how many engines hold the layers, when that has changed.
-    fn note_cover(
+    fn log_coverage(
         &mut self,
         core: &Core,
         service: &str,
@@ -202,23 +203,23 @@
         here.resize(here.len().max(names.len()), none);
         let text = |(at, counts): (usize, &Vec<u32>)| {
             let name = names.get(at).map_or("?", String::as_str);
-            format!("{name} {}", runs(counts))
+            format!("{name} {}", format_runs(counts))
         };
         let texts: Vec<String> = here.iter().enumerate().map(text).collect();
         let texts = texts.join("; ");
-        if self.told.get(service) != Some(&texts) {
+        if self.logged_coverage.get(service) != Some(&texts) {
             emit(
                 Event::CoverChanged,
                 &[("service", &service), ("cover", &texts)],
             );
-            self.told.insert(service.to_owned(), texts);
+            self.logged_coverage.insert(service.to_owned(), texts);
         }
     }
 }
 
 /// Moves of the planners before, this entry's own among them, which may still
 /// be carried out.
-fn told_moves(
+fn recent_moves(
     core: &Core,
     service: &str,
     engines: &[Arc<Engine>],
@@ -233,7 +234,7 @@
         })
     };
     let now_ms = now_ms();
-    let told = core.peers.told_moves(service).into_iter();
+    let told = core.peers.announced_moves(service).into_iter();
     let own = core.own_moves(service).into_iter();
     let recent = told
         .chain(own)
@@ -242,7 +243,7 @@
 }
 
 /// Tokens of the requests that an engine takes as their first one.
-fn first_tokens(model: &Model, engines: &[Arc<Engine>]) -> f64 {
+fn first_stage_tokens(model: &Model, engines: &[Arc<Engine>]) -> f64 {
     let places = engines.iter().map(|engine| engine.lock().row.slots);
     let usual = model.usual_prompt_tokens + model.usual_answer_tokens;
     match (places.min(), usual) {
@@ -251,7 +252,7 @@
     }
 }
 
-fn known_engine<'a>(model: &Model, engine: &'a Engine) -> KnownEngine<'a> {
+fn observed_engine<'a>(model: &Model, engine: &'a Engine) -> KnownEngine<'a> {
     let state = engine.lock();
     let kind = state.row.kind.as_ref();
     let kind = kind.and_then(|kind| model.kinds.get(kind));
@@ -279,7 +280,7 @@
 }
 
 /// Counts of layers in a row, as "first..end x count".
-fn runs(counts: &[u32]) -> String {
+fn format_runs(counts: &[u32]) -> String {
     let mut texts = Vec::new();
     let mut first = 0;
     for at in 1..=counts.len() {
@@ -298,7 +299,7 @@
 /// for all others. Those that begin at the
 /// engine can't be led around it, and all at once would use up the shared
 /// bound on further arrivals: they may end.
-fn passing(
+fn stream_policy(
     core: &Core,
     service: &str,
     engine: &Engine,
@@ -316,7 +317,7 @@
 }
 
 /// An order on its way.
-struct GivenOrder {
+struct IssuedOrder {
     engine: Arc<Engine>,
     due: DueOrder,
     mandate: Authority,
@@ -324,8 +325,8 @@
     accepted: Accepted,
 }
 
-async fn order(core: Arc<Core>, given: GivenOrder) {
-    let GivenOrder { engine, due, mandate, service, accepted } = given;
+async fn send_order(core: Arc<Core>, given: IssuedOrder) {
+    let IssuedOrder { engine, due, mandate, service, accepted } = given;
     let name = format!("place {}", due.range);
     let number = mandate.fence().map_or_else(String::new, |n| n.to_string());
     emit(
@@ -337,11 +338,11 @@
             ("fence", &number),
         ],
     );
-    let passing = passing(&core, &service, &engine, due.range);
+    let passing = stream_policy(&core, &service, &engine, due.range);
     let body =
         place_body(due.range, mandate.fence(), due.orders_begun, passing);
     let call = exchange::order(&engine, &body);
-    let reason = match within(ORDER, call).await {
+    let reason = match within(ORDER_TIMEOUT, call).await {
         Ok(Ok((200..=299, _))) => {
             let order = (engine.incarnation.clone(), due.orders_begun);
             accepted.lock().expect("no holder panics").push(order);
@@ -358,12 +359,12 @@
         Ok(Err(e)) => e.to_string(),
         Err(e) => e.to_string(),
     };
-    note_refused(&engine, &due, &name, &number, &reason);
+    log_refused(&engine, &due, &name, &number, &reason);
 }
 
 /// Tells that an order was refused, with the state that it was given against
 /// and what the engine has begun as far as is known now.
-fn note_refused(
+fn log_refused(
     engine: &Engine,
     due: &DueOrder,
     name: &str,
