--- a/crates/direct/src/cluster/alerts.rs
+++ b/crates/direct/src/cluster/alerts.rs
@@ -1,4 +1,4 @@
-//! What this entry has just found, to tell all others at once.
+//! Findings that this entry sends to all other entries without delay.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,40 +11,40 @@
 
 use crate::{clock::now_ms, cluster::permits, core::Core};
 
-/// What is told with the next alert.
+/// Content of the next alert.
 #[derive(Debug, Default)]
 pub(crate) struct PendingAlert {
-    /// Engines, by their short hash.
+    /// Updates of engines, by short hash.
     pub(crate) engines: BTreeMap<u32, EngineUse>,
-    /// Requests of which something is new.
+    /// Suspect requests with a change.
     pub(crate) suspects: BTreeSet<Fingerprint>,
-    /// Trials that began at an engine, or ended.
+    /// Trials that began at the engine with this hash, or ended (`None`).
     trials: BTreeMap<Fingerprint, Option<u32>>,
-    /// Engines that said something new of themselves, by their short hash.
+    /// Engines with a new notice, by short hash.
     notices: BTreeSet<u32>,
 }
 
 impl PendingAlert {
-    /// The trials as they are told.
+    /// The trials as messages.
     pub(crate) fn trials(&self) -> Vec<RequestTrial> {
         let trial =
-            |(of, engine): (&Fingerprint, &Option<u32>)| RequestTrial {
-                fingerprint: of.0,
+            |(request, engine): (&Fingerprint, &Option<u32>)| RequestTrial {
+                fingerprint: request.0,
                 engine: engine.unwrap_or_default(),
             };
         self.trials.iter().map(trial).collect()
     }
 
-    /// What engines said, as it is told.
+    /// The notices of engines as messages.
     pub(crate) fn notices(&self, core: &Core) -> Vec<EngineNotice> {
-        let (listed, now_ms) = (core.fleet.index(), now_ms());
-        let news =
-            |hash| permits::peer_notice(listed.by_hash.get(hash)?, now_ms);
-        self.notices.iter().filter_map(news).collect()
+        let (index, now_ms) = (core.fleet.index(), now_ms());
+        let notice =
+            |hash| permits::peer_notice(index.by_hash.get(hash)?, now_ms);
+        self.notices.iter().filter_map(notice).collect()
     }
 }
 
-/// What waits for the next alert.
+/// Collects findings and wakes the task that sends alerts.
 #[derive(Debug)]
 pub(crate) struct Alerts {
     pending: Mutex<PendingAlert>,
@@ -65,37 +65,41 @@
     }
 
     fn wake(&self) {
-        // One that is full has a signal on the way.
+        // If the channel is full, a signal is already pending.
         let _ = self.sender.try_send(());
     }
 
-    /// Tells of an engine with the next alert.
-    pub(crate) fn queue_engine(&self, news: EngineUse) {
-        self.lock().engines.insert(news.engine, news);
+    /// Queues an update of an engine for the next alert.
+    pub(crate) fn queue_engine(&self, update: EngineUse) {
+        self.lock().engines.insert(update.engine, update);
         self.wake();
     }
 
-    /// Tells of a request under which engines crashed.
+    /// Queues a request under which engines crashed.
     pub(crate) fn queue_suspect(&self, request: Fingerprint) {
         self.lock().suspects.insert(request);
         self.wake();
     }
 
-    /// Tells that a request is on trial at an engine, or no longer.
-    pub(crate) fn queue_trial(&self, of: Fingerprint, engine: Option<u32>) {
-        self.lock().trials.insert(of, engine);
+    /// Queues the start of a trial at an engine, or the end of one (`None`).
+    pub(crate) fn queue_trial(
+        &self,
+        request: Fingerprint,
+        engine: Option<u32>,
+    ) {
+        self.lock().trials.insert(request, engine);
         self.wake();
     }
 
-    /// Tells of what an engine said of itself.
+    /// Queues the current notice of an engine.
     pub(crate) fn queue_notice(&self, engine: u32) {
         self.lock().notices.insert(engine);
         self.wake();
     }
 
-    /// Waits until there is something to tell.
+    /// Waits until something is queued.
     pub(crate) async fn wait(&self) {
-        // The sender lives as long as this does.
+        // This never fails: `self` owns the sender.
         let _ = self.receiver.recv().await;
     }
 
@@ -104,7 +108,7 @@
     }
 }
 
-/// A factor as a percentage, as entries tell it.
+/// Converts a factor to the percentage used in messages.
 pub(crate) fn percent(factor: f64) -> u32 {
     (factor * 100.0).round() as u32
 }
--- a/crates/direct/src/cluster/backend_rows.rs
+++ b/crates/direct/src/cluster/backend_rows.rs
@@ -123,7 +123,7 @@
 
 /// Takes an entry out, or keeps it for a moment after an outage.
 fn remove(core: &Arc<Core>, id: &str, row_version: u64) {
-    let keep_ms = lapsed_grace_left_ms(core.feeds.backends.back_ms());
+    let keep_ms = lapsed_grace_left_ms(core.feeds.backends.recovered_ms());
     if keep_ms == 0 {
         remove_now(core, id, row_version, 0);
         return;
--- a/crates/direct/src/cluster/engine.rs
+++ b/crates/direct/src/cluster/engine.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one backend server.
+//! State that an entry keeps for one backend server.
 
 use std::{
     cmp::Ordering,
@@ -17,110 +17,114 @@
 
 use crate::{clock::now_ms, cluster::notices::Notices, rate::Rate};
 
-/// Progress so recent shows that an engine lives.
+/// An engine with progress this recent counts as alive without a connect.
 pub(crate) const RECENT_PROGRESS_MS: u64 = 60;
 
-/// Units in which entries tell each other memory, in tokens times layers.
+/// Unit in which entries report memory to each other, in tokens times layers.
 const REPORTED_UNIT_TOKEN_LAYERS: u64 = 1_000;
-/// A connection made so recently need not be made again.
+/// Minimum time between two connects that probe an engine.
 const MIN_RECONNECT_INTERVAL_MS: u64 = 125;
-/// Most doublings of a time that grows with failures in a row.
+/// Maximum number of times that a backoff is doubled.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// One incarnation of a backend server.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) id: String,
-    /// Name of this start of it, under which it counts.
+    /// Id of this process lifetime, to which the state belongs.
     pub(crate) incarnation: String,
-    /// Unix time of that start, in milliseconds.
+    /// Unix time at which the process started, in milliseconds.
     pub(crate) started_unix_ms: Option<u64>,
-    /// Short form of the incarnation among entries.
+    /// Hash of the incarnation that entries use in messages to each other.
     pub(crate) hash: u32,
     pub(crate) address: SocketAddr,
     pub(crate) service: String,
     pub(crate) data_centre: usize,
-    /// Memory that requests of this entry use, in tokens times layers.
+    /// Memory used by requests of this entry, in tokens times layers.
     own_token_layers: AtomicU64,
-    /// Requests of this entry that were sent to it first.
+    /// Requests of this entry for which the engine is the first stage.
     own_first_count: AtomicU64,
-    /// Time that reading for own requests takes at its usual pace, in
-    /// milliseconds.
+    /// Prefill time of this entry's requests at the engine's typical speed,
+    /// in milliseconds.
     own_prefill: Rate,
-    /// The same of all other entries.
+    /// The same three amounts, summed over all other entries.
     peer_token_layers: AtomicU64,
     peer_first_count: AtomicU64,
     peer_prefill_ms_per_s: AtomicU64,
-    /// When a stream through it last made progress.
+    /// When a stream through the engine last made progress.
     progress_ms: AtomicU64,
     pub(crate) is_probing: AtomicBool,
-    /// Whether this entry keeps an idle connection to it.
+    /// Whether this entry keeps an idle connection to the engine.
     pub(crate) is_watched: AtomicBool,
-    /// How streams that were sent to it first were answered. An engine that
-    /// fails at once looks idle, and would be chosen ever more often.
+    /// Circuit breaker over the outcomes of streams for which the engine is
+    /// the first stage. Without the breaker, an engine that fails immediately
+    /// looks idle and is chosen more and more often.
     pub(crate) circuit: Health,
-    /// What it said of itself in answers.
+    /// Limits and leaving notices from the engine's response headers.
     pub(crate) notices: Notices,
     state: Mutex<EngineState>,
 }
 
-/// What changes of a backend server.
+/// Mutable state of a backend server.
 #[derive(Debug)]
 pub(crate) struct EngineState {
     pub(crate) row: Backend,
     pub(crate) row_version: u64,
-    /// It has left the list, or another one has its address.
+    /// The engine is no longer listed, or another engine has its address.
     pub(crate) is_removed: bool,
-    /// A later start has its id: its process has ended.
+    /// A later incarnation has the engine's id, so this process has exited.
     pub(crate) is_replaced: bool,
-    /// What the list has under its id is no row of an engine, so that it gets
-    /// nothing new; what it runs goes on.
+    /// The row under the engine's id is not a valid backend row. The engine
+    /// gets no new requests; running requests continue.
     pub(crate) is_row_unusable: bool,
     pub(crate) suspicion: Option<Suspicion>,
-    /// Above 1 for one that is slow.
+    /// Reported time relative to the typical time; above 1 for a slow engine.
     pub(crate) slowness: f64,
-    /// It refused for lack of room, or failed; no work until then.
+    /// End of the backoff after a refusal for lack of capacity or a failure.
     pub(crate) backoff_until_ms: u64,
-    /// It asked this entry to send it nothing until then. It is still used
-    /// for later parts of paths: those do not reach it from this entry.
+    /// End of the cooldown that the engine requested from this entry. During
+    /// a cooldown the engine still serves as a later stage of paths, because
+    /// other engines send those requests.
     pub(crate) cooldown_until_ms: u64,
-    /// When a connection was last made.
+    /// When this entry last connected to the engine.
     pub(crate) connected_ms: u64,
-    /// Dials that reached it since work last flowed through it.
+    /// Successful connects since the last progress of a stream.
     pub(crate) connects_without_progress: u32,
-    /// When another entry last told of it in an alert.
+    /// When an alert of another entry last named the engine.
     pub(crate) alerted_ms: u64,
-    /// When it was last heard how slow it is.
+    /// When the slowness was last reported.
     pub(crate) slowness_received_ms: u64,
-    /// When its report was last asked for.
+    /// When this entry last requested a report from the engine.
     pub(crate) report_requested_ms: u64,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub(crate) failures: u32,
-    /// Orders that it had begun when it last reported.
+    /// Orders that the engine had begun, by its last report.
     pub(crate) orders_begun: u64,
+    /// Usage that other entries reported, by boot id.
     peer_usage: BTreeMap<u64, EngineUsage>,
-    /// When it was first seen leaving.
+    /// When the engine was first known to be leaving.
     pub(crate) leaving_since_ms: Option<u64>,
-    /// It said so itself in an answer, which holds as long as this start.
+    /// A response of the engine announced that it is leaving. The notice holds
+    /// for the rest of the process lifetime.
     pub(crate) has_said_leaving: bool,
-    /// Layers to which the planner is moving it.
+    /// Layers that the engine is to hold after a pending move.
     pub(crate) planned_layers: Option<LayerRange>,
 }
 
 impl EngineState {
-    /// How long it has been leaving; none if it isn't.
+    /// Time since the engine began to leave, or `None` if it stays.
     pub(crate) fn leaving_ms(&self, now_ms: u64) -> Option<u64> {
         let since_ms = self.leaving_since_ms?;
         Some(now_ms.saturating_sub(since_ms))
     }
 
-    /// Whether some of these layers are about to be given up.
+    /// Whether a pending move releases some of these layers.
     pub(crate) fn will_release(&self, layers: LayerRange) -> bool {
         self.planned_layers.is_some_and(|to| !to.contains(layers))
     }
 
-    /// Layers that new requests may use: not those that an order is about to
-    /// take away.
+    /// Layers that new requests may use: the held layers without those that a
+    /// pending move releases.
     pub(crate) fn retained_layers(&self) -> Option<LayerRange> {
         let held = self.row.held?;
         match self.planned_layers {
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Takes what the planner tells of its moves; true if that is new.
+    /// Sets the target of a pending move; returns true if the move is new.
     pub(crate) fn set_planned_layers(
         &mut self,
         to: Option<LayerRange>,
@@ -140,9 +144,10 @@
         is_new
     }
 
-    /// Whether a dial may show something new: not while work flows through
-    /// it, and more rarely the more dials have reached it in vain, since
-    /// all that wait for something else would dial it.
+    /// Whether a connect is worthwhile. None is due while streams through the
+    /// engine make progress. The interval doubles with each successful connect
+    /// that no progress follows: otherwise every stream that waits for another
+    /// engine of its path would connect to this one again and again.
     pub(crate) fn is_connect_due(
         &mut self,
         now_ms: u64,
@@ -157,32 +162,35 @@
         now_ms.saturating_sub(self.connected_ms) >= pause_ms
     }
 
-    /// Takes that it said in an answer that it leaves; false if that was
-    /// known.
+    /// Records a leaving notice from a response; returns false if one was
+    /// recorded before.
     pub(crate) fn mark_leaving(&mut self, now_ms: u64) -> bool {
         self.leaving_since_ms.get_or_insert(now_ms);
         !std::mem::replace(&mut self.has_said_leaving, true)
     }
 
-    /// Whether it asked this entry to send it nothing now.
+    /// Whether the engine requested a cooldown that has not ended.
     pub(crate) fn is_in_cooldown(&self, now_ms: u64) -> bool {
         now_ms < self.cooldown_until_ms
     }
 
-    /// Takes that it asked for rest; of several, the latest end counts.
-    pub(crate) fn enter_cooldown(&mut self, rest_ms: u64, now_ms: u64) {
-        self.cooldown_until_ms = self.cooldown_until_ms.max(now_ms + rest_ms);
+    /// Records a requested cooldown. Cooldowns may overlap; the latest end
+    /// applies.
+    pub(crate) fn enter_cooldown(&mut self, duration_ms: u64, now_ms: u64) {
+        self.cooldown_until_ms =
+            self.cooldown_until_ms.max(now_ms + duration_ms);
     }
 
-    /// Keeps work away, for longer with each refusal in a row: what the list
-    /// says of it may be outdated for as long as the store is away.
-    pub(crate) fn back_off(&mut self, now_ms: u64, least_ms: u64) {
+    /// Sends no new work for a time that doubles with each consecutive
+    /// failure. The backend list may be outdated for as long as the store is
+    /// unavailable.
+    pub(crate) fn back_off(&mut self, now_ms: u64, min_ms: u64) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        self.backoff_until_ms = now_ms + (least_ms << doublings);
+        self.backoff_until_ms = now_ms + (min_ms << doublings);
     }
 
-    /// Takes what the list says.
+    /// Applies a newer row of the backend list.
     pub(crate) fn apply_row(&mut self, row: Backend, version: u64) {
         let is_leaving =
             row.state == BackendState::Draining || self.has_said_leaving;
@@ -203,20 +211,21 @@
     }
 }
 
-/// Of which start of a backend server something tells.
+/// Order of the incarnation in a row or report relative to the known one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StartOrder {
-    /// Of one before, or of none where the start is known: it holds no more.
+    /// An earlier incarnation, or no start time although one is known: the
+    /// information is obsolete.
     Earlier,
     Same,
-    /// The process that is known has ended.
+    /// A later incarnation, so the known process has exited.
     Later,
 }
 
 impl StartOrder {
-    /// Compares the start that is told with the one that is known.
-    pub(crate) fn of(told: Option<u64>, known: Option<u64>) -> StartOrder {
-        match told.cmp(&known) {
+    /// Compares the start time in a row or report with the known one.
+    pub(crate) fn of(reported: Option<u64>, known: Option<u64>) -> StartOrder {
+        match reported.cmp(&known) {
             Ordering::Less => StartOrder::Earlier,
             Ordering::Equal => StartOrder::Same,
             Ordering::Greater => StartOrder::Later,
@@ -224,19 +233,19 @@
     }
 }
 
-/// What an entry uses of a backend server.
+/// Load that one entry puts on a backend server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct EngineUsage {
     pub(crate) kilo_token_layers: u32,
     pub(crate) first_count: u32,
-    pub(crate) work_ms_per_s: u32,
+    pub(crate) prefill_ms_per_s: u32,
 }
 
 /// Why a backend server gets no work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Suspicion {
     pub(crate) since_ms: u64,
-    /// Not cleared before.
+    /// Earliest time at which the suspicion may be cleared.
     pub(crate) until_ms: u64,
     pub(crate) evidence: Evidence,
 }
@@ -303,7 +312,7 @@
         self.own_token_layers.load(Relaxed) + others
     }
 
-    /// Memory that requests use, where so many entries have not told.
+    /// Memory in use, with an estimate for entries that have not reported.
     pub(crate) fn estimated_token_layers(&self, untold_entries: u64) -> u64 {
         let own = self.own_token_layers.load(Relaxed);
         let told = self.peer_token_layers.load(Relaxed);
@@ -315,7 +324,7 @@
             + self.peer_first_count.load(Relaxed)
     }
 
-    /// What this entry uses, as it tells the others.
+    /// This entry's load on the engine, in the units of state messages.
     pub(crate) fn own_usage(&self, now_ms: u64) -> EngineUsage {
         let used = self
             .own_token_layers
@@ -324,64 +333,65 @@
         EngineUsage {
             kilo_token_layers: used as u32,
             first_count: self.own_first_count.load(Relaxed) as u32,
-            work_ms_per_s: self.own_prefill.per_s(now_ms) as u32,
+            prefill_ms_per_s: self.own_prefill.per_s(now_ms) as u32,
         }
     }
 
-    /// Counts reading that a request brings, at the engine's usual pace.
-    pub(crate) fn record_prefill(&self, work_ms: f64, now_ms: u64) {
-        self.own_prefill.note(work_ms, now_ms);
+    /// Records the prefill time of a request at the engine's typical speed.
+    pub(crate) fn record_prefill(&self, prefill_ms: f64, now_ms: u64) {
+        self.own_prefill.note(prefill_ms, now_ms);
     }
 
-    /// Share of its time that reading takes at its usual pace.
+    /// Share of the engine's time that prefill takes at its typical speed.
     pub(crate) fn prefill_utilisation(&self, now_ms: u64) -> f64 {
         let others = self.peer_prefill_ms_per_s.load(Relaxed) as f64;
         (self.own_prefill.per_s(now_ms) + others) / 1e3
     }
 
-    /// Takes what another entry uses; none once it has gone.
+    /// Replaces the load that another entry reported; `None` removes it.
     pub(crate) fn set_peer_usage(
         &self,
         boot_id: u64,
-        told: Option<EngineUsage>,
+        usage: Option<EngineUsage>,
     ) {
         let mut state = self.lock();
-        let old = match told {
-            Some(told) => state.peer_usage.insert(boot_id, told),
+        let old = match usage {
+            Some(usage) => state.peer_usage.insert(boot_id, usage),
             None => state.peer_usage.remove(&boot_id),
         };
-        let (old, new) = (old.unwrap_or_default(), told.unwrap_or_default());
-        // Under the lock: the sums are those of the map.
-        let change =
-            |sum: &AtomicU64, of: fn(&EngineUsage) -> u32, unit: u64| {
-                let (old, new) = (u64::from(of(&old)), u64::from(of(&new)));
-                let others = sum.load(Relaxed) - old * unit;
-                sum.store(others + new * unit, Relaxed);
-            };
-        let memory = |told: &EngineUsage| told.kilo_token_layers;
-        change(&self.peer_token_layers, memory, REPORTED_UNIT_TOKEN_LAYERS);
-        change(&self.peer_first_count, |told| told.first_count, 1);
-        change(&self.peer_prefill_ms_per_s, |told| told.work_ms_per_s, 1);
+        let (old, new) = (old.unwrap_or_default(), usage.unwrap_or_default());
+        // The lock on the state keeps the sums consistent with the map.
+        let update = |sum: &AtomicU64,
+                      field: fn(&EngineUsage) -> u32,
+                      unit: u64| {
+            let (old, new) = (u64::from(field(&old)), u64::from(field(&new)));
+            let others = sum.load(Relaxed) - old * unit;
+            sum.store(others + new * unit, Relaxed);
+        };
+        let memory = |usage: &EngineUsage| usage.kilo_token_layers;
+        update(&self.peer_token_layers, memory, REPORTED_UNIT_TOKEN_LAYERS);
+        update(&self.peer_first_count, |usage| usage.first_count, 1);
+        update(&self.peer_prefill_ms_per_s, |usage| usage.prefill_ms_per_s, 1);
     }
 
     pub(crate) fn record_progress(&self, now_ms: u64) {
         self.progress_ms.store(now_ms, Relaxed);
     }
 
-    /// Whether work flowed through it or a dial reached it of late.
+    /// Whether a stream made progress or a connect succeeded recently.
     pub(crate) fn is_alive(&self, now_ms: u64, within_ms: u64) -> bool {
-        let reached_ms = self.lock().connected_ms;
+        let connected_ms = self.lock().connected_ms;
         self.quiet_ms(now_ms) < within_ms
-            || now_ms.saturating_sub(reached_ms) < within_ms
+            || now_ms.saturating_sub(connected_ms) < within_ms
     }
 
-    /// Time since a stream through it last made progress.
+    /// Time since a stream through the engine last made progress.
     pub(crate) fn quiet_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.progress_ms.load(Relaxed))
     }
 
-    /// Takes the permit for a request that is sent to it now, where it needs
-    /// one; false if there is none, or if it is at rest.
+    /// Takes a permit for a request if the engine requires one. Returns false
+    /// if none is available or the engine is in cooldown.
     pub(crate) fn try_admit(&self, request: u64, now_ms: u64) -> bool {
         !self.lock().is_in_cooldown(now_ms)
             && self.notices.try_take_permit(request, now_ms)
@@ -393,7 +403,7 @@
     }
 }
 
-/// Memory and a place that a request uses until it is dropped.
+/// Memory and a slot that a request occupies until this value is dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     engine: Arc<Engine>,
--- a/crates/direct/src/cluster/engine_watcher.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -1,9 +1,9 @@
-//! Idle connections that show at once when the process of an engine ends.
+//! Idle connections that detect immediately when an engine's process exits.
 //!
-//! Engines end idle connections after a while, so each one costs a dial a
-//! second or two. If every entry held one to every engine, 68 entries before
-//! 130 engines would make 90,000 dials in 48 s; so two entries of its data
-//! centre watch an engine, and tell all others what they find.
+//! Engines close idle connections after a second or two, so each connection
+//! costs a connect in that time. If every entry watched every engine, 68
+//! entries and 130 engines would make 90,000 connects in 48 s. Therefore two
+//! entries of its data centre watch each engine and alert all other entries.
 
 use std::{
     collections::BTreeMap,
@@ -21,23 +21,23 @@
     core::Core,
 };
 
-/// Entries that watch an engine: one may be busy, cut off or about to end.
+/// Two, because one entry may be overloaded, partitioned or about to exit.
 const WATCHERS_PER_ENGINE: usize = 2;
-/// An entry that has just started does not know the others yet, and would
-/// watch all engines.
+/// Until this uptime an entry does not know the others, and would assign
+/// every engine to itself.
 const MIN_UPTIME_MS: u64 = 1_800;
-/// Time between looks at whose duty an engine is.
+/// Time between checks of which engines are assigned to this entry.
 const ASSIGNMENT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for a dial, which is in no hurry.
+/// Longer than the timeout of a probe: no request waits for this connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A connection that ends sooner makes the next dial wait longer: an engine
-/// with a long queue resets those that it has no room for.
+/// After a connection shorter than this, the next connect is delayed: an
+/// engine with a long queue resets connections that exceed its capacity.
 const SHORT_CONNECTION_MS: u64 = 500;
-/// Pause before the next dial then, and most doublings of it.
+/// Initial delay of that connect; it doubles up to `MAX_DOUBLINGS` times.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(300);
 const MAX_DOUBLINGS: u32 = 4;
 
-/// The live entries of each data centre, by its index.
+/// Boot ids of the live entries, with this one.
 struct LiveEntries {
     by_data_centre: BTreeMap<usize, Vec<u64>>,
     all: Vec<u64>,
@@ -47,19 +47,23 @@
     fn new(core: &Core) -> LiveEntries {
         let names = core.settings.data_centres.iter().enumerate();
         let now_ms = now_ms();
-        let mut here: BTreeMap<usize, Vec<u64>> = names
+        let mut by_data_centre: BTreeMap<usize, Vec<u64>> = names
             .map(|(at, name)| (at, core.peers.live_in(name, now_ms)))
             .collect();
-        here.entry(core.own_data_centre()).or_default().push(core.boot_id);
-        let all = here.values().flatten().copied().collect();
-        LiveEntries { by_data_centre: here, all }
+        by_data_centre
+            .entry(core.own_data_centre())
+            .or_default()
+            .push(core.boot_id);
+        let all = by_data_centre.values().flatten().copied().collect();
+        LiveEntries { by_data_centre, all }
     }
 
-    /// Whether an engine is this entry's to watch: one of its data centre,
-    /// or of one that has no entry.
+    /// Whether this entry is assigned to watch an engine. Candidates are the
+    /// entries of the engine's data centre, or all if that has none.
     fn is_assigned(&self, core: &Core, engine: &Engine) -> bool {
-        let here = self.by_data_centre.get(&engine.data_centre);
-        let entries = here.filter(|h| !h.is_empty()).unwrap_or(&self.all);
+        let entries_here = self.by_data_centre.get(&engine.data_centre);
+        let entries =
+            entries_here.filter(|e| !e.is_empty()).unwrap_or(&self.all);
         entries.contains(&core.boot_id)
             && duty::holds(
                 core.boot_id,
@@ -70,17 +74,17 @@
     }
 }
 
-/// Watches the engines that are this entry's, until the process ends.
+/// Watches the engines assigned to this entry, until the process exits.
 pub(crate) async fn run(core: Arc<Core>) {
     loop {
         Timer::after(ASSIGNMENT_CHECK_INTERVAL).await;
         if core.age_ms() < MIN_UPTIME_MS {
             continue;
         }
-        let around = LiveEntries::new(&core);
+        let entries = LiveEntries::new(&core);
         for engine in core.fleet.all() {
             if is_watchable(&core, &engine)
-                && around.is_assigned(&core, &engine)
+                && entries.is_assigned(&core, &engine)
                 && !engine.is_watched.swap(true, Relaxed)
             {
                 let watch = watch(core.clone(), engine);
@@ -90,7 +94,8 @@
     }
 }
 
-/// Who serves nothing that is configured may be anybody's address.
+/// Whether an engine may be watched. The address in a row that serves no
+/// configured service may belong to any host, so it is not connected to.
 fn is_watchable(core: &Core, engine: &Engine) -> bool {
     let state = engine.lock();
     let is_model_engine = state.row.kind.is_some();
@@ -102,23 +107,24 @@
     while is_watchable(&core, &engine)
         && LiveEntries::new(&core).is_assigned(&core, &engine)
     {
-        let since_ms = now_ms();
+        let started_ms = now_ms();
         match Outbound::connect(engine.address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
                 probe::record_connected(&core, &engine);
                 connection.ended().await;
-                // Idle for long, or its process has ended: the next dial
-                // shows.
+                // The idle timeout or the exit of the process ended the
+                // connection; the next connect tells which.
             }
             Err(e) => probe::record_unreachable(&core, &engine, &e),
         }
-        if now_ms() - since_ms >= SHORT_CONNECTION_MS {
+        if now_ms() - started_ms >= SHORT_CONNECTION_MS {
             short_lived = 0;
             continue;
         }
         short_lived += 1;
         let doublings = (short_lived - 1).min(MAX_DOUBLINGS);
-        // The first time at once: it may have ended just after the dial.
+        // The first reconnect is immediate: the process may have exited just
+        // after the connect.
         if short_lived > 1 {
             Timer::after(RECONNECT_PAUSE * (1 << doublings)).await;
         }
--- a/crates/direct/src/cluster/feed_follower.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -1,9 +1,9 @@
-//! Configuration and list of backend servers, by feeds of the store.
+//! Follows the configuration and the backend list through feeds of the store.
 //!
-//! A feed's call waits at the store until something changes. Its wait is
-//! short, since only the end of a call shows that its connection has not
-//! gone silent. Where a data centre has several entries, one asks the store
-//! and the others ask it in the same way ([`Sources`]).
+//! A poll of a feed waits at the store until the table changes. The wait is
+//! short, because a dropped connection shows only when a poll does not return
+//! in time. In a data centre with several entries, one of them polls the store
+//! and the others poll that entry in the same way ([`Sources`]).
 //!
 //! [`Sources`]: chestnutreach_membership::Sources
 
@@ -31,42 +31,42 @@
     core::Core,
 };
 
-/// Wait of a call of the configuration's feed. Two calls that fail must fit
-/// into the bound on withdrawn keys, 5 s in the shipped deployments.
+/// Two failed polls must fit into the time limit for withdrawn keys, which is
+/// 5 s in the shipped deployments.
 const CONFIGURATION_POLL_WAIT: Duration = Duration::from_millis(2_200);
-/// Wait of a call of the list's feed.
 const BACKENDS_POLL_WAIT: Duration = Duration::from_millis(3_500);
-/// Wait of either at the store where others ask this entry: what they know
-/// is as much older as a call waits.
+/// Wait at the store if other entries poll this one: the wait adds to the age
+/// of their copies.
 const SHARED_READER_WAIT: Duration = Duration::from_millis(1_200);
-/// Age of what is known from which on a call waits only so long at the store:
-/// who asks it in place of a reader that failed must know at once.
+/// Age of the copy above which a poll of the store waits only
+/// `STALE_READER_WAIT`. An entry that replaces a failed reader must learn
+/// immediately whether its copy is current.
 const SHORT_WAIT_AGE_MS: u64 = 1_000;
 const STALE_READER_WAIT: Duration = Duration::from_millis(50);
-/// Wait of either at another entry.
 const PEER_WAIT: Duration = Duration::from_millis(600);
-/// The same where what is known is old, and the next one may know better.
+/// Wait at another entry while the copy is stale: the next peer may have a
+/// newer one.
 const STALE_PEER_WAIT: Duration = Duration::from_millis(150);
-/// Age from which on the next one hardly knows better: the store is away.
+/// Age above which no other peer is likely to have a newer copy, because the
+/// store is unavailable.
 const OUTAGE_AGE_MS: u64 = 4_000;
-/// Shortest time between two lines that tell which other entry is asked.
+/// Minimum time between two log lines about a change to another peer.
 const SOURCE_LOG_INTERVAL_MS: u64 = 5_000;
-/// Time beyond its wait after which a call counts as lost.
+/// Time beyond its wait after which a poll counts as failed.
 const STORE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
-/// The same at another entry, which is near.
+/// Shorter than for the store, because peers are in the same data centre.
 const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
-/// Time for reading a whole table.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Pause between calls of the list, so that changes that come together cost
-/// one call.
+/// Pause between polls of the backend list, so that one poll returns several
+/// changes.
 const BACKENDS_PAUSE: Duration = Duration::from_millis(250);
-/// Entries for which the pause is once as long, and most times that it is.
+/// The pause is multiplied by the number of entries divided by this number,
+/// within 1 and `MAX_PAUSES`.
 const ENTRIES_PER_PAUSE: u32 = 12;
 const MAX_PAUSES: u32 = 2;
 
-/// What a feed brings.
+/// Table that a feed follows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum FeedKind {
     Configuration,
@@ -83,17 +83,18 @@
     Follower::new(core, FeedKind::Backends).run().await;
 }
 
+/// Task that keeps the copy of one table current.
 struct Follower {
     core: Arc<Core>,
     kind: FeedKind,
     store: StoreClient,
     client: Option<FeedClient>,
     health: StoreHealth,
-    /// Version up to which everything was taken.
+    /// Version up to which all changes were applied.
     applied_version: Option<u64>,
-    /// Whom it asked last.
+    /// Source of the last poll.
     source: Source,
-    /// When that was last told.
+    /// When a change of the source was last logged.
     source_logged_ms: u64,
 }
 
@@ -172,11 +173,11 @@
     }
 
     async fn read_full_table(&self) -> Result<u64, StoreError> {
-        let asked_ms = now_ms();
+        let sent_ms = now_ms();
         let table = self.feed().table;
         let rows = self.store.read_table(table, READ_TIMEOUT).await?;
         self.apply_all(&rows);
-        self.record_confirmed(asked_ms);
+        self.record_confirmed(sent_ms);
         Ok(rows.version)
     }
 
@@ -185,7 +186,7 @@
         after: u64,
         is_shared: bool,
     ) -> Result<u64, StoreError> {
-        let usual = match (is_shared, self.kind) {
+        let default_wait = match (is_shared, self.kind) {
             (true, _) if self.feed().age_ms() > SHORT_WAIT_AGE_MS => {
                 STALE_READER_WAIT
             }
@@ -193,19 +194,19 @@
             (false, FeedKind::Configuration) => CONFIGURATION_POLL_WAIT,
             (false, FeedKind::Backends) => BACKENDS_POLL_WAIT,
         };
-        let wait = self.health.poll_wait(usual);
-        let asked_ms = now_ms();
+        let wait = self.health.poll_wait(default_wait);
+        let sent_ms = now_ms();
         let table = self.feed().table;
         let feed =
             self.store.feed(table, after, wait, wait + STORE_TIMEOUT_MARGIN);
         let rows = feed.await?;
         self.apply_changes(&rows);
-        // A call that came back empty has waited at the store.
+        // An empty response shows that the poll waited its full time.
         let waited_ms = match rows.rows.is_empty() {
             true => wait.as_millis() as u64,
             false => 0,
         };
-        self.record_confirmed((asked_ms + waited_ms).min(now_ms()));
+        self.record_confirmed((sent_ms + waited_ms).min(now_ms()));
         Ok(rows.version.max(after))
     }
 
@@ -213,28 +214,29 @@
         let Some(address) = self.core.peers.feed_address(entry) else {
             return Outcome::Failed;
         };
-        let kept = self.client.take().filter(|a| a.address() == address);
-        let asker = kept.unwrap_or_else(|| FeedClient::new(address));
+        let reused = self.client.take().filter(|a| a.address() == address);
+        let client = reused.unwrap_or_else(|| FeedClient::new(address));
         let table = self.feed().table;
         let wait = match self.feed().age_ms() {
             STALE_MS..OUTAGE_AGE_MS => STALE_PEER_WAIT,
             _ => PEER_WAIT,
         };
         let timeout = wait + PEER_TIMEOUT_MARGIN;
-        let asked =
-            asker.fetch(table, self.applied_version, wait, timeout).await;
-        let Some(asked) = asked else { return Outcome::Failed };
-        self.client = Some(asker);
-        let answer = asked.answer;
-        let age_ms = answer.confirmed_age_ms;
-        let confirmed_ms = asked.created_ms.saturating_sub(age_ms);
-        if let Some(back_age_ms) = answer.back_age_ms {
-            let back_ms = asked.created_ms.saturating_sub(back_age_ms);
-            self.feed().record_recovery(back_ms);
+        let fetched =
+            client.fetch(table, self.applied_version, wait, timeout).await;
+        let Some(fetched) = fetched else { return Outcome::Failed };
+        self.client = Some(client);
+        let response = fetched.answer;
+        let age_ms = response.confirmed_age_ms;
+        let confirmed_ms = fetched.created_ms.saturating_sub(age_ms);
+        if let Some(recovery_age_ms) = response.back_age_ms {
+            let recovered_ms =
+                fetched.created_ms.saturating_sub(recovery_age_ms);
+            self.feed().record_recovery(recovered_ms);
         }
-        let is_whole = answer.is_whole;
-        let rows = into_rows(answer);
-        match is_whole {
+        let is_full_table = response.is_whole;
+        let rows = into_rows(response);
+        match is_full_table {
             true => self.apply_all(&rows),
             false => self.apply_changes(&rows),
         }
@@ -248,8 +250,8 @@
         Outcome::Fresh
     }
 
-    /// Takes all rows, unless what is known here is newer, as it may be than
-    /// what another entry knows.
+    /// Applies a full table, unless the copy is newer, as can be the case if
+    /// the rows come from another entry.
     fn apply_all(&self, rows: &Rows) {
         if !self.feed().replace(rows) {
             return;
@@ -292,7 +294,7 @@
     fn record_store_failure(&self) {
         if self.kind == FeedKind::Configuration {
             self.core.note_store_lost();
-            // What the key check says may have changed by time alone.
+            // Evaluates the key check, whose result may change with time.
             self.core.are_keys_fresh();
         }
     }
@@ -307,7 +309,7 @@
         );
         self.source = source;
         self.feed().set_source(source);
-        // While the store is away, one entry after the other is asked.
+        // While the store is unavailable, the source changes with every poll.
         let now_ms = now_ms();
         if is_same_kind
             && now_ms < self.source_logged_ms + SOURCE_LOG_INTERVAL_MS
@@ -338,8 +340,8 @@
     }
 }
 
-/// Every change of the list costs a call of each entry, so many entries take
-/// more changes together.
+/// Pause between polls of the backend list. Every change of the list costs one
+/// poll of each entry, so many entries batch more changes.
 fn backends_pause(core: &Core) -> Duration {
     let entries = core.peers.entry_count() as u32;
     BACKENDS_PAUSE * (entries / ENTRIES_PER_PAUSE).clamp(1, MAX_PAUSES)
--- a/crates/direct/src/cluster/feed_health.rs
+++ b/crates/direct/src/cluster/feed_health.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers a feed, as this entry asks it.
+//! Availability of the store, as observed by the polls of one feed.
 
 use std::time::Duration;
 
@@ -7,16 +7,17 @@
 
 use crate::{clock::now_ms, cluster::feeds::Feed, core::Core};
 
-/// Wait of a call while the store is away: its return should show at once.
+/// Wait of a poll while the store is unavailable; short, so that a recovery
+/// shows immediately.
 const OUTAGE_WAIT: Duration = Duration::from_millis(50);
-/// An outage of the store, from which on lapsed entries are kept.
+/// Minimum outage of the store after which lapsed rows are kept for a while.
 const MIN_OUTAGE_MS: u64 = 400;
 
-/// A feed's health, told in the logs when it changes.
+/// Whether the store responds to a feed; logs each change.
 pub(crate) struct StoreHealth {
     table: &'static str,
     down_since_ms: Option<u64>,
-    /// When the store last answered.
+    /// When the store, or a peer in place of the store, last responded.
     last_response_ms: u64,
 }
 
@@ -29,8 +30,8 @@
         if self.down_since_ms.is_some() {
             return;
         }
-        // A call without an answer does not show since when the store was
-        // away; one that was refused or reset does.
+        // A refused or reset call fails at once. After a timeout, the store
+        // may have been unavailable since its last response.
         let since_ms = match error {
             StoreError::Unanswered { is_timeout: true, .. } => {
                 self.last_response_ms
@@ -68,18 +69,18 @@
         );
     }
 
-    /// Another entry has answered in place of the store: from here on a
-    /// failure of the store is told anew.
+    /// Records a response of another entry in place of the store. The next
+    /// failure of the store is logged again.
     pub(crate) fn record_peer_response(&mut self) {
         self.down_since_ms = None;
         self.last_response_ms = now_ms();
     }
 
-    /// How long a call of the feed is to wait at the store.
-    pub(crate) fn poll_wait(&self, usual: Duration) -> Duration {
+    /// How long the next poll is to wait at the store.
+    pub(crate) fn poll_wait(&self, default_wait: Duration) -> Duration {
         match self.down_since_ms {
             Some(_) => OUTAGE_WAIT,
-            None => usual,
+            None => default_wait,
         }
     }
 }
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -1,8 +1,8 @@
-//! Answering other entries in place of the store, and asking them.
+//! Server and client of the feeds that entries provide in place of the store.
 //!
-//! HTTP on a port of its own: `GET /feed/TABLE?after=VERSION&wait-ms=MS`
-//! waits for a change as the store's feed does. Without `after` all rows are
-//! answered, and also where it can't be told what changed since.
+//! HTTP on a separate port: `GET /feed/TABLE?after=VERSION&wait-ms=MS` waits
+//! for a change as the store's feed does. The response holds all rows if
+//! `after` is missing, or if the changes since that version are not known.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -21,25 +21,24 @@
 
 use crate::{clock::now_ms, cluster::feeds::Feed, core::Core};
 
-/// Longest wait that another entry is given.
+/// Maximum time for which a poll of another entry is held.
 const MAX_WAIT: Duration = Duration::from_millis(2_000);
-/// Connections at once: entries of a data centre, with both feeds, while old
-/// connections are not closed yet.
+/// Enough for both feeds of every entry in a data centre, beside old
+/// connections that are not closed yet.
 const MAX_CONNECTIONS: usize = 256;
-/// Time for a connection within a data centre.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest answer: a configuration of 1,600 accounts is far below it.
+/// A configuration with 1,600 client accounts is far smaller.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Opens the port: the second of those for entries, or any where there is
-/// only one.
+/// Opens the second of the internal ports, or any free port if there is only
+/// one.
 pub(crate) fn open(core: &Core) -> std::io::Result<Async<TcpListener>> {
     let (first, last) = core.settings.internal_ports;
     let port = if last > first { first + 1 } else { 0 };
     Async::<TcpListener>::bind((core.settings.ip, port))
 }
 
-/// Answers other entries until the process ends.
+/// Serves feeds to other entries until the process exits.
 pub(crate) async fn serve(core: Arc<Core>, listener: Async<TcpListener>) {
     let port = Port::new(listener, "feeds", MAX_CONNECTIONS);
     loop {
@@ -49,7 +48,7 @@
             let _slot = accepted.slot;
             let options = ServerOptions::new();
             let answer = |received| handle(&core_here, received);
-            // Who asked dials again, whatever became of this connection.
+            // An error needs no handling: the peer connects again.
             let _ = serve_connection(accepted.socket, &options, answer).await;
         };
         core.executor.spawn(serve).detach();
@@ -68,13 +67,13 @@
         return Response::new(404);
     };
     feed.record_request();
-    let asked_ms = now_ms();
+    let received_ms = now_ms();
     let after = number("after");
     if let Some(after) = after {
         let wait = Duration::from_millis(number("wait-ms").unwrap_or(0));
         wait_for_change(feed, after, wait.min(MAX_WAIT)).await;
     }
-    let waited_ms = now_ms() - asked_ms;
+    let waited_ms = now_ms() - received_ms;
     let Some(answer) = feed.response_after(after) else {
         return Response::new(503);
     };
@@ -85,30 +84,29 @@
 }
 
 async fn wait_for_change(feed: &Feed, after: u64, wait: Duration) {
-    let listed = feed.changed.list();
+    let subscription = feed.changed.list();
     if feed.version().is_some() && feed.has_changes_after(after) {
         return;
     }
-    let end = async {
+    let timeout = async {
         Timer::after(wait).await;
     };
-    listed.nudged().or(end).await;
+    subscription.nudged().or(timeout).await;
 }
 
-/// What another entry answered.
+/// Response of another entry.
 pub(crate) struct FetchedFeed {
     pub(crate) answer: FeedAnswer,
-    /// Before this the answer was surely not made.
+    /// Earliest time at which the response can have been made.
     pub(crate) created_ms: u64,
 }
 
-/// Asks another entry for what changed.
+/// Client of another entry's feed server.
 pub(crate) struct FeedClient {
     client: Client,
 }
 
 impl FeedClient {
-    /// Of the entry that answers at this address.
     pub(crate) fn new(address: SocketAddr) -> FeedClient {
         let options = ClientOptions::new()
             .connect_timeout(CONNECT_TIMEOUT)
@@ -120,7 +118,8 @@
         self.client.address()
     }
 
-    /// What changed after a version within a wait.
+    /// Fetches the changes after a version, or all rows; the server waits this
+    /// long for a change.
     pub(crate) async fn fetch(
         &self,
         table: &str,
@@ -128,7 +127,7 @@
         wait: Duration,
         timeout: Duration,
     ) -> Option<FetchedFeed> {
-        let asked_ms = now_ms();
+        let sent_ms = now_ms();
         let target = match after {
             Some(after) => {
                 let wait_ms = wait.as_millis();
@@ -143,9 +142,9 @@
             return None;
         }
         let answer = FeedAnswer::decode(body.as_slice()).ok()?;
-        // It was made that long after it was asked for, at least; how long
-        // either was on its way is not known.
-        let made_ms = (asked_ms + answer.waited_ms).min(now_ms());
-        Some(FetchedFeed { answer, created_ms: made_ms })
+        // The server held the request for `waited_ms`; the network delay of
+        // request and response is not known.
+        let created_ms = (sent_ms + answer.waited_ms).min(now_ms());
+        Some(FetchedFeed { answer, created_ms })
     }
 }
--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -1,8 +1,7 @@
-//! What the store holds, as this entry has it: copies of two tables, how old
-//! they are, and whom to ask next.
+//! Copies of two tables of the store, their ages, and their next source.
 //!
-//! Who asks and whom is decided by [`Sources`]; what is answered to others by
-//! [`TableCopy`]. Here is what the tasks share.
+//! [`Sources`] decides from where an entry reads, and [`TableCopy`] what it
+//! serves to others. This module holds the state that the tasks share.
 
 use std::sync::{
     Mutex, MutexGuard,
@@ -20,11 +19,11 @@
 
 use crate::{clock::now_ms, nudges::Nudges};
 
-/// What an entry tells is old once the store has not confirmed it for so
-/// long: longer than a reader's call waits, with its way.
+/// A copy is stale if the store has not confirmed it within this time, which
+/// is longer than the poll of a reader takes.
 pub(crate) const STALE_MS: u64 = 2_000;
 
-/// Both feeds.
+/// The feeds that an entry follows.
 #[derive(Debug)]
 pub(crate) struct Feeds {
     pub(crate) configuration: Feed,
@@ -39,41 +38,41 @@
         }
     }
 
-    /// What operators are shown.
+    /// Status document for operators.
     pub(crate) fn status(&self) -> Vec<serde_json::Value> {
         vec![self.configuration.status(), self.backends.status()]
     }
 
-    /// The feed of a table.
     pub(crate) fn by_table(&self, table: &str) -> Option<&Feed> {
         let all = [&self.configuration, &self.backends];
         all.into_iter().find(|feed| feed.table == table)
     }
 }
 
-/// One table.
+/// Copy of one table, and where it is read from.
 #[derive(Debug)]
 pub(crate) struct Feed {
     pub(crate) table: &'static str,
-    /// Number of the duty to read it.
+    /// Key of the assignment to read the table from the store.
     assignment: u64,
     copy: Mutex<TableCopy>,
     sources: Mutex<Sources>,
     /// When the store last confirmed the copy.
     confirmed_ms: AtomicU64,
-    /// When the store was back after an outage; 0 if there was none.
+    /// When the store was available again after the last outage; 0 if there
+    /// was none.
     recovered_ms: AtomicU64,
-    /// Boot id of the entry that is asked; 0 for the store.
+    /// Boot id of the entry that is polled; 0 for the store.
     source_boot_id: AtomicU64,
-    /// Those who wait for a change.
+    /// Tasks that wait for a change.
     pub(crate) changed: Nudges,
 }
 
 impl Feed {
-    fn new(table: &'static str, duty: u64) -> Feed {
+    fn new(table: &'static str, assignment: u64) -> Feed {
         Feed {
             table,
-            assignment: duty,
+            assignment,
             copy: Mutex::default(),
             sources: Mutex::default(),
             confirmed_ms: AtomicU64::new(0),
@@ -87,24 +86,24 @@
         self.sources().choose(around, self.assignment, now_ms())
     }
 
-    /// Keeps whom this entry asks now, for operators.
+    /// Records the current source for the status document.
     pub(crate) fn set_source(&self, source: Source) {
-        let asks = match source {
+        let boot_id = match source {
             Source::Store => 0,
             Source::Entry(boot_id) => boot_id,
         };
-        self.source_boot_id.store(asks, Relaxed);
+        self.source_boot_id.store(boot_id, Relaxed);
     }
 
-    /// What operators are shown.
+    /// Status document for operators.
     pub(crate) fn status(&self) -> serde_json::Value {
-        let asks = match self.source_boot_id.load(Relaxed) {
+        let source = match self.source_boot_id.load(Relaxed) {
             0 => "store".to_owned(),
             boot_id => boot_id.to_string(),
         };
         serde_json::json!({
             "table": self.table,
-            "asks": asks,
+            "asks": source,
             "age_ms": self.age_ms(),
             "row_version": self.version(),
         })
@@ -127,20 +126,20 @@
         now_ms().saturating_sub(self.confirmed_ms.load(Relaxed))
     }
 
-    /// The store confirmed the copy then, as far as is known.
+    /// Records that the store confirmed the copy at this time.
     pub(crate) fn record_confirmed(&self, then_ms: u64) {
         self.confirmed_ms.fetch_max(then_ms, Relaxed);
     }
 
-    pub(crate) fn back_ms(&self) -> u64 {
+    pub(crate) fn recovered_ms(&self) -> u64 {
         self.recovered_ms.load(Relaxed)
     }
 
-    pub(crate) fn record_recovery(&self, back_ms: u64) {
-        self.recovered_ms.fetch_max(back_ms, Relaxed);
+    pub(crate) fn record_recovery(&self, recovered_ms: u64) {
+        self.recovered_ms.fetch_max(recovered_ms, Relaxed);
     }
 
-    /// Takes all rows; false where newer ones are known.
+    /// Replaces all rows; returns false if the copy is newer.
     pub(crate) fn replace(&self, rows: &Rows) -> bool {
         let changes = rows.rows.iter().map(row_change).collect();
         let is_taken = self.copy().replace(changes, rows.version);
@@ -148,7 +147,7 @@
         is_taken
     }
 
-    /// Takes rows that changed.
+    /// Applies rows that changed.
     pub(crate) fn apply_changes(&self, rows: &Rows) {
         let changes = rows.rows.iter().map(row_change).collect();
         self.copy().extend(changes, rows.version);
@@ -157,13 +156,13 @@
         }
     }
 
-    /// Whether the copy has something newer than a version.
+    /// Whether the copy has changes after a version.
     pub(crate) fn has_changes_after(&self, version: u64) -> bool {
         self.copy().has_news(version)
     }
 
-    /// What is told to an entry that knows a version; none while nothing is
-    /// known here.
+    /// Response to an entry whose copy has this version; `None` while this
+    /// entry has no copy.
     pub(crate) fn response_after(
         &self,
         after: Option<u64>,
@@ -176,13 +175,13 @@
             Some(changes) => changes.into_iter().map(feed_row).collect(),
             None => copy.all().map(feed_row).collect(),
         };
-        let back_ms = Some(self.back_ms()).filter(|ms| *ms > 0);
+        let recovered_ms = Some(self.recovered_ms()).filter(|ms| *ms > 0);
         Some(FeedAnswer {
             rows,
             version,
             is_whole,
             confirmed_age_ms: self.age_ms(),
-            back_age_ms: back_ms.map(|ms| now_ms().saturating_sub(ms)),
+            back_age_ms: recovered_ms.map(|ms| now_ms().saturating_sub(ms)),
             waited_ms: 0,
         })
     }
@@ -196,16 +195,16 @@
     }
 }
 
-/// Rows as the store would have answered them.
+/// Converts a response of an entry to rows as the store returns them.
 pub(crate) fn into_rows(answer: FeedAnswer) -> Rows {
-    let row = |told: FeedRow| Row {
-        key: told.key,
-        is_dropped: told.value.is_none(),
-        value: told.value.unwrap_or_default(),
-        version: told.version,
+    let convert = |row: FeedRow| Row {
+        key: row.key,
+        is_dropped: row.value.is_none(),
+        value: row.value.unwrap_or_default(),
+        version: row.version,
     };
     let version = answer.version;
-    Rows { rows: answer.rows.into_iter().map(row).collect(), version }
+    Rows { rows: answer.rows.into_iter().map(convert).collect(), version }
 }
 
 fn row_change(row: &Row) -> Change {
--- a/crates/direct/src/cluster/fleet.rs
+++ b/crates/direct/src/cluster/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers that an entry knows.
+//! The set of backend servers known to an entry.
 
 use std::{
     collections::BTreeMap,
@@ -20,18 +20,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     engines: Mutex<BTreeMap<String, Arc<Engine>>>,
-    /// The same as the path of a request reads them; none once they changed,
-    /// until they are next read.
+    /// Lock-free index for the request path. A change of the set clears the
+    /// index; the next read rebuilds it.
     index: ArcSwapOption<FleetIndex>,
-    /// Latest end of a rest that any of them asked for.
+    /// Latest end of a cooldown that any engine requested.
     latest_cooldown_until_ms: AtomicU64,
 }
 
-/// Backend servers by what they are sought by.
+/// Backend servers by the keys used in look-ups.
 #[derive(Debug, Default)]
 pub(crate) struct FleetIndex {
     services: BTreeMap<String, Arc<ServiceEngines>>,
-    /// By the short form of the incarnation.
+    /// By the hash of the incarnation.
     pub(crate) by_hash: BTreeMap<u32, Arc<Engine>>,
 }
 
@@ -39,7 +39,6 @@
 #[derive(Debug, Default)]
 pub(crate) struct ServiceEngines {
     pub(crate) all: Vec<Arc<Engine>>,
-    /// By data centre.
     pub(crate) by_data_centre: Vec<Vec<Arc<Engine>>>,
 }
 
@@ -53,13 +52,14 @@
     }
 }
 
-/// What came of a row.
+/// Result of applying a row.
 pub(crate) enum RowOutcome {
-    /// The start was known.
+    /// The incarnation was known.
     Known,
-    /// A start that was not known; what ran under its id has ended.
+    /// The incarnation is new; a process that had the same id has exited.
     New,
-    /// It is older than what is known, or tells no start where one is known.
+    /// The row belongs to an earlier incarnation than the known one, or lacks
+    /// a start time although one is known.
     EarlierStart,
 }
 
@@ -76,37 +76,36 @@
         self.lock().values().cloned().collect()
     }
 
-    /// The backend servers of a service.
     pub(crate) fn of_service(&self, service: &str) -> Arc<ServiceEngines> {
         self.index().services.get(service).cloned().unwrap_or_default()
     }
 
-    /// All backend servers, for look-ups.
+    /// Returns the current index, rebuilt if the set has changed.
     pub(crate) fn index(&self) -> Arc<FleetIndex> {
         match &*self.index.load() {
-            Some(listed) => listed.clone(),
+            Some(index) => index.clone(),
             None => self.rebuild_index(),
         }
     }
 
     fn rebuild_index(&self) -> Arc<FleetIndex> {
         let engines = self.lock();
-        let mut of_services: BTreeMap<String, ServiceEngines> =
-            BTreeMap::new();
+        let mut services: BTreeMap<String, ServiceEngines> = BTreeMap::new();
         for engine in engines.values() {
             let service = engine.service.clone();
-            of_services.entry(service).or_default().add(engine);
+            services.entry(service).or_default().add(engine);
         }
-        let shared =
-            |(name, of): (String, ServiceEngines)| (name, Arc::new(of));
+        let shared = |(name, engines): (String, ServiceEngines)| {
+            (name, Arc::new(engines))
+        };
         let by_hash = engines.values().map(|e| (e.hash, e.clone()));
-        let listed = Arc::new(FleetIndex {
-            services: of_services.into_iter().map(shared).collect(),
+        let index = Arc::new(FleetIndex {
+            services: services.into_iter().map(shared).collect(),
             by_hash: by_hash.collect(),
         });
-        // Under the lock: a change after it takes this out again.
-        self.index.store(Some(listed.clone()));
-        listed
+        // Stored under the lock, so that a later change clears this index.
+        self.index.store(Some(index.clone()));
+        index
     }
 
     pub(crate) fn by_address(
@@ -114,39 +113,38 @@
         address: SocketAddr,
     ) -> Option<Arc<Engine>> {
         let engines = self.lock();
-        let mut here = engines
+        let mut matches = engines
             .values()
             .filter(|e| e.address == address && !e.lock().is_removed);
-        here.next().cloned()
+        matches.next().cloned()
     }
 
-    /// The engine of this start.
     pub(crate) fn by_incarnation(&self, name: &str) -> Option<Arc<Engine>> {
         let engines = self.lock();
         engines.values().find(|e| e.incarnation == name).cloned()
     }
 
-    /// Takes a row, with a line in the logs if it changes something; not for
-    /// one that is new with the whole list.
+    /// Applies a row and logs a change. Engines that are new in a read of the
+    /// full list are not logged one by one.
     pub(crate) fn apply(
         &self,
         row: Backend,
         row_version: u64,
         data_centre: usize,
-        is_whole: bool,
+        is_full_read: bool,
     ) -> RowOutcome {
         let known = self.get(&row.id);
-        let told = known.as_ref().map_or(StartOrder::Later, |known| {
+        let start_order = known.as_ref().map_or(StartOrder::Later, |known| {
             StartOrder::of(row.started_unix_ms, known.started_unix_ms)
         });
-        if told == StartOrder::Earlier {
+        if start_order == StartOrder::Earlier {
             return RowOutcome::EarlierStart;
         }
-        if known.is_some() || !is_whole {
+        if known.is_some() || !is_full_read {
             log_listed(&row, row_version, known.as_deref());
         }
         if let Some(engine) = &known
-            && told == StartOrder::Same
+            && start_order == StartOrder::Same
         {
             let mut state = engine.lock();
             if row_version >= state.row_version {
@@ -157,7 +155,7 @@
         if let Some(old) = &known {
             old.lock().is_replaced = true;
         }
-        // Another one at the same address: the old one has ended.
+        // The process that had this id or this address before has exited.
         for old in known.into_iter().chain(self.by_address(row.address)) {
             old.lock().is_removed = true;
         }
@@ -168,8 +166,8 @@
         RowOutcome::New
     }
 
-    /// Takes that the list has no row of an engine under an id; true if an
-    /// engine is used no more for it.
+    /// Records that the row under an id is not a valid backend row. Returns
+    /// true if this stops new work to an engine.
     pub(crate) fn mark_row_unusable(&self, id: &str) -> bool {
         let Some(engine) = self.get(id) else { return false };
         let was_unusable =
@@ -177,28 +175,28 @@
         !was_unusable
     }
 
-    /// Takes the moves of engines of which the planner tells, by their short
-    /// ids; true if one of them is new.
+    /// Applies the pending moves that the planner announced; returns true if
+    /// one of them is new.
     pub(crate) fn apply_moves(&self, moves: &[OpenMove]) -> bool {
         let mut is_any_new = false;
         for engine in self.all() {
-            let told = moves.iter().find(|told| told.engine == engine.hash);
-            let to = told
-                .map(|told| LayerRange::new(told.first_layer, told.end_layer));
+            let open = moves.iter().find(|open| open.engine == engine.hash);
+            let to = open
+                .map(|open| LayerRange::new(open.first_layer, open.end_layer));
             is_any_new |= engine.lock().set_planned_layers(to);
         }
         is_any_new
     }
 
-    /// A backend server asked for rest until then.
+    /// Records the end of a cooldown that a backend server requested.
     pub(crate) fn record_cooldown(&self, until_ms: u64) {
         self.latest_cooldown_until_ms.fetch_max(until_ms, Relaxed);
     }
 
-    /// Time until the first of some backend servers is ready that could be
-    /// asked but for their rest; none where one can be asked now, or there is
-    /// none. Requests that wait look often, so nothing is looked through while
-    /// none rests.
+    /// Time until the first cooldown ends among the backend servers that only
+    /// a cooldown keeps from new requests. Returns `None` if one of them
+    /// accepts requests now, or if there is none. Waiting requests call this
+    /// often, so the engines are not searched while no cooldown is in force.
     pub(crate) fn cooldown_left_ms<'a>(
         &self,
         engines: impl Iterator<Item = &'a Arc<Engine>>,
@@ -215,7 +213,6 @@
         engines.filter_map(left_ms).min().filter(|left_ms| *left_ms > 0)
     }
 
-    /// Takes a backend server out of the list.
     pub(crate) fn remove(&self, id: &str) -> Option<Arc<Engine>> {
         let engine = {
             let mut engines = self.lock();
@@ -227,7 +224,7 @@
     }
 }
 
-/// Whether a backend server may get new work.
+/// Whether a backend server may get new work, from any sender.
 pub(crate) fn accepts_work(state: &EngineState, now_ms: u64) -> bool {
     state.row.state == BackendState::Ready
         && !state.has_said_leaving
@@ -237,8 +234,8 @@
         && state.backoff_until_ms <= now_ms
 }
 
-/// Whether a backend server may get new work of this entry itself, rather
-/// than of another server.
+/// Whether this entry may send new requests to a backend server. A server in
+/// cooldown still accepts work from other servers.
 pub(crate) fn accepts_requests(state: &EngineState, now_ms: u64) -> bool {
     accepts_work(state, now_ms) && !state.is_in_cooldown(now_ms)
 }
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -150,7 +150,7 @@
             engine: engine.hash,
             used_kilo_token_layers: used.kilo_token_layers,
             first_count: used.first_count,
-            work_ms_per_s: used.work_ms_per_s,
+            work_ms_per_s: used.prefill_ms_per_s,
             is_suspect,
             is_cleared: false,
             slowness_percent: match is_told_slow {
@@ -243,7 +243,7 @@
         let told_use = EngineUsage {
             kilo_token_layers: used.used_kilo_token_layers,
             first_count: used.first_count,
-            work_ms_per_s: used.work_ms_per_s,
+            prefill_ms_per_s: used.work_ms_per_s,
         };
         engine.set_peer_usage(state.boot_id, Some(told_use));
         apply_engine_update(core, engine, used);
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -1,12 +1,13 @@
-//! Noticing that a backend server is dead, slow, or back.
+//! Detection of backend servers that fail, are slow, or recover.
 //!
-//! An idle connection to each engine shows at once that its process ended.
-//! An engine that falls silent shows only by what waits for it: when a
-//! stream pauses for longer than its pace explains, every engine of its path
-//! through which nothing else flows is dialled, and who does not answer in
-//! time is suspected. A dial costs far less than a report and is not as old.
-//! Reports are asked for when dials explain nothing: they name engines that
-//! others wait for, and those that are slow.
+//! An idle connection to each engine shows immediately that the process has
+//! exited. An engine that stops responding shows only by the requests that
+//! wait for it: when a stream stalls for longer than its pace explains, the
+//! entry connects to every engine of the path that no other stream shows to
+//! be alive, and suspects those that do not accept in time. A connect costs
+//! far less than a report, and its result is newer. Reports are requested if
+//! connects do not explain a stall: they name slow engines, and engines that
+//! other engines wait for.
 
 use std::{io, sync::Arc, sync::atomic::Ordering::Relaxed, time::Duration};
 
@@ -31,29 +32,30 @@
     request::{exchange, path::Path},
 };
 
-/// Time for a dial; ways are below 2 ms and engines accept within 1 ms.
+/// Network delays are below 2 ms, and engines accept within 1 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(25);
-/// Dials before silence counts: a lost packet is sent again only after 1 s.
+/// Two, because TCP retransmits a lost packet only after 1 s.
 const CONNECT_ATTEMPTS: usize = 2;
-/// Time for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Shortest time between two reports of an engine.
+/// Minimum time between two requests for an engine's report.
 const MIN_REPORT_INTERVAL_MS: u64 = 1_500;
-/// Time between looks at suspected engines.
+/// Time between checks of suspected and slow engines.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// Rounds of such looks until an entry looks at an engine that others watch:
-/// they tell when it is back.
+/// An entry checks suspected engines that it does not watch only in every
+/// fifth round: the entries that watch them report a recovery.
 const UNWATCHED_RECHECK_ROUNDS: u32 = 5;
-/// What others said of a slow engine is asked anew after so long.
+/// Age at which a slowness that others reported is queried again.
 const SLOWNESS_REFRESH_MS: u64 = 4_000;
-/// An alert of another entry so recent need not be repeated.
+/// An alert is not repeated if another entry sent one within this time.
 const MIN_ALERT_INTERVAL_MS: u64 = 1_000;
-/// Share of engines that are silent from which on no more are suspected: more
-/// than a data centre's fault takes away.
+/// Share of silent engines at which this VM counts as partitioned. The share
+/// exceeds what the failure of one data centre takes away.
 const PARTITION_SILENT_SHARE: f64 = 0.4;
-/// Slowness below it is told as none.
+/// A smaller slowness counts as none.
 const MIN_SLOWNESS: f64 = 1.2;
 
+/// Records a failed connect to an engine and suspects the engine, unless this
+/// VM seems to be partitioned.
 pub(crate) fn record_unreachable(
     core: &Core,
     engine: &Engine,
@@ -69,8 +71,8 @@
     suspect(core, engine, evidence);
 }
 
-/// Whether so many engines are silent that rather this VM is cut off, or too
-/// slow to dial in time.
+/// Whether so many engines are silent that this VM itself is more likely
+/// partitioned, or too slow to connect within the timeout.
 fn is_partitioned(core: &Core) -> bool {
     let engines = core.fleet.all();
     let is_silent = |engine: &&Arc<Engine>| {
@@ -81,11 +83,11 @@
     silent as f64 >= PARTITION_SILENT_SHARE * engines.len() as f64
 }
 
-/// Takes an engine out of new paths and tells the streams on it.
+/// Excludes an engine from new paths and notifies the streams.
 pub(crate) fn suspect(core: &Core, engine: &Engine, evidence: Evidence) {
     let now_ms = now_ms();
-    let least_ms = match evidence {
-        // Others may wait for it that long before that shows.
+    let min_ms = match evidence {
+        // A repeated stall takes that long to show at the engines that wait.
         Evidence::Stalled => core.settings.bounds.stall_ms,
         Evidence::Refused | Evidence::Silent => 0,
     };
@@ -96,7 +98,7 @@
         }
         state.suspicion = Some(Suspicion {
             since_ms: now_ms,
-            until_ms: now_ms + least_ms,
+            until_ms: now_ms + min_ms,
             evidence,
         });
     }
@@ -110,7 +112,8 @@
         ],
     );
     core.streams.nudge_all();
-    // Others that wait for an engine may not reach those that they need.
+    // A stall is not alerted: the engine that reported it may itself be unable
+    // to reach the engines that it needs.
     if evidence != Evidence::Stalled {
         queue_alert(
             core,
@@ -120,18 +123,21 @@
     }
 }
 
+/// An update of an engine in which nothing is set yet.
 fn empty_update(engine: &Engine) -> EngineUse {
     EngineUse { engine: engine.hash, ..EngineUse::default() }
 }
 
-/// Tells all others, unless one of them just did.
-fn queue_alert(core: &Core, engine: &Engine, news: EngineUse) {
+/// Queues an alert, unless another entry has sent one just before.
+fn queue_alert(core: &Core, engine: &Engine, update: EngineUse) {
     let alerted_ms = engine.lock().alerted_ms;
     if now_ms().saturating_sub(alerted_ms) >= MIN_ALERT_INTERVAL_MS {
-        core.alerts.queue_engine(news);
+        core.alerts.queue_engine(update);
     }
 }
 
+/// Records a successful connect to an engine and clears its suspicion if that
+/// proves the engine alive.
 pub(crate) fn record_connected(core: &Core, engine: &Engine) {
     let now_ms = now_ms();
     let mut state = engine.lock();
@@ -140,7 +146,7 @@
     let Some(suspicion) = state.suspicion else {
         return;
     };
-    // A port that answers again after its process ended is a new process.
+    // After a refused connect, a port that accepts belongs to a new process.
     let is_over = suspicion.until_ms <= now_ms
         && suspicion.evidence != Evidence::Refused;
     if !is_over {
@@ -163,14 +169,14 @@
     );
 }
 
-/// Dials an engine and takes what that shows.
+/// Connects to an engine and records the result.
 pub(crate) async fn probe(core: Arc<Core>, engine: Arc<Engine>) {
     probe_with_attempts(core, engine, CONNECT_ATTEMPTS).await;
 }
 
-/// The same where another entry has dialled it in vain just now: a packet
-/// that is lost here as well is less likely than that it is dead, and what
-/// streams pause for is to end within 300 ms.
+/// Probes an engine to which another entry has just failed to connect. One
+/// attempt suffices: a second lost packet is less likely than a failed engine,
+/// and a stall of streams is to end within 300 ms.
 pub(crate) async fn probe_after_alert(core: Arc<Core>, engine: Arc<Engine>) {
     probe_with_attempts(core, engine, 1).await;
 }
@@ -178,23 +184,23 @@
 async fn probe_with_attempts(
     core: Arc<Core>,
     engine: Arc<Engine>,
-    dials: usize,
+    max_attempts: usize,
 ) {
     if engine.is_probing.swap(true, Relaxed) {
         return;
     }
-    let dialled = connect(&engine, dials).await;
+    let connected = connect(&engine, max_attempts).await;
     engine.is_probing.store(false, Relaxed);
-    match dialled {
+    match connected {
         Ok(()) => record_connected(&core, &engine),
         Err(e) => record_unreachable(&core, &engine, &e),
     }
 }
 
-/// Whether the process of an engine has surely ended, or is out of reach, as
-/// far as dials show; those that would show it are awaited if `is_patient`.
-/// What is there at the address of one that has left the list may be another
-/// process; it is taken for the same.
+/// Whether connects show that the process of an engine has exited or is
+/// unreachable. If `is_patient`, waits for a connect that decides an unclear
+/// case. A process at the address of a removed engine may be another one, but
+/// counts as the same.
 pub(crate) async fn has_ended(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
@@ -203,7 +209,7 @@
     if !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
-    let (is_gone, is_replaced, suspicion) = {
+    let (is_removed, is_replaced, suspicion) = {
         let state = engine.lock();
         (state.is_removed, state.is_replaced, state.suspicion)
     };
@@ -212,17 +218,17 @@
         EndProof::Ended => true,
         _ if is_replaced => true,
         EndProof::Unsure => {
-            let limit = Duration::from_millis(SILENCE_PROVES_MS);
+            let timeout = Duration::from_millis(SILENCE_PROVES_MS);
             is_patient
-                && Outbound::connect(engine.address, limit).await.is_err()
+                && Outbound::connect(engine.address, timeout).await.is_err()
         }
         EndProof::Lives => {
-            is_gone && connect(engine, CONNECT_ATTEMPTS).await.is_err()
+            is_removed && connect(engine, CONNECT_ATTEMPTS).await.is_err()
         }
     }
 }
 
-/// Whether an engine has crashed, as a dial shows if it is not known.
+/// Whether an engine has crashed; connects to it if that is not known yet.
 pub(crate) async fn confirm_crash(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
@@ -233,8 +239,8 @@
     has_crashed(engine)
 }
 
-/// Whether an engine has crashed, as far as is known now: its process ended,
-/// and it was not leaving. One that is silent may be cut off.
+/// Whether an engine is known to have crashed: its process exited while it was
+/// not leaving. A silent engine does not count, since it may be partitioned.
 fn has_crashed(engine: &Engine) -> bool {
     let state = engine.lock();
     let evidence = state.suspicion.map(|suspicion| suspicion.evidence);
@@ -242,22 +248,22 @@
     has_ended && state.leaving_since_ms.is_none()
 }
 
-/// Dials; a lost packet alone is no failure.
-async fn connect(engine: &Engine, dials: usize) -> io::Result<()> {
-    let mut dialled = Ok(());
-    for _ in 0..dials {
-        dialled = Outbound::connect(engine.address, CONNECT_TIMEOUT)
+/// Connects to an engine, with another attempt after each timeout.
+async fn connect(engine: &Engine, max_attempts: usize) -> io::Result<()> {
+    let mut connected = Ok(());
+    for _ in 0..max_attempts {
+        connected = Outbound::connect(engine.address, CONNECT_TIMEOUT)
             .await
             .map(|_| ());
         let is_silent = |e: &io::Error| e.kind() == io::ErrorKind::TimedOut;
-        if !dialled.as_ref().is_err_and(is_silent) {
+        if !connected.as_ref().is_err_and(is_silent) {
             break;
         }
     }
-    dialled
+    connected
 }
 
-/// Dials the engines of a path that nothing speaks for.
+/// Probes the engines of a path that nothing else shows to be alive.
 pub(crate) fn probe_path(core: &Arc<Core>, path: &Path) {
     let now_ms = now_ms();
     for stage in &path.stages {
@@ -270,19 +276,21 @@
     }
 }
 
-/// Asks the engines of a path for reports, where that was not done of late.
+/// Requests reports from the engines of a path, except where one was requested
+/// recently.
 pub(crate) fn request_path_reports(core: &Arc<Core>, path: &Path) {
     for stage in &path.stages {
-        request_engine_report(core, &stage.engine);
+        request_report_if_due(core, &stage.engine);
     }
 }
 
-fn request_engine_report(core: &Arc<Core>, engine: &Arc<Engine>) {
+fn request_report_if_due(core: &Arc<Core>, engine: &Arc<Engine>) {
     let now_ms = now_ms();
     let mut state = engine.lock();
-    let is_asked_of_late = now_ms.saturating_sub(state.report_requested_ms)
+    let is_recently_requested = now_ms
+        .saturating_sub(state.report_requested_ms)
         < MIN_REPORT_INTERVAL_MS;
-    if is_asked_of_late || state.is_in_cooldown(now_ms) {
+    if is_recently_requested || state.is_in_cooldown(now_ms) {
         return;
     }
     state.report_requested_ms = now_ms;
@@ -309,9 +317,9 @@
 fn apply_report(core: &Core, engine: &Engine, report: &Report) {
     match report_start_order(engine, report) {
         StartOrder::Same => {}
-        // It came late, or is of another writer.
+        // The report is late, or comes from another process.
         StartOrder::Earlier => return,
-        // What runs there now has a row of its own, or soon will.
+        // The new process has its own row, or will have it soon.
         StartOrder::Later => return suspect(core, engine, Evidence::Refused),
     }
     let slowness = match report.slowness {
@@ -327,16 +335,16 @@
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
-        let Some(dead) = core.fleet.by_address(stalled.at) else { continue };
-        // It may be back, while the report is of before.
-        let is_flowing = dead.quiet_ms(now_ms()) < RECENT_PROGRESS_MS;
-        if !is_flowing && dead.incarnation != engine.incarnation {
-            suspect(core, &dead, Evidence::Stalled);
+        let Some(target) = core.fleet.by_address(stalled.at) else { continue };
+        // The engine may have recovered since the report was made.
+        let has_progress = target.quiet_ms(now_ms()) < RECENT_PROGRESS_MS;
+        if !has_progress && target.incarnation != engine.incarnation {
+            suspect(core, &target, Evidence::Stalled);
         }
     }
 }
 
-/// Of which start a report tells.
+/// Order of the report's incarnation relative to the known one.
 fn report_start_order(engine: &Engine, report: &Report) -> StartOrder {
     match engine.started_unix_ms {
         Some(known) => StartOrder::of(report.started_unix_ms, Some(known)),
@@ -344,7 +352,7 @@
     }
 }
 
-/// Takes how slow an engine said that it is; true if that is new.
+/// Records a reported slowness; returns true if it has changed.
 pub(crate) fn record_slowness(
     engine: &Engine,
     slowness: f64,
@@ -368,15 +376,15 @@
     !is_same
 }
 
-/// Looks again at engines that are suspected or slow: those that this entry
-/// watches at once, the others where nobody tells of them.
+/// Checks suspected and slow engines again: in every round those that this
+/// entry watches, less often those that other entries report on.
 pub(crate) async fn recheck(core: Arc<Core>) {
     for round in 0_u32.. {
         Timer::after(RECHECK_INTERVAL).await;
-        let is_round_of_all = round % UNWATCHED_RECHECK_ROUNDS == 0;
+        let includes_unwatched = round % UNWATCHED_RECHECK_ROUNDS == 0;
         for engine in core.fleet.all() {
             let is_watched = engine.is_watched.load(Relaxed);
-            let (is_suspect, is_slow, heard_ms) = {
+            let (is_suspect, is_slow, received_ms) = {
                 let state = engine.lock();
                 let is_slow = state.slowness > 1.0;
                 (
@@ -385,13 +393,13 @@
                     state.slowness_received_ms,
                 )
             };
-            if is_suspect && (is_watched || is_round_of_all) {
+            if is_suspect && (is_watched || includes_unwatched) {
                 let task = probe(core.clone(), engine.clone());
                 core.executor.spawn(task).detach();
             } else if is_slow && !is_suspect {
-                let heard_for_ms = now_ms().saturating_sub(heard_ms);
-                if is_watched || heard_for_ms >= SLOWNESS_REFRESH_MS {
-                    request_engine_report(&core, &engine);
+                let age_ms = now_ms().saturating_sub(received_ms);
+                if is_watched || age_ms >= SLOWNESS_REFRESH_MS {
+                    request_report_if_due(&core, &engine);
                 }
             }
         }
