--- a/crates/direct/src/cluster/backend_rows.rs
+++ b/crates/direct/src/cluster/backend_rows.rs
@@ -81,13 +81,15 @@
         Ok(backend) => backend,
         Err(error) => return handle_unusable(core, row, &error),
     };
-    let data_centre = core.data_centre(&backend.data_centre);
+    let data_centre = core.data_centre_index(&backend.data_centre);
     let is_leaving = backend.state == BackendState::Draining;
     match core.fleet.apply(backend, row.version, data_centre, is_whole) {
-        RowOutcome::Known if is_leaving => core.streams.nudge_all(),
+        RowOutcome::Known if is_leaving => {
+            core.stream_subscribers.notify_all()
+        }
         RowOutcome::Known => {}
         // What ran on the start before it, if there was one, has ended.
-        RowOutcome::New => core.streams.nudge_all(),
+        RowOutcome::New => core.stream_subscribers.notify_all(),
         RowOutcome::EarlierStart => {
             let error = "it tells of no start, or of an earlier one";
             return log_unusable(core, row, error);
@@ -100,7 +102,7 @@
 /// an engine of that name may serve on.
 fn handle_unusable(core: &Core, row: &Row, error: &str) {
     if core.fleet.mark_row_unusable(&row.key) {
-        core.streams.nudge_all();
+        core.stream_subscribers.notify_all();
     }
     log_unusable(core, row, error);
 }
@@ -147,7 +149,7 @@
     let Some(engine) = core.fleet.remove(id) else {
         return;
     };
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     emit(
         Event::BackendGone,
         &[
--- a/crates/direct/src/cluster/engine.rs
+++ b/crates/direct/src/cluster/engine.rs
@@ -11,8 +11,8 @@
     },
 };
 
-pub(crate) use chestnutreach_routing::Evidence;
-use chestnutreach_routing::{Health, KnownUse};
+pub(crate) use chestnutreach_routing::FailureEvidence;
+use chestnutreach_routing::{CircuitBreaker, UsageEstimate};
 use chestnutreach_site::{Backend, BackendState, LayerRange};
 
 use crate::{clock::now_ms, cluster::notices::Notices, rate::Rate};
@@ -59,7 +59,7 @@
     /// Circuit breaker over the outcomes of streams for which the engine is
     /// the first stage. Without the breaker, an engine that fails immediately
     /// looks idle and is chosen more and more often.
-    pub(crate) circuit: Health,
+    pub(crate) circuit: CircuitBreaker,
     /// Limits and leaving notices from the engine's response headers.
     pub(crate) notices: Notices,
     state: Mutex<EngineState>,
@@ -128,7 +128,7 @@
     pub(crate) fn retained_layers(&self) -> Option<LayerRange> {
         let held = self.row.held?;
         match self.planned_layers {
-            Some(to) => held.shared(to),
+            Some(to) => held.intersection(to),
             None => Some(held),
         }
     }
@@ -247,7 +247,7 @@
     pub(crate) since_ms: u64,
     /// Earliest time at which the suspicion may be cleared.
     pub(crate) until_ms: u64,
-    pub(crate) evidence: Evidence,
+    pub(crate) evidence: FailureEvidence,
 }
 
 impl Engine {
@@ -276,7 +276,7 @@
             progress_ms: AtomicU64::new(0),
             is_probing: AtomicBool::new(false),
             is_watched: AtomicBool::new(false),
-            circuit: Health::new(),
+            circuit: CircuitBreaker::new(),
             notices: Notices::default(),
             state: Mutex::new(EngineState {
                 row,
@@ -313,10 +313,13 @@
     }
 
     /// Memory in use, with an estimate for entries that have not reported.
-    pub(crate) fn estimated_token_layers(&self, untold_entries: u64) -> u64 {
+    pub(crate) fn estimated_token_layers(
+        &self,
+        entries_without_report: u64,
+    ) -> u64 {
         let own = self.own_token_layers.load(Relaxed);
-        let told = self.peer_token_layers.load(Relaxed);
-        KnownUse { own, told, untold_entries }.planned()
+        let reported = self.peer_token_layers.load(Relaxed);
+        UsageEstimate { own, reported, entries_without_report }.total()
     }
 
     pub(crate) fn first_count(&self) -> u64 {
@@ -339,7 +342,7 @@
 
     /// Records the prefill time of a request at the engine's typical speed.
     pub(crate) fn record_prefill(&self, prefill_ms: f64, now_ms: u64) {
-        self.own_prefill.note(prefill_ms, now_ms);
+        self.own_prefill.record(prefill_ms, now_ms);
     }
 
     /// Share of the engine's time that prefill takes at its typical speed.
--- a/crates/direct/src/cluster/engine_watcher.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -13,7 +13,7 @@
 
 use async_io::Timer;
 use chestnutreach_http::relay::Outbound;
-use chestnutreach_membership::duty;
+use chestnutreach_membership::rendezvous;
 
 use crate::{
     clock::now_ms,
@@ -51,7 +51,7 @@
             .map(|(at, name)| (at, core.peers.live_in(name, now_ms)))
             .collect();
         by_data_centre
-            .entry(core.own_data_centre())
+            .entry(core.own_data_centre_index())
             .or_default()
             .push(core.boot_id);
         let all = by_data_centre.values().flatten().copied().collect();
@@ -65,7 +65,7 @@
         let entries =
             entries_here.filter(|e| !e.is_empty()).unwrap_or(&self.all);
         entries.contains(&core.boot_id)
-            && duty::holds(
+            && rendezvous::is_assigned(
                 core.boot_id,
                 entries.iter().copied(),
                 engine.hash.into(),
--- a/crates/direct/src/cluster/feed_follower.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -3,9 +3,9 @@
 //! A poll of a feed waits at the store until the table changes. The wait is
 //! short, because a dropped connection shows only when a poll does not return
 //! in time. In a data centre with several entries, one of them polls the store
-//! and the others poll that entry in the same way ([`Sources`]).
+//! and the others poll that entry in the same way ([`FeedSources`]).
 //!
-//! [`Sources`]: chestnutreach_membership::Sources
+//! [`FeedSources`]: chestnutreach_membership::FeedSources
 
 use std::{
     sync::{Arc, atomic::Ordering::Relaxed},
@@ -17,7 +17,9 @@
     configuration::{self, KEY},
     store::{Row, Rows, StoreClient, StoreError},
 };
-use chestnutreach_membership::{Around, Outcome, Source, source::FEWEST};
+use chestnutreach_membership::{
+    FeedPeers, FeedSource, FetchOutcome, feed_source::MIN_SHARING_ENTRIES,
+};
 use chestnutreach_telemetry::{Event, emit};
 
 use crate::{
@@ -93,7 +95,7 @@
     /// Version up to which all changes were applied.
     applied_version: Option<u64>,
     /// Source of the last poll.
-    source: Source,
+    source: FeedSource,
     /// When a change of the source was last logged.
     source_logged_ms: u64,
 }
@@ -109,7 +111,7 @@
             client: None,
             health: StoreHealth::new(table),
             applied_version: None,
-            source: Source::Store,
+            source: FeedSource::Store,
             source_logged_ms: 0,
         }
     }
@@ -120,34 +122,34 @@
 
     async fn run(mut self) {
         loop {
-            let others = self.core.entries_here();
-            let around = Around {
+            let others = self.core.live_peers_in_data_centre();
+            let around = FeedPeers {
                 own: self.core.boot_id,
-                others: &others,
-                must_read: self.core.is_planner.load(Relaxed),
+                peers: &others,
+                must_read_store: self.core.is_planner.load(Relaxed),
             };
             let source = self.feed().choose_source(&around);
             self.change_source(source);
-            let is_shared = others.len() + 1 >= FEWEST;
+            let is_shared = others.len() + 1 >= MIN_SHARING_ENTRIES;
             let outcome = match source {
-                Source::Store => self.fetch_from_store(is_shared).await,
-                Source::Entry(entry) => self.fetch_from_peer(entry).await,
+                FeedSource::Store => self.fetch_from_store(is_shared).await,
+                FeedSource::Entry(entry) => self.fetch_from_peer(entry).await,
             };
             self.feed().record_outcome(source, outcome);
             self.pause(source, outcome).await;
         }
     }
 
-    async fn pause(&self, source: Source, outcome: Outcome) {
-        if outcome == Outcome::Failed {
+    async fn pause(&self, source: FeedSource, outcome: FetchOutcome) {
+        if outcome == FetchOutcome::Failed {
             Timer::after(RETRY_PAUSE).await;
         }
-        if self.kind == FeedKind::Backends && source == Source::Store {
+        if self.kind == FeedKind::Backends && source == FeedSource::Store {
             Timer::after(backends_pause(&self.core)).await;
         }
     }
 
-    async fn fetch_from_store(&mut self, is_shared: bool) -> Outcome {
+    async fn fetch_from_store(&mut self, is_shared: bool) -> FetchOutcome {
         let result = match self.applied_version {
             None => self.read_full_table().await,
             Some(version) => self.poll_store(version, is_shared).await,
@@ -158,16 +160,16 @@
                 self.health.record_response(feed, version);
                 self.record_store_available();
                 self.applied_version = Some(version);
-                Outcome::Fresh
+                FetchOutcome::Fresh
             }
             Err(StoreError::HistoryGone) => {
                 self.applied_version = None;
-                Outcome::Fresh
+                FetchOutcome::Fresh
             }
             Err(e) => {
                 self.health.record_failure(&self.core, &e);
                 self.record_store_failure();
-                Outcome::Failed
+                FetchOutcome::Failed
             }
         }
     }
@@ -210,9 +212,9 @@
         Ok(rows.version.max(after))
     }
 
-    async fn fetch_from_peer(&mut self, entry: u64) -> Outcome {
+    async fn fetch_from_peer(&mut self, entry: u64) -> FetchOutcome {
         let Some(address) = self.core.peers.feed_address(entry) else {
-            return Outcome::Failed;
+            return FetchOutcome::Failed;
         };
         let reused = self.client.take().filter(|a| a.address() == address);
         let client = reused.unwrap_or_else(|| FeedClient::new(address));
@@ -224,7 +226,7 @@
         let timeout = wait + PEER_TIMEOUT_MARGIN;
         let fetched =
             client.fetch(table, self.applied_version, wait, timeout).await;
-        let Some(fetched) = fetched else { return Outcome::Failed };
+        let Some(fetched) = fetched else { return FetchOutcome::Failed };
         self.client = Some(client);
         let response = fetched.answer;
         let age_ms = response.confirmed_age_ms;
@@ -243,11 +245,11 @@
         self.applied_version = self.applied_version.max(Some(rows.version));
         self.record_confirmed(confirmed_ms);
         if age_ms > STALE_MS {
-            return Outcome::Stale;
+            return FetchOutcome::Stale;
         }
         self.health.record_peer_response();
         self.record_store_available();
-        Outcome::Fresh
+        FetchOutcome::Fresh
     }
 
     /// Applies a full table, unless the copy is newer, as can be the case if
@@ -281,31 +283,31 @@
     fn record_confirmed(&self, then_ms: u64) {
         self.feed().record_confirmed(then_ms);
         if self.kind == FeedKind::Configuration {
-            self.core.confirm(then_ms);
+            self.core.record_configuration_confirmed(then_ms);
         }
     }
 
     fn record_store_available(&self) {
         if self.kind == FeedKind::Configuration {
-            self.core.store_lost_ms.store(0, Relaxed);
+            self.core.store_failing_since_ms.store(0, Relaxed);
         }
     }
 
     fn record_store_failure(&self) {
         if self.kind == FeedKind::Configuration {
-            self.core.note_store_lost();
+            self.core.record_store_failure();
             // Evaluates the key check, whose result may change with time.
             self.core.are_keys_fresh();
         }
     }
 
-    fn change_source(&mut self, source: Source) {
+    fn change_source(&mut self, source: FeedSource) {
         if source == self.source {
             return;
         }
         let is_same_kind = matches!(
             (self.source, source),
-            (Source::Entry(_), Source::Entry(_))
+            (FeedSource::Entry(_), FeedSource::Entry(_))
         );
         self.source = source;
         self.feed().set_source(source);
@@ -318,8 +320,8 @@
         }
         self.source_logged_ms = now_ms;
         let (name, boot_id) = match source {
-            Source::Store => ("store", String::new()),
-            Source::Entry(boot_id) => ("entry", boot_id.to_string()),
+            FeedSource::Store => ("store", String::new()),
+            FeedSource::Entry(boot_id) => ("entry", boot_id.to_string()),
         };
         emit(
             Event::FeedSourceChanged,
@@ -353,7 +355,7 @@
     }
     match configuration::try_parse(&row.value) {
         Ok(new) => {
-            core.apply(new, row.version);
+            core.apply_configuration(new, row.version);
         }
         Err(error) => {
             emit(
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -84,14 +84,14 @@
 }
 
 async fn wait_for_change(feed: &Feed, after: u64, wait: Duration) {
-    let subscription = feed.changed.list();
+    let subscription = feed.changed.subscribe();
     if feed.version().is_some() && feed.has_changes_after(after) {
         return;
     }
     let timeout = async {
         Timer::after(wait).await;
     };
-    subscription.nudged().or(timeout).await;
+    subscription.notified().or(timeout).await;
 }
 
 /// Response of another entry.
--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -1,6 +1,6 @@
 //! Copies of two tables of the store, their ages, and their next source.
 //!
-//! [`Sources`] decides from where an entry reads, and [`TableCopy`] what it
+//! [`FeedSources`] decides from where an entry reads, and [`TableCopy`] what it
 //! serves to others. This module holds the state that the tasks share.
 
 use std::sync::{
@@ -13,11 +13,11 @@
     store::{Row, Rows},
 };
 use chestnutreach_membership::{
-    Around, Change, Outcome, Source, Sources, TableCopy,
+    FeedPeers, FeedSource, FeedSources, FetchOutcome, RowChange, TableCopy,
 };
 use chestnutreach_protocol::peers::{FeedAnswer, FeedRow};
 
-use crate::{clock::now_ms, nudges::Nudges};
+use crate::{clock::now_ms, subscribers::Subscribers};
 
 /// A copy is stale if the store has not confirmed it within this time, which
 /// is longer than the poll of a reader takes.
@@ -56,7 +56,7 @@
     /// Key of the assignment to read the table from the store.
     assignment: u64,
     copy: Mutex<TableCopy>,
-    sources: Mutex<Sources>,
+    sources: Mutex<FeedSources>,
     /// When the store last confirmed the copy.
     confirmed_ms: AtomicU64,
     /// When the store was available again after the last outage; 0 if there
@@ -65,7 +65,7 @@
     /// Boot id of the entry that is polled; 0 for the store.
     source_boot_id: AtomicU64,
     /// Tasks that wait for a change.
-    pub(crate) changed: Nudges,
+    pub(crate) changed: Subscribers,
 }
 
 impl Feed {
@@ -78,19 +78,19 @@
             confirmed_ms: AtomicU64::new(0),
             recovered_ms: AtomicU64::new(0),
             source_boot_id: AtomicU64::new(0),
-            changed: Nudges::default(),
+            changed: Subscribers::default(),
         }
     }
 
-    pub(crate) fn choose_source(&self, around: &Around<'_>) -> Source {
+    pub(crate) fn choose_source(&self, around: &FeedPeers<'_>) -> FeedSource {
         self.sources().choose(around, self.assignment, now_ms())
     }
 
     /// Records the current source for the status document.
-    pub(crate) fn set_source(&self, source: Source) {
+    pub(crate) fn set_source(&self, source: FeedSource) {
         let boot_id = match source {
-            Source::Store => 0,
-            Source::Entry(boot_id) => boot_id,
+            FeedSource::Store => 0,
+            FeedSource::Entry(boot_id) => boot_id,
         };
         self.source_boot_id.store(boot_id, Relaxed);
     }
@@ -110,11 +110,15 @@
     }
 
     pub(crate) fn record_request(&self) {
-        self.sources().note_asked(now_ms());
+        self.sources().record_request(now_ms());
     }
 
-    pub(crate) fn record_outcome(&self, source: Source, outcome: Outcome) {
-        self.sources().note(source, outcome, now_ms());
+    pub(crate) fn record_outcome(
+        &self,
+        source: FeedSource,
+        outcome: FetchOutcome,
+    ) {
+        self.sources().record_outcome(source, outcome, now_ms());
     }
 
     /// Version up to which the copy is complete.
@@ -143,22 +147,22 @@
     pub(crate) fn replace(&self, rows: &Rows) -> bool {
         let changes = rows.rows.iter().map(row_change).collect();
         let is_taken = self.copy().replace(changes, rows.version);
-        self.changed.nudge_all();
+        self.changed.notify_all();
         is_taken
     }
 
     /// Applies rows that changed.
     pub(crate) fn apply_changes(&self, rows: &Rows) {
         let changes = rows.rows.iter().map(row_change).collect();
-        self.copy().extend(changes, rows.version);
+        self.copy().apply(changes, rows.version);
         if !rows.rows.is_empty() {
-            self.changed.nudge_all();
+            self.changed.notify_all();
         }
     }
 
     /// Whether the copy has changes after a version.
     pub(crate) fn has_changes_after(&self, version: u64) -> bool {
-        self.copy().has_news(version)
+        self.copy().has_changes_after(version)
     }
 
     /// Response to an entry whose copy has this version; `None` while this
@@ -169,11 +173,11 @@
     ) -> Option<FeedAnswer> {
         let copy = self.copy();
         let version = copy.version()?;
-        let changes = after.and_then(|after| copy.after(after));
+        let changes = after.and_then(|after| copy.changes_after(after));
         let is_whole = changes.is_none();
         let rows = match changes {
             Some(changes) => changes.into_iter().map(feed_row).collect(),
-            None => copy.all().map(feed_row).collect(),
+            None => copy.rows().map(feed_row).collect(),
         };
         let recovered_ms = Some(self.recovered_ms()).filter(|ms| *ms > 0);
         Some(FeedAnswer {
@@ -190,7 +194,7 @@
         self.copy.lock().expect("no holder panics")
     }
 
-    fn sources(&self) -> MutexGuard<'_, Sources> {
+    fn sources(&self) -> MutexGuard<'_, FeedSources> {
         self.sources.lock().expect("no holder panics")
     }
 }
@@ -207,15 +211,15 @@
     Rows { rows: answer.rows.into_iter().map(convert).collect(), version }
 }
 
-fn row_change(row: &Row) -> Change {
-    Change {
+fn row_change(row: &Row) -> RowChange {
+    RowChange {
         key: row.key.clone(),
         value: (!row.is_dropped).then(|| row.value.clone()),
         version: row.version,
     }
 }
 
-fn feed_row(change: &Change) -> FeedRow {
+fn feed_row(change: &RowChange) -> FeedRow {
     FeedRow {
         key: change.key.clone(),
         value: change.value.clone(),
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -9,7 +9,7 @@
     rest::{self, RestNotice},
 };
 use chestnutreach_protocol::peers::EngineNotice;
-use chestnutreach_routing::ServerLimit;
+use chestnutreach_routing::ServerRateLimit;
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Change;
@@ -51,8 +51,8 @@
     let values = answered.head.values(notices::LIMIT);
     let change = match notices::limit(values) {
         LimitNotice::PerS(per_s) => {
-            let name = |limit: &mut ServerLimit| {
-                limit.note_named(per_s, now_ms);
+            let name = |limit: &mut ServerRateLimit| {
+                limit.record_announced(per_s, now_ms);
             };
             engine.notices.lock().update_limit(name, now_ms)
         }
@@ -61,7 +61,7 @@
             let mut state = engine.notices.lock();
             state.own_absent_sent_ms =
                 state.own_absent_sent_ms.max(Some(sent_ms));
-            state.update_limit(|limit| limit.note_unnamed(sent_ms), now_ms)
+            state.update_limit(|limit| limit.record_absent(sent_ms), now_ms)
         }
         LimitNotice::Malformed => {
             core.metrics.malformed_limits.inc();
@@ -125,7 +125,7 @@
     };
     engine.notices.lock().has_said_leaving = true;
     core.permits.record_change(engine.hash);
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     if source == OWN {
         core.alerts.queue_notice(engine.hash);
     }
@@ -152,13 +152,13 @@
     }
     let now_ms = now_ms();
     let ago = |age_ms: u64| now_ms.saturating_sub(age_ms);
-    let take = |limit: &mut ServerLimit| {
+    let take = |limit: &mut ServerRateLimit| {
         // A peer's number may be any.
         if told.limit_per_s.is_finite() && told.limit_per_s > 0.0 {
-            limit.note_named(told.limit_per_s, ago(told.named_age_ms));
+            limit.record_announced(told.limit_per_s, ago(told.named_age_ms));
         }
         if let Some(age_ms) = told.unnamed_age_ms {
-            limit.note_unnamed(
+            limit.record_absent(
                 ago(age_ms).saturating_sub(MAX_MESSAGE_DELAY_MS),
             );
         }
@@ -184,7 +184,7 @@
 ) {
     let now_ms = now_ms();
     let mut state = engine.notices.lock();
-    let limit = state.limit.in_force();
+    let limit = state.limit.current();
     engine.notices.is_limited.store(limit.is_some(), Relaxed);
     let is_to_be_told = match limit {
         Some(named) => state.should_report(named.per_s, now_ms),
@@ -220,7 +220,7 @@
     (age_name, age_ms): (&'static str, u64),
 ) {
     let mut state = engine.notices.lock();
-    let last = state.limit.last_named().map_or(0.0, |named| named.per_s);
+    let last = state.limit.last_announced().map_or(0.0, |named| named.per_s);
     let sent_4s = state.recent_sent(now_ms()).len();
     drop(state);
     emit(
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -15,7 +15,9 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_adapter::store::{StoreClient, StoreError};
-use chestnutreach_membership::telling::{EVERY_MS, Rounds, Whom};
+use chestnutreach_membership::gossip::{
+    BASE_INTERVAL_MS, PeerScope, RoundRobin,
+};
 use chestnutreach_protocol::peers::{
     EngineUse, PeerState, ServiceUse, SuspectRequest,
 };
@@ -36,7 +38,7 @@
 };
 
 /// Time between messages.
-const STATE_INTERVAL: Duration = Duration::from_millis(EVERY_MS);
+const STATE_INTERVAL: Duration = Duration::from_millis(BASE_INTERVAL_MS);
 /// Time for a call of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time before the table is read again after a failure.
@@ -84,7 +86,7 @@
 
 async fn send_states(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     let mut sequence = 0;
-    let mut rounds = [Rounds::default(), Rounds::default()];
+    let mut rounds = [RoundRobin::default(), RoundRobin::default()];
     loop {
         sequence += 1;
         let bytes = own_state(&core, sequence).encode_to_vec();
@@ -98,13 +100,14 @@
 }
 
 /// Who is told now: some of this data centre, fewer of the others.
-fn recipients(core: &Core, rounds: &mut [Rounds; 2]) -> Vec<SocketAddr> {
+fn recipients(core: &Core, rounds: &mut [RoundRobin; 2]) -> Vec<SocketAddr> {
     let is_planner = core.is_planner.load(Relaxed);
-    let turn = |(whom, rounds): (Whom, &mut Rounds)| {
-        let told = if is_planner { Whom::ByPlanner } else { whom };
-        rounds.take(&core.peers.addresses_of(whom), told.at_once())
+    let turn = |(whom, rounds): (PeerScope, &mut RoundRobin)| {
+        let told = if is_planner { PeerScope::FromPlanner } else { whom };
+        rounds.next_batch(&core.peers.addresses_of(whom), told.fan_out())
     };
-    let whom = [Whom::Near, Whom::Far].into_iter();
+    let whom =
+        [PeerScope::SameDataCentre, PeerScope::OtherDataCentre].into_iter();
     whom.zip(rounds).flat_map(turn).collect()
 }
 
@@ -160,11 +163,11 @@
         })
     };
     let engines = core.fleet.all().into_iter().filter_map(engine_use);
-    let sent = core.sent_to_services().into_iter();
+    let sent = core.sent_by_service().into_iter();
     let services = sent.map(|(service, sent)| ServiceUse {
         service,
         requests: sent.requests,
-        further: sent.further,
+        further: sent.retries,
     });
     PeerState {
         boot_id: core.boot_id,
@@ -174,9 +177,9 @@
         engines: engines.collect(),
         services: services.collect(),
         is_planner: core.is_planner.load(Relaxed),
-        crossing_kilobytes_per_s: (core.crossing.own_bytes_per_s() / 1e3)
+        crossing_kilobytes_per_s: (core.interconnect.own_bytes_per_s() / 1e3)
             as u32,
-        resigned: core.resigned.load(Relaxed),
+        resigned: core.released_lease_number.load(Relaxed),
         is_stopping: core.stopping_for_ms().is_some(),
         open_moves: core.open_moves(),
         data_centre: core.settings.data_centre.clone(),
@@ -197,11 +200,11 @@
 
 /// States that an entry hears in a second, about as many as it sends.
 fn received_states_per_s(core: &Core) -> f64 {
-    let at_once = [Whom::Near, Whom::Far]
+    let at_once = [PeerScope::SameDataCentre, PeerScope::OtherDataCentre]
         .into_iter()
-        .map(|whom| core.peers.addresses_of(whom).len().min(whom.at_once()));
+        .map(|whom| core.peers.addresses_of(whom).len().min(whom.fan_out()));
     let at_once: usize = at_once.sum();
-    at_once as f64 * 1e3 / EVERY_MS as f64
+    at_once as f64 * 1e3 / BASE_INTERVAL_MS as f64
 }
 
 fn handle_message(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
@@ -225,7 +228,7 @@
     }
     core.peers.record_sent(state, core.settings.bounds.retry_window_ms);
     if state.is_planner {
-        core.take_moves(&state.open_moves);
+        core.apply_moves(&state.open_moves);
     }
     apply_usage(core, state);
 }
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -16,7 +16,7 @@
 use chestnutreach_http::relay::Outbound;
 use chestnutreach_protocol::peers::EngineUse;
 use chestnutreach_routing::{
-    EndProof, end_proof, end_proof::SILENCE_PROVES_MS,
+    ExitStatus, detect_exit, exit_detection::SILENCE_TIMEOUT_MS,
 };
 use chestnutreach_telemetry::{Event, emit};
 
@@ -25,7 +25,7 @@
     cluster::{
         alerts::percent,
         engine::{
-            Engine, Evidence, RECENT_PROGRESS_MS, StartOrder, Suspicion,
+            Engine, FailureEvidence, RECENT_PROGRESS_MS, StartOrder, Suspicion,
         },
     },
     core::Core,
@@ -62,10 +62,10 @@
     error: &io::Error,
 ) {
     let evidence = match error.kind() {
-        io::ErrorKind::TimedOut => Evidence::Silent,
-        _ => Evidence::Refused,
+        io::ErrorKind::TimedOut => FailureEvidence::Silent,
+        _ => FailureEvidence::Refused,
     };
-    if evidence == Evidence::Silent && is_partitioned(core) {
+    if evidence == FailureEvidence::Silent && is_partitioned(core) {
         return;
     }
     suspect(core, engine, evidence);
@@ -77,19 +77,23 @@
     let engines = core.fleet.all();
     let is_silent = |engine: &&Arc<Engine>| {
         let suspicion = engine.lock().suspicion;
-        suspicion.is_some_and(|s| s.evidence == Evidence::Silent)
+        suspicion.is_some_and(|s| s.evidence == FailureEvidence::Silent)
     };
     let silent = engines.iter().filter(is_silent).count();
     silent as f64 >= PARTITION_SILENT_SHARE * engines.len() as f64
 }
 
 /// Excludes an engine from new paths and notifies the streams.
-pub(crate) fn suspect(core: &Core, engine: &Engine, evidence: Evidence) {
+pub(crate) fn suspect(
+    core: &Core,
+    engine: &Engine,
+    evidence: FailureEvidence,
+) {
     let now_ms = now_ms();
     let min_ms = match evidence {
         // A repeated stall takes that long to show at the engines that wait.
-        Evidence::Stalled => core.settings.bounds.stall_ms,
-        Evidence::Refused | Evidence::Silent => 0,
+        FailureEvidence::Stalled => core.settings.bounds.stall_ms,
+        FailureEvidence::Refused | FailureEvidence::Silent => 0,
     };
     {
         let mut state = engine.lock();
@@ -107,14 +111,14 @@
         &[
             ("backend", &engine.id),
             ("address", &engine.address),
-            ("evidence", &evidence.name()),
+            ("evidence", &evidence.as_str()),
             ("quiet_ms", &engine.quiet_ms(now_ms)),
         ],
     );
-    core.streams.nudge_all();
+    core.stream_subscribers.notify_all();
     // A stall is not alerted: the engine that reported it may itself be unable
     // to reach the engines that it needs.
-    if evidence != Evidence::Stalled {
+    if evidence != FailureEvidence::Stalled {
         queue_alert(
             core,
             engine,
@@ -148,7 +152,7 @@
     };
     // After a refused connect, a port that accepts belongs to a new process.
     let is_over = suspicion.until_ms <= now_ms
-        && suspicion.evidence != Evidence::Refused;
+        && suspicion.evidence != FailureEvidence::Refused;
     if !is_over {
         return;
     }
@@ -214,15 +218,15 @@
         (state.is_removed, state.is_replaced, state.suspicion)
     };
     let lasted_ms = suspicion.map_or(0, |s| now_ms() - s.since_ms);
-    match end_proof(suspicion.map(|s| s.evidence), lasted_ms) {
-        EndProof::Ended => true,
+    match detect_exit(suspicion.map(|s| s.evidence), lasted_ms) {
+        ExitStatus::Exited => true,
         _ if is_replaced => true,
-        EndProof::Unsure => {
-            let timeout = Duration::from_millis(SILENCE_PROVES_MS);
+        ExitStatus::Unknown => {
+            let timeout = Duration::from_millis(SILENCE_TIMEOUT_MS);
             is_patient
                 && Outbound::connect(engine.address, timeout).await.is_err()
         }
-        EndProof::Lives => {
+        ExitStatus::Alive => {
             is_removed && connect(engine, CONNECT_ATTEMPTS).await.is_err()
         }
     }
@@ -244,7 +248,8 @@
 fn has_crashed(engine: &Engine) -> bool {
     let state = engine.lock();
     let evidence = state.suspicion.map(|suspicion| suspicion.evidence);
-    let has_ended = state.is_replaced || evidence == Some(Evidence::Refused);
+    let has_ended =
+        state.is_replaced || evidence == Some(FailureEvidence::Refused);
     has_ended && state.leaving_since_ms.is_none()
 }
 
@@ -300,8 +305,9 @@
 }
 
 pub(crate) async fn request_report(core: Arc<Core>, engine: Arc<Engine>) {
-    let body = exchange::report(&engine);
-    let Ok(Ok((200, body))) = exchange::within(REPORT_TIMEOUT, body).await
+    let body = exchange::fetch_report(&engine);
+    let Ok(Ok((200, body))) =
+        exchange::with_timeout(REPORT_TIMEOUT, body).await
     else {
         return;
     };
@@ -320,7 +326,9 @@
         // The report is late, or comes from another process.
         StartOrder::Earlier => return,
         // The new process has its own row, or will have it soon.
-        StartOrder::Later => return suspect(core, engine, Evidence::Refused),
+        StartOrder::Later => {
+            return suspect(core, engine, FailureEvidence::Refused);
+        }
     }
     let slowness = match report.slowness {
         slowness if slowness < MIN_SLOWNESS => 1.0,
@@ -339,7 +347,7 @@
         // The engine may have recovered since the report was made.
         let has_progress = target.quiet_ms(now_ms()) < RECENT_PROGRESS_MS;
         if !has_progress && target.incarnation != engine.incarnation {
-            suspect(core, &target, Evidence::Stalled);
+            suspect(core, &target, FailureEvidence::Stalled);
         }
     }
 }
--- a/crates/direct/src/placement/authority.rs
+++ b/crates/direct/src/placement/authority.rs
@@ -1,6 +1,6 @@
 //! By what right an entry gives orders to engines.
 
-use chestnutreach_planner::Scope;
+use chestnutreach_planner::OrderScope;
 use chestnutreach_state::FencingNumber;
 use chestnutreach_telemetry::{Event, emit};
 
@@ -21,13 +21,13 @@
 impl Authority {
     pub(crate) fn of(core: &Core, lease: &Lease) -> Option<Authority> {
         let held = lease.active_fencing_number().map(Authority::Lease);
-        held.or_else(|| core.stands_in().then_some(Authority::Deputy))
+        held.or_else(|| core.is_deputy_planner().then_some(Authority::Deputy))
     }
 
-    pub(crate) fn scope(self) -> Scope {
+    pub(crate) fn scope(self) -> OrderScope {
         match self {
-            Authority::Lease(_) => Scope::All,
-            Authority::Deputy => Scope::NothingGivenUp,
+            Authority::Lease(_) => OrderScope::All,
+            Authority::Deputy => OrderScope::AdditiveOnly,
         }
     }
 
--- a/crates/direct/src/placement/lease.rs
+++ b/crates/direct/src/placement/lease.rs
@@ -7,11 +7,11 @@
 
 use async_io::Timer;
 use chestnutreach_adapter::store::{Row, StoreClient, StoreError};
-use chestnutreach_membership::duty;
+use chestnutreach_membership::rendezvous;
 use chestnutreach_site::tables::{LEASE, LEASE_KEY};
 use chestnutreach_state::{
-    FencingNumber, LeaseCommand, LeaseHolder, LeaseOptions, LeaseRow,
-    LeaseState, StoreAnswer,
+    FencingNumber, LeaseCommand, LeaseOptions, LeaseParticipant, LeaseRow,
+    LeaseState, StoreResponse,
 };
 use chestnutreach_telemetry::{Event, emit};
 
@@ -40,7 +40,7 @@
 
 /// The lease as one entry holds or seeks it.
 pub(crate) struct Lease {
-    holder: Mutex<LeaseHolder>,
+    holder: Mutex<LeaseParticipant>,
     store: StoreClient,
     /// The row as last read or written, with its version at the store.
     last_row: Mutex<Option<(LeaseRow, u64)>>,
@@ -55,19 +55,19 @@
         )
         .expect("the constants make a lease");
         Lease {
-            holder: Mutex::new(LeaseHolder::new(core.boot_id, options)),
+            holder: Mutex::new(LeaseParticipant::new(core.boot_id, options)),
             store: StoreClient::new(core.settings.store_address),
             last_row: Mutex::default(),
         }
     }
 
-    fn holder(&self) -> MutexGuard<'_, LeaseHolder> {
+    fn holder(&self) -> MutexGuard<'_, LeaseParticipant> {
         self.holder.lock().expect("no holder panics")
     }
 
     /// The number under which this entry may plan at this moment.
     pub(crate) fn active_fencing_number(&self) -> Option<FencingNumber> {
-        self.holder().may_act(now_ms())
+        self.holder().active_fencing_number(now_ms())
     }
 
     /// Holds or seeks the lease until the process ends.
@@ -77,7 +77,7 @@
             self.resign_if_partitioned(&core);
             if let Some(command) = self.next_command(&core) {
                 let answer = self.execute(command).await;
-                self.holder().answer(answer, now_ms());
+                self.holder().handle_response(answer, now_ms());
             }
             let state = self.holder().state();
             log_change(last, state);
@@ -110,7 +110,7 @@
             return;
         }
         if let Some(number) = self.holder().resign(now_ms()) {
-            core.resigned.store(number.as_u64(), Relaxed);
+            core.released_lease_number.store(number.as_u64(), Relaxed);
         }
     }
 
@@ -118,7 +118,7 @@
     /// hear of it even if the store does not answer.
     pub(crate) async fn release(&self, core: &Core) {
         if let Some(number) = self.active_fencing_number() {
-            core.resigned.store(number.as_u64(), Relaxed);
+            core.released_lease_number.store(number.as_u64(), Relaxed);
         }
         let command = self.holder().release(now_ms());
         if let Some(command) = command {
@@ -126,7 +126,7 @@
         }
     }
 
-    async fn execute(&self, command: LeaseCommand) -> StoreAnswer {
+    async fn execute(&self, command: LeaseCommand) -> StoreResponse {
         match command {
             LeaseCommand::Read => self.read().await,
             LeaseCommand::Write { expected, row } => {
@@ -135,14 +135,14 @@
         }
     }
 
-    async fn read(&self) -> StoreAnswer {
+    async fn read(&self) -> StoreResponse {
         match self.store.read_row(LEASE, LEASE_KEY, STORE_TIMEOUT).await {
             Ok(row) => {
                 let known = row.as_ref().and_then(decode);
                 *self.last_row.lock().expect("no holder panics") = known;
-                StoreAnswer::Row(known.map(|(row, _)| row))
+                StoreResponse::Row(known.map(|(row, _)| row))
             }
-            Err(_) => StoreAnswer::Unavailable,
+            Err(_) => StoreResponse::Unavailable,
         }
     }
 
@@ -150,10 +150,10 @@
         &self,
         expected: Option<LeaseRow>,
         row: LeaseRow,
-    ) -> StoreAnswer {
+    ) -> StoreResponse {
         let known = *self.last_row.lock().expect("no holder panics");
         if known.map(|(row, _)| row) != expected {
-            return StoreAnswer::Conflict;
+            return StoreResponse::Conflict;
         }
         let version = known.map_or(0, |(_, version)| version);
         let value =
@@ -170,11 +170,11 @@
                 let mut known =
                     self.last_row.lock().expect("no holder panics");
                 *known = Some((row, version));
-                StoreAnswer::Written
+                StoreResponse::Written
             }
-            Err(StoreError::Conflict) => StoreAnswer::Conflict,
-            Err(StoreError::Refused { .. }) => StoreAnswer::Unavailable,
-            Err(_) => StoreAnswer::Ambiguous,
+            Err(StoreError::Conflict) => StoreResponse::Conflict,
+            Err(StoreError::Refused { .. }) => StoreResponse::Unavailable,
+            Err(_) => StoreResponse::Ambiguous,
         }
     }
 }
@@ -185,7 +185,7 @@
     let now_ms = now_ms();
     let unheld_ms = core.age_ms().min(core.peers.planner_silent_ms(now_ms));
     unheld_ms >= ALL_CANDIDATES_AFTER_MS
-        || duty::holds(
+        || rendezvous::is_assigned(
             core.boot_id,
             core.peers.live(now_ms),
             LEASE_ASSIGNMENT,
@@ -196,7 +196,7 @@
 /// Whether the store has been out of reach for so long that another entry
 /// should plan.
 fn is_store_unreachable(core: &Core) -> bool {
-    let since_ms = core.store_lost_ms.load(Relaxed);
+    let since_ms = core.store_failing_since_ms.load(Relaxed);
     since_ms > 0 && now_ms().saturating_sub(since_ms) > STORE_FAILURE_LIMIT_MS
 }
 
--- a/crates/direct/src/placement/orders.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to engines to hold layers, given by whoever holds the lease, or
 //! stands in for it.
 //!
-//! What is ordered, and again, is decided by [`OrderBook`] from what is known
+//! What is ordered, and again, is decided by [`OrderTracker`] from what is known
 //! of the engines; here are the turns, the calls and the lines of the logs.
 
 use std::{
@@ -13,8 +13,8 @@
 use async_io::Timer;
 use chestnutreach_adapter::engine::place_body;
 use chestnutreach_planner::{
-    DueOrder, KnownEngine, LayerRange, LayoutEngine, LayoutModel, OpenMove,
-    OrderBook, Scope, cover, order_book::FORGOTTEN_MS,
+    DueOrder, LayerRange, LayoutEngine, LayoutModel, ObservedEngine, OpenMove,
+    OrderScope, OrderTracker, order_tracker::ORDER_EXPIRY_MS, replica_counts,
 };
 use chestnutreach_protocol::peers;
 use chestnutreach_site::{BackendState, Model, StreamPolicy};
@@ -23,7 +23,7 @@
 use crate::{
     clock::now_ms,
     cluster::{
-        engine::{Engine, Evidence},
+        engine::{Engine, FailureEvidence},
         probe,
     },
     core::Core,
@@ -31,7 +31,7 @@
         authority::{Authority, log_authority_change},
         lease::Lease,
     },
-    request::exchange::{self, within},
+    request::exchange::{self, with_timeout},
 };
 
 /// Time between plans.
@@ -56,18 +56,18 @@
         }
         if let Some(mandate) = mandate {
             planner.round(&core, &lease, mandate);
-            if mandate.scope() == Scope::All {
+            if mandate.scope() == OrderScope::All {
                 core.set_open_moves(planner.open_moves(&core));
             }
         }
-        core.orders_waiting.store(planner.open_count(), Relaxed);
+        core.pending_orders.store(planner.open_count(), Relaxed);
     }
 }
 
 #[derive(Default)]
 struct Planner {
     /// Orders, by service.
-    trackers: BTreeMap<String, OrderBook>,
+    trackers: BTreeMap<String, OrderTracker>,
     engine_count: usize,
     last_growth_ms: u64,
     /// What was last told of each service's cover.
@@ -81,7 +81,7 @@
 
 impl Planner {
     fn open_count(&self) -> usize {
-        self.trackers.values().map(OrderBook::open_count).sum()
+        self.trackers.values().map(OrderTracker::pending_count).sum()
     }
 
     /// What others are told, for the next planner.
@@ -100,7 +100,7 @@
                 orders_begun: open.orders_begun,
                 age_ms: 0,
             };
-            Some((open.given_ms, told))
+            Some((open.issued_ms, told))
         };
         moves.filter_map(told).collect()
     }
@@ -124,7 +124,7 @@
         let mut accepted = self.accepted.lock().expect("no holder panics");
         for (engine, orders_begun) in accepted.drain(..) {
             for book in self.trackers.values_mut() {
-                book.accept(&engine, orders_begun);
+                book.mark_accepted(&engine, orders_begun);
             }
         }
     }
@@ -153,23 +153,23 @@
         model: &Model,
     ) {
         let engines = core.fleet.of_service(service);
-        let known: Vec<KnownEngine<'_>> =
+        let known: Vec<ObservedEngine<'_>> =
             engines.all.iter().map(|e| observed_engine(model, e)).collect();
         let layout_model = LayoutModel {
             layer_count: model.layer_count,
             layer_mb: model.layer_mb,
             token_layer_bytes: model.token_layer_bytes,
-            first_tokens: first_stage_tokens(model, &engines.all),
+            first_stage_tokens: first_stage_tokens(model, &engines.all),
         };
         self.log_coverage(core, service, &layout_model, &known);
         if !self.trackers.contains_key(service) {
             let book =
-                OrderBook::new(recent_moves(core, service, &engines.all));
+                OrderTracker::new(recent_moves(core, service, &engines.all));
             self.trackers.insert(service.to_owned(), book);
         }
         let book = self.trackers.get_mut(service).expect("it was just added");
         let scope = mandate.scope();
-        for due in book.due(&layout_model, &known, scope, now_ms()) {
+        for due in book.due_orders(&layout_model, &known, scope, now_ms()) {
             // Deciding took time; another one may plan by now.
             if Authority::of(core, lease) != Some(mandate) {
                 return;
@@ -192,12 +192,12 @@
         core: &Core,
         service: &str,
         model: &LayoutModel,
-        engines: &[KnownEngine<'_>],
+        engines: &[ObservedEngine<'_>],
     ) {
         let layout: Vec<LayoutEngine> =
             engines.iter().map(|engine| engine.layout).collect();
         let names = &core.settings.data_centres;
-        let mut here = cover(model, &layout);
+        let mut here = replica_counts(model, &layout);
         // One without any engine is told as well.
         let none = vec![0; model.layer_count as usize];
         here.resize(here.len().max(names.len()), none);
@@ -230,15 +230,15 @@
             engine: engine.incarnation.clone(),
             range: LayerRange::new(told.first_layer, told.end_layer),
             orders_begun: told.orders_begun,
-            given_ms,
+            issued_ms: given_ms,
         })
     };
     let now_ms = now_ms();
     let told = core.peers.announced_moves(service).into_iter();
-    let own = core.own_moves(service).into_iter();
+    let own = core.issued_moves(service).into_iter();
     let recent = told
         .chain(own)
-        .filter(|(given_ms, _)| now_ms - given_ms < FORGOTTEN_MS);
+        .filter(|(given_ms, _)| now_ms - given_ms < ORDER_EXPIRY_MS);
     recent.filter_map(known).collect()
 }
 
@@ -252,7 +252,10 @@
     }
 }
 
-fn observed_engine<'a>(model: &Model, engine: &'a Engine) -> KnownEngine<'a> {
+fn observed_engine<'a>(
+    model: &Model,
+    engine: &'a Engine,
+) -> ObservedEngine<'a> {
     let state = engine.lock();
     let kind = state.row.kind.as_ref();
     let kind = kind.and_then(|kind| model.kinds.get(kind));
@@ -263,8 +266,10 @@
     // Its process may go on: nothing but silence speaks against it.
     let may_return = state.row.state == BackendState::Ready
         && !state.is_removed
-        && state.suspicion.is_some_and(|s| s.evidence != Evidence::Refused);
-    KnownEngine {
+        && state
+            .suspicion
+            .is_some_and(|s| s.evidence != FailureEvidence::Refused);
+    ObservedEngine {
         id: &engine.incarnation,
         may_return,
         layout: LayoutEngine {
@@ -272,8 +277,8 @@
             memory_mb: kind.map_or(0.0, |kind| kind.memory_mb),
             layer_ms: kind.map_or(0.0, |kind| model.step_part_ms(kind, 1)),
             held: state.row.held,
-            is_sound,
-            is_free: is_sound && kind.is_some(),
+            is_available: is_sound,
+            accepts_orders: is_sound && kind.is_some(),
         },
         orders_begun: state.orders_begun,
     }
@@ -341,8 +346,8 @@
     let passing = stream_policy(&core, &service, &engine, due.range);
     let body =
         place_body(due.range, mandate.fence(), due.orders_begun, passing);
-    let call = exchange::order(&engine, &body);
-    let reason = match within(ORDER_TIMEOUT, call).await {
+    let call = exchange::send_order(&engine, &body);
+    let reason = match with_timeout(ORDER_TIMEOUT, call).await {
         Ok(Ok((200..=299, _))) => {
             let order = (engine.incarnation.clone(), due.orders_begun);
             accepted.lock().expect("no holder panics").push(order);
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -7,7 +7,9 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_routing::{TurnNeed, Want, room_wait::LONGEST_WAIT_MS};
+use chestnutreach_routing::{
+    PermitDemand, TurnRequest, capacity_wait::MAX_WAIT_MS,
+};
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 
@@ -70,7 +72,7 @@
         // have the client look for the same.
         match self.is_head_sent {
             true => self.admitted.end_ms,
-            false => self.admitted.end_ms.min(now_ms() + LONGEST_WAIT_MS),
+            false => self.admitted.end_ms.min(now_ms() + MAX_WAIT_MS),
         }
     }
 
@@ -100,12 +102,12 @@
     }
 
     fn take_place(&self, until_ms: u64) -> Option<Place> {
-        let need = TurnNeed {
+        let need = TurnRequest {
             account: self.admitted.account.as_deref().unwrap_or(""),
             priority: priority_of(self.admitted.urgency),
             tokens: self.tokens,
-            in_time_until_ms: now_ms() + self.in_time_ms(),
-            until_ms,
+            start_by_ms: now_ms() + self.in_time_ms(),
+            wait_until_ms: until_ms,
         };
         let queues = &self.core.path_queues;
         queues.try_join(&self.admitted.service.name, &need).ok()
@@ -115,7 +117,7 @@
     pub(super) async fn look_until(&mut self, until_ms: u64) -> Look {
         // A stream that has begun waits for the shared bound to leave room,
         // rather than break off.
-        let mut needs_retry = self.attempts.made() > 0;
+        let mut needs_retry = self.attempts.count() > 0;
         let mut was_denied = false;
         loop {
             if let Some(path) = self.path_soon().await {
@@ -201,9 +203,9 @@
         other
     }
 
-    fn want(&self, is_waiting: bool) -> Want {
+    fn want(&self, is_waiting: bool) -> PermitDemand {
         let urgency = self.admitted.urgency;
-        Want { request: self.key, is_waiting, urgency }
+        PermitDemand { request: self.key, is_waiting, urgency }
     }
 
     /// Asks for a permit of any engine that could be first with one.
@@ -239,7 +241,7 @@
         PathNeed {
             service: &self.admitted.service.name,
             model: self.model,
-            data_centre: self.core.own_data_centre(),
+            data_centre: self.core.own_data_centre_index(),
             tokens: self.tokens,
             without: &self.without,
             now_ms: now_ms(),
@@ -247,7 +249,7 @@
             is_permit_needed,
             crossing_use: self
                 .core
-                .crossing
+                .interconnect
                 .share(&self.core.peers, self.model.pipe_mbps),
             entries_without_report: self.core.entries_without_report(),
             not_first: &self.not_first,
@@ -260,7 +262,7 @@
         let each = self.tokens as f64 * self.model.activation_bytes;
         let bytes = crossings as f64 * each;
         let core = self.core;
-        core.crossing.note(&core.peers, self.model.pipe_mbps, bytes);
+        core.interconnect.note(&core.peers, self.model.pipe_mbps, bytes);
     }
 
     /// Shows how many wait.
--- a/crates/routing/tests/guards.rs
+++ b/crates/routing/tests/guards.rs
@@ -3,9 +3,10 @@
 mod common;
 
 use chestnutreach_routing::{
-    Health, HealthState, Live, Mix, Presence, RetryBudget, Shape, Speed,
-    admission::run_ms, can_finish, expected_wait_ms, health, retry,
-    retry_after_ms, throughput_bound,
+    CircuitBreaker, CircuitState, LearnedSpeed, LiveState, Presence,
+    RequestShape, RetryBudget, TokenMix, admission::run_ms, can_finish,
+    circuit_breaker, expected_wait_ms, retry_after_ms, retry_budget,
+    throughput_bound,
 };
 use common::{fleet, numbered, serving, spec};
 use rstest::rstest;
@@ -20,65 +21,65 @@
     let (mut requests, mut retries) = (0_u64, 0_u64);
     for _ in 0..20_000 {
         if rng.bool() {
-            budget.note_request();
+            budget.record_request();
             requests += 1;
         }
         // Everything fails: ask for more than there is.
         for _ in 0..rng.u32(0..3) {
-            retries += u64::from(budget.take());
+            retries += u64::from(budget.try_take());
         }
         let earned = requests * u64::from(percent) / 100;
-        assert!(retries <= retry::FLOOR_ATTEMPTS + earned);
+        assert!(retries <= retry_budget::INITIAL_RETRIES + earned);
     }
 }
 
 #[test]
 fn a_calm_hour_does_not_pay_for_a_storm() {
     let budget = RetryBudget::new(100);
-    (0..100_000).for_each(|_| budget.note_request());
-    let retries = (0..100_000).filter(|_| budget.take()).count() as u64;
-    assert_eq!(retries, retry::CAPACITY_ATTEMPTS);
+    (0..100_000).for_each(|_| budget.record_request());
+    let retries = (0..100_000).filter(|_| budget.try_take()).count() as u64;
+    assert_eq!(retries, retry_budget::MAX_RETRIES);
 }
 
 #[test]
 fn health_opens_backs_off_and_comes_back() {
-    let health = Health::new();
-    let fail = |now_ms| health.note_failure(now_ms);
-    (1..health::FAILURE_LIMIT).for_each(|_| fail(0));
-    assert_eq!(health.state(0), HealthState::Closed);
+    let health = CircuitBreaker::new();
+    let fail = |now_ms| health.record_failure(now_ms);
+    (1..circuit_breaker::FAILURE_LIMIT).for_each(|_| fail(0));
+    assert_eq!(health.state(0), CircuitState::Closed);
     fail(0);
-    let until_ms = health::FIRST_BACKOFF_MS;
-    assert_eq!(health.state(0), HealthState::Open { until_ms });
-    assert!(!health.is_open_to_requests(until_ms - 1));
+    let until_ms = circuit_breaker::FIRST_BACKOFF_MS;
+    assert_eq!(health.state(0), CircuitState::Open { until_ms });
+    assert!(!health.allows_requests(until_ms - 1));
 
     // One trial at a time; its failure doubles the wait.
-    assert!(health.is_open_to_requests(until_ms));
-    health.note_sent(until_ms);
-    assert!(!health.is_open_to_requests(until_ms));
+    assert!(health.allows_requests(until_ms));
+    health.record_sent(until_ms);
+    assert!(!health.allows_requests(until_ms));
     fail(until_ms);
-    let until_ms = until_ms + 2 * health::FIRST_BACKOFF_MS;
-    assert_eq!(health.state(until_ms - 1), HealthState::Open { until_ms });
+    let until_ms = until_ms + 2 * circuit_breaker::FIRST_BACKOFF_MS;
+    assert_eq!(health.state(until_ms - 1), CircuitState::Open { until_ms });
 
     // A trial that never ends bars the next one only for a while.
-    health.note_sent(until_ms);
-    let later_ms = until_ms + health::TRIAL_LIMIT_MS;
-    assert!(health.is_open_to_requests(later_ms));
-    for _ in 0..health::SUCCESS_LIMIT {
-        assert_eq!(health.state(later_ms), HealthState::HalfOpen);
-        health.note_sent(later_ms);
-        health.note_success(later_ms);
+    health.record_sent(until_ms);
+    let later_ms = until_ms + circuit_breaker::TRIAL_LIMIT_MS;
+    assert!(health.allows_requests(later_ms));
+    for _ in 0..circuit_breaker::SUCCESS_LIMIT {
+        assert_eq!(health.state(later_ms), CircuitState::HalfOpen);
+        health.record_sent(later_ms);
+        health.record_success(later_ms);
     }
-    assert_eq!(health.state(later_ms), HealthState::Closed);
+    assert_eq!(health.state(later_ms), CircuitState::Closed);
 }
 
 #[test]
 fn the_backoff_has_a_limit() {
-    let health = Health::new();
+    let health = CircuitBreaker::new();
     let mut now_ms = 0;
     for _ in 0..100 {
-        health.note_failure(now_ms);
-        if let HealthState::Open { until_ms } = health.state(now_ms) {
-            assert!(until_ms - now_ms <= health::MAX_BACKOFF_MS);
+        health.record_failure(now_ms);
+        if let CircuitState::Open { until_ms } = health.state(now_ms) {
+            assert!(until_ms - now_ms <= circuit_breaker::MAX_BACKOFF_MS);
             now_ms = until_ms;
         }
     }
@@ -86,9 +87,9 @@
 
 #[test]
 fn admission_follows_the_learned_speed() {
-    let mut speed = Speed::new(1_000.0, 100.0).places(4);
-    let shape = Shape::new(1_000, 100);
-    let alone_ms = |speed: &Speed| run_ms(&shape, speed, 0.0);
+    let mut speed = LearnedSpeed::new(1_000.0, 100.0).slots(4);
+    let shape = RequestShape::new(1_000, 100);
+    let alone_ms = |speed: &LearnedSpeed| run_ms(&shape, speed, 0.0);
     assert_eq!(expected_wait_ms(1_000, &speed), 10_000);
     // 1 s of prompt and 100 steps of 20 ms on an empty server.
     assert_eq!(can_finish(alone_ms(&speed), 0, 3_000), Ok(()));
@@ -143,7 +144,7 @@
     least_long_prompt_per_s: 100_000.0,
 })]
 fn few_requests_do_not_make_a_server_look_slow(#[case] case: LearnedCase) {
-    let mut speed = Speed::new(100_000.0, 2_000.0).places(32);
+    let mut speed = LearnedSpeed::new(100_000.0, 2_000.0).slots(32);
     for _ in 0..200 {
         speed.learn_step(0, case.batch, case.held, case.step_ms);
         let tokens = case.prompt_tokens;
@@ -158,7 +159,7 @@
 /// A full stage of a chain of two has half of its tokens elsewhere.
 #[test]
 fn a_stage_of_a_chain_does_not_look_faster_than_it_is() {
-    let mut speed = Speed::new(100_000.0, 2_000.0).places(32);
+    let mut speed = LearnedSpeed::new(100_000.0, 2_000.0).slots(32);
     for _ in 0..200 {
         speed.learn_step(0, 16, 32, 8.0);
     }
@@ -168,7 +169,7 @@
 
 #[test]
 fn refused_callers_come_back_apart() {
-    let speed = Speed::new(1_000.0, 100.0);
+    let speed = LearnedSpeed::new(1_000.0, 100.0);
     let mut rng = fastrand::Rng::with_seed(2);
     let mut times_ms: Vec<u64> =
         (0..200).map(|_| retry_after_ms(2_000, &speed, &mut rng)).collect();
@@ -223,7 +224,7 @@
         spec
     });
     let fleet = fleet(case.layer_count, specs.collect());
-    let mix = Mix { prompt_tokens: 0, output_tokens: 100 };
+    let mix = TokenMix { prompt_tokens: 0, output_tokens: 100 };
     let bound = throughput_bound(&fleet, None, &mix);
     let off = (bound - case.expected_tokens_per_s).abs();
     assert!(off < 1e-6, "{bound}");
@@ -232,8 +233,8 @@
 #[test]
 fn the_bound_follows_presence_and_learned_speed() {
     let fleet = fleet(0, numbered(&[(0, 0), (0, 0)]));
-    let live: Live = serving(&fleet, 0);
-    let mix = Mix { prompt_tokens: 800, output_tokens: 160 };
+    let live: LiveState = serving(&fleet, 0);
+    let mix = TokenMix { prompt_tokens: 800, output_tokens: 160 };
     // 0.1 s of prompt and 0.1 s of output on each.
     let bound = |live| throughput_bound(&fleet, Some(live), &mix);
     assert!((bound(&live) - 9_600.0).abs() < 1e-6);
--- a/crates/side/src/run/admit.rs
+++ b/crates/side/src/run/admit.rs
@@ -9,14 +9,14 @@
         self, Accepted, FailureReason, RefusalReason, Refused, frame::Body,
     },
 };
-use chestnutreach_routing::Shape;
+use chestnutreach_routing::RequestShape;
 use chestnutreach_state::Admission;
 use chestnutreach_telemetry::{Event, emit};
 
 use super::{Phase, Run, State, Work};
 use crate::{
     backend::Backend,
-    gate::Offer,
+    gate::SlotAdmission,
     node::Shared,
     priority::{to_priority, to_wire_priority},
     target::Target,
@@ -150,12 +150,12 @@
     fn offer(self: &Arc<Self>, run: &Arc<Run>) {
         let now_ms = self.clock.now_ms();
         match run.backend.gate.offer(run, now_ms) {
-            Offer::Admitted => self.reserve(run),
-            Offer::Queued => {}
-            Offer::Full { retry_after_ms } => {
+            SlotAdmission::Admitted => self.reserve(run),
+            SlotAdmission::Queued => {}
+            SlotAdmission::Full { retry_after_ms } => {
                 self.refuse(run, RefusalReason::Full, "", retry_after_ms);
             }
-            Offer::TooLate { retry_after_ms } => {
+            SlotAdmission::TooLate { retry_after_ms } => {
                 self.refuse(run, RefusalReason::TooLate, "", retry_after_ms);
             }
         }
@@ -322,7 +322,7 @@
     }
 }
 
-fn shape_of(m: &wire::Run, work: &Work) -> (Shape, u64) {
+fn shape_of(m: &wire::Run, work: &Work) -> (RequestShape, u64) {
     let (prompt_tokens, output_tokens) = match work {
         Work::Generate(g) => {
             let delivered = g.delivered_tokens.len() as u32;
@@ -331,7 +331,7 @@
         }
         Work::PlainCall(_) => (0, 0),
     };
-    let shape = Shape {
+    let shape = RequestShape {
         prompt_tokens,
         output_tokens,
         deadline_ms: u64::from(m.deadline_ms),
