--- a/crates/direct/src/cluster.rs
+++ b/crates/direct/src/cluster.rs
@@ -1,18 +1,19 @@
-//! What an entry knows, and from whom.
+//! An entry's view of the store, the backend servers and the other entries.
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | `feed_follower` | configuration and list of backend servers, by feeds |
-//! | `feeds`, `feed_health` | copies of what the store holds, and their age |
-//! | `feed_server` | answering other entries in place of the store |
-//! | `backend_rows`, `unusable_rows` | rows of the list as they come |
-//! | `fleet`, `engine` | what is known of backend servers |
-//! | `probe` | noticing that one is dead, slow, or back |
-//! | `engine_watcher`, `alerts` | who watches which engine, and tells all |
-//! | `notices` | what backend servers say of themselves in answers |
-//! | `permits` | who may send to a server that named a limit |
+//! | `feed_follower` | tasks that follow the configuration and backend list |
+//! | `feeds`, `feed_health` | copies of store tables, and the store's health |
+//! | `feed_server` | server and client of feeds between entries |
+//! | `backend_rows`, `unusable_rows` | rows of the backend list |
+//! | `fleet`, `engine` | state of the backend servers |
+//! | `probe` | detection of failed, slow and recovered servers |
+//! | `engine_watcher` | idle connections that detect the exit of a process |
+//! | `alerts` | findings that are sent to all entries without delay |
+//! | `notices` | notices in the response headers of backend servers |
+//! | `permits` | sharing of the rate limit that a server announced |
 //! | `suspects` | requests under which engines crashed |
-//! | `peers`, `peer_table`, `peer_usage` | what entries tell each other |
+//! | `peers`, `peer_table`, `peer_usage` | state exchanged between entries |
 
 pub(crate) mod alerts;
 pub(crate) mod backend_rows;
--- a/crates/direct/src/cluster/backend_rows.rs
+++ b/crates/direct/src/cluster/backend_rows.rs
@@ -1,8 +1,8 @@
-//! Rows of the list of backend servers, as they come.
+//! Applies rows of the backend list to the fleet.
 //!
-//! While the store is away, what was known stays; rows that lapsed meanwhile
-//! are kept for a moment after its return, in which those that live come
-//! back.
+//! While the store is unavailable, the known engines stay. Engines whose rows
+//! lapsed in that time are kept for a grace period after the store recovers,
+//! in which running engines list themselves again.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -20,12 +20,12 @@
     core::{Core, NEEDS_BACKENDS},
 };
 
-/// Longest text of what is wrong with a row: it may quote the row.
+/// Limit on a logged error, which may quote the row.
 const MAX_ERROR_CHARS: usize = 160;
-/// How long lapsed entries are kept after the store's return.
+/// How long engines with lapsed rows are kept after the store recovers.
 const LAPSED_GRACE_MS: u64 = 1_900;
 
-/// Takes all rows of the list.
+/// Applies a read of the full list.
 pub(crate) fn apply_all(core: &Arc<Core>, rows: &Rows) {
     let listed: BTreeSet<&str> =
         rows.rows.iter().map(|row| row.key.as_str()).collect();
@@ -34,22 +34,23 @@
             remove(core, &engine.id, rows.version);
         }
     }
-    let before = core.fleet.all().len();
+    let count_before = core.fleet.all().len();
     for row in &rows.rows {
         apply_row(core, row, true);
     }
     core.readiness.clear(NEEDS_BACKENDS);
-    log_read(core, rows, before);
+    log_read(core, rows, count_before);
 }
 
-/// Takes a row that is new or has changed.
+/// Applies a row that is new or has changed.
 pub(crate) fn apply(core: &Arc<Core>, row: &Row) {
     apply_row(core, row, false);
 }
 
-/// Sums up a read of the whole list: a line for each engine at each start
-/// were 31,000 of 100,000 lines at 68 entries before 130 engines.
-fn log_read(core: &Core, rows: &Rows, before: usize) {
+/// Logs one summary of a full read. With one line per engine at each start,
+/// these lines were 31,000 of 100,000 in a fleet of 68 entries and 130
+/// engines.
+fn log_read(core: &Core, rows: &Rows, count_before: usize) {
     let engines = core.fleet.all();
     let is_draining =
         |e: &Arc<Engine>| e.lock().row.state == BackendState::Draining;
@@ -64,14 +65,14 @@
         &[
             ("row_version", &rows.version),
             ("backends", &engines.len()),
-            ("new", &engines.len().saturating_sub(before)),
+            ("new", &engines.len().saturating_sub(count_before)),
             ("draining", &draining),
             ("without_layers", &without_layers),
         ],
     );
 }
 
-fn apply_row(core: &Arc<Core>, row: &Row, is_whole: bool) {
+fn apply_row(core: &Arc<Core>, row: &Row, is_full_read: bool) {
     if row.is_dropped {
         core.unusable_rows.remove(&row.key);
         remove(core, &row.key, row.version);
@@ -83,23 +84,24 @@
     };
     let data_centre = core.data_centre_index(&backend.data_centre);
     let is_leaving = backend.state == BackendState::Draining;
-    match core.fleet.apply(backend, row.version, data_centre, is_whole) {
+    match core.fleet.apply(backend, row.version, data_centre, is_full_read) {
         RowOutcome::Known if is_leaving => {
             core.stream_subscribers.notify_all()
         }
         RowOutcome::Known => {}
-        // What ran on the start before it, if there was one, has ended.
+        // Streams must leave the previous incarnation, which has exited.
         RowOutcome::New => core.stream_subscribers.notify_all(),
         RowOutcome::EarlierStart => {
-            let error = "it tells of no start, or of an earlier one";
+            let error = "the row has no start time, or that of an earlier \
+                         process";
             return log_unusable(core, row, error);
         }
     }
     core.unusable_rows.remove(&row.key);
 }
 
-/// Takes that a row is no engine's: another writer may have put it there, and
-/// an engine of that name may serve on.
+/// Handles a row that is not a valid backend row. Another writer may have
+/// stored the row, and the engine with this id may still run.
 fn handle_unusable(core: &Core, row: &Row, error: &str) {
     if core.fleet.mark_row_unusable(&row.key) {
         core.stream_subscribers.notify_all();
@@ -107,7 +109,7 @@
     log_unusable(core, row, error);
 }
 
-/// Tells of a row that names no backend server, once until it is readable.
+/// Logs an invalid row, once until the row is valid again.
 fn log_unusable(core: &Core, row: &Row, error: &str) {
     if !core.unusable_rows.mark_logged(&row.key) {
         return;
@@ -123,23 +125,24 @@
     );
 }
 
-/// Takes an entry out, or keeps it for a moment after an outage.
+/// Removes an engine, after the grace period if the store was unavailable.
 fn remove(core: &Arc<Core>, id: &str, row_version: u64) {
-    let keep_ms = lapsed_grace_left_ms(core.feeds.backends.recovered_ms());
-    if keep_ms == 0 {
+    let grace_left_ms =
+        lapsed_grace_left_ms(core.feeds.backends.recovered_ms());
+    if grace_left_ms == 0 {
         remove_now(core, id, row_version, 0);
         return;
     }
     let (executor, core) = (core.executor.clone(), core.clone());
     let id = id.to_owned();
     let later = async move {
-        Timer::after(Duration::from_millis(keep_ms)).await;
-        let is_back = core
+        Timer::after(Duration::from_millis(grace_left_ms)).await;
+        let is_listed_again = core
             .fleet
             .get(&id)
             .is_some_and(|engine| engine.lock().row_version > row_version);
-        if !is_back {
-            remove_now(&core, &id, row_version, keep_ms);
+        if !is_listed_again {
+            remove_now(&core, &id, row_version, grace_left_ms);
         }
     };
     executor.spawn(later).detach();
@@ -161,10 +164,10 @@
     );
 }
 
-/// How long an entry that is missing is still kept after the store's return.
-fn lapsed_grace_left_ms(back_ms: u64) -> u64 {
-    let since_ms = now_ms().saturating_sub(back_ms);
-    match back_ms {
+/// Remaining grace period after the store's recovery.
+fn lapsed_grace_left_ms(recovered_ms: u64) -> u64 {
+    let since_ms = now_ms().saturating_sub(recovered_ms);
+    match recovered_ms {
         0 => 0,
         _ => LAPSED_GRACE_MS.saturating_sub(since_ms),
     }
--- a/crates/direct/src/cluster/engine_watcher.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -37,7 +37,7 @@
 const RECONNECT_PAUSE: Duration = Duration::from_millis(300);
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Boot ids of the live entries, with this one.
+/// Boot ids of the live entries, including this entry.
 struct LiveEntries {
     by_data_centre: BTreeMap<usize, Vec<u64>>,
     all: Vec<u64>,
@@ -61,9 +61,9 @@
     /// Whether this entry is assigned to watch an engine. Candidates are the
     /// entries of the engine's data centre, or all if that has none.
     fn is_assigned(&self, core: &Core, engine: &Engine) -> bool {
-        let entries_here = self.by_data_centre.get(&engine.data_centre);
+        let local_entries = self.by_data_centre.get(&engine.data_centre);
         let entries =
-            entries_here.filter(|e| !e.is_empty()).unwrap_or(&self.all);
+            local_entries.filter(|e| !e.is_empty()).unwrap_or(&self.all);
         entries.contains(&core.boot_id)
             && rendezvous::is_assigned(
                 core.boot_id,
@@ -94,8 +94,8 @@
     }
 }
 
-/// Whether an engine may be watched. The address in a row that serves no
-/// configured service may belong to any host, so it is not connected to.
+/// Whether an engine may be watched. If a row names no configured service, its
+/// address may belong to any host, to which the entry must not connect.
 fn is_watchable(core: &Core, engine: &Engine) -> bool {
     let state = engine.lock();
     let is_model_engine = state.row.kind.is_some();
--- a/crates/direct/src/cluster/feed_follower.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -37,8 +37,8 @@
 /// 5 s in the shipped deployments.
 const CONFIGURATION_POLL_WAIT: Duration = Duration::from_millis(2_200);
 const BACKENDS_POLL_WAIT: Duration = Duration::from_millis(3_500);
-/// Wait at the store if other entries poll this one: the wait adds to the age
-/// of their copies.
+/// Wait at the store if other entries poll this entry: the wait adds to the
+/// age of their copies.
 const SHARED_READER_WAIT: Duration = Duration::from_millis(1_200);
 /// Age of the copy above which a poll of the store waits only
 /// `STALE_READER_WAIT`. An entry that replaces a failed reader must learn
@@ -122,15 +122,15 @@
 
     async fn run(mut self) {
         loop {
-            let others = self.core.live_peers_in_data_centre();
-            let around = FeedPeers {
+            let peer_ids = self.core.live_peers_in_data_centre();
+            let peers = FeedPeers {
                 own: self.core.boot_id,
-                peers: &others,
+                peers: &peer_ids,
                 must_read_store: self.core.is_planner.load(Relaxed),
             };
-            let source = self.feed().choose_source(&around);
+            let source = self.feed().choose_source(&peers);
             self.change_source(source);
-            let is_shared = others.len() + 1 >= MIN_SHARING_ENTRIES;
+            let is_shared = peer_ids.len() + 1 >= MIN_SHARING_ENTRIES;
             let outcome = match source {
                 FeedSource::Store => self.fetch_from_store(is_shared).await,
                 FeedSource::Entry(entry) => self.fetch_from_peer(entry).await,
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -43,13 +43,13 @@
     let port = Port::new(listener, "feeds", MAX_CONNECTIONS);
     loop {
         let accepted = port.accept().await;
-        let core_here = core.clone();
+        let task_core = core.clone();
         let serve = async move {
             let _slot = accepted.slot;
             let options = ServerOptions::new();
-            let answer = |received| handle(&core_here, received);
+            let respond = |received| handle(&task_core, received);
             // An error needs no handling: the peer connects again.
-            let _ = serve_connection(accepted.socket, &options, answer).await;
+            let _ = serve_connection(accepted.socket, &options, respond).await;
         };
         core.executor.spawn(serve).detach();
     }
--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -1,7 +1,7 @@
 //! Copies of two tables of the store, their ages, and their next source.
 //!
-//! [`FeedSources`] decides from where an entry reads, and [`TableCopy`] what it
-//! serves to others. This module holds the state that the tasks share.
+//! [`FeedSources`] decides from where an entry reads, and [`TableCopy`] what
+//! to serve to others. This module holds the state that the tasks share.
 
 use std::sync::{
     Mutex, MutexGuard,
--- a/crates/direct/src/cluster/notices.rs
+++ b/crates/direct/src/cluster/notices.rs
@@ -1,9 +1,12 @@
-//! What a backend server said of itself, and the permits for it.
+//! Notices that a backend server sends in its responses, and the permits for
+//! the server.
 //!
-//! Each entry tells what it read itself of answers without a limit, and
-//! repeats a limit that holds whoever read it: a time that is told grows by
-//! the way of its message, and may only do so where that keeps the limit up.
-//! `apply` is what changes it.
+//! An entry reports the absence of a limit only from its own responses, but
+//! repeats a limit in force that any entry received. A message's delay makes
+//! the reported event appear later than it was. This may keep a limit in force
+//! for longer, but must not end one.
+//!
+//! `apply` holds the functions that change this state.
 
 use std::{
     collections::VecDeque,
@@ -23,22 +26,22 @@
 
 pub(crate) use apply::{ResponseContext, apply_peer_notice, apply_response};
 
-/// Time over which requests of this entry are counted for the logs.
+/// Window over which sent requests are counted for logs and status.
 const SENT_WINDOW_MS: u64 = 4_000;
-/// Shortest time between two lines, or alerts, that tell of the same limit.
+/// Minimum time between two log lines or alerts about the same limit.
 const MIN_REPORT_INTERVAL_MS: u64 = 1_000;
-/// Change of a limit that others are told of at once.
+/// Relative change of a limit that is reported without this delay.
 const MIN_REPORTED_CHANGE: f64 = 0.1;
-/// How long others are told of an answer that ended a limit.
+/// How long the end of a limit is reported to other entries.
 const LIMIT_END_REPORT_MS: u64 = 3_000;
 
-/// How long an issuer that does not answer is not asked.
+/// How long an issuer that did not respond is excluded.
 const ISSUER_BACKOFF_MS: u64 = 1_000;
 
-/// What one backend server said of itself.
+/// Notices of one backend server.
 #[derive(Debug, Default)]
 pub(crate) struct Notices {
-    /// Whether a limit holds, for a look without the lock.
+    /// Whether a limit is in force; read without the lock.
     is_limited: AtomicBool,
     state: Mutex<State>,
 }
@@ -46,34 +49,36 @@
 #[derive(Debug, Default)]
 struct State {
     limit: ServerRateLimit,
-    /// When the request of the last answer to this entry that named none was
-    /// sent.
+    /// When the request was sent whose response to this entry last announced
+    /// no limit.
     own_absent_sent_ms: Option<u64>,
     /// When a limit last ended.
     ended_ms: Option<u64>,
-    /// When the logs and the others were last told of the limit, and which.
+    /// Time and value of the limit as last logged and alerted.
     last_reported: Option<(u64, f64)>,
-    /// When requests of this entry were sent.
+    /// Times at which this entry sent requests, within the window.
     sent: VecDeque<u64>,
     permits: PermitHolder,
     issuer: Issuer,
-    /// It said that it leaves, which others are told as long as it is listed.
+    /// The server announced that it is leaving; reported to other entries for
+    /// as long as the server is listed.
     has_said_leaving: bool,
 }
 
-/// Whom this entry asks for permits.
+/// Entry that this entry requests permits from.
 #[derive(Clone, Copy, Debug, Default)]
 struct Issuer {
     boot_id: u64,
-    /// One that did not answer, and until when it is not asked.
+    /// Boot id of an issuer that did not respond, and the end of the backoff.
     backoff: Option<(u64, u64)>,
 }
 
-/// What a change of what is known came to.
+/// Effect of an update on the limit in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Change {
     None,
     Announced,
+    /// The limit ended; holds the time at which it was last received.
     Ended(u64),
 }
 
@@ -82,12 +87,12 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// A request of this entry goes to the server.
+    /// Records that this entry sends a request to the server.
     pub(crate) fn record_sent(&self, now_ms: u64) {
         self.lock().recent_sent(now_ms).push_back(now_ms);
     }
 
-    /// The limit that holds.
+    /// The limit in force.
     pub(crate) fn limit(&self) -> Option<AnnouncedLimit> {
         if !self.is_limited.load(Relaxed) {
             return None;
@@ -101,30 +106,30 @@
             || self.lock().permits.has_permit(now_ms)
     }
 
-    /// Takes the permit for a request, where it needs one; false if there is
-    /// none.
+    /// Takes a permit for a request if a limit is in force; returns false if
+    /// none is available.
     pub(crate) fn try_take_permit(&self, request: u64, now_ms: u64) -> bool {
         !self.is_limited.load(Relaxed)
             || self.lock().permits.try_take(request, now_ms)
     }
 
-    /// Notes a request that would be sent if there were a permit; whether one
-    /// may come in a moment.
+    /// Registers a request that waits for a permit; returns whether one may be
+    /// granted soon.
     pub(crate) fn request_permit(
         &self,
-        want: PermitDemand,
+        demand: PermitDemand,
         now_ms: u64,
     ) -> bool {
         self.is_limited.load(Relaxed)
-            && self.lock().permits.add_demand(want, now_ms)
+            && self.lock().permits.add_demand(demand, now_ms)
     }
 
-    /// Whether a request was told that there is no permit for it now.
+    /// Whether the permit for a request was denied.
     pub(crate) fn is_denied(&self, request: u64) -> bool {
         self.lock().permits.is_denied(request)
     }
 
-    /// What the issuer is to be told now.
+    /// The message that is due to the issuer, if any.
     pub(crate) fn next_permit_request(
         &self,
         now_ms: u64,
@@ -132,7 +137,7 @@
         self.lock().permits.next_request(now_ms)
     }
 
-    /// Takes what the issuer grants.
+    /// Applies a grant, unless another issuer was chosen since.
     pub(crate) fn apply_grant(
         &self,
         from: u64,
@@ -146,12 +151,13 @@
         }
     }
 
-    /// Whom this entry asks for permits.
+    /// Boot id of the entry that this entry requests permits from.
     pub(crate) fn issuer(&self) -> u64 {
         self.lock().issuer.boot_id
     }
 
-    /// Chooses whom to ask; `choose` names an entry outside of some.
+    /// Chooses the issuer. `choose` returns an entry that is not among the
+    /// excluded ones.
     pub(crate) fn choose_issuer(
         &self,
         choose: impl Fn(&[u64]) -> u64,
@@ -159,42 +165,43 @@
     ) -> u64 {
         let mut state = self.lock();
         if state.permits.is_issuer_unresponsive(now_ms) {
-            let silent = state.issuer.boot_id;
-            state.issuer.backoff = Some((silent, now_ms + ISSUER_BACKOFF_MS));
+            let unresponsive = state.issuer.boot_id;
+            state.issuer.backoff =
+                Some((unresponsive, now_ms + ISSUER_BACKOFF_MS));
             state.permits.reset_issuer();
         }
-        let avoided = state.issuer.backoff;
-        let avoided = avoided.filter(|(_, until_ms)| *until_ms > now_ms);
-        let avoided: Vec<u64> = avoided.map(|a| a.0).into_iter().collect();
-        state.issuer.boot_id = choose(&avoided);
+        let excluded = state.issuer.backoff;
+        let excluded = excluded.filter(|(_, until_ms)| *until_ms > now_ms);
+        let excluded: Vec<u64> = excluded.map(|a| a.0).into_iter().collect();
+        state.issuer.boot_id = choose(&excluded);
         state.issuer.boot_id
     }
 
-    /// What other entries are told: a limit that holds, or that ended of
-    /// late.
+    /// Notice for other entries, if a limit is in force or ended recently, or
+    /// the server is leaving.
     pub(crate) fn peer_notice(&self, now_ms: u64) -> Option<EngineNotice> {
         let state = self.lock();
-        let in_force = state.limit.current();
-        let is_ended_of_late = state
+        let limit = state.limit.current();
+        let has_ended_recently = state
             .ended_ms
             .is_some_and(|at| now_ms.saturating_sub(at) < LIMIT_END_REPORT_MS);
-        let is_any =
-            in_force.is_some() || is_ended_of_late || state.has_said_leaving;
-        if !is_any {
+        let has_content =
+            limit.is_some() || has_ended_recently || state.has_said_leaving;
+        if !has_content {
             return None;
         }
         let age_ms = |at_ms: u64| now_ms.saturating_sub(at_ms);
         Some(EngineNotice {
             engine: 0,
-            limit_per_s: in_force.map_or(0.0, |named| named.per_s),
-            named_age_ms: in_force.map_or(0, |n| age_ms(n.received_ms)),
+            limit_per_s: limit.map_or(0.0, |limit| limit.per_s),
+            named_age_ms: limit.map_or(0, |n| age_ms(n.received_ms)),
             unnamed_age_ms: state.own_absent_sent_ms.map(age_ms),
             issuer: state.issuer.boot_id,
             is_leaving: state.has_said_leaving,
         })
     }
 
-    /// What operators see of a limit that holds.
+    /// Status document of a limit in force, for operators.
     pub(crate) fn status(&self, now_ms: u64) -> serde_json::Value {
         let Some(limit) = self.limit() else { return serde_json::Value::Null };
         let mut state = self.lock();
@@ -217,7 +224,7 @@
         &mut self.sent
     }
 
-    /// Changes what is known of the limit; what came of it.
+    /// Updates the limit; returns the effect on the limit in force.
     fn update_limit(
         &mut self,
         change: impl FnOnce(&mut ServerRateLimit),
@@ -235,12 +242,16 @@
         }
     }
 
-    /// Whether the logs and the others are to be told of the limit now.
+    /// Whether the limit is to be logged and alerted now; marks it as reported
+    /// if so.
     fn should_report(&mut self, per_s: f64, now_ms: u64) -> bool {
-        let is_known = self.last_reported.is_some_and(|(at_ms, told)| {
-            let is_same = (per_s - told).abs() <= MIN_REPORTED_CHANGE * told;
-            now_ms.saturating_sub(at_ms) < MIN_REPORT_INTERVAL_MS && is_same
-        });
+        let is_known =
+            self.last_reported.is_some_and(|(at_ms, last_per_s)| {
+                let is_same = (per_s - last_per_s).abs()
+                    <= MIN_REPORTED_CHANGE * last_per_s;
+                now_ms.saturating_sub(at_ms) < MIN_REPORT_INTERVAL_MS
+                    && is_same
+            });
         if !is_known {
             self.last_reported = Some((now_ms, per_s));
         }
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -1,5 +1,5 @@
-//! Taking what backend servers say of themselves: in the heads of answers to
-//! this entry, and as other entries tell of theirs.
+//! Applies the notices of backend servers: from the heads of responses to this
+//! entry, and from the messages of other entries.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -15,17 +15,17 @@
 use super::Change;
 use crate::{clock::now_ms, cluster::engine::Engine, core::Core};
 
-/// Status of a server that is not the one that was asked, or lacks what was
-/// asked for: another one may have its address.
+/// Status of a server that is not the target of the request. Another server
+/// may have taken over the address, so its notices are ignored.
 const MISDIRECTED: u16 = 421;
-/// Most that a message takes from one entry to another: what it tells of an
-/// answer without a limit is taken to be that much older.
+/// Maximum delay of a message between entries. A reported response without a
+/// limit counts as that much older.
 const MAX_MESSAGE_DELAY_MS: u64 = 50;
-/// Names of who got an answer: this entry, or another one that told.
+/// Logged names of the entry that received a response: this one, or a peer.
 const OWN: &str = "own";
 const PEER: &str = "told";
 
-/// The head of an answer, with what it answers.
+/// Head of a response, with the request that it belongs to.
 #[derive(Clone, Copy)]
 pub(crate) struct ResponseContext<'a> {
     pub(crate) request: &'a str,
@@ -34,30 +34,30 @@
     pub(crate) head: &'a AnswerHead,
 }
 
-/// Takes what an answer says of its server.
+/// Applies the notices in the head of a response.
 pub(crate) fn apply_response(
     core: &Core,
     engine: &Engine,
-    answered: &ResponseContext<'_>,
+    response: &ResponseContext<'_>,
 ) {
-    if answered.head.status == MISDIRECTED {
+    if response.head.status == MISDIRECTED {
         return;
     }
-    apply_cooldown(core, engine, answered);
-    if notices::is_leaving(answered.head.values(notices::LEAVING)) {
-        apply_leaving(core, engine, answered.request, OWN);
+    apply_cooldown(core, engine, response);
+    if notices::is_leaving(response.head.values(notices::LEAVING)) {
+        apply_leaving(core, engine, response.request, OWN);
     }
     let now_ms = now_ms();
-    let values = answered.head.values(notices::LIMIT);
+    let values = response.head.values(notices::LIMIT);
     let change = match notices::limit(values) {
         LimitNotice::PerS(per_s) => {
-            let name = |limit: &mut ServerRateLimit| {
+            let announce = |limit: &mut ServerRateLimit| {
                 limit.record_announced(per_s, now_ms);
             };
-            engine.notices.lock().update_limit(name, now_ms)
+            engine.notices.lock().update_limit(announce, now_ms)
         }
         LimitNotice::None => {
-            let sent_ms = answered.sent_ms;
+            let sent_ms = response.sent_ms;
             let mut state = engine.notices.lock();
             state.own_absent_sent_ms =
                 state.own_absent_sent_ms.max(Some(sent_ms));
@@ -68,28 +68,31 @@
             Change::None
         }
     };
-    let source = NoticeSource { name: OWN, request: answered.request };
-    let age_ms = now_ms.saturating_sub(answered.sent_ms);
+    let source = NoticeSource { name: OWN, request: response.request };
+    let age_ms = now_ms.saturating_sub(response.sent_ms);
     publish_change(core, engine, change, &source, age_ms);
 }
 
-/// Takes a rest that a server wants.
+/// Applies a cooldown that a server requested by `Retry-After`.
 fn apply_cooldown(
     core: &Core,
     engine: &Engine,
-    answered: &ResponseContext<'_>,
+    response: &ResponseContext<'_>,
 ) {
-    let head = answered.head;
-    let rest = match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
-        RestNotice::None => return,
-        RestNotice::Malformed => return core.metrics.malformed_rests.inc(),
-        RestNotice::For(rest) => rest,
-    };
+    let head = response.head;
+    let cooldown =
+        match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
+            RestNotice::None => return,
+            RestNotice::Malformed => {
+                return core.metrics.malformed_rests.inc();
+            }
+            RestNotice::For(cooldown) => cooldown,
+        };
     let now_ms = now_ms();
-    let rest_ms = rest.as_millis() as u64;
+    let duration_ms = cooldown.as_millis() as u64;
     let until_ms = {
         let mut state = engine.lock();
-        state.enter_cooldown(rest_ms, now_ms);
+        state.enter_cooldown(duration_ms, now_ms);
         state.cooldown_until_ms
     };
     core.fleet.record_cooldown(until_ms);
@@ -98,16 +101,16 @@
         Event::RestAsked,
         &[
             ("backend", &engine.id),
-            ("request", &answered.request),
-            ("rest_ms", &rest_ms),
+            ("request", &response.request),
+            ("rest_ms", &duration_ms),
             ("left_ms", &(until_ms - now_ms)),
-            ("answer_age_ms", &now_ms.saturating_sub(answered.sent_ms)),
+            ("answer_age_ms", &now_ms.saturating_sub(response.sent_ms)),
         ],
     );
 }
 
-/// Takes that a server said that it leaves: it gets nothing new, and streams
-/// leave it as they do one that the list says drains.
+/// Applies a leaving notice. The server gets no new requests, and streams move
+/// away from it as they do from a server that is listed as draining.
 fn apply_leaving(
     core: &Core,
     engine: &Engine,
@@ -141,40 +144,43 @@
     );
 }
 
-/// Takes what another entry tells of what a server said.
+/// Applies a notice that another entry reports.
 pub(crate) fn apply_peer_notice(
     core: &Core,
     engine: &Engine,
-    told: &EngineNotice,
+    notice: &EngineNotice,
 ) {
-    if told.is_leaving {
+    if notice.is_leaving {
         apply_leaving(core, engine, "", PEER);
     }
     let now_ms = now_ms();
     let ago = |age_ms: u64| now_ms.saturating_sub(age_ms);
-    let take = |limit: &mut ServerRateLimit| {
-        // A peer's number may be any.
-        if told.limit_per_s.is_finite() && told.limit_per_s > 0.0 {
-            limit.record_announced(told.limit_per_s, ago(told.named_age_ms));
+    let update = |limit: &mut ServerRateLimit| {
+        // The value comes from the network and may be invalid.
+        if notice.limit_per_s.is_finite() && notice.limit_per_s > 0.0 {
+            limit.record_announced(
+                notice.limit_per_s,
+                ago(notice.named_age_ms),
+            );
         }
-        if let Some(age_ms) = told.unnamed_age_ms {
+        if let Some(age_ms) = notice.unnamed_age_ms {
             limit.record_absent(
                 ago(age_ms).saturating_sub(MAX_MESSAGE_DELAY_MS),
             );
         }
     };
-    let change = engine.notices.lock().update_limit(take, now_ms);
+    let change = engine.notices.lock().update_limit(update, now_ms);
     let source = NoticeSource { name: PEER, request: "" };
-    publish_change(core, engine, change, &source, told.named_age_ms);
+    publish_change(core, engine, change, &source, notice.named_age_ms);
 }
 
-/// From whom a change is known.
+/// Origin of a notice, for the logs.
 struct NoticeSource<'a> {
     name: &'static str,
     request: &'a str,
 }
 
-/// Puts a change in force, and tells of it.
+/// Makes a change of the limit effective, and logs and alerts it.
 fn publish_change(
     core: &Core,
     engine: &Engine,
@@ -186,23 +192,23 @@
     let mut state = engine.notices.lock();
     let limit = state.limit.current();
     engine.notices.is_limited.store(limit.is_some(), Relaxed);
-    let is_to_be_told = match limit {
-        Some(named) => state.should_report(named.per_s, now_ms),
+    let should_report = match limit {
+        Some(limit) => state.should_report(limit.per_s, now_ms),
         None => change != Change::None,
     };
     drop(state);
     if change != Change::None {
         core.permits.record_change(engine.hash);
     }
-    if !is_to_be_told {
+    if !should_report {
         return;
     }
     if source.name == OWN {
         core.alerts.queue_notice(engine.hash);
     }
     match change {
-        Change::Ended(named_ms) => {
-            let named_age_ms = now_ms.saturating_sub(named_ms);
+        Change::Ended(received_ms) => {
+            let named_age_ms = now_ms.saturating_sub(received_ms);
             let event = Event::LimitEnded;
             log_limit(event, engine, source, ("named_age_ms", named_age_ms));
         }
@@ -220,14 +226,15 @@
     (age_name, age_ms): (&'static str, u64),
 ) {
     let mut state = engine.notices.lock();
-    let last = state.limit.last_announced().map_or(0.0, |named| named.per_s);
+    let last_per_s =
+        state.limit.last_announced().map_or(0.0, |limit| limit.per_s);
     let sent_4s = state.recent_sent(now_ms()).len();
     drop(state);
     emit(
         event,
         &[
             ("backend", &engine.id),
-            ("limit_per_s", &last),
+            ("limit_per_s", &last_per_s),
             ("request", &source.request),
             ("source", &source.name),
             (age_name, &age_ms),
--- a/crates/direct/src/cluster/peer_table.rs
+++ b/crates/direct/src/cluster/peer_table.rs
@@ -1,4 +1,4 @@
-//! What is known of the other entries.
+//! State that an entry keeps for the other entries.
 
 use std::{
     collections::BTreeMap,
@@ -18,30 +18,31 @@
 
 use crate::clock::now_ms;
 
-/// How long an entry shares what joins data centres after it used it: a part
-/// lets it cross once in some seconds only.
+/// How long an entry counts as a user of the interconnect after its last use.
+/// With a small quota, an entry can use the interconnect only once in several
+/// seconds.
 const INTERCONNECT_USE_MS: u64 = 5_000;
-/// Entries assumed before others were heard.
+/// Number of entries assumed until others are known.
 const ASSUMED_ENTRIES: usize = 8;
 
-/// The other entries.
+/// State of the other entries.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
-    /// The data centre of this entry.
+    /// Data centre of this entry.
     data_centre: String,
     peers: Mutex<BTreeMap<SocketAddr, Peer>>,
-    /// What processes told, by boot id. It outlives them for a window: what
-    /// they sent counts that long.
+    /// Requests sent by other processes, by boot id. A report outlives its
+    /// process by the retry window, since the requests count for that long.
     sent_reports: Mutex<BTreeMap<u64, SentReport>>,
-    /// When entries fell silent that did not say that they stop, by address.
+    /// When entries were lost that had not announced a stop, by address.
     lost_ms: Mutex<BTreeMap<SocketAddr, u64>>,
-    /// Names of those that were found since they were last taken.
+    /// Names of the entries found since the last call of `take_found`.
     found: Mutex<Vec<String>>,
-    /// When another entry last said that it holds the planner's lease.
+    /// When another entry last reported that it holds the planner's lease.
     planner_received_ms: AtomicU64,
-    /// Highest number of a lease whose holder said that it gave it up.
+    /// Highest fencing number that a lease holder reported as released.
     released_lease_number: AtomicU64,
-    /// Moves that the last planner heard told of, and when.
+    /// Moves that a planner announced last, and when they were received.
     moves: Mutex<(u64, Vec<OpenMove>)>,
 }
 
@@ -50,16 +51,16 @@
     boot_id: u64,
     vm: String,
     sequence: u64,
-    heard_ms: u64,
+    received_ms: u64,
     is_stopping: bool,
     data_centre: String,
     feed_port: u16,
     crossing_bytes_per_s: f64,
-    /// When it last told that it sends between data centres; 0 if never.
+    /// When the entry last reported use of the interconnect; 0 if never.
     interconnect_used_ms: u64,
 }
 
-/// An entry that fell silent.
+/// An entry that was removed because no message arrived.
 #[derive(Debug)]
 pub(crate) struct SilentPeer {
     pub(crate) vm: String,
@@ -68,36 +69,37 @@
 }
 
 impl SilentPeer {
-    /// Its name in logs, with the time for which it was silent.
+    /// Name for the logs, with the time since the last message.
     pub(crate) fn name(&self) -> String {
         format!("{}/{} {}", self.vm, self.boot_id, self.silent_ms)
     }
 }
 
-/// What a message changed.
+/// Result of applying a state message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StateOutcome {
-    /// It is older than one before.
+    /// The message is older than one received before.
     Stale,
-    /// Of a process that was known.
+    /// The process was known.
     Known,
-    /// Of a new process; the one before it at this address, if there was.
+    /// The process is new; holds the boot id of the previous process at this
+    /// address, if any.
     New(Option<u64>),
 }
 
-/// What a process told that it sent to services.
+/// Requests that a process reported to have sent.
 #[derive(Debug, Default)]
 struct SentReport {
-    heard_ms: u64,
-    /// Requests and further arrivals by service.
+    received_ms: u64,
+    /// Requests and retries by service.
     sent: BTreeMap<String, SentCounts>,
 }
 
-/// How many are near and far.
+/// Number of peers in the same data centre and in others.
 #[derive(Clone, Copy, Debug)]
 struct PeerCounts {
-    near: usize,
-    far: usize,
+    same_data_centre: usize,
+    other_data_centre: usize,
 }
 
 impl PeerCounts {
@@ -105,31 +107,36 @@
         peers: &BTreeMap<SocketAddr, Peer>,
         data_centre: &str,
     ) -> PeerCounts {
-        let is_near =
-            |p: &&Peer| p.whom(data_centre) == PeerScope::SameDataCentre;
-        let near = peers.values().filter(is_near).count();
-        PeerCounts { near, far: peers.len() - near }
+        let is_local =
+            |p: &&Peer| p.scope(data_centre) == PeerScope::SameDataCentre;
+        let local = peers.values().filter(is_local).count();
+        PeerCounts {
+            same_data_centre: local,
+            other_data_centre: peers.len() - local,
+        }
     }
 
-    fn of_whom(self, whom: PeerScope) -> usize {
-        match whom {
-            PeerScope::SameDataCentre => self.near,
-            PeerScope::OtherDataCentre => self.far,
-            PeerScope::FromPlanner => self.near + self.far,
+    fn of_scope(self, scope: PeerScope) -> usize {
+        match scope {
+            PeerScope::SameDataCentre => self.same_data_centre,
+            PeerScope::OtherDataCentre => self.other_data_centre,
+            PeerScope::FromPlanner => {
+                self.same_data_centre + self.other_data_centre
+            }
         }
     }
 
-    /// Whether an entry has told of late.
-    fn is_heard(self, peer: &Peer, data_centre: &str, now_ms: u64) -> bool {
-        let whom = peer.whom(data_centre);
-        let absent_ms = whom.absence_timeout_ms(self.of_whom(whom));
-        let silent_ms = now_ms.saturating_sub(peer.heard_ms);
-        peer.boot_id != 0 && silent_ms < absent_ms
+    /// Whether a message of the peer arrived within the absence timeout.
+    fn is_present(self, peer: &Peer, data_centre: &str, now_ms: u64) -> bool {
+        let scope = peer.scope(data_centre);
+        let timeout_ms = scope.absence_timeout_ms(self.of_scope(scope));
+        let silent_ms = now_ms.saturating_sub(peer.received_ms);
+        peer.boot_id != 0 && silent_ms < timeout_ms
     }
 }
 
 impl Peer {
-    fn whom(&self, data_centre: &str) -> PeerScope {
+    fn scope(&self, data_centre: &str) -> PeerScope {
         match self.data_centre == data_centre {
             true => PeerScope::SameDataCentre,
             false => PeerScope::OtherDataCentre,
@@ -138,13 +145,12 @@
 }
 
 impl PeerTable {
-    /// Of an entry of a data centre.
     pub(crate) fn new(data_centre: &str) -> PeerTable {
         let data_centre = data_centre.to_owned();
         PeerTable { data_centre, ..PeerTable::default() }
     }
 
-    /// Entries that share what is shared, with this one.
+    /// Number of entries among which limits are shared, including this one.
     pub(crate) fn entry_count(&self) -> usize {
         let peers = self.lock();
         let live = peers.values().filter(|p| p.boot_id != 0).count();
@@ -154,43 +160,45 @@
         live.max(peers.len()) + 1
     }
 
-    /// Entries that are listed and have not told anything; none where no
-    /// other is listed.
+    /// Number of listed entries that have not reported yet.
     pub(crate) fn without_report_count(&self) -> usize {
         self.lock().values().filter(|p| p.boot_id == 0).count()
     }
 
-    /// What others sent to a service within the window, as they told.
-    /// Empty where an entry that is listed has not told.
+    /// What other entries reported to have sent to a service in the window.
+    /// Empty if a listed entry has not reported yet.
     pub(crate) fn sent_by_peers(&self, service: &str) -> Vec<SentCounts> {
         if self.lock().values().any(|peer| peer.boot_id == 0) {
             return Vec::new();
         }
-        let told = self.sent_reports.lock().expect("no holder panics");
-        let sent = |told: &SentReport| told.sent.get(service).copied();
-        told.values().map(|t| sent(t).unwrap_or_default()).collect()
+        let reports = self.sent_reports.lock().expect("no holder panics");
+        let sent = |report: &SentReport| report.sent.get(service).copied();
+        reports
+            .values()
+            .map(|report| sent(report).unwrap_or_default())
+            .collect()
     }
 
-    /// Whether another entry plans, as far as is known.
+    /// Whether another entry reported recently that it is the planner.
     pub(crate) fn has_planner(&self, now_ms: u64) -> bool {
-        let heard_ms = self.planner_received_ms.load(Relaxed);
-        let silent_ms = planner_timeout_ms(self.lock().len());
-        heard_ms > 0 && now_ms.saturating_sub(heard_ms) < silent_ms
+        let received_ms = self.planner_received_ms.load(Relaxed);
+        let timeout_ms = planner_timeout_ms(self.lock().len());
+        received_ms > 0 && now_ms.saturating_sub(received_ms) < timeout_ms
     }
 
-    /// Time since another entry last said that it plans.
+    /// Time since another entry last reported that it is the planner.
     pub(crate) fn planner_silent_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.planner_received_ms.load(Relaxed))
     }
 
-    /// All entries that are heard and go on, by boot id.
+    /// Boot ids of all entries that are present and not stopping.
     pub(crate) fn live(&self, now_ms: u64) -> Vec<u64> {
         self.live_where(now_ms, |_| true)
     }
 
-    /// Whether a process has the lowest number of those that are heard and
-    /// go on. Not one that hears fewer than half of them: it is rather cut
-    /// off itself.
+    /// Whether this boot id is the lowest among the entries that are present
+    /// and not stopping. False if fewer than half of the peers are present,
+    /// because then this entry is more likely partitioned itself.
     pub(crate) fn has_lowest_boot_id(
         &self,
         boot_id: u64,
@@ -198,14 +206,15 @@
     ) -> bool {
         let peers = self.lock();
         let counts = PeerCounts::of(&peers, &self.data_centre);
-        let is_heard =
-            |p: &&Peer| counts.is_heard(p, &self.data_centre, now_ms);
-        let heard = || peers.values().filter(is_heard);
-        2 * heard().count() >= peers.len()
-            && heard().all(|p| p.is_stopping || p.boot_id > boot_id)
+        let is_present =
+            |p: &&Peer| counts.is_present(p, &self.data_centre, now_ms);
+        let present = || peers.values().filter(is_present);
+        2 * present().count() >= peers.len()
+            && present().all(|p| p.is_stopping || p.boot_id > boot_id)
     }
 
-    /// Entries of a data centre that are heard and go on, by boot id.
+    /// Boot ids of the entries of a data centre that are present and not
+    /// stopping.
     pub(crate) fn live_in(&self, data_centre: &str, now_ms: u64) -> Vec<u64> {
         self.live_where(now_ms, |peer| peer.data_centre == data_centre)
     }
@@ -220,12 +229,12 @@
         let is_live = |peer: &&Peer| {
             !peer.is_stopping
                 && is_wanted(peer)
-                && counts.is_heard(peer, &self.data_centre, now_ms)
+                && counts.is_present(peer, &self.data_centre, now_ms)
         };
         peers.values().filter(is_live).map(|peer| peer.boot_id).collect()
     }
 
-    /// Where an entry is told.
+    /// Address to which messages for an entry are sent.
     pub(crate) fn address_of(&self, boot_id: u64) -> Option<SocketAddr> {
         let peers = self.lock();
         let mut peers = peers.iter();
@@ -233,8 +242,8 @@
         Some(*address)
     }
 
-    /// Other entries that run, as far as is known, also those that were lost
-    /// of late: they may only be out of reach.
+    /// Number of other entries that run, including those lost recently, which
+    /// may only be unreachable.
     pub(crate) fn running_count(&self, now_ms: u64) -> usize {
         let goes_on = |peer: &&Peer| !peer.is_stopping;
         let running = self.lock().values().filter(goes_on).count();
@@ -243,21 +252,21 @@
         issuer::sharing_count(running, lost_for_ms)
     }
 
-    /// Where an entry answers in place of the store.
+    /// Address of an entry's feed server.
     pub(crate) fn feed_address(&self, boot_id: u64) -> Option<SocketAddr> {
         let peers = self.lock();
         let (from, peer) =
             peers.iter().find(|(_, peer)| peer.boot_id == boot_id)?;
-        let is_told = peer.feed_port != 0;
-        is_told.then(|| SocketAddr::new(from.ip(), peer.feed_port))
+        let has_port = peer.feed_port != 0;
+        has_port.then(|| SocketAddr::new(from.ip(), peer.feed_port))
     }
 
-    /// What requests of all other entries send between data centres.
+    /// Traffic between data centres that all other entries reported.
     pub(crate) fn crossing_bytes_per_s(&self) -> f64 {
         self.lock().values().map(|peer| peer.crossing_bytes_per_s).sum()
     }
 
-    /// Other entries that told of late that they send between data centres.
+    /// Number of other entries that reported such traffic recently.
     pub(crate) fn interconnect_user_count(&self, now_ms: u64) -> usize {
         let crosses = |peer: &&Peer| {
             let at_ms = peer.interconnect_used_ms;
@@ -266,30 +275,34 @@
         self.lock().values().filter(crosses).count()
     }
 
-    /// Highest number of a lease whose holder said that it gave it up.
-    pub(crate) fn resigned(&self) -> u64 {
+    /// Highest fencing number that a lease holder reported as released.
+    pub(crate) fn highest_released_lease(&self) -> u64 {
         self.released_lease_number.load(Relaxed)
     }
 
-    /// Moves of engines of a service that the last planner told of, with the
-    /// time when each was ordered.
+    /// Moves of a service's engines that a planner announced last, with the
+    /// time at which each was ordered.
     pub(crate) fn announced_moves(
         &self,
         service: &str,
     ) -> Vec<(u64, OpenMove)> {
         let moves = self.moves.lock().expect("no holder panics");
-        let given_ms =
-            |given: &OpenMove| moves.0.saturating_sub(given.age_ms.into());
-        let of_service = moves.1.iter().filter(|o| o.service == service);
-        of_service.map(|o| (given_ms(o), o.clone())).collect()
+        let issued_ms = |open_move: &OpenMove| {
+            moves.0.saturating_sub(open_move.age_ms.into())
+        };
+        let of_service =
+            moves.1.iter().filter(|open_move| open_move.service == service);
+        of_service
+            .map(|open_move| (issued_ms(open_move), open_move.clone()))
+            .collect()
     }
 
-    pub(crate) fn add(&self, address: SocketAddr) {
-        let unheard = Peer { heard_ms: now_ms(), ..Peer::default() };
-        self.lock().entry(address).or_insert(unheard);
+    pub(crate) fn add_address(&self, address: SocketAddr) {
+        let peer = Peer { received_ms: now_ms(), ..Peer::default() };
+        self.lock().entry(address).or_insert(peer);
     }
 
-    /// Takes a message of a process.
+    /// Applies a state message.
     pub(crate) fn apply_state(
         &self,
         from: SocketAddr,
@@ -297,19 +310,19 @@
     ) -> StateOutcome {
         let mut peers = self.lock();
         let peer = peers.entry(from).or_default();
-        let is_new = peer.boot_id != state.boot_id;
-        if !is_new && state.sequence <= peer.sequence {
+        let is_new_process = peer.boot_id != state.boot_id;
+        if !is_new_process && state.sequence <= peer.sequence {
             return StateOutcome::Stale;
         }
-        let old = (peer.boot_id != 0).then_some(peer.boot_id);
-        if is_new {
+        let previous = (peer.boot_id != 0).then_some(peer.boot_id);
+        if is_new_process {
             let name = format!("{}={from}/{}", state.vm, state.boot_id);
             self.found.lock().expect("no holder panics").push(name);
         }
         peer.boot_id = state.boot_id;
         peer.vm.clone_from(&state.vm);
         peer.sequence = state.sequence;
-        peer.heard_ms = now_ms();
+        peer.received_ms = now_ms();
         peer.is_stopping = state.is_stopping;
         peer.data_centre.clone_from(&state.data_centre);
         peer.feed_port = u16::try_from(state.feed_port).unwrap_or(0);
@@ -319,7 +332,7 @@
             peer.interconnect_used_ms = now_ms();
         }
         drop(peers);
-        if is_new {
+        if is_new_process {
             self.lost_ms.lock().expect("no holder panics").remove(&from);
         }
         self.released_lease_number.fetch_max(state.resigned, Relaxed);
@@ -328,10 +341,15 @@
             let mut moves = self.moves.lock().expect("no holder panics");
             *moves = (now_ms(), state.open_moves.clone());
         }
-        if is_new { StateOutcome::New(old) } else { StateOutcome::Known }
+        if is_new_process {
+            StateOutcome::New(previous)
+        } else {
+            StateOutcome::Known
+        }
     }
 
-    /// Keeps what a process sent to services within the window.
+    /// Records the sent requests in a state message, and drops reports older
+    /// than the window.
     pub(crate) fn record_sent(&self, state: &PeerState, window_ms: u64) {
         let now_ms = now_ms();
         let sent = state.services.iter();
@@ -339,54 +357,56 @@
             let sent = SentCounts { requests: s.requests, retries: s.further };
             (s.service.clone(), sent)
         });
-        let new = SentReport { heard_ms: now_ms, sent: sent.collect() };
-        let mut told = self.sent_reports.lock().expect("no holder panics");
-        told.insert(state.boot_id, new);
-        told.retain(|_, t| now_ms.saturating_sub(t.heard_ms) < window_ms);
+        let new = SentReport { received_ms: now_ms, sent: sent.collect() };
+        let mut reports = self.sent_reports.lock().expect("no holder panics");
+        reports.insert(state.boot_id, new);
+        reports
+            .retain(|_, t| now_ms.saturating_sub(t.received_ms) < window_ms);
     }
 
-    /// Names of entries that were found since the last call.
+    /// Returns the names of entries found since the last call.
     pub(crate) fn take_found(&self) -> Vec<String> {
         std::mem::take(&mut *self.found.lock().expect("no holder panics"))
     }
 
-    /// Takes out the entries that were silent for long.
+    /// Removes the entries whose messages have stopped for the expiry time.
     pub(crate) fn remove_silent(&self) -> Vec<SilentPeer> {
         let now_ms = now_ms();
-        let mut out = Vec::new();
+        let mut removed = Vec::new();
         let mut peers = self.lock();
         let counts = PeerCounts::of(&peers, &self.data_centre);
         let mut lost = self.lost_ms.lock().expect("no holder panics");
         lost.retain(|_, at| now_ms.saturating_sub(*at) < PARTITION_TIMEOUT_MS);
         peers.retain(|address, peer| {
-            let silent_ms = now_ms.saturating_sub(peer.heard_ms);
-            let whom = peer.whom(&self.data_centre);
-            let is_silent = silent_ms > whom.expiry_ms(counts.of_whom(whom));
+            let silent_ms = now_ms.saturating_sub(peer.received_ms);
+            let scope = peer.scope(&self.data_centre);
+            let is_silent =
+                silent_ms > scope.expiry_ms(counts.of_scope(scope));
             if is_silent && peer.boot_id != 0 && !peer.is_stopping {
                 lost.insert(*address, now_ms);
             }
             if is_silent && peer.boot_id != 0 {
                 let vm = peer.vm.clone();
                 let boot_id = peer.boot_id;
-                out.push(SilentPeer { vm, boot_id, silent_ms });
+                removed.push(SilentPeer { vm, boot_id, silent_ms });
             }
             !is_silent
         });
-        out
+        removed
     }
 
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         self.lock().keys().copied().collect()
     }
 
-    /// Addresses of the entries of this data centre, or of the others and of
-    /// those that were not heard yet.
-    pub(crate) fn addresses_of(&self, whom: PeerScope) -> Vec<SocketAddr> {
+    /// Addresses of the entries in a scope. Entries that have not reported yet
+    /// count as entries of other data centres.
+    pub(crate) fn addresses_of(&self, scope: PeerScope) -> Vec<SocketAddr> {
         let peers = self.lock();
-        let is_told = |(_, peer): &(&SocketAddr, &Peer)| {
-            peer.whom(&self.data_centre) == whom
+        let is_in_scope = |(_, peer): &(&SocketAddr, &Peer)| {
+            peer.scope(&self.data_centre) == scope
         };
-        peers.iter().filter(is_told).map(|(address, _)| *address).collect()
+        peers.iter().filter(is_in_scope).map(|(address, _)| *address).collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Peer>> {
--- a/crates/direct/src/cluster/peer_usage.rs
+++ b/crates/direct/src/cluster/peer_usage.rs
@@ -1,28 +1,28 @@
-//! Which engines other entries told that they use.
+//! Engines that other entries reported to use.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Mutex,
 };
 
-/// Short hashes of engines, by the boot id of who told.
+/// Short hashes of engines, by the boot id of the entry that uses them.
 #[derive(Debug, Default)]
 pub(crate) struct PeerUsage {
     engines: Mutex<BTreeMap<u64, BTreeSet<u32>>>,
 }
 
 impl PeerUsage {
-    /// Takes the engines that an entry uses now; those that it no longer
-    /// does.
+    /// Replaces the engines that an entry uses; returns those that it no
+    /// longer uses.
     pub(crate) fn replace(
         &self,
         boot_id: u64,
         engines: BTreeSet<u32>,
     ) -> Vec<u32> {
-        let mut told = self.engines.lock().expect("no holder panics");
+        let mut by_peer = self.engines.lock().expect("no holder panics");
         let old = match engines.is_empty() {
-            true => told.remove(&boot_id),
-            false => told.insert(boot_id, engines.clone()),
+            true => by_peer.remove(&boot_id),
+            false => by_peer.insert(boot_id, engines.clone()),
         };
         let old = old.unwrap_or_default();
         old.difference(&engines).copied().collect()
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -1,10 +1,11 @@
-//! What entries tell each other.
+//! Exchange of state between entries.
 //!
-//! Each entry sends its state to the others a few times a second, one
-//! datagram each. Lost ones do not matter: the next one says the same. From
-//! them an entry knows how full engines are beyond its own requests, and
-//! between how many entries the bound on further arrivals is shared. Entries
-//! find each other in a table of the store, and from then on by who sends.
+//! Each entry sends its state to the others several times a second, in one
+//! datagram each. Lost datagrams do not matter, because the next one has the
+//! full state again. From these messages an entry learns the load on engines
+//! beyond its own requests, and how many entries share the retry limit.
+//! Entries find each other through a table of the store, and afterwards also
+//! through the messages that they receive.
 
 use std::{
     collections::BTreeSet,
@@ -37,20 +38,16 @@
     core::Core,
 };
 
-/// Time between messages.
 const STATE_INTERVAL: Duration = Duration::from_millis(BASE_INTERVAL_MS);
-/// Time for a call of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time before the table is read again after a failure.
+/// Pause before the table is read again after a failure.
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
-/// Time between later looks at the table: entries hear each other from their
-/// first messages on.
+/// Long, because entries learn of each other from their first messages.
 const TABLE_READ_INTERVAL: Duration = Duration::from_secs(60);
-/// Time within which alerts are gathered.
+/// Time over which findings are collected into one alert.
 const ALERT_BATCH_WINDOW: Duration = Duration::from_millis(2);
-/// Most names of entries in a line of the logs.
+/// Maximum number of peers named in one log line.
 const MAX_LOGGED_PEERS: usize = 24;
-/// Longest datagram taken.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
 /// Opens the socket for messages between entries.
@@ -62,13 +59,13 @@
     core.settings.internal_ports.0
 }
 
-/// Tells the others and hears them, until the process ends.
+/// Sends and receives messages until the process exits.
 pub(crate) async fn run(core: Arc<Core>, socket: Async<UdpSocket>) {
     let socket = Arc::new(socket);
-    let told = send_states(core.clone(), socket.clone());
-    core.executor.spawn(told).detach();
-    let alerted = send_alerts(core.clone(), socket.clone());
-    core.executor.spawn(alerted).detach();
+    let states = send_states(core.clone(), socket.clone());
+    core.executor.spawn(states).detach();
+    let alerts = send_alerts(core.clone(), socket.clone());
+    core.executor.spawn(alerts).detach();
     let permits = permits::run(core.clone(), socket.clone());
     core.executor.spawn(permits).detach();
     core.executor.spawn(discover(core.clone())).detach();
@@ -91,7 +88,7 @@
         sequence += 1;
         let bytes = own_state(&core, sequence).encode_to_vec();
         for address in recipients(&core, &mut rounds) {
-            // A datagram that is lost is made up for by the next one.
+            // An error needs no handling: the next state replaces this one.
             let _ = socket.send_to(&bytes, address).await;
         }
         remove_silent(&core);
@@ -99,32 +96,37 @@
     }
 }
 
-/// Who is told now: some of this data centre, fewer of the others.
+/// The next peers to send the state to: several of this data centre, and fewer
+/// of the others.
 fn recipients(core: &Core, rounds: &mut [RoundRobin; 2]) -> Vec<SocketAddr> {
     let is_planner = core.is_planner.load(Relaxed);
-    let turn = |(whom, rounds): (PeerScope, &mut RoundRobin)| {
-        let told = if is_planner { PeerScope::FromPlanner } else { whom };
-        rounds.next_batch(&core.peers.addresses_of(whom), told.fan_out())
+    let batch = |(scope, rounds): (PeerScope, &mut RoundRobin)| {
+        let fan_out_scope =
+            if is_planner { PeerScope::FromPlanner } else { scope };
+        rounds.next_batch(
+            &core.peers.addresses_of(scope),
+            fan_out_scope.fan_out(),
+        )
     };
-    let whom =
+    let scopes =
         [PeerScope::SameDataCentre, PeerScope::OtherDataCentre].into_iter();
-    whom.zip(rounds).flat_map(turn).collect()
+    scopes.zip(rounds).flat_map(batch).collect()
 }
 
-/// Tells all others at once what was just found of engines: by turns the
-/// last of many would hear of it a second later.
+/// Sends alerts to all peers at once. In turns like the state, an alert would
+/// reach the last of many peers a second later.
 async fn send_alerts(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     loop {
         core.alerts.wait().await;
-        // Engines that were lost together are told together.
+        // Engines that fail together are reported in one alert.
         Timer::after(ALERT_BATCH_WINDOW).await;
         let pending = core.alerts.take();
         let suspects = pending.suspects.iter();
-        let news_of = |of: &Fingerprint| core.suspects.report_of(*of);
+        let report = |suspect: &Fingerprint| core.suspects.report_of(*suspect);
         let alert = PeerState {
             boot_id: core.boot_id,
             is_alert: true,
-            suspects: suspects.filter_map(news_of).collect(),
+            suspects: suspects.filter_map(report).collect(),
             trials: pending.trials(),
             notices: pending.notices(&core),
             engines: pending.engines.into_values().collect(),
@@ -132,37 +134,38 @@
         };
         let bytes = alert.encode_to_vec();
         for address in core.peers.addresses() {
-            // One that is lost is made up for by the next state.
+            // An error needs no handling: the next state has the finding too.
             let _ = socket.send_to(&bytes, address).await;
         }
     }
 }
 
 fn own_state(core: &Core, sequence: u64) -> PeerState {
-    let engine_use = |engine: Arc<Engine>| {
-        let used = engine.own_usage(now_ms());
+    let to_message = |engine: Arc<Engine>| {
+        let usage = engine.own_usage(now_ms());
         let (is_suspect, slowness) = {
             let state = engine.lock();
             (state.suspicion.is_some(), state.slowness)
         };
-        // Who watches it repeats how slow it is, for those who missed it.
-        let is_told_slow = slowness > 1.0 && engine.is_watched.load(Relaxed);
-        let is_told =
-            used != EngineUsage::default() || is_suspect || is_told_slow;
-        is_told.then_some(EngineUse {
+        // A watching entry repeats the slowness, for peers that missed it.
+        let reports_slowness =
+            slowness > 1.0 && engine.is_watched.load(Relaxed);
+        let has_content =
+            usage != EngineUsage::default() || is_suspect || reports_slowness;
+        has_content.then_some(EngineUse {
             engine: engine.hash,
-            used_kilo_token_layers: used.kilo_token_layers,
-            first_count: used.first_count,
-            work_ms_per_s: used.prefill_ms_per_s,
+            used_kilo_token_layers: usage.kilo_token_layers,
+            first_count: usage.first_count,
+            work_ms_per_s: usage.prefill_ms_per_s,
             is_suspect,
             is_cleared: false,
-            slowness_percent: match is_told_slow {
+            slowness_percent: match reports_slowness {
                 true => percent(slowness),
                 false => 0,
             },
         })
     };
-    let engines = core.fleet.all().into_iter().filter_map(engine_use);
+    let engines = core.fleet.all().into_iter().filter_map(to_message);
     let sent = core.sent_by_service().into_iter();
     let services = sent.map(|(service, sent)| ServiceUse {
         service,
@@ -198,13 +201,15 @@
     core.suspects.reports(received_states_per_s(core))
 }
 
-/// States that an entry hears in a second, about as many as it sends.
+/// State messages that an entry receives a second: about as many as it sends.
 fn received_states_per_s(core: &Core) -> f64 {
-    let at_once = [PeerScope::SameDataCentre, PeerScope::OtherDataCentre]
+    let per_interval = [PeerScope::SameDataCentre, PeerScope::OtherDataCentre]
         .into_iter()
-        .map(|whom| core.peers.addresses_of(whom).len().min(whom.fan_out()));
-    let at_once: usize = at_once.sum();
-    at_once as f64 * 1e3 / BASE_INTERVAL_MS as f64
+        .map(|scope| {
+            core.peers.addresses_of(scope).len().min(scope.fan_out())
+        });
+    let per_interval: usize = per_interval.sum();
+    per_interval as f64 * 1e3 / BASE_INTERVAL_MS as f64
 }
 
 fn handle_message(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
@@ -234,54 +239,58 @@
 }
 
 fn apply_usage(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.index();
-    let told: BTreeSet<u32> = state.engines.iter().map(|u| u.engine).collect();
-    for hash in core.peer_usage.replace(state.boot_id, told) {
-        if let Some(engine) = listed.by_hash.get(&hash) {
+    let index = core.fleet.index();
+    let engines: BTreeSet<u32> =
+        state.engines.iter().map(|u| u.engine).collect();
+    for hash in core.peer_usage.replace(state.boot_id, engines) {
+        if let Some(engine) = index.by_hash.get(&hash) {
             engine.set_peer_usage(state.boot_id, None);
         }
     }
-    for used in &state.engines {
-        let Some(engine) = listed.by_hash.get(&used.engine) else { continue };
-        let told_use = EngineUsage {
-            kilo_token_layers: used.used_kilo_token_layers,
-            first_count: used.first_count,
-            prefill_ms_per_s: used.work_ms_per_s,
+    for reported in &state.engines {
+        let Some(engine) = index.by_hash.get(&reported.engine) else {
+            continue;
+        };
+        let usage = EngineUsage {
+            kilo_token_layers: reported.used_kilo_token_layers,
+            first_count: reported.first_count,
+            prefill_ms_per_s: reported.work_ms_per_s,
         };
-        engine.set_peer_usage(state.boot_id, Some(told_use));
-        apply_engine_update(core, engine, used);
+        engine.set_peer_usage(state.boot_id, Some(usage));
+        apply_engine_update(core, engine, reported);
     }
 }
 
 fn apply_alert(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.index();
-    for told in &state.engines {
-        let Some(engine) = listed.by_hash.get(&told.engine) else { continue };
+    let index = core.fleet.index();
+    for update in &state.engines {
+        let Some(engine) = index.by_hash.get(&update.engine) else { continue };
         engine.lock().alerted_ms = now_ms();
-        apply_engine_update(core, engine, told);
+        apply_engine_update(core, engine, update);
     }
 }
 
-/// Takes what another entry found of an engine. That it is dead or back is
-/// looked at, not believed: the other one may itself be cut off. And not at
-/// each message: many that are cut off would have all others dial all
-/// engines. How slow it is the engine has said itself.
+/// Applies an engine update of another entry. A reported failure or recovery
+/// is probed rather than trusted, because the other entry may be partitioned.
+/// Not every report triggers a probe: otherwise many partitioned entries would
+/// make all others connect to all engines. A slowness is trusted, because the
+/// engine itself reported it.
 fn apply_engine_update(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
-    told: &EngineUse,
+    update: &EngineUse,
 ) {
     let is_suspect = engine.is_suspect();
-    let is_news = match (told.is_suspect, told.is_cleared) {
+    let needs_probe = match (update.is_suspect, update.is_cleared) {
         (true, _) => !is_suspect && is_connect_due(engine),
         (false, is_cleared) => is_cleared && is_suspect,
     };
-    if is_news {
+    if needs_probe {
         let task = probe::probe_after_alert(core.clone(), engine.clone());
         core.executor.spawn(task).detach();
     }
-    if told.slowness_percent > 0 {
-        let slowness = f64::from(told.slowness_percent) / 100.0;
+    if update.slowness_percent > 0 {
+        let slowness = f64::from(update.slowness_percent) / 100.0;
         probe::record_slowness(engine, slowness, now_ms());
     }
 }
@@ -291,7 +300,8 @@
     engine.lock().is_connect_due(now_ms, engine.quiet_ms(now_ms))
 }
 
-/// Forgets those that are silent, and sums up who came and went since.
+/// Removes silent peers, and logs the peers lost and found since the last
+/// call.
 fn remove_silent(core: &Core) {
     let silent = core.peers.remove_silent();
     for silent in &silent {
@@ -306,13 +316,13 @@
     if names.is_empty() {
         return;
     }
-    let told: Vec<&str> =
+    let logged: Vec<&str> =
         names.iter().take(MAX_LOGGED_PEERS).map(String::as_str).collect();
     let known = core.peers.addresses().len();
     emit(
         event,
         &[
-            ("peers", &told.join(", ")),
+            ("peers", &logged.join(", ")),
             ("count", &names.len()),
             ("known", &known),
         ],
@@ -320,19 +330,19 @@
 }
 
 fn remove_usage(core: &Core, boot_id: u64) {
-    let listed = core.fleet.index();
+    let index = core.fleet.index();
     for hash in core.peer_usage.replace(boot_id, BTreeSet::new()) {
-        if let Some(engine) = listed.by_hash.get(&hash) {
+        if let Some(engine) = index.by_hash.get(&hash) {
             engine.set_peer_usage(boot_id, None);
         }
     }
 }
 
-/// Lists this entry and looks for others.
+/// Adds this entry to the table of entries, and finds the others there.
 ///
 /// Of two entries that start together, one reads the table after the other
-/// has written its row, and tells it; so one read after the own row is there
-/// is enough, and the later ones only make up for what went wrong.
+/// has written its row, and sends a message to that entry. So one read after
+/// the own row is written suffices; later reads only cover failures.
 async fn discover(core: Arc<Core>) {
     let store = StoreClient::new(core.settings.store_address);
     let own = SocketAddr::new(core.settings.ip, port(&core));
@@ -348,15 +358,15 @@
     }
 }
 
-/// What a look at the table came to.
+/// Result of reading the table of entries.
 enum Discovery {
-    /// It was read while the own row was there.
+    /// The table already had this entry's row.
     Read,
-    /// The own row was not there before.
+    /// This entry's row was missing, and has been written.
     Written,
 }
 
-/// Reads the table, and writes the own row where it is not there yet.
+/// Reads the table, and writes this entry's row if that is missing.
 async fn discover_once(
     core: &Core,
     store: &StoreClient,
@@ -370,7 +380,7 @@
             .and_then(|text| text.parse::<SocketAddr>().ok());
         *is_listed |= row.key == core.settings.vm && address == Some(own);
         if let Some(address) = address.filter(|a| *a != own) {
-            core.peers.add(address);
+            core.peers.add_address(address);
         }
     }
     if *is_listed {
--- a/crates/direct/src/cluster/permits.rs
+++ b/crates/direct/src/cluster/permits.rs
@@ -1,8 +1,10 @@
-//! Permits for backend servers that named a limit, dealt out among entries.
+//! Distribution of permits among entries, for backend servers that announced
+//! a rate limit.
 //!
-//! The decisions are in [`chestnutreach_routing::permits`] and
-//! [`chestnutreach_membership::issuer`]; here they meet the clock and the
-//! other entries. While no server names a limit, nothing runs.
+//! [`chestnutreach_routing::permits`] and
+//! [`chestnutreach_membership::issuer`] make the decisions. This module
+//! provides the timers and the messages between entries. While no limit is in
+//! force, its task sleeps.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -35,20 +37,20 @@
 use messages::{grant_from, request_from, request_message};
 use round::Round;
 
-/// Servers of which others are told in one message, which has a bounded size.
+/// Limits the size of a message.
 const MAX_REPORTED_SERVERS: usize = 128;
-/// Time between looks at what is wanted and granted.
+/// Time between rounds of requesting and granting permits.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between looks of a request that waits a moment for a permit.
+/// Time between checks of a request that waits briefly for a permit.
 const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Permits that this entry grants, and for which servers any are needed.
+/// Permits that this entry grants, and the servers that require permits.
 #[derive(Debug)]
 pub(crate) struct PermitTable {
     state: Mutex<State>,
-    /// Servers of which others are told.
+    /// Servers with a notice to report.
     reported_count: AtomicUsize,
-    /// Servers with a limit that holds.
+    /// Servers with a limit in force.
     limited_count: AtomicUsize,
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -56,14 +58,15 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Short hashes of servers that said something new of themselves.
+    /// Short hashes of servers whose notice has changed.
     changed: Vec<u32>,
-    /// Servers of which others are told, by short hash.
+    /// Servers with a notice to report, by short hash.
     reported: BTreeMap<u32, Arc<Engine>>,
     issuers: BTreeMap<u32, PermitIssuer>,
-    /// Whom other entries chose for a server, by their boot ids.
+    /// Issuers that other entries chose, by the entry's boot id and the
+    /// server's short hash.
     chosen_issuers: BTreeMap<u64, BTreeMap<u32, u64>>,
-    /// What is to be sent, by address.
+    /// Messages to send, by address.
     outbox: BTreeMap<SocketAddr, PeerState>,
 }
 
@@ -85,13 +88,13 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Has what is wanted be asked for now.
+    /// Starts a round now.
     pub(crate) fn wake(&self) {
-        // One that is full has a signal on the way.
+        // If the channel is full, a signal is already pending.
         let _ = self.sender.try_send(());
     }
 
-    /// A server said something new of itself.
+    /// Records that the notice of a server has changed.
     pub(crate) fn record_change(&self, engine: u32) {
         self.lock().changed.push(engine);
         self.wake();
@@ -101,7 +104,7 @@
         self.limited_count.load(Relaxed) == 0
     }
 
-    /// What others are told of what servers said.
+    /// Notices for the next state message.
     pub(crate) fn notices(&self, core: &Core) -> Vec<EngineNotice> {
         if self.reported_count.load(Relaxed) == 0 {
             return Vec::new();
@@ -109,18 +112,21 @@
         let now_ms = now_ms();
         let mut state = self.lock();
         state.apply_changes(core, now_ms);
-        let news = |engine: &Arc<Engine>| peer_notice(engine, now_ms);
-        // Where there are more, each message has others of them.
+        let notice = |engine: &Arc<Engine>| peer_notice(engine, now_ms);
+        // If there are too many, each message has a random selection.
         let count = state.reported.len();
         let skipped = match count > MAX_REPORTED_SERVERS {
             true => fastrand::usize(..count),
             false => 0,
         };
-        let told = state.reported.values().cycle().skip(skipped);
-        told.take(count.min(MAX_REPORTED_SERVERS)).filter_map(news).collect()
+        let selected = state.reported.values().cycle().skip(skipped);
+        selected
+            .take(count.min(MAX_REPORTED_SERVERS))
+            .filter_map(notice)
+            .collect()
     }
 
-    /// Permits that are out, by server and entry, for operators.
+    /// Outstanding permits by server and entry, for operators.
     pub(crate) fn status(&self) -> Vec<serde_json::Value> {
         let state = self.lock();
         let of_server = |(engine, issuer): (&u32, &PermitIssuer)| {
@@ -136,44 +142,44 @@
     }
 }
 
-/// What is told of what a server said.
+/// Notice of a server as a message to other entries.
 pub(crate) fn peer_notice(
     engine: &Engine,
     now_ms: u64,
 ) -> Option<EngineNotice> {
-    let news = engine.notices.peer_notice(now_ms)?;
-    Some(EngineNotice { engine: engine.hash, ..news })
+    let notice = engine.notices.peer_notice(now_ms)?;
+    Some(EngineNotice { engine: engine.hash, ..notice })
 }
 
-/// Waits a moment for a permit for a request that has another server as
-/// well; whether there is one.
+/// Waits briefly for a permit for a request that another server could take
+/// instead; returns whether a permit is available.
 pub(crate) async fn await_permit(
     core: &Core,
     engine: &Engine,
     id: &str,
-    want: PermitDemand,
+    demand: PermitDemand,
 ) -> bool {
-    let asked_ms = now_ms();
-    let has_permit = engine.notices.request_permit(want, asked_ms)
-        && wait_for_permit(core, engine, want, asked_ms).await;
-    log_permit_wait(engine, id, asked_ms, has_permit);
+    let started_ms = now_ms();
+    let has_permit = engine.notices.request_permit(demand, started_ms)
+        && wait_for_permit(core, engine, demand, started_ms).await;
+    log_permit_wait(engine, id, started_ms, has_permit);
     has_permit
 }
 
 async fn wait_for_permit(
     core: &Core,
     engine: &Engine,
-    want: PermitDemand,
-    asked_ms: u64,
+    demand: PermitDemand,
+    started_ms: u64,
 ) -> bool {
     let notices = &engine.notices;
     core.permits.wake();
-    while now_ms() < asked_ms + REROUTABLE_WAIT_MS {
+    while now_ms() < started_ms + REROUTABLE_WAIT_MS {
         Timer::after(PERMIT_POLL_INTERVAL).await;
         if notices.may_send(now_ms()) {
             return true;
         }
-        if notices.is_denied(want.request) {
+        if notices.is_denied(demand.request) {
             break;
         }
     }
@@ -183,7 +189,7 @@
 fn log_permit_wait(
     engine: &Engine,
     id: &str,
-    asked_ms: u64,
+    started_ms: u64,
     has_permit: bool,
 ) {
     let Some(limit) = engine.notices.limit() else { return };
@@ -196,13 +202,13 @@
             ("limit_per_s", &limit.per_s),
             ("named_age_ms", &now_ms.saturating_sub(limit.received_ms)),
             ("issuer", &engine.notices.issuer()),
-            ("waited_ms", &now_ms.saturating_sub(asked_ms)),
+            ("waited_ms", &now_ms.saturating_sub(started_ms)),
             ("result", &if has_permit { "permit" } else { "none" }),
         ],
     );
 }
 
-/// Asks for permits and grants them, until the process ends.
+/// Requests and grants permits until the process exits.
 pub(crate) async fn run(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     loop {
         wait(&core.permits).await;
@@ -211,7 +217,7 @@
         for (address, state) in outbox {
             let state =
                 PeerState { boot_id: core.boot_id, is_alert: true, ..state };
-            // One that is lost is made up for by the next.
+            // A lost datagram needs no handling: totals are sent again.
             let _ = socket.send_to(&state.encode_to_vec(), address).await;
         }
     }
@@ -219,19 +225,19 @@
 
 async fn wait(permits: &PermitTable) {
     let woken = async {
-        // The sender lives as long as this does.
+        // This never fails: `permits` owns the sender.
         let _ = permits.receiver.recv().await;
     };
     if permits.is_idle() {
         return woken.await;
     }
-    let next = async {
+    let interval = async {
         Timer::after(POLL_INTERVAL).await;
     };
-    woken.or(next).await;
+    woken.or(interval).await;
 }
 
-/// Asks for what is wanted and grants what there is.
+/// Runs one round: requests the permits in demand and grants those available.
 fn poll(core: &Core) {
     let round = Round::new(core);
     let mut state = core.permits.lock();
@@ -241,49 +247,63 @@
         if issuer == core.boot_id {
             round.issue(&mut state, &engine, None);
         }
-        let Some(ask) = engine.notices.next_permit_request(round.now_ms)
+        let Some(request) = engine.notices.next_permit_request(round.now_ms)
         else {
             continue;
         };
         if issuer == core.boot_id {
-            round.apply_request(&mut state, &engine, core.boot_id, ask);
+            round.apply_request(&mut state, &engine, core.boot_id, request);
         } else if let Some(address) = core.peers.address_of(issuer) {
             let out = state.outbox.entry(address).or_default();
-            out.permit_asks.push(request_message(engine.hash, ask));
+            out.permit_asks.push(request_message(engine.hash, request));
         }
     }
 }
 
-/// Takes what another entry tells of servers, and of permits.
-pub(crate) fn handle_message(core: &Core, from: SocketAddr, told: &PeerState) {
-    let is_silent = told.notices.is_empty()
-        && told.permit_asks.is_empty()
-        && told.permit_grants.is_empty();
-    if is_silent && core.permits.is_idle() {
+/// Handles the notices and permits in a message of another entry.
+pub(crate) fn handle_message(
+    core: &Core,
+    from: SocketAddr,
+    message: &PeerState,
+) {
+    let is_empty = message.notices.is_empty()
+        && message.permit_asks.is_empty()
+        && message.permit_grants.is_empty();
+    if is_empty && core.permits.is_idle() {
         return;
     }
-    let listed = core.fleet.index();
-    for notice in &told.notices {
-        if let Some(engine) = listed.by_hash.get(&notice.engine) {
+    let index = core.fleet.index();
+    for notice in &message.notices {
+        if let Some(engine) = index.by_hash.get(&notice.engine) {
             notices::apply_peer_notice(core, engine, notice);
         }
     }
     let round = Round::new(core);
-    for grant in &told.permit_grants {
-        if let Some(engine) = listed.by_hash.get(&grant.engine) {
-            let of = grant_from(grant);
-            let (boot_id, pause_ms) = (told.boot_id, round.pause_ms);
-            engine.notices.apply_grant(boot_id, of, pause_ms, round.now_ms);
+    for grant in &message.permit_grants {
+        if let Some(engine) = index.by_hash.get(&grant.engine) {
+            let contents = grant_from(grant);
+            let (boot_id, pause_ms) = (message.boot_id, round.pause_ms);
+            engine.notices.apply_grant(
+                boot_id,
+                contents,
+                pause_ms,
+                round.now_ms,
+            );
         }
     }
     let mut state = core.permits.lock();
-    if !told.is_alert {
-        state.record_choices(told);
+    if !message.is_alert {
+        state.record_choices(message);
     }
-    for ask in &told.permit_asks {
-        if let Some(engine) = listed.by_hash.get(&ask.engine) {
-            let of = request_from(ask);
-            round.handle_request(&mut state, engine, (from, told.boot_id), of);
+    for request in &message.permit_asks {
+        if let Some(engine) = index.by_hash.get(&request.engine) {
+            let contents = request_from(request);
+            round.handle_request(
+                &mut state,
+                engine,
+                (from, message.boot_id),
+                contents,
+            );
         }
     }
     if !state.outbox.is_empty() {
@@ -292,17 +312,17 @@
 }
 
 impl State {
-    /// Takes servers that said something new, and forgets those of which
-    /// nothing is told any more.
+    /// Adds servers whose notice has changed, and removes those that have
+    /// nothing to report any more.
     fn apply_changes(&mut self, core: &Core, now_ms: u64) {
-        let listed = core.fleet.index();
+        let index = core.fleet.index();
         for hash in std::mem::take(&mut self.changed) {
-            if let Some(engine) = listed.by_hash.get(&hash) {
+            if let Some(engine) = index.by_hash.get(&hash) {
                 self.reported.insert(hash, engine.clone());
             }
         }
         self.reported.retain(|hash, engine| {
-            listed.by_hash.contains_key(hash)
+            index.by_hash.contains_key(hash)
                 && engine.notices.peer_notice(now_ms).is_some()
         });
         let limited: BTreeSet<u32> =
@@ -315,23 +335,23 @@
         core.permits.limited_count.store(limited.len(), Relaxed);
     }
 
-    /// Servers with a limit that holds.
+    /// Servers with a limit in force.
     fn limited(&self) -> Vec<Arc<Engine>> {
-        let told = self.reported.values();
-        told.filter(|e| e.notices.limit().is_some()).cloned().collect()
+        let reported = self.reported.values();
+        reported.filter(|e| e.notices.limit().is_some()).cloned().collect()
     }
 
-    /// Takes whom another entry chose.
-    fn record_choices(&mut self, told: &PeerState) {
+    /// Records the issuers that another entry chose.
+    fn record_choices(&mut self, message: &PeerState) {
         let choice = |notice: &EngineNotice| (notice.engine, notice.issuer);
         let is_chosen = |notice: &&EngineNotice| {
             notice.limit_per_s > 0.0 && notice.issuer != 0
         };
-        let chosen = told.notices.iter().filter(is_chosen);
+        let chosen = message.notices.iter().filter(is_chosen);
         let choices: BTreeMap<u32, u64> = chosen.map(choice).collect();
         match choices.is_empty() {
-            true => self.chosen_issuers.remove(&told.boot_id),
-            false => self.chosen_issuers.insert(told.boot_id, choices),
+            true => self.chosen_issuers.remove(&message.boot_id),
+            false => self.chosen_issuers.insert(message.boot_id, choices),
         };
     }
 
--- a/crates/direct/src/cluster/permits/messages.rs
+++ b/crates/direct/src/cluster/permits/messages.rs
@@ -1,32 +1,35 @@
-//! Asks and grants as entries tell them to each other.
+//! Conversion of permit requests and grants to and from messages.
 
 use chestnutreach_protocol::peers::{
     PermitAsk, PermitGrant as PermitGrantMessage,
 };
 use chestnutreach_routing::{PermitGrant, PermitRequest};
 
-pub(super) fn request_message(engine: u32, ask: PermitRequest) -> PermitAsk {
+pub(super) fn request_message(
+    engine: u32,
+    request: PermitRequest,
+) -> PermitAsk {
     PermitAsk {
         engine,
-        number: ask.sent_ms,
-        series: ask.series,
-        wanted: ask.wanted,
-        is_waiting: ask.is_waiting,
-        urgency: ask.urgency.into(),
-        used: ask.used,
-        returned: ask.returned,
+        number: request.sent_ms,
+        series: request.series,
+        wanted: request.wanted,
+        is_waiting: request.is_waiting,
+        urgency: request.urgency.into(),
+        used: request.used,
+        returned: request.returned,
     }
 }
 
-pub(super) fn request_from(told: &PermitAsk) -> PermitRequest {
+pub(super) fn request_from(message: &PermitAsk) -> PermitRequest {
     PermitRequest {
-        sent_ms: told.number,
-        series: told.series,
-        wanted: told.wanted,
-        is_waiting: told.is_waiting,
-        urgency: u8::try_from(told.urgency).unwrap_or(u8::MAX),
-        used: told.used,
-        returned: told.returned,
+        sent_ms: message.number,
+        series: message.series,
+        wanted: message.wanted,
+        is_waiting: message.is_waiting,
+        urgency: u8::try_from(message.urgency).unwrap_or(u8::MAX),
+        used: message.used,
+        returned: message.returned,
     }
 }
 
@@ -38,7 +41,7 @@
     PermitGrantMessage { engine, answers: answered_ms, series, granted }
 }
 
-pub(super) fn grant_from(told: &PermitGrantMessage) -> PermitGrant {
-    let PermitGrantMessage { answers, series, granted, .. } = *told;
+pub(super) fn grant_from(message: &PermitGrantMessage) -> PermitGrant {
+    let PermitGrantMessage { answers, series, granted, .. } = *message;
     PermitGrant { answered_ms: answers, series, granted }
 }
--- a/crates/direct/src/cluster/permits/round.rs
+++ b/crates/direct/src/cluster/permits/round.rs
@@ -1,4 +1,4 @@
-//! Whom to ask for permits, and what to grant to whom, at one moment.
+//! One round of choosing the issuer and granting permits.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,22 +12,22 @@
 use super::{State, messages::grant_message, peer_notice};
 use crate::{clock::now_ms, cluster::engine::Engine, core::Core};
 
-/// Pause of an entry that was granted nothing, for each entry there is: all
-/// together ask some sixty times a second for each server.
+/// The pause of an entry that was granted nothing grows with the number of
+/// entries, so that all together send about sixty requests a second for each
+/// server.
 const PAUSE_PER_ENTRY_MS: u64 = 15;
-/// Longest such pause.
 const MAX_PAUSE_MS: u64 = 500;
-/// A process younger than this that hears nobody may be one of many.
+/// Uptime before which an entry without live peers assumes `ASSUMED_PEERS`
+/// others, because it may not have received their messages yet.
 const MIN_ALONE_UPTIME_MS: u64 = 5_000;
-/// Entries assumed by one that hears nobody yet.
 const ASSUMED_PEERS: usize = 8;
 
-/// One look, with what is known of the entries then.
+/// A round, with the state of the entries at its start.
 pub(super) struct Round<'a> {
     core: &'a Core,
     pub(super) now_ms: u64,
     live: Vec<u64>,
-    /// Other entries that run, as far as is known.
+    /// Other entries that run, including those lost recently.
     peer_count: usize,
     /// Pause of an entry that was granted nothing.
     pub(super) pause_ms: u64,
@@ -36,16 +36,16 @@
 impl Round<'_> {
     pub(super) fn new(core: &Core) -> Round<'_> {
         let now_ms = now_ms();
-        let known = match core.peers.running_count(now_ms) {
+        let peer_count = match core.peers.running_count(now_ms) {
             0 if core.age_ms() < MIN_ALONE_UPTIME_MS => ASSUMED_PEERS,
-            known => known,
+            peer_count => peer_count,
         };
-        let pause_ms = PAUSE_PER_ENTRY_MS * (1 + known as u64);
+        let pause_ms = PAUSE_PER_ENTRY_MS * (1 + peer_count as u64);
         Round {
             core,
             now_ms,
             live: core.peers.live(now_ms),
-            peer_count: known,
+            peer_count,
             pause_ms: pause_ms.min(MAX_PAUSE_MS),
         }
     }
@@ -63,64 +63,68 @@
         }
     }
 
-    /// Whom this entry asks for permits of a server.
+    /// Chooses the entry from which this entry requests permits for a server.
     pub(super) fn choose_issuer(&self, engine: &Engine) -> u64 {
-        let none = BTreeMap::new();
-        let view = self.issuer_view(&none);
-        let duty = u64::from(engine.hash);
-        let choose = |silent: &[u64]| view.choose_issuer(duty, silent);
+        let no_choices = BTreeMap::new();
+        let view = self.issuer_view(&no_choices);
+        let assignment = u64::from(engine.hash);
+        let choose = |unresponsive: &[u64]| {
+            view.choose_issuer(assignment, unresponsive)
+        };
         engine.notices.choose_issuer(choose, self.now_ms)
     }
 
-    /// Answers an entry that asks; one that does not know that the limit has
-    /// ended is told so.
+    /// Handles a permit request of another entry. If the limit has ended, the
+    /// response reports that.
     pub(super) fn handle_request(
         &self,
         state: &mut State,
         engine: &Arc<Engine>,
         (from, boot_id): (SocketAddr, u64),
-        ask: PermitRequest,
+        request: PermitRequest,
     ) {
         if engine.notices.limit().is_none() {
-            let news = peer_notice(engine, self.now_ms);
+            let notice = peer_notice(engine, self.now_ms);
             let out = state.outbox.entry(from).or_default();
-            out.notices.extend(news);
+            out.notices.extend(notice);
         } else if self.choose_issuer(engine) == self.core.boot_id {
-            self.apply_request(state, engine, boot_id, ask);
+            self.apply_request(state, engine, boot_id, request);
         }
     }
 
-    /// Takes what an entry wants, and grants what there is.
+    /// Applies a permit request, and grants available permits.
     pub(super) fn apply_request(
         &self,
         state: &mut State,
         engine: &Engine,
         from: u64,
-        ask: PermitRequest,
+        request: PermitRequest,
     ) {
         let issuer = state.issuer_for(engine, self.now_ms);
-        issuer.handle_request(from, ask, self.now_ms);
+        issuer.handle_request(from, request, self.now_ms);
         self.issue(state, engine, Some(from));
     }
 
-    /// Grants what there is of a server's permits, and tells those who got
-    /// some and who asked.
+    /// Grants a server's available permits, and sends the totals to the
+    /// entries that received some and to the requester.
     pub(super) fn issue(
         &self,
         state: &mut State,
         engine: &Engine,
-        asker: Option<u64>,
+        requester: Option<u64>,
     ) {
         let Some(limit) = engine.notices.limit() else { return };
         let choices = state.choices_for(engine.hash);
-        let part = self.issuer_view(&choices).share();
+        let share = self.issuer_view(&choices).share();
         let issuer = state.issuer_for(engine, self.now_ms);
-        issuer.refill(limit.per_s * part, self.now_ms);
-        let mut told: BTreeSet<u64> =
+        issuer.refill(limit.per_s * share, self.now_ms);
+        let mut recipients: BTreeSet<u64> =
             issuer.issue(self.now_ms).into_iter().collect();
-        told.extend(asker);
-        let grants: Vec<(u64, PermitGrant)> =
-            told.into_iter().map(|to| (to, issuer.grant_for(to))).collect();
+        recipients.extend(requester);
+        let grants: Vec<(u64, PermitGrant)> = recipients
+            .into_iter()
+            .map(|to| (to, issuer.grant_for(to)))
+            .collect();
         for (to, grant) in grants {
             self.deliver_grant(state, engine, to, grant);
         }
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -1,8 +1,9 @@
-//! Requests under which engines crashed, as all entries know them.
+//! Requests under which engines crashed, shared among all entries.
 //!
-//! The decisions are in [`chestnutreach_routing::quarantine`]; here they meet
-//! the clock, the logs and the other entries. Requests on the way look here
-//! first without a lock: most of the time nothing is known of any.
+//! [`chestnutreach_routing::quarantine`] makes the decisions. This module
+//! connects them to the clock, the logs and the messages between entries. The
+//! request path checks without a lock whether any suspect exists at all, since
+//! usually there is none.
 
 use std::{
     collections::BTreeSet,
@@ -29,17 +30,17 @@
     core::Core,
 };
 
-/// Pauses before looks at whether an engine has crashed.
+/// Pauses before the checks for a crash that the request waits for.
 const CRASH_CHECK_PAUSES: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(8), Duration::from_millis(20)];
-/// Pause before the last one.
+/// Pause before the last check, which the request does not wait for.
 const LATE_CRASH_CHECK_PAUSE: Duration = Duration::from_millis(200);
 
 /// Requests under which engines crashed, and their trials.
 #[derive(Debug, Default)]
 pub(crate) struct SuspectTable {
     state: Mutex<State>,
-    /// Requests that are remembered.
+    /// Number of recorded requests; read without the lock.
     count: AtomicUsize,
 }
 
@@ -49,14 +50,14 @@
     trials: Trials,
 }
 
-/// What a change came to for its request.
+/// Effect of an update on the verdict of a request.
 struct VerdictChange {
     is_new: bool,
     before: Verdict,
     now: Verdict,
 }
 
-/// A run that broke off when it had just begun.
+/// A run of a request that failed shortly after it began.
 #[derive(Clone, Debug)]
 pub(crate) struct FailedRun {
     /// Id of the request.
@@ -67,7 +68,7 @@
     pub(crate) is_in_trial: bool,
 }
 
-/// A trial of a request of this entry, until it is dropped.
+/// A trial by this entry, which ends when the guard is dropped.
 pub(crate) struct TrialGuard {
     core: Arc<Core>,
     fingerprint: Fingerprint,
@@ -76,12 +77,12 @@
 }
 
 impl TrialGuard {
-    /// Tells the other entries of it.
+    /// Queues an alert that announces the trial to the other entries.
     pub(crate) fn announce(&self) {
         self.core.alerts.queue_trial(self.fingerprint, Some(self.engine));
     }
 
-    /// Whether no trial of another entry goes before it.
+    /// Whether this trial takes precedence over those of other entries.
     pub(crate) fn is_held(&self) -> bool {
         let holder = self.core.boot_id;
         let trials = &self.core.suspects.lock().trials;
@@ -104,33 +105,33 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Changes what is known of a request; true from `change` is news.
+    /// Updates the record of a request. `change` returns whether its effect is
+    /// new.
     fn update(
         &self,
-        of: Fingerprint,
+        fingerprint: Fingerprint,
         change: impl FnOnce(&mut Suspects, u64) -> bool,
     ) -> VerdictChange {
         let now_ms = now_ms();
         let mut state = self.lock();
         let suspects = &mut state.suspects;
-        let before = suspects.verdict(of, now_ms);
-        let is_news = change(suspects, now_ms);
-        let now = suspects.verdict(of, now_ms);
+        let before = suspects.verdict(fingerprint, now_ms);
+        let is_new = change(suspects, now_ms);
+        let now = suspects.verdict(fingerprint, now_ms);
         self.count.store(suspects.len(), Relaxed);
-        VerdictChange { is_new: is_news, before, now }
+        VerdictChange { is_new, before, now }
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request is recorded.
     pub(crate) fn is_empty(&self) -> bool {
         self.count.load(Relaxed) == 0
     }
 
-    /// What may be done with a request.
     pub(crate) fn verdict(&self, request: Fingerprint) -> Verdict {
         self.lock().suspects.verdict(request, now_ms())
     }
 
-    /// Engines at which a suspect is on trial, by their short hashes.
+    /// Short hashes of the engines at which a suspect is on trial.
     pub(crate) fn trial_engines(&self) -> BTreeSet<u32> {
         if self.is_empty() {
             return BTreeSet::new();
@@ -138,8 +139,8 @@
         self.lock().trials.servers_on_trial(now_ms())
     }
 
-    /// What is told of requests with the next state, of which each entry hears
-    /// so many a second; what has expired is forgotten.
+    /// Removes expired records, and returns those to report in the next state
+    /// message. Each entry receives `states_per_s` such messages a second.
     pub(crate) fn reports(&self, states_per_s: f64) -> Vec<SuspectRequest> {
         let now_ms = now_ms();
         let mut rng = fastrand::Rng::new();
@@ -147,23 +148,26 @@
         let suspects = &mut state.suspects;
         suspects.remove_expired(now_ms);
         self.count.store(suspects.len(), Relaxed);
-        let news = suspects.next_reports(now_ms, states_per_s, &mut rng);
-        news.into_iter().map(to_message).collect()
+        let reports = suspects.next_reports(now_ms, states_per_s, &mut rng);
+        reports.into_iter().map(to_message).collect()
     }
 
-    /// What is told at once of a request.
-    pub(crate) fn report_of(&self, of: Fingerprint) -> Option<SuspectRequest> {
-        let news = self.lock().suspects.report_of(of, now_ms());
-        news.map(to_message)
+    /// Report of one request for an alert.
+    pub(crate) fn report_of(
+        &self,
+        fingerprint: Fingerprint,
+    ) -> Option<SuspectRequest> {
+        let report = self.lock().suspects.report_of(fingerprint, now_ms());
+        report.map(to_message)
     }
 
-    /// All requests that are remembered, for operators.
+    /// Status of all recorded requests, for operators.
     pub(crate) fn status(&self) -> Vec<serde_json::Value> {
         let now_ms = now_ms();
         let state = self.lock();
         let suspects = &state.suspects;
         let of_request = |request| {
-            let news = suspects.report_of(request, now_ms)?;
+            let report = suspects.report_of(request, now_ms)?;
             let verdict = suspects.verdict(request, now_ms);
             let name = match verdict {
                 Verdict::Free => "free",
@@ -175,14 +179,14 @@
                 "fingerprint": request.to_string(),
                 "verdict": name,
                 "left_ms": left_ms.unwrap_or(0),
-                "crashes": crashes_json(&news),
+                "crashes": crashes_json(&report),
             }))
         };
         suspects.fingerprints().filter_map(of_request).collect()
     }
 }
 
-fn crashes_json(news: &SuspectReport) -> Vec<serde_json::Value> {
+fn crashes_json(report: &SuspectReport) -> Vec<serde_json::Value> {
     let crash = |crash: &CrashReport| {
         serde_json::json!({
             "backend_hash": format!("{:08x}", crash.server),
@@ -191,10 +195,10 @@
             "is_void": crash.is_void,
         })
     };
-    news.crashes.iter().map(crash).collect()
+    report.crashes.iter().map(crash).collect()
 }
 
-fn to_message(news: SuspectReport) -> SuspectRequest {
+fn to_message(report: SuspectReport) -> SuspectRequest {
     let crash = |crash: CrashReport| EngineCrash {
         engine: crash.server,
         age_ms: crash.age_ms,
@@ -202,12 +206,12 @@
         is_void: crash.is_void,
     };
     SuspectRequest {
-        fingerprint: news.fingerprint.0,
-        crashes: news.crashes.into_iter().map(crash).collect(),
+        fingerprint: report.fingerprint.0,
+        crashes: report.crashes.into_iter().map(crash).collect(),
     }
 }
 
-fn from_message(told: &SuspectRequest) -> SuspectReport {
+fn from_message(message: &SuspectRequest) -> SuspectReport {
     let crash = |crash: &EngineCrash| CrashReport {
         server: crash.engine,
         age_ms: crash.age_ms,
@@ -215,15 +219,14 @@
         is_void: crash.is_void,
     };
     SuspectReport {
-        fingerprint: Fingerprint(told.fingerprint),
-        crashes: told.crashes.iter().map(crash).collect(),
+        fingerprint: Fingerprint(message.fingerprint),
+        crashes: message.crashes.iter().map(crash).collect(),
     }
 }
 
-/// Finds whether the engine of a run that broke off has crashed; true if it
-/// has. The connection may end before the port is closed, so that is looked
-/// at again, the last time without the request waiting for it. One that is
-/// silent is not waited for.
+/// Checks whether the engine of a failed run has crashed. The connection may
+/// end before the port is closed, so the check is repeated; the request does
+/// not wait for the last one, nor for an engine that is silent.
 pub(crate) async fn check_crash(core: &Arc<Core>, run: FailedRun) -> bool {
     for pause in CRASH_CHECK_PAUSES {
         Timer::after(pause).await;
@@ -239,20 +242,20 @@
     false
 }
 
-/// Finds a moment later whether the engine of a run has crashed that broke
-/// off, or was left.
+/// Checks after a pause whether the engine of a run has crashed. The run
+/// failed, or the request moved away from the engine.
 pub(crate) fn check_crash_later(core: &Arc<Core>, run: FailedRun) {
-    let core_here = core.clone();
-    let look = async move {
+    let task_core = core.clone();
+    let check = async move {
         Timer::after(LATE_CRASH_CHECK_PAUSE).await;
-        if probe::confirm_crash(&core_here, &run.engine).await {
-            record_crash(&core_here, &run);
+        if probe::confirm_crash(&task_core, &run.engine).await {
+            record_crash(&task_core, &run);
         }
     };
-    core.executor.spawn(look).detach();
+    core.executor.spawn(check).detach();
 }
 
-/// Takes that an engine crashed under a run that had only just begun.
+/// Records that an engine crashed under a run that had just begun.
 fn record_crash(core: &Core, run: &FailedRun) {
     let fingerprint = run.fingerprint;
     let changed = core.suspects.update(fingerprint, |suspects, now_ms| {
@@ -275,11 +278,11 @@
     );
     if changed.is_new {
         core.alerts.queue_suspect(fingerprint);
-        announce_quarantine(core, fingerprint, &changed, "own");
+        apply_quarantine(core, fingerprint, &changed, "own");
     }
 }
 
-/// Takes that a run of a request has lasted: it crashes nothing.
+/// Records that a run has survived, which clears the request.
 pub(crate) fn record_survived(
     core: &Core,
     fingerprint: Fingerprint,
@@ -290,7 +293,7 @@
     }
 }
 
-/// Has crashes under a request no longer count; true if some did.
+/// Voids the crashes under a request; returns whether any counted.
 pub(crate) fn clear(
     core: &Core,
     fingerprint: Fingerprint,
@@ -316,9 +319,10 @@
     true
 }
 
-/// Tells of a request that is quarantined now and was not before, and has
-/// the streams that run it leave their engines.
-fn announce_quarantine(
+/// Logs that a request has been quarantined, and notifies the streams so that
+/// those which run the request leave their engines. Does nothing unless the
+/// quarantine is new.
+fn apply_quarantine(
     core: &Core,
     fingerprint: Fingerprint,
     changed: &VerdictChange,
@@ -342,7 +346,8 @@
     core.stream_subscribers.notify_all();
 }
 
-/// Begins a trial of a request at an engine, unless one of them is on trial.
+/// Begins a trial of a request at an engine. Returns `None` if either is
+/// already on trial.
 pub(crate) fn try_trial(
     core: &Arc<Core>,
     fingerprint: Fingerprint,
@@ -354,33 +359,33 @@
         return None;
     }
     drop(state);
-    let hold = TrialGuard { core: core.clone(), fingerprint, engine: server };
-    hold.announce();
-    Some(hold)
+    let guard = TrialGuard { core: core.clone(), fingerprint, engine: server };
+    guard.announce();
+    Some(guard)
 }
 
-/// Takes what another entry tells of requests and their trials.
-pub(crate) fn handle_message(core: &Core, told: &PeerState) {
-    for suspect in &told.suspects {
-        let news = from_message(suspect);
-        let fingerprint = news.fingerprint;
-        let hear = |suspects: &mut Suspects, now_ms| {
-            suspects.apply_report(&news, now_ms)
+/// Handles the suspects and trials in a message of another entry.
+pub(crate) fn handle_message(core: &Core, message: &PeerState) {
+    for suspect in &message.suspects {
+        let report = from_message(suspect);
+        let fingerprint = report.fingerprint;
+        let apply = |suspects: &mut Suspects, now_ms| {
+            suspects.apply_report(&report, now_ms)
         };
-        let changed = core.suspects.update(fingerprint, hear);
+        let changed = core.suspects.update(fingerprint, apply);
         if changed.is_new {
-            announce_quarantine(core, fingerprint, &changed, "told");
+            apply_quarantine(core, fingerprint, &changed, "told");
         }
     }
-    for trial in &told.trials {
-        apply_trial(core, told.boot_id, trial);
+    for trial in &message.trials {
+        apply_trial(core, message.boot_id, trial);
     }
 }
 
-fn apply_trial(core: &Core, holder: u64, told: &RequestTrial) {
-    let fingerprint = Fingerprint(told.fingerprint);
+fn apply_trial(core: &Core, holder: u64, message: &RequestTrial) {
+    let fingerprint = Fingerprint(message.fingerprint);
     let trials = &mut core.suspects.lock().trials;
-    match told.engine {
+    match message.engine {
         0 => trials.end(fingerprint, holder),
         server => trials.apply_remote(fingerprint, server, holder, now_ms()),
     }
--- a/crates/direct/src/cluster/unusable_rows.rs
+++ b/crates/direct/src/cluster/unusable_rows.rs
@@ -1,31 +1,32 @@
-//! Rows of the list that name no backend server, as far as they were told.
+//! Limits how often invalid rows of the backend list are logged.
 //!
-//! Another writer may put anything there, as often as it likes. A row is told
-//! once until it is readable or gone, and only so many are remembered; past
-//! those nothing more is told.
+//! Another writer may store anything in the list, at any rate. An invalid row
+//! is logged once until the row is valid or removed. The number of remembered
+//! rows is limited; while the limit is reached, no further rows are logged.
 
 use std::{
     collections::BTreeSet,
     sync::{Mutex, MutexGuard},
 };
 
-/// Rows that are remembered: more than the engines of the largest fleet.
+/// More than the number of engines in the largest fleet.
 const MAX_ROWS: usize = 2_048;
 
-/// Keys of rows that were told.
+/// Keys of invalid rows that were logged.
 #[derive(Debug, Default)]
 pub(crate) struct UnusableRows {
     logged: Mutex<BTreeSet<String>>,
 }
 
 impl UnusableRows {
-    /// Whether a row is to be told: it was not yet, and there is room.
+    /// Marks a row as logged; returns false if it was marked before or the
+    /// limit is reached.
     pub(crate) fn mark_logged(&self, key: &str) -> bool {
-        let mut told = self.lock();
-        told.len() < MAX_ROWS && told.insert(key.to_owned())
+        let mut logged = self.lock();
+        logged.len() < MAX_ROWS && logged.insert(key.to_owned())
     }
 
-    /// The row is readable again, or gone.
+    /// Forgets a row that is valid again or removed.
     pub(crate) fn remove(&self, key: &str) {
         self.lock().remove(key);
     }
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -1,10 +1,10 @@
-//! Who plans which engine holds which layers, and the orders for it.
+//! Planning of which engine holds which layers, and the orders for that.
 //!
 //! | module | what it holds |
 //! |---|---|
 //! | `lease` | the lease of the planner |
-//! | `authority` | by what right this entry orders now |
-//! | `orders` | the orders |
+//! | `authority` | the authority under which this entry sends orders |
+//! | `orders` | planning rounds and the sending of orders |
 
 pub(crate) mod authority;
 pub(crate) mod lease;
--- a/crates/direct/src/placement/authority.rs
+++ b/crates/direct/src/placement/authority.rs
@@ -1,4 +1,4 @@
-//! By what right an entry gives orders to engines.
+//! The authority under which an entry sends orders to engines.
 
 use chestnutreach_planner::OrderScope;
 use chestnutreach_state::FencingNumber;
@@ -6,22 +6,24 @@
 
 use crate::{core::Core, placement::lease::Lease};
 
-/// By what right this entry gives orders.
+/// Authority under which this entry sends orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Authority {
-    /// It holds the lease with this number.
+    /// The entry holds the lease with this fencing number.
     Lease(FencingNumber),
-    /// No holder is heard of, and this entry stands in: it orders only what
-    /// gives no layer up. Else the layers of engines that die are lacking
-    /// until the lease of a killed holder ends, and while no entry reaches
-    /// the store.
+    /// No holder is known, and this entry is the deputy planner. It sends only
+    /// orders that release no layer. Without a deputy, the layers of failed
+    /// engines would be missing until the lease of a killed holder ends, and
+    /// while no entry reaches the store.
     Deputy,
 }
 
 impl Authority {
     pub(crate) fn of(core: &Core, lease: &Lease) -> Option<Authority> {
-        let held = lease.active_fencing_number().map(Authority::Lease);
-        held.or_else(|| core.is_deputy_planner().then_some(Authority::Deputy))
+        let lease_authority =
+            lease.active_fencing_number().map(Authority::Lease);
+        lease_authority
+            .or_else(|| core.is_deputy_planner().then_some(Authority::Deputy))
     }
 
     pub(crate) fn scope(self) -> OrderScope {
@@ -31,7 +33,7 @@
         }
     }
 
-    /// The number that its orders carry.
+    /// Fencing number that the orders carry.
     pub(crate) fn fence(self) -> Option<u64> {
         match self {
             Authority::Lease(number) => Some(number.as_u64()),
@@ -41,11 +43,13 @@
 }
 
 pub(crate) fn log_authority_change(
-    last: Option<Authority>,
-    mandate: Option<Authority>,
+    previous: Option<Authority>,
+    current: Option<Authority>,
 ) {
-    let (before, now) =
-        (last == Some(Authority::Deputy), mandate == Some(Authority::Deputy));
+    let (before, now) = (
+        previous == Some(Authority::Deputy),
+        current == Some(Authority::Deputy),
+    );
     if before != now {
         emit(Event::StandIn, &[("stands_in", &now)]);
     }
--- a/crates/direct/src/placement/lease.rs
+++ b/crates/direct/src/placement/lease.rs
@@ -1,4 +1,4 @@
-//! The lease of the planner, over a row of the store.
+//! The planner's lease, held through a row of the store.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, atomic::Ordering::Relaxed},
@@ -17,30 +17,30 @@
 
 use crate::{clock::now_ms, core::Core};
 
-/// Time that a candidate must see the row unchanged.
+/// Time for which a candidate must see the row unchanged to take the lease.
 const LEASE_DURATION_MS: u64 = 3_000;
-/// How long before its end the holder renews.
+/// How long before the end of the lease the holder renews it.
 const RENEW_BEFORE_MS: u64 = 1_400;
-/// How long before the end of the lease the holder stops.
+/// How long before the end of the lease the holder stops to act on it.
 const STOP_MARGIN_MS: u64 = 500;
-/// Time without the store after which its holder gives the lease up.
+/// Time without the store after which the holder releases the lease.
 const STORE_FAILURE_LIMIT_MS: u64 = 500;
-/// Time between looks at the state machine.
+/// Time between steps of the state machine.
 const TICK_INTERVAL: Duration = Duration::from_millis(150);
-/// Entries that seek the lease: enough that one reaches the store. If all 68
-/// of a fleet sought it, each takeover would cost some 400 calls.
+/// Entries that seek the lease: enough for one to reach the store. If all 68
+/// entries of a fleet were candidates, each takeover would cost about 400
+/// calls of the store.
 const MAX_CANDIDATES: usize = 4;
-/// Number of the duty to seek it.
+/// Key of the assignment that selects the candidates.
 const LEASE_ASSIGNMENT: u64 = 3;
-/// Time without a holder after which all seek it: a candidate must see the
-/// row unchanged for 3 s.
+/// Time without a holder after which all entries are candidates. Longer than
+/// `LEASE_DURATION_MS`, for which the first candidates must wait.
 const ALL_CANDIDATES_AFTER_MS: u64 = 6_000;
-/// Time for a call of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The lease as one entry holds or seeks it.
+/// One entry's part in holding or seeking the lease.
 pub(crate) struct Lease {
-    holder: Mutex<LeaseParticipant>,
+    participant: Mutex<LeaseParticipant>,
     store: StoreClient,
     /// The row as last read or written, with its version at the store.
     last_row: Mutex<Option<(LeaseRow, u64)>>,
@@ -53,33 +53,36 @@
             RENEW_BEFORE_MS,
             STOP_MARGIN_MS,
         )
-        .expect("the constants make a lease");
+        .expect("the lease constants are valid");
         Lease {
-            holder: Mutex::new(LeaseParticipant::new(core.boot_id, options)),
+            participant: Mutex::new(LeaseParticipant::new(
+                core.boot_id,
+                options,
+            )),
             store: StoreClient::new(core.settings.store_address),
             last_row: Mutex::default(),
         }
     }
 
-    fn holder(&self) -> MutexGuard<'_, LeaseParticipant> {
-        self.holder.lock().expect("no holder panics")
+    fn participant(&self) -> MutexGuard<'_, LeaseParticipant> {
+        self.participant.lock().expect("no holder panics")
     }
 
-    /// The number under which this entry may plan at this moment.
+    /// Fencing number under which this entry may plan now, if any.
     pub(crate) fn active_fencing_number(&self) -> Option<FencingNumber> {
-        self.holder().active_fencing_number(now_ms())
+        self.participant().active_fencing_number(now_ms())
     }
 
-    /// Holds or seeks the lease until the process ends.
+    /// Holds or seeks the lease until the process exits.
     pub(crate) async fn run(&self, core: Arc<Core>) {
         let mut last = LeaseState::Idle;
         loop {
             self.resign_if_partitioned(&core);
             if let Some(command) = self.next_command(&core) {
-                let answer = self.execute(command).await;
-                self.holder().handle_response(answer, now_ms());
+                let response = self.execute(command).await;
+                self.participant().handle_response(response, now_ms());
             }
-            let state = self.holder().state();
+            let state = self.participant().state();
             log_change(last, state);
             last = state;
             core.is_planner
@@ -88,39 +91,41 @@
         }
     }
 
-    /// A candidate leaves the row alone while it hears the holder.
+    /// Next store command. A candidate does not access the row while it
+    /// receives messages of a holder.
     fn next_command(&self, core: &Core) -> Option<LeaseCommand> {
-        let resigned = FencingNumber::from_u64(core.peers.resigned());
-        let mut holder = self.holder();
-        holder.holder_resigned(resigned);
-        let is_held = matches!(holder.state(), LeaseState::Held { .. });
+        let released =
+            FencingNumber::from_u64(core.peers.highest_released_lease());
+        let mut participant = self.participant();
+        participant.holder_resigned(released);
+        let is_held = matches!(participant.state(), LeaseState::Held { .. });
         let has_planner = core.peers.has_planner(now_ms());
         let seeks =
             !has_planner && !is_store_unreachable(core) && is_candidate(core);
         if !is_held && !seeks {
             return None;
         }
-        holder.tick(now_ms())
+        participant.tick(now_ms())
     }
 
-    /// A holder that does not reach the store says so and stops: another one
-    /// need not wait for the end of its turn.
+    /// Releases the lease if the store is unreachable, and announces that, so
+    /// that a successor need not wait for the end of the term.
     fn resign_if_partitioned(&self, core: &Core) {
         if !is_store_unreachable(core) {
             return;
         }
-        if let Some(number) = self.holder().resign(now_ms()) {
+        if let Some(number) = self.participant().resign(now_ms()) {
             core.released_lease_number.store(number.as_u64(), Relaxed);
         }
     }
 
-    /// Gives the lease back, so that another entry need not wait; the others
-    /// hear of it even if the store does not answer.
+    /// Releases the lease, so that a successor need not wait. State messages
+    /// announce the release even if the store does not respond.
     pub(crate) async fn release(&self, core: &Core) {
         if let Some(number) = self.active_fencing_number() {
             core.released_lease_number.store(number.as_u64(), Relaxed);
         }
-        let command = self.holder().release(now_ms());
+        let command = self.participant().release(now_ms());
         if let Some(command) = command {
             self.execute(command).await;
         }
@@ -138,9 +143,9 @@
     async fn read(&self) -> StoreResponse {
         match self.store.read_row(LEASE, LEASE_KEY, STORE_TIMEOUT).await {
             Ok(row) => {
-                let known = row.as_ref().and_then(decode);
-                *self.last_row.lock().expect("no holder panics") = known;
-                StoreResponse::Row(known.map(|(row, _)| row))
+                let last_row = row.as_ref().and_then(decode);
+                *self.last_row.lock().expect("no holder panics") = last_row;
+                StoreResponse::Row(last_row.map(|(row, _)| row))
             }
             Err(_) => StoreResponse::Unavailable,
         }
@@ -151,11 +156,11 @@
         expected: Option<LeaseRow>,
         row: LeaseRow,
     ) -> StoreResponse {
-        let known = *self.last_row.lock().expect("no holder panics");
-        if known.map(|(row, _)| row) != expected {
+        let last_row = *self.last_row.lock().expect("no holder panics");
+        if last_row.map(|(row, _)| row) != expected {
             return StoreResponse::Conflict;
         }
-        let version = known.map_or(0, |(_, version)| version);
+        let version = last_row.map_or(0, |(_, version)| version);
         let value =
             serde_json::to_vec(&row).expect("plain fields always serialize");
         let write = self.store.write_row(
@@ -167,9 +172,9 @@
         );
         match write.await {
             Ok(version) => {
-                let mut known =
+                let mut last_row =
                     self.last_row.lock().expect("no holder panics");
-                *known = Some((row, version));
+                *last_row = Some((row, version));
                 StoreResponse::Written
             }
             Err(StoreError::Conflict) => StoreResponse::Conflict,
@@ -179,12 +184,13 @@
     }
 }
 
-/// Whether this entry is among the few that seek the lease while nobody is
-/// heard to hold it; all do once those few have not taken it.
+/// Whether this entry may seek the lease while no holder is known. Few entries
+/// are assigned to do so; all may once none of these has taken the lease.
 fn is_candidate(core: &Core) -> bool {
     let now_ms = now_ms();
-    let unheld_ms = core.age_ms().min(core.peers.planner_silent_ms(now_ms));
-    unheld_ms >= ALL_CANDIDATES_AFTER_MS
+    let without_holder_ms =
+        core.age_ms().min(core.peers.planner_silent_ms(now_ms));
+    without_holder_ms >= ALL_CANDIDATES_AFTER_MS
         || rendezvous::is_assigned(
             core.boot_id,
             core.peers.live(now_ms),
@@ -193,7 +199,7 @@
         )
 }
 
-/// Whether the store has been out of reach for so long that another entry
+/// Whether the store has been unreachable for so long that another entry
 /// should plan.
 fn is_store_unreachable(core: &Core) -> bool {
     let since_ms = core.store_failing_since_ms.load(Relaxed);
@@ -204,12 +210,12 @@
     Some((serde_json::from_slice(&row.value).ok()?, row.version))
 }
 
-fn log_change(last: LeaseState, state: LeaseState) {
+fn log_change(before: LeaseState, state: LeaseState) {
     let number = |state: LeaseState| match state {
         LeaseState::Held { fencing_number, .. } => Some(fencing_number),
         _ => None,
     };
-    match (number(last), number(state)) {
+    match (number(before), number(state)) {
         (old, Some(new)) if old != Some(new) => {
             emit(Event::LeaseTaken, &[("service", &"all"), ("fence", &new)]);
         }
--- a/crates/direct/src/placement/orders.rs
+++ b/crates/direct/src/placement/orders.rs
@@ -1,8 +1,9 @@
-//! Orders to engines to hold layers, given by whoever holds the lease, or
-//! stands in for it.
+//! Orders to engines to hold layers, sent by the holder of the lease or by the
+//! deputy planner.
 //!
-//! What is ordered, and again, is decided by [`OrderTracker`] from what is known
-//! of the engines; here are the turns, the calls and the lines of the logs.
+//! [`OrderTracker`] decides from the state of the engines what to order and
+//! when to repeat an order. This module runs the planning rounds, sends the
+//! orders, and logs them.
 
 use std::{
     collections::BTreeMap,
@@ -34,65 +35,63 @@
     request::exchange::{self, with_timeout},
 };
 
-/// Time between plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(150);
-/// The plan for an empty fleet waits until no new engine has come for so
-/// long, so that it is made for all.
+/// The first plan of a fleet that holds no layers waits until no engine has
+/// been added for this time, so that the plan includes all engines.
 const SETTLED_MS: u64 = 500;
-/// Time for an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Plans while this entry holds the lease, or stands in for its holder.
+/// Plans while this entry holds the lease or is the deputy planner.
 pub(crate) async fn run(core: Arc<Core>, lease: Arc<Lease>) {
     let mut planner = Planner::default();
-    let mut last = None;
+    let mut last_authority = None;
     loop {
         Timer::after(PLAN_INTERVAL).await;
-        let mandate = Authority::of(&core, &lease);
-        if mandate != last {
+        let authority = Authority::of(&core, &lease);
+        if authority != last_authority {
             planner = Planner::default();
-            log_authority_change(last, mandate);
-            last = mandate;
+            log_authority_change(last_authority, authority);
+            last_authority = authority;
         }
-        if let Some(mandate) = mandate {
-            planner.round(&core, &lease, mandate);
-            if mandate.scope() == OrderScope::All {
+        if let Some(authority) = authority {
+            planner.round(&core, &lease, authority);
+            if authority.scope() == OrderScope::All {
                 core.set_open_moves(planner.open_moves(&core));
             }
         }
-        core.pending_orders.store(planner.open_count(), Relaxed);
+        core.pending_orders.store(planner.pending_count(), Relaxed);
     }
 }
 
 #[derive(Default)]
 struct Planner {
-    /// Orders, by service.
+    /// By service.
     trackers: BTreeMap<String, OrderTracker>,
     engine_count: usize,
     last_growth_ms: u64,
-    /// What was last told of each service's cover.
+    /// Coverage of each service as last logged.
     logged_coverage: BTreeMap<String, String>,
     accepted: Accepted,
 }
 
-/// Orders that engines have accepted, by incarnation with the count of orders
-/// begun on which each was given, until the planner takes them.
+/// Accepted orders that the planner has not recorded yet: the engine's
+/// incarnation, and the number of begun orders on which the order was based.
 type Accepted = Arc<Mutex<Vec<(String, u64)>>>;
 
 impl Planner {
-    fn open_count(&self) -> usize {
+    fn pending_count(&self) -> usize {
         self.trackers.values().map(OrderTracker::pending_count).sum()
     }
 
-    /// What others are told, for the next planner.
+    /// Pending moves to announce, for the next planner.
     fn open_moves(&self, core: &Core) -> Vec<(u64, peers::OpenMove)> {
-        let books = self.trackers.iter();
-        let moves = books.flat_map(|(service, book)| {
-            book.open_moves().map(move |open| (service, open))
+        let trackers = self.trackers.iter();
+        let moves = trackers.flat_map(|(service, tracker)| {
+            tracker.open_moves().map(move |open| (service, open))
         });
-        let told = |(service, open): (&String, OpenMove)| {
+        let to_message = |(service, open): (&String, OpenMove)| {
             let engine = core.fleet.by_incarnation(&open.engine)?;
-            let told = peers::OpenMove {
+            let message = peers::OpenMove {
                 service: service.clone(),
                 engine: engine.hash,
                 first_layer: open.range.first_layer,
@@ -100,12 +99,17 @@
                 orders_begun: open.orders_begun,
                 age_ms: 0,
             };
-            Some((open.issued_ms, told))
+            Some((open.issued_ms, message))
         };
-        moves.filter_map(told).collect()
+        moves.filter_map(to_message).collect()
     }
 
-    fn round(&mut self, core: &Arc<Core>, lease: &Lease, mandate: Authority) {
+    fn round(
+        &mut self,
+        core: &Arc<Core>,
+        lease: &Lease,
+        authority: Authority,
+    ) {
         let Some(configuration) = core.configuration() else {
             return;
         };
@@ -115,7 +119,7 @@
         self.apply_accepted();
         for service in configuration.services.values() {
             if let Some(model) = &service.model {
-                self.plan(core, lease, mandate, &service.name, model);
+                self.plan(core, lease, authority, &service.name, model);
             }
         }
     }
@@ -123,13 +127,13 @@
     fn apply_accepted(&mut self) {
         let mut accepted = self.accepted.lock().expect("no holder panics");
         for (engine, orders_begun) in accepted.drain(..) {
-            for book in self.trackers.values_mut() {
-                book.mark_accepted(&engine, orders_begun);
+            for tracker in self.trackers.values_mut() {
+                tracker.mark_accepted(&engine, orders_begun);
             }
         }
     }
 
-    /// Whether the engines that start together have all come.
+    /// Whether all engines that start together have been added.
     fn has_settled(&mut self, core: &Core) -> bool {
         let engines = core.fleet.all();
         if engines.iter().any(|engine| engine.lock().row.held.is_some()) {
@@ -148,12 +152,12 @@
         &mut self,
         core: &Arc<Core>,
         lease: &Lease,
-        mandate: Authority,
+        authority: Authority,
         service: &str,
         model: &Model,
     ) {
         let engines = core.fleet.of_service(service);
-        let known: Vec<ObservedEngine<'_>> =
+        let observed: Vec<ObservedEngine<'_>> =
             engines.all.iter().map(|e| observed_engine(model, e)).collect();
         let layout_model = LayoutModel {
             layer_count: model.layer_count,
@@ -161,32 +165,35 @@
             token_layer_bytes: model.token_layer_bytes,
             first_stage_tokens: first_stage_tokens(model, &engines.all),
         };
-        self.log_coverage(core, service, &layout_model, &known);
+        self.log_coverage(core, service, &layout_model, &observed);
         if !self.trackers.contains_key(service) {
-            let book =
+            let tracker =
                 OrderTracker::new(recent_moves(core, service, &engines.all));
-            self.trackers.insert(service.to_owned(), book);
+            self.trackers.insert(service.to_owned(), tracker);
         }
-        let book = self.trackers.get_mut(service).expect("it was just added");
-        let scope = mandate.scope();
-        for due in book.due_orders(&layout_model, &known, scope, now_ms()) {
-            // Deciding took time; another one may plan by now.
-            if Authority::of(core, lease) != Some(mandate) {
+        let tracker =
+            self.trackers.get_mut(service).expect("it was just added");
+        let scope = authority.scope();
+        for due in
+            tracker.due_orders(&layout_model, &observed, scope, now_ms())
+        {
+            // Planning took time, in which the authority may have ended.
+            if Authority::of(core, lease) != Some(authority) {
                 return;
             }
             let engine = engines.all[due.engine].clone();
-            let given = IssuedOrder {
+            let issued = IssuedOrder {
                 engine,
                 due,
-                mandate,
+                authority,
                 service: service.to_owned(),
                 accepted: self.accepted.clone(),
             };
-            core.executor.spawn(send_order(core.clone(), given)).detach();
+            core.executor.spawn(send_order(core.clone(), issued)).detach();
         }
     }
 
-    /// Tells how many engines hold the layers, when that has changed.
+    /// Logs the replica counts of the layers if they have changed.
     fn log_coverage(
         &mut self,
         core: &Core,
@@ -197,15 +204,16 @@
         let layout: Vec<LayoutEngine> =
             engines.iter().map(|engine| engine.layout).collect();
         let names = &core.settings.data_centres;
-        let mut here = replica_counts(model, &layout);
-        // One without any engine is told as well.
-        let none = vec![0; model.layer_count as usize];
-        here.resize(here.len().max(names.len()), none);
-        let text = |(at, counts): (usize, &Vec<u32>)| {
+        let mut replicas = replica_counts(model, &layout);
+        // Data centres without engines are logged too.
+        let no_replicas = vec![0; model.layer_count as usize];
+        replicas.resize(replicas.len().max(names.len()), no_replicas);
+        let describe = |(at, counts): (usize, &Vec<u32>)| {
             let name = names.get(at).map_or("?", String::as_str);
             format!("{name} {}", format_runs(counts))
         };
-        let texts: Vec<String> = here.iter().enumerate().map(text).collect();
+        let texts: Vec<String> =
+            replicas.iter().enumerate().map(describe).collect();
         let texts = texts.join("; ");
         if self.logged_coverage.get(service) != Some(&texts) {
             emit(
@@ -217,38 +225,41 @@
     }
 }
 
-/// Moves of the planners before, this entry's own among them, which may still
-/// be carried out.
+/// Moves of previous planners, including this entry, that engines may still
+/// carry out.
 fn recent_moves(
     core: &Core,
     service: &str,
     engines: &[Arc<Engine>],
 ) -> Vec<OpenMove> {
-    let known = |(given_ms, told): (u64, peers::OpenMove)| {
-        let engine = engines.iter().find(|e| e.hash == told.engine)?;
+    let to_open_move = |(issued_ms, announced): (u64, peers::OpenMove)| {
+        let engine = engines.iter().find(|e| e.hash == announced.engine)?;
         Some(OpenMove {
             engine: engine.incarnation.clone(),
-            range: LayerRange::new(told.first_layer, told.end_layer),
-            orders_begun: told.orders_begun,
-            issued_ms: given_ms,
+            range: LayerRange::new(announced.first_layer, announced.end_layer),
+            orders_begun: announced.orders_begun,
+            issued_ms,
         })
     };
     let now_ms = now_ms();
-    let told = core.peers.announced_moves(service).into_iter();
+    let announced = core.peers.announced_moves(service).into_iter();
     let own = core.issued_moves(service).into_iter();
-    let recent = told
+    let recent = announced
         .chain(own)
-        .filter(|(given_ms, _)| now_ms - given_ms < ORDER_EXPIRY_MS);
-    recent.filter_map(known).collect()
+        .filter(|(issued_ms, _)| now_ms - issued_ms < ORDER_EXPIRY_MS);
+    recent.filter_map(to_open_move).collect()
 }
 
-/// Tokens of the requests that an engine takes as their first one.
+/// Tokens of the requests that one engine accepts as first stage.
 fn first_stage_tokens(model: &Model, engines: &[Arc<Engine>]) -> f64 {
-    let places = engines.iter().map(|engine| engine.lock().row.slots);
-    let usual = model.usual_prompt_tokens + model.usual_answer_tokens;
-    match (places.min(), usual) {
+    let slots = engines.iter().map(|engine| engine.lock().row.slots);
+    let tokens_per_request =
+        model.usual_prompt_tokens + model.usual_answer_tokens;
+    match (slots.min(), tokens_per_request) {
         (None | Some(0), _) | (_, 0) => f64::INFINITY,
-        (Some(places), usual) => f64::from(places) * f64::from(usual),
+        (Some(slots), tokens_per_request) => {
+            f64::from(slots) * f64::from(tokens_per_request)
+        }
     }
 }
 
@@ -259,11 +270,11 @@
     let state = engine.lock();
     let kind = state.row.kind.as_ref();
     let kind = kind.and_then(|kind| model.kinds.get(kind));
-    let is_sound = state.row.state == BackendState::Ready
+    let is_available = state.row.state == BackendState::Ready
         && !state.is_removed
         && !state.is_row_unusable
         && state.suspicion.is_none();
-    // Its process may go on: nothing but silence speaks against it.
+    // Without a refused connect, the process may still run.
     let may_return = state.row.state == BackendState::Ready
         && !state.is_removed
         && state
@@ -277,14 +288,14 @@
             memory_mb: kind.map_or(0.0, |kind| kind.memory_mb),
             layer_ms: kind.map_or(0.0, |kind| model.step_part_ms(kind, 1)),
             held: state.row.held,
-            is_available: is_sound,
-            accepts_orders: is_sound && kind.is_some(),
+            is_available,
+            accepts_orders: is_available && kind.is_some(),
         },
         orders_begun: state.orders_begun,
     }
 }
 
-/// Counts of layers in a row, as "first..end x count".
+/// Formats runs of layers with the same count as `FIRST..ENDxCOUNT`.
 fn format_runs(counts: &[u32]) -> String {
     let mut texts = Vec::new();
     let mut first = 0;
@@ -297,13 +308,14 @@
     texts.join(" ")
 }
 
-/// What becomes of streams that still pass through layers that are given up.
+/// Policy for streams that still use the released layers.
 ///
-/// They were told to leave before the order; those that could not are cut and
-/// go on elsewhere, where all may: while they ended, the gap would stay open
-/// for all others. Those that begin at the
-/// engine can't be led around it, and all at once would use up the shared
-/// bound on further arrivals: they may end.
+/// Streams were notified to leave before the order. Those that could not are
+/// aborted and resumed elsewhere, if all streams of the service may be
+/// resumed: letting them finish would keep the coverage gap open for all other
+/// requests. Streams for which the engine is the first stage can't be routed
+/// around the engine, and resuming all of them at once would use up the retry
+/// limit. They may finish.
 fn stream_policy(
     core: &Core,
     service: &str,
@@ -321,31 +333,32 @@
     }
 }
 
-/// An order on its way.
+/// An order that is being sent.
 struct IssuedOrder {
     engine: Arc<Engine>,
     due: DueOrder,
-    mandate: Authority,
+    authority: Authority,
     service: String,
     accepted: Accepted,
 }
 
-async fn send_order(core: Arc<Core>, given: IssuedOrder) {
-    let IssuedOrder { engine, due, mandate, service, accepted } = given;
+async fn send_order(core: Arc<Core>, issued: IssuedOrder) {
+    let IssuedOrder { engine, due, authority, service, accepted } = issued;
     let name = format!("place {}", due.range);
-    let number = mandate.fence().map_or_else(String::new, |n| n.to_string());
+    let fencing_number =
+        authority.fence().map_or_else(String::new, |n| n.to_string());
     emit(
         Event::OrderSent,
         &[
             ("service", &service),
             ("backend", &engine.id),
             ("order", &name),
-            ("fence", &number),
+            ("fence", &fencing_number),
         ],
     );
-    let passing = stream_policy(&core, &service, &engine, due.range);
+    let policy = stream_policy(&core, &service, &engine, due.range);
     let body =
-        place_body(due.range, mandate.fence(), due.orders_begun, passing);
+        place_body(due.range, authority.fence(), due.orders_begun, policy);
     let call = exchange::send_order(&engine, &body);
     let reason = match with_timeout(ORDER_TIMEOUT, call).await {
         Ok(Ok((200..=299, _))) => {
@@ -354,7 +367,7 @@
             return;
         }
         Ok(Ok((409, body))) => {
-            // It has begun orders that the list does not count.
+            // The engine has begun orders that are not listed yet.
             probe::request_report(core, engine.clone()).await;
             String::from_utf8_lossy(&body).into_owned()
         }
@@ -364,19 +377,19 @@
         Ok(Err(e)) => e.to_string(),
         Err(e) => e.to_string(),
     };
-    log_refused(&engine, &due, &name, &number, &reason);
+    log_refused(&engine, &due, &name, &fencing_number, &reason);
 }
 
-/// Tells that an order was refused, with the state that it was given against
-/// and what the engine has begun as far as is known now.
+/// Logs a refused order, with the expected number of begun orders and the
+/// engine's state as now known.
 fn log_refused(
     engine: &Engine,
     due: &DueOrder,
     name: &str,
-    number: &str,
+    fencing_number: &str,
     reason: &str,
 ) {
-    let (held, has_begun) = {
+    let (held, orders_begun) = {
         let state = engine.lock();
         (state.row.held, state.orders_begun)
     };
@@ -386,11 +399,11 @@
         &[
             ("backend", &engine.id),
             ("order", &name),
-            ("fence", &number),
+            ("fence", &fencing_number),
             ("reason", &reason),
             ("layers", &held),
             ("orders_expected", &due.orders_begun),
-            ("orders_begun", &has_begun),
+            ("orders_begun", &orders_begun),
         ],
     );
 }
