--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -54,7 +54,7 @@
 impl Served {
     fn set_leaving(&self, is_leaving: bool) {
         match self {
-            Served::Entry(entry) => entry.set_leaving(is_leaving),
+            Served::Entry(entry) => entry.set_draining(is_leaving),
             Served::Side(side) => side.set_leaving(is_leaving),
         }
     }
@@ -80,7 +80,7 @@
 
     fn is_leaving(&self) -> bool {
         match self {
-            Served::Entry(entry) => entry.is_leaving(),
+            Served::Entry(entry) => entry.is_draining(),
             Served::Side(side) => side.is_leaving(None),
         }
     }
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -232,7 +232,7 @@
         let timeout = Duration::from_millis(node.platform.request_timeout_ms);
         let client = VmListClient::new(node.platform.vm_list_address, timeout);
         let poll_ms = node.platform.vm_list_poll_ms;
-        follow_vm_list(client, poll_ms, move |vms| entry.set_vms_leaving(vms))
+        follow_vm_list(client, poll_ms, move |vms| entry.set_draining_vms(vms))
     };
     executor.spawn(list).detach();
     let status = {
@@ -251,12 +251,12 @@
     common.note_stopping(cause, entry.in_flight());
     let drain = Drain::start(node.drain_limit_ms);
     Timer::after(lame_duck).await;
-    entry.close_callers();
+    entry.stop_accepting();
     let left = || {
-        let left = entry.left();
-        left.callers.max(left.requests) + left.unsettled
+        let left = entry.remaining_work();
+        left.connections.max(left.requests) + left.unsettled_claims
     };
-    Ok(drain.finish(left, || entry.cut()).await)
+    Ok(drain.finish(left, || entry.abort_requests()).await)
 }
 
 /// Runs the role `side` until it is told to stop.
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -21,10 +21,10 @@
     language, models,
     openai::Endpoint,
     plain,
+    request_options::{DeadlineLimits, RequestOptions},
     session::Ending,
     shared::Shared,
-    stop::Counted,
-    terms::{DeadlineLimits, Terms},
+    shutdown::Counted,
     view::{AccountView, ServiceView, View},
 };
 
@@ -206,15 +206,16 @@
         default_ms: service.service.default_deadline_ms,
         max_ms: service.service.max_deadline_ms,
     };
-    let terms = Terms::try_new(&received.request, limits).map_err(|e| {
-        answer::bad_request("invalid_header", Some(e.name), &e.message)
-    })?;
+    let options =
+        RequestOptions::try_new(&received.request, limits).map_err(|e| {
+            answer::bad_request("invalid_header", Some(e.name), &e.message)
+        })?;
     let Arrival { request, arrived } = arrival;
     if entry.is_full() {
         let detail = "this VM has as many requests in flight as it may";
         return Err(come_back(entry, NotRunReason::Full, arrival, detail));
     }
-    Ok(Call { received, account, service, terms, request, arrived })
+    Ok(Call { received, account, service, options, request, arrived })
 }
 
 /// Without a manifest nobody can tell whether a key is right.
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -6,7 +6,7 @@
 use chestnutreach_protocol::RequestId;
 
 use crate::{
-    terms::Terms,
+    request_options::RequestOptions,
     view::{AccountView, ServiceView},
 };
 
@@ -15,7 +15,7 @@
     pub(crate) received: Received,
     pub(crate) account: Arc<AccountView>,
     pub(crate) service: Arc<ServiceView>,
-    pub(crate) terms: Terms,
+    pub(crate) options: RequestOptions,
     pub(crate) request: RequestId,
     pub(crate) arrived: Instant,
 }
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -20,7 +20,8 @@
     answer::{self, OUTCOME_HEADER, REQUEST_HEADER},
     call::Call,
     openai::{
-        AnswerShape, Asked, Chunks, Endpoint, Usage, answer::error_event,
+        ChunkEncoder, Endpoint, ParsedRequest, ResponseTemplate, Usage,
+        response::error_event,
     },
     session::{Job, JobWork, Progress},
     shared::Shared,
@@ -37,8 +38,8 @@
 pub(crate) fn parse(
     endpoint: Endpoint,
     body: &[u8],
-) -> Result<Asked, Box<Response>> {
-    Asked::try_parse(endpoint, body).map_err(|e| {
+) -> Result<ParsedRequest, Box<Response>> {
+    ParsedRequest::try_parse(endpoint, body).map_err(|e| {
         answer::bad_request("invalid_body", e.param.as_deref(), &e.message)
     })
 }
@@ -49,7 +50,7 @@
 ///
 /// The answer that names the limit.
 pub(crate) fn fit(
-    asked: &mut Asked,
+    asked: &mut ParsedRequest,
     service: &ServiceView,
 ) -> Result<(), Box<Response>> {
     let ServiceKind::Language { max_context_tokens, .. } =
@@ -57,7 +58,7 @@
     else {
         return Ok(());
     };
-    asked.fit(max_context_tokens).map_err(|e| {
+    asked.limit_to_context(max_context_tokens).map_err(|e| {
         let code = "context_length_exceeded";
         answer::bad_request(code, e.param.as_deref(), &e.message)
     })
@@ -68,10 +69,10 @@
     entry: &Arc<Shared>,
     mut call: Call,
     endpoint: Endpoint,
-    asked: Asked,
+    asked: ParsedRequest,
 ) -> Result<Response, Box<Response>> {
-    let is_once = call.terms.is_non_idempotent.unwrap_or(false);
-    let is_idempotent = !is_once && call.terms.key.is_none();
+    let is_once = call.options.is_non_idempotent.unwrap_or(false);
+    let is_idempotent = !is_once && call.options.key.is_none();
     let keyed = source::key_of(entry, &call);
     let work = JobWork::Generate {
         model: asked.model.clone(),
@@ -83,14 +84,14 @@
         request: call.request,
         service: call.service.clone(),
         account: call.account.name.clone(),
-        priority: call.terms.priority,
+        priority: call.options.priority,
         is_idempotent,
         deadline: deadline(&call),
         work,
     };
     let tally = Tally::new(entry, &call);
     let source = Source::start(entry, job, keyed);
-    let shape = AnswerShape::new(endpoint, call.request, &asked.model);
+    let shape = ResponseTemplate::new(endpoint, call.request, &asked.model);
     let gone = hang_up(call.received.connection.clone());
     let answering = Answering { source, gone, tally, shape, is_idempotent };
     if asked.is_stream {
@@ -113,7 +114,7 @@
     source: Source,
     gone: HangUp,
     tally: Tally,
-    shape: AnswerShape,
+    shape: ResponseTemplate,
     is_idempotent: bool,
 }
 
@@ -132,7 +133,7 @@
                 }
                 Progress::Whole(finished) => {
                     self.tally.completed();
-                    let object = self.shape.whole(
+                    let object = self.shape.full_response(
                         &text,
                         finished.finish(),
                         usage(&finished),
@@ -181,7 +182,7 @@
         response.insert_header("content-type", "text/event-stream");
         response.insert_header("cache-control", "no-cache");
         let stream = Stream {
-            chunks: self.shape.chunks(includes_usage),
+            chunks: self.shape.chunk_encoder(includes_usage),
             answering: self,
             writer,
         };
@@ -214,13 +215,13 @@
 /// A streamed answer under way.
 struct Stream {
     answering: Answering,
-    chunks: Chunks,
+    chunks: ChunkEncoder,
     writer: BodyWriter,
 }
 
 impl Stream {
     async fn run(mut self, first: Progress) {
-        if let Some(opening) = self.chunks.opening() {
+        if let Some(opening) = self.chunks.first_chunk() {
             self.writer.write(opening);
         }
         let mut progress = Some(first);
@@ -228,7 +229,8 @@
             match next {
                 Progress::Token(token) => {
                     self.answering.tally.part(1);
-                    if !self.writer.write(self.chunks.text(&token.text)) {
+                    if !self.writer.write(self.chunks.text_chunk(&token.text))
+                    {
                         break;
                     }
                 }
@@ -236,7 +238,7 @@
                     self.answering.tally.completed();
                     let usage = usage(&finished);
                     let closing =
-                        self.chunks.closing(finished.finish(), usage);
+                        self.chunks.final_events(finished.finish(), usage);
                     self.writer.write(closing);
                     self.writer.finish();
                     return;
@@ -276,5 +278,5 @@
 
 /// When a call's time is over.
 pub(crate) fn deadline(call: &Call) -> Instant {
-    call.arrived + Duration::from_millis(call.terms.deadline_ms)
+    call.arrived + Duration::from_millis(call.options.deadline_ms)
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -13,13 +13,13 @@
 //! | `kept` | answers kept for repeats |
 //! | `keyed`, `key_hold` | requests with an idempotency key, its claim |
 //! | `api`, `call` | which request goes where, and who may send it |
-//! | [`terms`] | the headers that say how a request is served |
+//! | [`request_options`] | the headers that say how a request is served |
 //! | `models` | the list of models |
 //! | [`openai`] | the published shapes of requests and answers |
 //! | `language` | requests for a model |
 //! | `plain` | requests for a plain service |
 //! | `recent` | the routing choices of recent requests |
-//! | [`stop`] | how an entry stops |
+//! | [`shutdown`] | how an entry stops |
 //! | `source` | where the progress of a request comes from |
 //! | `tally` | what is counted and logged of a request |
 //! | `outage` | how long the platform's store has been failing |
@@ -41,14 +41,14 @@
 mod peers;
 mod plain;
 mod recent;
+pub mod request_options;
 mod session;
 mod session_event;
 mod shared;
+pub mod shutdown;
 mod sides;
 mod source;
-pub mod stop;
 mod tally;
-pub mod terms;
 mod view;
 
 pub use node::{Entry, EntryParts};
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -12,7 +12,8 @@
 use chestnutreach_telemetry::Metrics;
 
 use crate::{
-    api, session_event::SessionEvent, shared::Shared, stop::Left, view::View,
+    api, session_event::SessionEvent, shared::Shared, shutdown::RemainingWork,
+    view::View,
 };
 
 /// The role `entry` of a process; clones are handles to the same one.
@@ -83,33 +84,33 @@
 
     /// Takes over which VMs the platform lists as leaving; none when the
     /// list does not answer.
-    pub fn set_vms_leaving(&self, vms: Option<BTreeSet<String>>) {
+    pub fn set_draining_vms(&self, vms: Option<BTreeSet<String>>) {
         self.shared.vms_leaving(vms);
     }
 
     /// Closes callers' connections after their next answer from now on.
-    pub fn set_leaving(&self, is_leaving: bool) {
-        self.shared.stop.set_leaving(is_leaving);
+    pub fn set_draining(&self, is_draining: bool) {
+        self.shared.stop.set_leaving(is_draining);
     }
 
     /// Whether the process is leaving.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.shared.stop.is_leaving()
     }
 
     /// Takes no more connections of callers, and closes those without a
     /// request, for good.
-    pub fn close_callers(&self) {
+    pub fn stop_accepting(&self) {
         self.shared.stop.close_callers();
     }
 
     /// What is still to be waited for before the process may end.
-    pub fn left(&self) -> Left {
-        self.shared.stop.left(self.in_flight())
+    pub fn remaining_work(&self) -> RemainingWork {
+        self.shared.stop.remaining_work(self.in_flight())
     }
 
     /// Ends every request that is open with the outcome that is known.
-    pub fn cut(&self) {
+    pub fn abort_requests(&self) {
         self.shared.stop.set_cut();
         self.shared.tell_sessions(|| SessionEvent::Cut);
     }
@@ -133,9 +134,9 @@
             "role": "entry",
             "boot_id": self.links().identity().boot_id,
             "generation": view.generation,
-            "is_leaving": self.is_leaving(),
+            "is_leaving": self.is_draining(),
             "in_flight": self.in_flight(),
-            "unsettled": self.left().unsettled,
+            "unsettled": self.remaining_work().unsettled_claims,
             "entry_count": self.shared.peers.entry_count(),
             "services": services,
         })
--- a/crates/entry/src/openai.rs
+++ b/crates/entry/src/openai.rs
@@ -12,16 +12,16 @@
 //! |---|---|
 //! | [`request`] | what is read of a request, and its checks |
 //! | `fields` | the fields as they are parsed |
-//! | [`answer`] | whole answers and streamed chunks |
+//! | [`response`] | whole answers and streamed chunks |
 //! | [`endpoint`] | which of the two endpoints |
 
-pub mod answer;
 pub mod endpoint;
 mod fields;
 pub mod request;
+pub mod response;
 
 pub use self::{
-    answer::{AnswerShape, Chunks, Usage},
     endpoint::Endpoint,
-    request::{Asked, ShapeError},
+    request::{ParsedRequest, ValidationError},
+    response::{ChunkEncoder, ResponseTemplate, Usage},
 };
--- a/crates/entry/src/openai/request.rs
+++ b/crates/entry/src/openai/request.rs
@@ -10,11 +10,11 @@
 };
 
 /// Answer tokens of a chat request that states no limit.
-pub const DEFAULT_CHAT_TOKENS: u32 = 1024;
+pub const DEFAULT_CHAT_MAX_TOKENS: u32 = 1024;
 /// The same for a completion; the published default.
-pub const DEFAULT_COMPLETION_TOKENS: u32 = 16;
+pub const DEFAULT_COMPLETION_MAX_TOKENS: u32 = 16;
 /// Most stop sequences, as published.
-pub const MAX_STOPS: usize = 4;
+pub const MAX_STOP_SEQUENCES: usize = 4;
 /// Bytes of text that count as a token in estimates.
 const BYTES_PER_TOKEN: usize = 4;
 
@@ -27,7 +27,7 @@
 
 /// What the router reads of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Asked {
+pub struct ParsedRequest {
     /// Model named.
     pub model: String,
     /// Most tokens of the answer; at least 1.
@@ -45,22 +45,22 @@
 /// A request that is not of the published shape, or asks for what is not
 /// served.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ShapeError {
+pub struct ValidationError {
     /// The field at fault, if it is known.
     pub param: Option<String>,
     /// What is wrong with it, for the caller.
     pub message: String,
 }
 
-impl fmt::Display for ShapeError {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.message)
     }
 }
 
-impl error::Error for ShapeError {}
+impl error::Error for ValidationError {}
 
-impl Asked {
+impl ParsedRequest {
     /// Reads a request's body.
     ///
     /// # Errors
@@ -70,7 +70,7 @@
     pub fn try_parse(
         endpoint: Endpoint,
         body: &[u8],
-    ) -> Result<Asked, ShapeError> {
+    ) -> Result<ParsedRequest, ValidationError> {
         let mut body = parse(body)?;
         let model =
             body.model.take().ok_or_else(|| wrong("model", "is missing"))?;
@@ -84,7 +84,7 @@
         let is_stream = body.stream.unwrap_or(false);
         let includes_usage = usage_wanted(&body, is_stream)?;
         let (max_tokens, max_tokens_field) = token_limit(endpoint, &body)?;
-        Ok(Asked {
+        Ok(ParsedRequest {
             model,
             max_tokens,
             max_tokens_field,
@@ -100,7 +100,10 @@
     /// # Errors
     ///
     /// The stated limit leaves no token for the prompt.
-    pub fn fit(&mut self, max_context_tokens: u32) -> Result<(), ShapeError> {
+    pub fn limit_to_context(
+        &mut self,
+        max_context_tokens: u32,
+    ) -> Result<(), ValidationError> {
         if self.max_tokens < max_context_tokens {
             return Ok(());
         }
@@ -117,37 +120,39 @@
     }
 }
 
-fn wrong(param: &str, message: &str) -> ShapeError {
-    ShapeError {
+fn wrong(param: &str, message: &str) -> ValidationError {
+    ValidationError {
         param: Some(param.to_owned()),
         message: format!("{param}: {message}"),
     }
 }
 
-fn parse(body: &[u8]) -> Result<Body, ShapeError> {
+fn parse(body: &[u8]) -> Result<Body, ValidationError> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let parsed = serde_path_to_error::deserialize(&mut json);
-    let Object(value) = parsed.map_err(|e| to_shape_error(&e))?;
-    json.end()
-        .map_err(|e| ShapeError { param: None, message: e.to_string() })?;
+    let Object(value) = parsed.map_err(|e| to_validation_error(&e))?;
+    json.end().map_err(|e| ValidationError {
+        param: None,
+        message: e.to_string(),
+    })?;
     Ok(value)
 }
 
-fn to_shape_error(
+fn to_validation_error(
     error: &serde_path_to_error::Error<serde_json::Error>,
-) -> ShapeError {
+) -> ValidationError {
     let path = error.path().to_string();
     let message = error.inner().to_string();
     // A body that is no JSON at all is not the fault of a field.
     if path == "." || !error.inner().is_data() {
-        return ShapeError { param: None, message };
+        return ValidationError { param: None, message };
     }
     wrong(&path, &message)
 }
 
 fn chat_bytes(
     messages: Option<&[Object<Message>]>,
-) -> Result<usize, ShapeError> {
+) -> Result<usize, ValidationError> {
     let messages = messages.ok_or_else(|| wrong("messages", "is missing"))?;
     if messages.is_empty() {
         return Err(wrong("messages", "must not be empty"));
@@ -159,7 +164,10 @@
     Ok(bytes)
 }
 
-fn message_bytes(message: &Message, path: &str) -> Result<usize, ShapeError> {
+fn message_bytes(
+    message: &Message,
+    path: &str,
+) -> Result<usize, ValidationError> {
     let role_path = format!("{path}.role");
     let role = message.role.as_deref();
     let role = role.ok_or_else(|| wrong(&role_path, "is missing"))?;
@@ -180,7 +188,7 @@
 fn parts_bytes(
     parts: &[Object<Part>],
     path: &str,
-) -> Result<usize, ShapeError> {
+) -> Result<usize, ValidationError> {
     let mut bytes: usize = 0;
     for (at, Object(part)) in parts.iter().enumerate() {
         let path = format!("{path}.content[{at}]");
@@ -200,7 +208,7 @@
     Ok(bytes)
 }
 
-fn prompt_bytes(prompt: Option<&Texts>) -> Result<usize, ShapeError> {
+fn prompt_bytes(prompt: Option<&Texts>) -> Result<usize, ValidationError> {
     let prompt = prompt.ok_or_else(|| wrong("prompt", "is missing"))?;
     match prompt.as_slice() {
         [text] => Ok(text.len()),
@@ -218,7 +226,7 @@
     u32::try_from(bytes / BYTES_PER_TOKEN + 1).unwrap_or(u32::MAX)
 }
 
-fn check_numbers(body: &Body) -> Result<(), ShapeError> {
+fn check_numbers(body: &Body) -> Result<(), ValidationError> {
     let numbers = [
         ("temperature", body.temperature, TEMPERATURES),
         ("top_p", body.top_p, SHARES),
@@ -235,17 +243,18 @@
     Ok(())
 }
 
-fn check_stop(stop: Option<&Texts>) -> Result<(), ShapeError> {
+fn check_stop(stop: Option<&Texts>) -> Result<(), ValidationError> {
     let count = stop.map_or(0, |stop| stop.as_slice().len());
-    if count <= MAX_STOPS {
+    if count <= MAX_STOP_SEQUENCES {
         return Ok(());
     }
-    let message = format!("has {count} sequences, more than {MAX_STOPS}");
+    let message =
+        format!("has {count} sequences, more than {MAX_STOP_SEQUENCES}");
     Err(wrong("stop", &message))
 }
 
 /// Refuses what the answer could not hold.
-fn check_served(body: &Body) -> Result<(), ShapeError> {
+fn check_served(body: &Body) -> Result<(), ValidationError> {
     for (field, count) in [("n", body.n), ("best_of", body.best_of)] {
         if let Some(count) = count.filter(|count| *count != 1) {
             let message =
@@ -278,7 +287,10 @@
     }
 }
 
-fn usage_wanted(body: &Body, is_stream: bool) -> Result<bool, ShapeError> {
+fn usage_wanted(
+    body: &Body,
+    is_stream: bool,
+) -> Result<bool, ValidationError> {
     match &body.stream_options {
         Some(_) if !is_stream => {
             Err(wrong("stream_options", "is only for a streamed answer"))
@@ -292,7 +304,7 @@
 fn token_limit(
     endpoint: Endpoint,
     body: &Body,
-) -> Result<(u32, Option<&'static str>), ShapeError> {
+) -> Result<(u32, Option<&'static str>), ValidationError> {
     let newer = match endpoint {
         Endpoint::Chat => body.max_completion_tokens,
         Endpoint::Completions => None,
@@ -307,8 +319,8 @@
         }
     }
     let default = match endpoint {
-        Endpoint::Chat => DEFAULT_CHAT_TOKENS,
-        Endpoint::Completions => DEFAULT_COMPLETION_TOKENS,
+        Endpoint::Chat => DEFAULT_CHAT_MAX_TOKENS,
+        Endpoint::Completions => DEFAULT_COMPLETION_MAX_TOKENS,
     };
     Ok((default, None))
 }
--- a/crates/entry/src/openai/answer.rs
+++ b/crates/entry/src/openai/response.rs
@@ -42,26 +42,26 @@
 }
 
 /// Names of an answer, the same in all its parts.
-pub struct AnswerShape {
+pub struct ResponseTemplate {
     endpoint: Endpoint,
     id: String,
     created: u64,
     model: String,
 }
 
-impl AnswerShape {
+impl ResponseTemplate {
     /// The names of an answer that is made now.
     pub fn new(
         endpoint: Endpoint,
         request: RequestId,
         model: &str,
-    ) -> AnswerShape {
+    ) -> ResponseTemplate {
         let prefix = match endpoint {
             Endpoint::Chat => "chatcmpl",
             Endpoint::Completions => "cmpl",
         };
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        AnswerShape {
+        ResponseTemplate {
             endpoint,
             id: format!("{prefix}-{request}"),
             created: now.map_or(0, |since| since.as_secs()),
@@ -70,7 +70,7 @@
     }
 
     /// The whole answer as one JSON object.
-    pub fn whole(
+    pub fn full_response(
         &self,
         text: &str,
         finish: FinishReason,
@@ -112,7 +112,7 @@
     }
 
     /// The parts that streamed chunks are written with.
-    pub fn chunks(&self, includes_usage: bool) -> Chunks {
+    pub fn chunk_encoder(&self, includes_usage: bool) -> ChunkEncoder {
         let object = match self.endpoint {
             Endpoint::Chat => "chat.completion.chunk",
             Endpoint::Completions => "text_completion",
@@ -127,21 +127,21 @@
         // Published: with usage asked for, each chunk but the last has null.
         let tail =
             if includes_usage { "],\"usage\":null}\n\n" } else { "]}\n\n" };
-        Chunks { endpoint: self.endpoint, head, tail, includes_usage }
+        ChunkEncoder { endpoint: self.endpoint, head, tail, includes_usage }
     }
 }
 
 /// Writes streamed chunks, each one event of one line.
-pub struct Chunks {
+pub struct ChunkEncoder {
     endpoint: Endpoint,
     head: String,
     tail: &'static str,
     includes_usage: bool,
 }
 
-impl Chunks {
+impl ChunkEncoder {
     /// The first chunk of a chat answer, which names the role.
-    pub fn opening(&self) -> Option<Vec<u8>> {
+    pub fn first_chunk(&self) -> Option<Vec<u8>> {
         match self.endpoint {
             Endpoint::Chat => {
                 let delta = "{\"role\":\"assistant\",\"content\":\"\"}";
@@ -152,7 +152,7 @@
     }
 
     /// A chunk with text.
-    pub fn text(&self, text: &str) -> Vec<u8> {
+    pub fn text_chunk(&self, text: &str) -> Vec<u8> {
         let text = json_string(text);
         let part = match self.endpoint {
             Endpoint::Chat => format!("\"delta\":{{\"content\":{text}}}"),
@@ -162,7 +162,7 @@
     }
 
     /// The last events: why it ended, the usage if asked for, the end mark.
-    pub fn closing(&self, finish: FinishReason, usage: Usage) -> Vec<u8> {
+    pub fn final_events(&self, finish: FinishReason, usage: Usage) -> Vec<u8> {
         let part = match self.endpoint {
             Endpoint::Chat => "\"delta\":{}",
             Endpoint::Completions => "\"text\":\"\"",
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -105,8 +105,10 @@
     let body = std::mem::take(&mut call.received.body);
     let request = &call.received.request;
     let method = request.method();
-    let is_once =
-        call.terms.is_non_idempotent.unwrap_or_else(|| !is_idempotent(method));
+    let is_once = call
+        .options
+        .is_non_idempotent
+        .unwrap_or_else(|| !is_idempotent(method));
     let plain_call = wire::PlainCall {
         method: method.to_string(),
         target: target(request, rest),
@@ -117,8 +119,8 @@
         request: call.request,
         service: call.service.clone(),
         account: call.account.name.clone(),
-        priority: call.terms.priority,
-        is_idempotent: !is_once && call.terms.key.is_none(),
+        priority: call.options.priority,
+        is_idempotent: !is_once && call.options.key.is_none(),
         deadline: deadline(call),
         work: JobWork::PlainCall(plain_call),
     }
--- a/crates/entry/src/terms.rs
+++ b/crates/entry/src/request_options.rs
@@ -18,7 +18,7 @@
 
 /// What the headers of a request say of how it is to be served.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Terms {
+pub struct RequestOptions {
     /// The caller's time.
     pub deadline_ms: u64,
     /// Priority among the requests of its account.
@@ -55,7 +55,7 @@
 
 impl error::Error for HeaderError {}
 
-impl Terms {
+impl RequestOptions {
     /// Reads the terms of a request.
     ///
     /// # Errors
@@ -64,8 +64,8 @@
     pub fn try_new(
         request: &Request,
         limits: DeadlineLimits,
-    ) -> Result<Terms, HeaderError> {
-        Ok(Terms {
+    ) -> Result<RequestOptions, HeaderError> {
+        Ok(RequestOptions {
             deadline_ms: deadline_ms(request, limits)?,
             priority: priority(request)?,
             is_non_idempotent: is_non_idempotent(request)?,
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     outage::Outage, peers::Peers, recent::Recent, session_event::SessionEvent,
-    stop::Stop, view::View,
+    shutdown::Stop, view::View,
 };
 
 /// Parts of the map of open requests, each under a lock of its own.
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/shutdown.rs
@@ -18,24 +18,26 @@
     close: async_channel::Sender<()>,
     closing: async_channel::Receiver<()>,
     callers: Arc<AtomicUsize>,
-    unsettled: Arc<AtomicUsize>,
+    unsettled_claims: Arc<AtomicUsize>,
 }
 
 /// What an entry still holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Left {
+pub struct RemainingWork {
     /// Requests in flight.
     pub requests: usize,
     /// Open connections of callers.
-    pub callers: usize,
+    pub connections: usize,
     /// Requests with a key whose end is not noted yet.
-    pub unsettled: usize,
+    pub unsettled_claims: usize,
 }
 
-impl Left {
+impl RemainingWork {
     /// Whether nothing is left.
     pub fn is_empty(&self) -> bool {
-        self.requests == 0 && self.callers == 0 && self.unsettled == 0
+        self.requests == 0
+            && self.connections == 0
+            && self.unsettled_claims == 0
     }
 }
 
@@ -48,7 +50,7 @@
             close,
             closing,
             callers: Arc::default(),
-            unsettled: Arc::default(),
+            unsettled_claims: Arc::default(),
         }
     }
 
@@ -85,14 +87,14 @@
 
     /// Counts a request whose end is to be noted, likewise.
     pub(crate) fn enter_unsettled(&self) -> Counted {
-        Counted::new(&self.unsettled)
+        Counted::new(&self.unsettled_claims)
     }
 
-    pub(crate) fn left(&self, requests: usize) -> Left {
-        Left {
+    pub(crate) fn remaining_work(&self, requests: usize) -> RemainingWork {
+        RemainingWork {
             requests,
-            callers: self.callers.load(Ordering::Acquire),
-            unsettled: self.unsettled.load(Ordering::Acquire),
+            connections: self.callers.load(Ordering::Acquire),
+            unsettled_claims: self.unsettled_claims.load(Ordering::Acquire),
         }
     }
 }
--- a/crates/entry/src/source.rs
+++ b/crates/entry/src/source.rs
@@ -50,7 +50,7 @@
     entry: &Arc<Shared>,
     call: &Call,
 ) -> Option<KeyedRequest> {
-    let key = call.terms.key.as_ref()?;
+    let key = call.options.key.as_ref()?;
     let account = &call.account.name;
     let digest = digest(call);
     Some(KeyedRequest::new(entry, account, key, digest, call.request))
--- a/crates/entry/tests/api/connections.rs
+++ b/crates/entry/tests/api/connections.rs
@@ -84,7 +84,7 @@
     let mut during = stage.caller();
     during.send(&whole());
     stage.side.next_run();
-    stage.entry.set_leaving(true);
+    stage.entry.set_draining(true);
     stage.side.go_on(&[Reply::Accept, Reply::Token("a"), Reply::Finish]);
     let answer = during.answer(&whole());
     assert_eq!((answer.status, answer.is_whole), (200, true));
--- a/crates/entry/tests/fuzz.rs
+++ b/crates/entry/tests/fuzz.rs
@@ -3,10 +3,10 @@
 //! `PROPTEST_CASES` sets the number of cases.
 
 use chestnutreach_entry::{
-    openai::{AnswerShape, Asked, Endpoint, Usage},
-    terms::{
+    openai::{Endpoint, ParsedRequest, ResponseTemplate, Usage},
+    request_options::{
         DEADLINE_HEADER, DeadlineLimits, KEY_HEADER, MAX_KEY_BYTES,
-        NON_IDEMPOTENT_HEADER, PRIORITY_HEADER, Terms,
+        NON_IDEMPOTENT_HEADER, PRIORITY_HEADER, RequestOptions,
     },
 };
 use chestnutreach_protocol::{RequestId, wire::FinishReason};
@@ -152,14 +152,14 @@
 }
 
 fn check_parse(endpoint: Endpoint, body: &[u8]) -> Result<(), TestCaseError> {
-    match Asked::try_parse(endpoint, body) {
+    match ParsedRequest::try_parse(endpoint, body) {
         Ok(mut asked) => {
             prop_assert!(asked.max_tokens >= 1);
             prop_assert!(asked.prompt_tokens_estimate >= 1);
             prop_assert!(asked.is_stream || !asked.includes_usage);
             let json: Value = serde_json::from_slice(body).unwrap();
             prop_assert_eq!(&json["model"], &asked.model);
-            if asked.fit(1_000).is_ok() {
+            if asked.limit_to_context(1_000).is_ok() {
                 prop_assert!((1..1_000).contains(&asked.max_tokens));
             }
         }
@@ -200,7 +200,7 @@
     }
     let limits = DeadlineLimits { default_ms: 500, max_ms: MAX_MS };
     let is_given = |name| headers.iter().any(|(given, _)| *given == name);
-    match Terms::try_new(&request, limits) {
+    match RequestOptions::try_new(&request, limits) {
         Ok(terms) => {
             prop_assert!((1..=MAX_MS).contains(&terms.deadline_ms));
             let is_marked = is_given(NON_IDEMPOTENT_HEADER);
@@ -294,14 +294,14 @@
         includes_usage in any::<bool>(),
     ) {
         let request = RequestId::from_u128(7);
-        let shape = AnswerShape::new(endpoint, request, &model);
-        let chunks = shape.chunks(includes_usage);
-        let mut bytes = chunks.opening().unwrap_or_default();
+        let shape = ResponseTemplate::new(endpoint, request, &model);
+        let chunks = shape.chunk_encoder(includes_usage);
+        let mut bytes = chunks.first_chunk().unwrap_or_default();
         for text in &texts {
-            bytes.extend(chunks.text(text));
+            bytes.extend(chunks.text_chunk(text));
         }
         let usage = Usage::new(1, 0, texts.len() as u32);
-        bytes.extend(chunks.closing(FinishReason::Stop, usage));
+        bytes.extend(chunks.final_events(FinishReason::Stop, usage));
         let stream = String::from_utf8(bytes).expect("UTF-8");
         let events = stream.strip_suffix("data: [DONE]\n\n").expect("its end");
         let mut read = String::new();
--- a/crates/entry/tests/openai.rs
+++ b/crates/entry/tests/openai.rs
@@ -1,8 +1,8 @@
 //! Published shapes of requests and answers.
 
 use chestnutreach_entry::openai::{
-    AnswerShape, Asked, Endpoint, Usage,
-    request::{DEFAULT_CHAT_TOKENS, DEFAULT_COMPLETION_TOKENS},
+    Endpoint, ParsedRequest, ResponseTemplate, Usage,
+    request::{DEFAULT_CHAT_MAX_TOKENS, DEFAULT_COMPLETION_MAX_TOKENS},
 };
 use chestnutreach_protocol::{RequestId, wire::FinishReason};
 use serde_json::{Value, json};
@@ -220,8 +220,9 @@
 #[test]
 fn wrong_bodies_are_refused_by_the_name_of_the_field() {
     for case in REFUSED {
-        let error = Asked::try_parse(case.endpoint, case.body.as_bytes())
-            .expect_err(case.body);
+        let error =
+            ParsedRequest::try_parse(case.endpoint, case.body.as_bytes())
+                .expect_err(case.body);
         let param = error.param.as_deref();
         assert_eq!(param, case.param, "{}: {error}", case.body);
         assert!(error.message.contains(case.says), "{}: {error}", case.body);
@@ -240,7 +241,7 @@
         b"{\"model\":\"\xff\"}",
     ];
     for body in cases {
-        assert!(Asked::try_parse(Chat, body).is_err());
+        assert!(ParsedRequest::try_parse(Chat, body).is_err());
     }
 }
 
@@ -280,7 +281,7 @@
         Accepted {
             endpoint: Chat,
             body,
-            max_tokens: DEFAULT_CHAT_TOKENS,
+            max_tokens: DEFAULT_CHAT_MAX_TOKENS,
             max_tokens_field: None,
             is_stream: false,
             includes_usage: false,
@@ -291,7 +292,7 @@
         Accepted {
             endpoint: Completions,
             body: merged(json!({"model": "m", "prompt": "hi"}), more),
-            max_tokens: DEFAULT_COMPLETION_TOKENS,
+            max_tokens: DEFAULT_COMPLETION_MAX_TOKENS,
             ..Accepted::chat(json!({}))
         }
     }
@@ -354,7 +355,7 @@
     ];
     for case in cases {
         let text = case.body.to_string();
-        let asked = Asked::try_parse(case.endpoint, text.as_bytes());
+        let asked = ParsedRequest::try_parse(case.endpoint, text.as_bytes());
         let asked = asked.unwrap_or_else(|e| panic!("{text}: {e}"));
         assert_eq!(asked.model, "m", "{text}");
         assert_eq!(asked.max_tokens, case.max_tokens, "{text}");
@@ -379,7 +380,7 @@
         Fit {
             more: json!({}),
             max_context_tokens: 4_096,
-            expected: Ok(DEFAULT_CHAT_TOKENS),
+            expected: Ok(DEFAULT_CHAT_MAX_TOKENS),
         },
         // A default is nobody's wish and gives way.
         Fit { more: json!({}), max_context_tokens: 512, expected: Ok(511) },
@@ -401,16 +402,17 @@
     ];
     for case in cases {
         let body = chat(case.more);
-        let mut asked = Asked::try_parse(Chat, body.as_bytes()).unwrap();
-        let fitted = asked.fit(case.max_context_tokens);
+        let mut asked =
+            ParsedRequest::try_parse(Chat, body.as_bytes()).unwrap();
+        let fitted = asked.limit_to_context(case.max_context_tokens);
         let fitted = fitted.map(|()| asked.max_tokens);
         let param = fitted.map_err(|e| e.param.unwrap_or_default());
         assert_eq!(param, case.expected.map_err(str::to_owned), "{body}");
     }
 }
 
-fn shape(endpoint: Endpoint) -> AnswerShape {
-    AnswerShape::new(endpoint, RequestId::from_u128(7), "desk \"llm\"")
+fn shape(endpoint: Endpoint) -> ResponseTemplate {
+    ResponseTemplate::new(endpoint, RequestId::from_u128(7), "desk \"llm\"")
 }
 
 fn usage() -> Usage {
@@ -419,13 +421,15 @@
 
 #[test]
 fn whole_answers_have_the_published_fields() {
-    let chat = shape(Chat).whole("a\"b", FinishReason::Length, usage());
+    let chat =
+        shape(Chat).full_response("a\"b", FinishReason::Length, usage());
     let message =
         json!({"role": "assistant", "content": "a\"b", "refusal": null});
     assert_eq!(chat["object"], "chat.completion");
     assert_eq!(chat["choices"][0]["message"], message);
     assert_eq!(chat["choices"][0]["finish_reason"], "length");
-    let text = shape(Completions).whole("ab", FinishReason::Stop, usage());
+    let text =
+        shape(Completions).full_response("ab", FinishReason::Stop, usage());
     assert_eq!(text["object"], "text_completion");
     assert_eq!(text["choices"][0]["text"], "ab");
     assert_eq!(text["choices"][0]["finish_reason"], "stop");
@@ -448,12 +452,12 @@
     texts: &[&str],
     includes_usage: bool,
 ) -> Vec<Value> {
-    let chunks = shape(endpoint).chunks(includes_usage);
-    let mut bytes = chunks.opening().unwrap_or_default();
+    let chunks = shape(endpoint).chunk_encoder(includes_usage);
+    let mut bytes = chunks.first_chunk().unwrap_or_default();
     for text in texts {
-        bytes.extend(chunks.text(text));
+        bytes.extend(chunks.text_chunk(text));
     }
-    bytes.extend(chunks.closing(FinishReason::Stop, usage()));
+    bytes.extend(chunks.final_events(FinishReason::Stop, usage()));
     let text = String::from_utf8(bytes).unwrap();
     let body = text.strip_suffix("data: [DONE]\n\n").unwrap();
     let events = body.split_terminator("\n\n");
