--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -16,15 +16,15 @@
 use http_types::{Method, Request, Response, StatusCode};
 
 use crate::{
-    answer::{self, REQUEST_HEADER},
     call::Call,
+    error_response::{self, REQUEST_HEADER},
     language, models,
     openai::Endpoint,
     plain,
     request_options::{DeadlineLimits, RequestOptions},
-    session::Ending,
+    session::RequestFailure,
     shared::Shared,
-    shutdown::Counted,
+    shutdown::CountGuard,
     view::{AccountView, ServiceView, View},
 };
 
@@ -35,53 +35,53 @@
 /// Path of the list of models, and prefix of each.
 const MODELS_PATH: &str = "/v1/models";
 /// Most connections taken over from the system when a port closes.
-const MAX_WAITING: usize = 1_024;
+const MAX_PENDING_CONNECTIONS: usize = 1_024;
 /// Wait after the system refuses a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves callers until the entry takes no more of them.
 pub(crate) async fn serve(entry: Arc<Shared>, listener: Async<TcpListener>) {
     loop {
         let accepted = async { Some(listener.accept().await) };
         let closing = async {
-            let _ = entry.stop.closing().recv().await;
+            let _ = entry.shutdown.closing().recv().await;
             None
         };
         match closing.or(accepted).await {
-            Some(Ok((socket, _))) => spawn_caller(&entry, socket),
+            Some(Ok((socket, _))) => spawn_connection(&entry, socket),
             Some(Err(e)) => {
                 emit(Event::AcceptFailed, &[("port", &"http"), ("error", &e)]);
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
             None => break,
         }
     }
     // Those that the system has taken already would be reset with the port.
-    for _ in 0..MAX_WAITING {
+    for _ in 0..MAX_PENDING_CONNECTIONS {
         let Ok((socket, _)) = listener.get_ref().accept() else {
             break;
         };
         if let Ok(socket) = Async::new(socket) {
-            spawn_caller(&entry, socket);
+            spawn_connection(&entry, socket);
         }
     }
 }
 
-fn spawn_caller(entry: &Arc<Shared>, socket: Async<TcpStream>) {
-    let counted = entry.stop.enter_caller();
-    let task = serve_caller(entry.clone(), socket, counted);
+fn spawn_connection(entry: &Arc<Shared>, socket: Async<TcpStream>) {
+    let guard = entry.shutdown.count_connection();
+    let task = handle_connection(entry.clone(), socket, guard);
     entry.spawn(task);
 }
 
-async fn serve_caller(
+async fn handle_connection(
     entry: Arc<Shared>,
     socket: Async<TcpStream>,
-    _counted: Counted,
+    _guard: CountGuard,
 ) {
     let options = ServerOptions::new()
         .max_body_bytes(entry.settings.max_body_bytes)
-        .error_response(answer::http_refusal)
-        .closing(entry.stop.closing().clone());
+        .error_response(error_response::http_error)
+        .closing(entry.shutdown.closing().clone());
     entry.metrics.caller_connections.inc();
     let served = serve_connection(socket, &options, |received| {
         let entry = entry.clone();
@@ -105,7 +105,7 @@
         let request = arrival.request.to_string();
         response.insert_header(REQUEST_HEADER, request);
     }
-    if entry.stop.is_leaving() {
+    if entry.shutdown.is_draining() {
         response.insert_header("connection", "close");
     }
     response
@@ -118,16 +118,16 @@
     arrived: Instant,
 }
 
-type Routed = Result<Response, Box<Response>>;
+type RouteResult = Result<Response, Box<Response>>;
 
 async fn route(
     entry: &Arc<Shared>,
     received: Received,
     arrival: Arrival,
-) -> Routed {
+) -> RouteResult {
     let view = entry.view.load_full();
     if view.generation == 0 {
-        return Err(no_manifest(entry, arrival));
+        return Err(no_manifest_response(entry, arrival));
     }
     let path = received.request.url().path().to_owned();
     let method = received.request.method();
@@ -137,21 +137,21 @@
         "/v1/completions" => Endpoint::Completions,
         other => {
             if let Some(model) = model_path(other) {
-                only(method, &GET_ONLY)?;
-                return tell_models(&view, &account, model);
+                check_method(method, &GET_ONLY)?;
+                return serve_models(&view, &account, model);
             }
             let (service, rest) = view
                 .plain(other)
                 .ok_or_else(|| not_found("not_found", other))?;
-            let service = allowed(&account, service)?;
+            let service = check_access(&account, service)?;
             plain::refuse_tunnel(method)?;
             let rest = rest.to_owned();
             let call = admit(entry, account, service, received, arrival)?;
             return plain::serve(entry, call, &rest).await;
         }
     };
-    only(method, &POST_ONLY)?;
-    complete(entry, &view, account, endpoint, received, arrival).await
+    check_method(method, &POST_ONLY)?;
+    serve_completion(entry, &view, account, endpoint, received, arrival).await
 }
 
 /// The model that a path below the list of models names, if it is one;
@@ -164,7 +164,11 @@
     rest.strip_prefix('/')
 }
 
-fn tell_models(view: &View, account: &AccountView, model: &str) -> Routed {
+fn serve_models(
+    view: &View,
+    account: &AccountView,
+    model: &str,
+) -> RouteResult {
     if model.is_empty() {
         return Ok(models::list(view, account));
     }
@@ -172,26 +176,26 @@
     let service = view
         .model(&model)
         .ok_or_else(|| not_found("model_not_found", &model))?;
-    let service = allowed(account, service)?;
+    let service = check_access(account, service)?;
     Ok(models::one(&model, &service))
 }
 
-async fn complete(
+async fn serve_completion(
     entry: &Arc<Shared>,
     view: &View,
     account: Arc<AccountView>,
     endpoint: Endpoint,
     received: Received,
     arrival: Arrival,
-) -> Routed {
-    let mut asked = language::parse(endpoint, &received.body)?;
+) -> RouteResult {
+    let mut parsed = language::parse(endpoint, &received.body)?;
     let service = view
-        .model(&asked.model)
-        .ok_or_else(|| not_found("model_not_found", &asked.model))?;
-    let service = allowed(&account, service)?;
-    language::fit(&mut asked, &service)?;
+        .model(&parsed.model)
+        .ok_or_else(|| not_found("model_not_found", &parsed.model))?;
+    let service = check_access(&account, service)?;
+    language::limit_to_context(&mut parsed, &service)?;
     let call = admit(entry, account, service, received, arrival)?;
-    language::serve(entry, call, endpoint, asked).await
+    language::serve(entry, call, endpoint, parsed).await
 }
 
 /// Reads the terms of a request and counts it against this VM's limit.
@@ -208,31 +212,40 @@
     };
     let options =
         RequestOptions::try_new(&received.request, limits).map_err(|e| {
-            answer::bad_request("invalid_header", Some(e.name), &e.message)
+            error_response::bad_request(
+                "invalid_header",
+                Some(e.name),
+                &e.message,
+            )
         })?;
     let Arrival { request, arrived } = arrival;
     if entry.is_full() {
         let detail = "this VM has as many requests in flight as it may";
-        return Err(come_back(entry, NotRunReason::Full, arrival, detail));
+        return Err(not_run_response(
+            entry,
+            NotRunReason::Full,
+            arrival,
+            detail,
+        ));
     }
     Ok(Call { received, account, service, options, request, arrived })
 }
 
 /// Without a manifest nobody can tell whether a key is right.
-fn no_manifest(entry: &Shared, arrival: Arrival) -> Box<Response> {
+fn no_manifest_response(entry: &Shared, arrival: Arrival) -> Box<Response> {
     let detail = "no manifest is in force on this VM yet";
-    come_back(entry, NotRunReason::NoChain, arrival, detail)
+    not_run_response(entry, NotRunReason::NoChain, arrival, detail)
 }
 
-fn come_back(
+fn not_run_response(
     entry: &Shared,
     reason: NotRunReason,
     arrival: Arrival,
     detail: &str,
 ) -> Box<Response> {
-    let retry_after_ms = Some(entry.come_back_ms());
-    let ending = Ending::not_run(reason, retry_after_ms, detail);
-    answer::ended(&ending, Some(arrival.request), true)
+    let retry_after_ms = Some(entry.retry_after_ms());
+    let failure = RequestFailure::not_run(reason, retry_after_ms, detail);
+    error_response::for_failure(&failure, Some(arrival.request), true)
 }
 
 fn authenticate(
@@ -242,7 +255,7 @@
     let account =
         bearer_key(request).and_then(|key| view.account(&key_digest(key)));
     account.cloned().ok_or_else(|| {
-        let mut response = answer::refusal(
+        let mut response = error_response::refusal(
             StatusCode::Unauthorized,
             "invalid_request_error",
             "invalid_api_key",
@@ -262,14 +275,14 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
-fn allowed(
+fn check_access(
     account: &AccountView,
     service: &Arc<ServiceView>,
 ) -> Result<Arc<ServiceView>, Box<Response>> {
     if account.account.services.contains(&service.name) {
         return Ok(service.clone());
     }
-    Err(answer::refusal(
+    Err(error_response::refusal(
         StatusCode::Forbidden,
         "invalid_request_error",
         "service_not_allowed",
@@ -279,7 +292,10 @@
 }
 
 /// Refuses another method than those served, and answers `OPTIONS`.
-fn only(method: Method, served: &[Method]) -> Result<(), Box<Response>> {
+fn check_method(
+    method: Method,
+    served: &[Method],
+) -> Result<(), Box<Response>> {
     let allow: Vec<&str> = served.iter().map(AsRef::as_ref).collect();
     let allow = allow.join(", ");
     if method == Method::Options {
@@ -290,11 +306,11 @@
     if served.contains(&method) {
         return Ok(());
     }
-    Err(answer::wrong_method(&allow))
+    Err(error_response::method_not_allowed(&allow))
 }
 
 fn not_found(code: &str, what: &str) -> Box<Response> {
-    answer::refusal(
+    error_response::refusal(
         StatusCode::NotFound,
         "invalid_request_error",
         code,
--- a/crates/entry/src/listed.rs
+++ b/crates/entry/src/draining_vms.rs
@@ -13,7 +13,7 @@
 
 /// VMs that are listed as leaving.
 #[derive(Debug, Default)]
-pub(crate) struct Listed {
+pub(crate) struct DrainingVms {
     state: Mutex<State>,
 }
 
@@ -21,40 +21,41 @@
 struct State {
     /// With the incarnation of the VM's process that was met first since the
     /// VM was listed.
-    leaving: BTreeMap<String, Option<u64>>,
-    is_down: bool,
+    draining: BTreeMap<String, Option<u64>>,
+    is_unavailable: bool,
 }
 
-impl Listed {
+impl DrainingVms {
     /// The list has been read; the VMs that it lists anew.
-    pub(crate) fn read(&self, leaving: BTreeSet<String>) -> Vec<String> {
+    pub(crate) fn update(&self, draining: BTreeSet<String>) -> Vec<String> {
         let mut state = self.lock();
-        state.is_down = false;
-        let mut old = std::mem::take(&mut state.leaving);
-        let mut fresh = Vec::new();
-        for vm in leaving {
-            let met = old.remove(&vm);
-            if met.is_none() {
-                fresh.push(vm.clone());
+        state.is_unavailable = false;
+        let mut old = std::mem::take(&mut state.draining);
+        let mut added = Vec::new();
+        for vm in draining {
+            let first_boot_id = old.remove(&vm);
+            if first_boot_id.is_none() {
+                added.push(vm.clone());
             }
-            state.leaving.insert(vm, met.flatten());
+            state.draining.insert(vm, first_boot_id.flatten());
         }
-        fresh
+        added
     }
 
     /// The list could not be read.
-    pub(crate) fn lost(&self) {
-        self.lock().is_down = true;
+    pub(crate) fn mark_unavailable(&self) {
+        self.lock().is_unavailable = true;
     }
 
     /// Whether a process is on a VM that is believed to leave.
-    pub(crate) fn is_leaving(&self, peer: &Hello) -> bool {
+    pub(crate) fn is_draining(&self, peer: &Hello) -> bool {
         let mut state = self.lock();
-        let is_down = state.is_down;
-        let Some(met) = state.leaving.get_mut(&peer.vm) else {
+        let is_unavailable = state.is_unavailable;
+        let Some(first_boot_id) = state.draining.get_mut(&peer.vm) else {
             return false;
         };
-        *met.get_or_insert(peer.boot_id) == peer.boot_id || !is_down
+        *first_boot_id.get_or_insert(peer.boot_id) == peer.boot_id
+            || !is_unavailable
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/error_response.rs
@@ -5,7 +5,7 @@
 use chestnutreach_state::{NotRunReason, Outcome};
 use http_types::{Response, StatusCode};
 
-use crate::session::{Cause, Ending};
+use crate::session::{Cause, RequestFailure};
 
 /// Header that tells the outcome.
 pub(crate) const OUTCOME_HEADER: &str = "chestnutreach-outcome";
@@ -15,41 +15,41 @@
 const SHOULD_RETRY_HEADER: &str = "x-should-retry";
 
 /// The answer to a request without a whole answer.
-pub(crate) fn ended(
-    ending: &Ending,
+pub(crate) fn for_failure(
+    failure: &RequestFailure,
     request: Option<RequestId>,
     is_idempotent: bool,
 ) -> Box<Response> {
-    let mut response = Box::new(Response::new(status(ending)));
-    response.insert_header(OUTCOME_HEADER, ending.outcome.as_str());
+    let mut response = Box::new(Response::new(status(failure)));
+    response.insert_header(OUTCOME_HEADER, failure.outcome.as_str());
     if let Some(request) = request {
         response.insert_header(REQUEST_HEADER, request.to_string());
     }
-    if let Some(after_ms) = ending.retry_after_ms {
+    if let Some(after_ms) = failure.retry_after_ms {
         let after_s = after_ms.div_ceil(1_000).max(1);
         response.insert_header("retry-after", after_s.to_string());
         response.insert_header("retry-after-ms", after_ms.to_string());
     }
-    let again = may_ask_again(ending, is_idempotent);
-    response.insert_header(SHOULD_RETRY_HEADER, again.to_string());
-    response.set_body(error_object(ending).to_string());
+    let should_retry = may_retry(failure, is_idempotent);
+    response.insert_header(SHOULD_RETRY_HEADER, should_retry.to_string());
+    response.set_body(error_object(failure).to_string());
     response.insert_header("content-type", "application/json");
     response
 }
 
 /// Whether the same request may be sent again by itself.
-fn may_ask_again(ending: &Ending, is_idempotent: bool) -> bool {
-    match ending.outcome {
+fn may_retry(failure: &RequestFailure, is_idempotent: bool) -> bool {
+    match failure.outcome {
         Outcome::Completed => false,
         Outcome::NotRun { retry_after_ms, .. } => retry_after_ms.is_some(),
-        Outcome::Failed => is_idempotent && ending.cause != Cause::Request,
+        Outcome::Failed => is_idempotent && failure.cause != Cause::Request,
         Outcome::Unknown => is_idempotent,
     }
 }
 
 /// The published error object, with the outcome beside it.
-pub(crate) fn error_object(ending: &Ending) -> serde_json::Value {
-    let (kind, code) = match ending.outcome {
+pub(crate) fn error_object(failure: &RequestFailure) -> serde_json::Value {
+    let (kind, code) = match failure.outcome {
         Outcome::NotRun { reason: NotRunReason::BadRequest, .. } => {
             ("invalid_request_error", "bad_request")
         }
@@ -60,18 +60,18 @@
     };
     serde_json::json!({
         "error": {
-            "message": ending.detail,
+            "message": failure.detail,
             "type": kind,
             "param": null,
             "code": code,
-            "outcome": ending.outcome.as_str(),
-            "retry_after_ms": ending.retry_after_ms,
+            "outcome": failure.outcome.as_str(),
+            "retry_after_ms": failure.retry_after_ms,
         }
     })
 }
 
-fn status(ending: &Ending) -> StatusCode {
-    match (ending.outcome, ending.cause) {
+fn status(failure: &RequestFailure) -> StatusCode {
+    match (failure.outcome, failure.cause) {
         (Outcome::NotRun { reason, .. }, _) => match reason {
             NotRunReason::BadRequest => StatusCode::BadRequest,
             NotRunReason::ShareUsed => StatusCode::TooManyRequests,
@@ -126,7 +126,7 @@
 }
 
 /// The refusal of a method; `allow` names those that are served.
-pub(crate) fn wrong_method(allow: &str) -> Box<Response> {
+pub(crate) fn method_not_allowed(allow: &str) -> Box<Response> {
     let mut response = refusal(
         StatusCode::MethodNotAllowed,
         "invalid_request_error",
@@ -139,7 +139,7 @@
 }
 
 /// The answer to a request that the HTTP layer refuses.
-pub(crate) fn http_refusal(error: &RequestError) -> Response {
+pub(crate) fn http_error(error: &RequestError) -> Response {
     let status =
         StatusCode::try_from(error.status).unwrap_or(StatusCode::BadRequest);
     let kind = "invalid_request_error";
--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/failure.rs
@@ -5,7 +5,7 @@
 
 /// Why a request has no whole answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Ending {
+pub(crate) struct RequestFailure {
     pub(crate) outcome: Outcome,
     pub(crate) cause: Cause,
     /// When to come back; none where it will not help.
@@ -14,7 +14,7 @@
     pub(crate) detail: String,
     /// What operators are told beside it: names and addresses that are no
     /// caller's business.
-    pub(crate) note: String,
+    pub(crate) operator_detail: String,
 }
 
 /// What ended a request that may have begun.
@@ -28,45 +28,64 @@
     Backend,
 }
 
-impl Ending {
+impl RequestFailure {
     pub(crate) fn not_run(
         reason: NotRunReason,
         retry_after_ms: Option<u64>,
         detail: &str,
-    ) -> Ending {
+    ) -> RequestFailure {
         let outcome = Outcome::NotRun { reason, retry_after_ms };
-        Ending::new(outcome, Cause::Backend, detail)
+        RequestFailure::new(outcome, Cause::Backend, detail)
     }
 
-    pub(crate) fn failed(detail: &str) -> Ending {
-        Ending::new(Outcome::Failed, Cause::Backend, detail)
+    pub(crate) fn failed(detail: &str) -> RequestFailure {
+        RequestFailure::new(Outcome::Failed, Cause::Backend, detail)
     }
 
-    pub(super) fn new(outcome: Outcome, cause: Cause, detail: &str) -> Ending {
+    pub(super) fn new(
+        outcome: Outcome,
+        cause: Cause,
+        detail: &str,
+    ) -> RequestFailure {
         let retry_after_ms = match outcome {
             Outcome::NotRun { retry_after_ms, .. } => retry_after_ms,
             _ => None,
         };
         let detail = detail.to_owned();
-        let note = String::new();
-        Ending { outcome, cause, retry_after_ms, detail, note }
+        let operator_detail = String::new();
+        RequestFailure {
+            outcome,
+            cause,
+            retry_after_ms,
+            detail,
+            operator_detail,
+        }
     }
 
     /// Adds what operators are told.
-    pub(super) fn note(mut self, note: &str) -> Ending {
-        self.note = note.to_owned();
+    pub(super) fn with_operator_detail(
+        mut self,
+        operator_detail: &str,
+    ) -> RequestFailure {
+        self.operator_detail = operator_detail.to_owned();
         self
     }
 
     /// Sets when to come back after an answer that broke off.
-    pub(super) fn retry_after_ms(mut self, after_ms: u64) -> Ending {
+    pub(super) fn with_retry_after_ms(
+        mut self,
+        after_ms: u64,
+    ) -> RequestFailure {
         self.retry_after_ms = Some(after_ms);
         self
     }
 
     /// An idempotent request that may have run may be sent again: tells when,
     /// unless it is known or will not help.
-    pub(super) fn worth_coming_back(mut self, after_ms: u64) -> Ending {
+    pub(super) fn with_default_retry_after_ms(
+        mut self,
+        after_ms: u64,
+    ) -> RequestFailure {
         let may_have_run =
             matches!(self.outcome, Outcome::Failed | Outcome::Unknown);
         if may_have_run && self.cause != Cause::Request {
@@ -76,7 +95,7 @@
     }
 
     /// A non-idempotent request that may have run must not be sent again.
-    pub(super) fn without_coming_back(mut self) -> Ending {
+    pub(super) fn without_retry_after_ms(mut self) -> RequestFailure {
         if !matches!(self.outcome, Outcome::NotRun { .. }) {
             self.retry_after_ms = None;
         }
@@ -85,7 +104,7 @@
 }
 
 /// What a caller is told of a failure.
-pub(super) fn failure_words(reason: FailureReason) -> &'static str {
+pub(super) fn failure_message(reason: FailureReason) -> &'static str {
     match reason {
         FailureReason::BackendError => "a backend server failed",
         FailureReason::BackendSilent => "a backend server did not answer",
@@ -101,7 +120,7 @@
 }
 
 /// What a caller is told of a refusal.
-pub(super) fn refusal_words(reason: RefusalReason) -> &'static str {
+pub(super) fn refusal_message(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Full | RefusalReason::TableFull => {
             "no backend server has room"
--- a/crates/entry/src/key_hold.rs
+++ b/crates/entry/src/key_claim.rs
@@ -13,13 +13,13 @@
 use chestnutreach_state::NotRunReason;
 use chestnutreach_telemetry::{Event, emit, metrics::ClaimResult};
 
-use crate::{ending::Ending, shared::Shared};
+use crate::{failure::RequestFailure, shared::Shared};
 
 /// How long a key and its answer are kept.
-const KEEP_S: u64 = 24 * 60 * 60;
+const CLAIM_RETENTION_S: u64 = 24 * 60 * 60;
 /// Tries to note how a request ended, and the wait between them.
-const NOTE_TRIES: u32 = 5;
-const NOTE_WAIT: Duration = Duration::from_secs(1);
+const RECORD_ATTEMPTS: u32 = 5;
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The key of a request and its claim.
 pub(crate) struct KeyedRequest {
@@ -31,17 +31,17 @@
     /// The claim as it was written last, once it is held.
     claim: Option<Claim>,
     /// The claim of an earlier request that this one takes over.
-    replaces: Option<Claim>,
+    replaced_claim: Option<Claim>,
 }
 
 /// Answer to the wish to hold a key.
-pub(crate) enum Hold {
+pub(crate) enum AcquireResult {
     /// The claim names this side process; the request may be sent to it.
-    Mine,
+    Available,
     /// An earlier request holds it.
-    Held(Box<Claim>),
+    HeldByOther(Box<Claim>),
     /// The request ends.
-    Ended(Ending),
+    Failed(RequestFailure),
 }
 
 impl KeyedRequest {
@@ -61,7 +61,7 @@
             request,
             account: account.to_owned(),
             claim: None,
-            replaces: None,
+            replaced_claim: None,
         }
     }
 
@@ -71,9 +71,12 @@
     }
 
     /// Has the claim name the side process of `first`.
-    pub(crate) async fn hold(&mut self, first: &wire::Stage) -> Hold {
+    pub(crate) async fn acquire(
+        &mut self,
+        first: &wire::Stage,
+    ) -> AcquireResult {
         let Ok(side_address) = first.side_address.parse() else {
-            return Hold::Ended(Ending::not_run(
+            return AcquireResult::Failed(RequestFailure::not_run(
                 NotRunReason::NoChain,
                 None,
                 "the side process has no address",
@@ -89,80 +92,86 @@
             side_address,
             side_boot_id: first.side_boot_id,
             state: ClaimState::Claimed,
-            expires_at_unix_s: unix_s() + KEEP_S,
+            expires_at_unix_s: unix_s() + CLAIM_RETENTION_S,
         };
         match self.claim.take() {
-            Some(held) => self.rename(held, claim).await,
-            None => self.take(claim).await,
+            Some(held) => self.update_side(held, claim).await,
+            None => self.write_claim(claim).await,
         }
     }
 
     /// Who holds the key, without claiming it: `Mine` when no earlier request
     /// does.
-    pub(crate) async fn look_up(&mut self) -> Hold {
-        if self.claim.is_some() || self.replaces.is_some() {
-            return Hold::Mine;
+    pub(crate) async fn look_up(&mut self) -> AcquireResult {
+        if self.claim.is_some() || self.replaced_claim.is_some() {
+            return AcquireResult::Available;
         }
         match self.entry.claims.read(&self.key).await {
-            Ok(Some(held)) => Hold::Held(Box::new(held)),
-            Ok(None) => Hold::Mine,
-            Err(error) => Hold::Ended(self.store_failed(&error)),
+            Ok(Some(held)) => AcquireResult::HeldByOther(Box::new(held)),
+            Ok(None) => AcquireResult::Available,
+            Err(error) => AcquireResult::Failed(self.store_failed(&error)),
         }
     }
 
     /// Takes over the claim of an earlier request, to go on as `request`.
     pub(crate) fn replace_claim(&mut self, held: Claim, request: RequestId) {
         self.request = request;
-        self.replaces = Some(held);
+        self.replaced_claim = Some(held);
     }
 
-    async fn take(&mut self, claim: Claim) -> Hold {
+    async fn write_claim(&mut self, claim: Claim) -> AcquireResult {
         let claims = &self.entry.claims;
-        let taken = match &self.replaces {
+        let written = match &self.replaced_claim {
             Some(old) => claims.replace(&self.key, old, claim.clone()).await,
             None => claims.claim(&self.key, claim.clone()).await,
         };
-        match taken {
+        match written {
             Ok(Claimed::Mine) => {
-                self.note(ClaimResult::Taken);
+                self.record_result(ClaimResult::Taken);
                 self.claim = Some(claim);
-                self.replaces = None;
-                Hold::Mine
+                self.replaced_claim = None;
+                AcquireResult::Available
             }
-            Ok(Claimed::Held(held)) => Hold::Held(Box::new(held)),
-            Err(error) => Hold::Ended(self.store_failed(&error)),
+            Ok(Claimed::Held(held)) => {
+                AcquireResult::HeldByOther(Box::new(held))
+            }
+            Err(error) => AcquireResult::Failed(self.store_failed(&error)),
         }
     }
 
     /// Has the claim held name another side process.
-    async fn rename(&mut self, held: Claim, claim: Claim) -> Hold {
+    async fn update_side(
+        &mut self,
+        held: Claim,
+        claim: Claim,
+    ) -> AcquireResult {
         let claim = Claim { claim_id: held.claim_id, ..claim };
         let is_same = claim.side_address == held.side_address
             && claim.side_boot_id == held.side_boot_id;
         if is_same {
             self.claim = Some(held);
-            return Hold::Mine;
+            return AcquireResult::Available;
         }
         match self.entry.claims.update(&self.key, claim.clone()).await {
             Ok(()) => {
                 self.claim = Some(claim);
-                Hold::Mine
+                AcquireResult::Available
             }
             Err(error) => {
                 // Whichever of the two the table holds, nothing was sent to
                 // either side process that has not been refused there.
                 self.claim = Some(held);
-                Hold::Ended(self.store_failed(&error))
+                AcquireResult::Failed(self.store_failed(&error))
             }
         }
     }
 
-    fn store_failed(&self, error: &ClaimError) -> Ending {
+    fn store_failed(&self, error: &ClaimError) -> RequestFailure {
         let result = match error {
             ClaimError::Ambiguous => ClaimResult::Unsettled,
             _ => ClaimResult::Refused,
         };
-        self.note(result);
+        self.record_result(result);
         emit(
             Event::ClaimUnsettled,
             &[
@@ -171,23 +180,27 @@
                 ("error", error),
             ],
         );
-        let retry_after_ms = Some(self.entry.store_outage.failed());
+        let retry_after_ms = Some(self.entry.store_outage.record_failure());
         let detail = format!("the table service: {error}");
-        Ending::not_run(NotRunReason::StoreDown, retry_after_ms, &detail)
+        RequestFailure::not_run(
+            NotRunReason::StoreDown,
+            retry_after_ms,
+            &detail,
+        )
     }
 
-    fn note(&self, result: ClaimResult) {
+    fn record_result(&self, result: ClaimResult) {
         if result == ClaimResult::Taken {
-            self.entry.store_outage.worked();
+            self.entry.store_outage.record_success();
         }
         self.entry.metrics.claim(result);
     }
 
     /// Notes how the request ended, for repeats.
-    pub(crate) async fn finish(mut self, state: ClaimState) {
+    pub(crate) async fn record_outcome(mut self, state: ClaimState) {
         let claims = &self.entry.claims;
-        for _ in 0..NOTE_TRIES {
-            let noted = match (&mut self.claim, &self.replaces) {
+        for _ in 0..RECORD_ATTEMPTS {
+            let recorded = match (&mut self.claim, &self.replaced_claim) {
                 (Some(claim), _) => {
                     claim.state = state.clone();
                     claims.update(&self.key, claim.clone()).await
@@ -198,10 +211,10 @@
                 }
                 (None, None) => return,
             };
-            match noted {
+            match recorded {
                 Ok(()) | Err(ClaimError::NotOwner { .. }) => return,
                 Err(_) => {
-                    Timer::after(NOTE_WAIT).await;
+                    Timer::after(RECORD_RETRY_INTERVAL).await;
                 }
             }
         }
@@ -217,7 +230,7 @@
 }
 
 /// When to ask again for a request that runs, spread over callers.
-pub(crate) fn in_progress_ms() -> u64 {
+pub(crate) fn in_progress_retry_ms() -> u64 {
     fastrand::u64(500..=1_500)
 }
 
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -19,11 +19,11 @@
 use chestnutreach_telemetry::metrics::ClaimResult;
 
 use crate::{
-    ending::Ending,
-    kept::{Recorder, replay},
-    key_hold::{KeyedRequest, in_progress_ms, unix_s},
+    failure::RequestFailure,
+    key_claim::{KeyedRequest, in_progress_retry_ms, unix_s},
     session::{Job, Progress, Session},
     shared::Shared,
+    stored_response::{ResponseRecorder, replay},
 };
 
 /// Starts a keyed request; what happens to it comes over the channel.
@@ -48,33 +48,35 @@
     keyed: KeyedRequest,
     sender: &async_channel::Sender<Progress>,
 ) {
-    let _unsettled = entry.stop.enter_unsettled();
+    let _unsettled = entry.shutdown.count_unsettled_claim();
     let digest = keyed.digest();
     let mut session = Session::new(entry, job, Some(keyed));
-    let mut recorder = Recorder::default();
+    let mut recorder = ResponseRecorder::default();
     loop {
         let progress = session.next().await;
-        recorder.note(&progress);
+        recorder.record(&progress);
         let state = match &progress {
-            Progress::Held(claim) => {
+            Progress::KeyHeld(claim) => {
                 match resolve(entry, claim, &digest) {
-                    Resolved::Told(told) => {
-                        for progress in told {
+                    Resolution::Respond(events) => {
+                        for progress in events {
                             let _ = sender.try_send(progress);
                         }
                         return;
                     }
-                    Resolved::Run => session.take_over((**claim).clone()),
-                    Resolved::Ask => session.ask_for((**claim).clone()),
+                    Resolution::Run => session.take_over((**claim).clone()),
+                    Resolution::QuerySide => {
+                        session.query_earlier_run((**claim).clone())
+                    }
                 }
                 continue;
             }
-            Progress::Whole(finished) => {
+            Progress::Finished(finished) => {
                 let answer =
-                    std::mem::take(&mut recorder).into_answer(finished);
+                    std::mem::take(&mut recorder).into_stored_answer(finished);
                 Some(ClaimState::Completed { answer })
             }
-            Progress::Ended(ending) => match ending.outcome {
+            Progress::Failed(failure) => match failure.outcome {
                 Outcome::NotRun { .. } => Some(ClaimState::NotRun),
                 Outcome::Failed => Some(ClaimState::Failed),
                 Outcome::Unknown | Outcome::Completed => None,
@@ -88,59 +90,67 @@
         let _ = sender.try_send(progress);
         sender.close();
         if let (Some(keyed), Some(state)) = (session.take_keyed(), state) {
-            keyed.finish(state).await;
+            keyed.record_outcome(state).await;
         }
         return;
     }
 }
 
 /// What a request does whose key is held.
-enum Resolved {
+enum Resolution {
     /// It ends with this.
-    Told(Vec<Progress>),
+    Respond(Vec<Progress>),
     /// It runs, since the earlier one did not.
     Run,
     /// It asks the side process that the claim names.
-    Ask,
+    QuerySide,
 }
 
-fn resolve(entry: &Arc<Shared>, held: &Claim, digest: &[u8; 32]) -> Resolved {
+fn resolve(
+    entry: &Arc<Shared>,
+    held: &Claim,
+    digest: &[u8; 32],
+) -> Resolution {
     let identity = entry.links().identity();
-    let is_mine =
+    let is_own =
         held.entry_vm == identity.vm && held.entry_boot_id == identity.boot_id;
     let request = RequestId::from_u128(held.request);
-    let owner = match (is_mine, entry.is_registered(request)) {
+    let owner = match (is_own, entry.is_registered(request)) {
         (_, true) => Owner::Running,
         (true, false) => Owner::NotRunning,
         // Only the side process can tell whether the other entry still
         // takes the answer.
         (false, false) => Owner::Gone,
     };
-    let end = |reason, retry_after_ms, detail: &str| {
-        let ending = Ending::not_run(reason, retry_after_ms, detail);
-        Resolved::Told(vec![Progress::Ended(ending)])
+    let not_run = |reason, retry_after_ms, detail: &str| {
+        let failure = RequestFailure::not_run(reason, retry_after_ms, detail);
+        Resolution::Respond(vec![Progress::Failed(failure)])
     };
     match decide(held, digest, owner, unix_s()) {
         Repeat::Answer(answer) => {
             entry.metrics.claim(ClaimResult::Repeated);
-            Resolved::Told(replay(answer))
+            Resolution::Respond(replay(answer))
         }
         Repeat::KeyReused => {
             entry.metrics.claim(ClaimResult::KeyReused);
             let detail = "the idempotency key was used for another request";
-            end(NotRunReason::KeyReused, None, detail)
+            not_run(NotRunReason::KeyReused, None, detail)
         }
         Repeat::InProgress => {
             let detail = "a request with this idempotency key runs now";
-            end(NotRunReason::InProgress, Some(in_progress_ms()), detail)
+            not_run(
+                NotRunReason::InProgress,
+                Some(in_progress_retry_ms()),
+                detail,
+            )
         }
         Repeat::Failed => {
             let detail = "the request with this idempotency key failed \
                           after it began";
-            let ending = Ending::failed(detail);
-            Resolved::Told(vec![Progress::Ended(ending)])
+            let failure = RequestFailure::failed(detail);
+            Resolution::Respond(vec![Progress::Failed(failure)])
         }
-        Repeat::Run => Resolved::Run,
-        Repeat::AskSide { .. } => Resolved::Ask,
+        Repeat::Run => Resolution::Run,
+        Repeat::AskSide { .. } => Resolution::QuerySide,
     }
 }
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -17,16 +17,16 @@
 use http_types::{Response, StatusCode};
 
 use crate::{
-    answer::{self, OUTCOME_HEADER, REQUEST_HEADER},
     call::Call,
+    error_response::{self, OUTCOME_HEADER, REQUEST_HEADER},
     openai::{
         ChunkEncoder, Endpoint, ParsedRequest, ResponseTemplate, Usage,
         response::error_event,
     },
+    progress_source::{self, ProgressSource},
+    request_tracker::RequestTracker,
     session::{Job, JobWork, Progress},
     shared::Shared,
-    source::{self, Source},
-    tally::Tally,
     view::ServiceView,
 };
 
@@ -40,7 +40,11 @@
     body: &[u8],
 ) -> Result<ParsedRequest, Box<Response>> {
     ParsedRequest::try_parse(endpoint, body).map_err(|e| {
-        answer::bad_request("invalid_body", e.param.as_deref(), &e.message)
+        error_response::bad_request(
+            "invalid_body",
+            e.param.as_deref(),
+            &e.message,
+        )
     })
 }
 
@@ -49,8 +53,8 @@
 /// # Errors
 ///
 /// The answer that names the limit.
-pub(crate) fn fit(
-    asked: &mut ParsedRequest,
+pub(crate) fn limit_to_context(
+    parsed: &mut ParsedRequest,
     service: &ServiceView,
 ) -> Result<(), Box<Response>> {
     let ServiceKind::Language { max_context_tokens, .. } =
@@ -58,9 +62,9 @@
     else {
         return Ok(());
     };
-    asked.limit_to_context(max_context_tokens).map_err(|e| {
+    parsed.limit_to_context(max_context_tokens).map_err(|e| {
         let code = "context_length_exceeded";
-        answer::bad_request(code, e.param.as_deref(), &e.message)
+        error_response::bad_request(code, e.param.as_deref(), &e.message)
     })
 }
 
@@ -69,16 +73,16 @@
     entry: &Arc<Shared>,
     mut call: Call,
     endpoint: Endpoint,
-    asked: ParsedRequest,
+    parsed: ParsedRequest,
 ) -> Result<Response, Box<Response>> {
-    let is_once = call.options.is_non_idempotent.unwrap_or(false);
-    let is_idempotent = !is_once && call.options.key.is_none();
-    let keyed = source::key_of(entry, &call);
+    let is_non_idempotent = call.options.is_non_idempotent.unwrap_or(false);
+    let is_idempotent = !is_non_idempotent && call.options.key.is_none();
+    let keyed = progress_source::key_of(entry, &call);
     let work = JobWork::Generate {
-        model: asked.model.clone(),
+        model: parsed.model.clone(),
         request_json: std::mem::take(&mut call.received.body),
-        max_tokens: asked.max_tokens,
-        prompt_tokens_estimate: asked.prompt_tokens_estimate,
+        max_tokens: parsed.max_tokens,
+        prompt_tokens_estimate: parsed.prompt_tokens_estimate,
     };
     let job = Job {
         request: call.request,
@@ -89,56 +93,61 @@
         deadline: deadline(&call),
         work,
     };
-    let tally = Tally::new(entry, &call);
-    let source = Source::start(entry, job, keyed);
-    let shape = ResponseTemplate::new(endpoint, call.request, &asked.model);
-    let gone = hang_up(call.received.connection.clone());
-    let answering = Answering { source, gone, tally, shape, is_idempotent };
-    if asked.is_stream {
-        answering.stream(entry, &call, asked.includes_usage).await
+    let tracker = RequestTracker::new(entry, &call);
+    let source = ProgressSource::start(entry, job, keyed);
+    let template =
+        ResponseTemplate::new(endpoint, call.request, &parsed.model);
+    let disconnected = wait_for_disconnect(call.received.connection.clone());
+    let responder =
+        Responder { source, disconnected, tracker, template, is_idempotent };
+    if parsed.is_stream {
+        responder.respond_streaming(entry, &call, parsed.includes_usage).await
     } else {
-        answering.whole(&call).await
+        responder.respond(&call).await
     }
 }
 
 /// Ends when the caller hangs up. It is kept over all tokens of an answer: a
 /// new one would look at the socket each time.
-type HangUp = Pin<Box<dyn Future<Output = ()> + Send>>;
+type Disconnect = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-fn hang_up(connection: SharedStream) -> HangUp {
+fn wait_for_disconnect(connection: SharedStream) -> Disconnect {
     Box::pin(async move { connection.hung_up().await })
 }
 
 /// A request whose answer is being made.
-struct Answering {
-    source: Source,
-    gone: HangUp,
-    tally: Tally,
-    shape: ResponseTemplate,
+struct Responder {
+    source: ProgressSource,
+    disconnected: Disconnect,
+    tracker: RequestTracker,
+    template: ResponseTemplate,
     is_idempotent: bool,
 }
 
-impl Answering {
+impl Responder {
     /// Answers with one JSON object.
-    async fn whole(mut self, call: &Call) -> Result<Response, Box<Response>> {
+    async fn respond(
+        mut self,
+        call: &Call,
+    ) -> Result<Response, Box<Response>> {
         let mut text = String::new();
         loop {
             let Some(progress) = self.next().await else {
-                return Err(self.caller_gone());
+                return Err(self.record_disconnect());
             };
             match progress {
                 Progress::Token(token) => {
-                    self.tally.part(1);
+                    self.tracker.record_delivery(1);
                     text.push_str(&token.text);
                 }
-                Progress::Whole(finished) => {
-                    self.tally.completed();
-                    let object = self.shape.full_response(
+                Progress::Finished(finished) => {
+                    self.tracker.record_completed();
+                    let object = self.template.full_response(
                         &text,
                         finished.finish(),
                         usage(&finished),
                     );
-                    let mut response = self.response(call);
+                    let mut response = self.new_response(call);
                     response.insert_header(
                         OUTCOME_HEADER,
                         Outcome::Completed.as_str(),
@@ -147,43 +156,49 @@
                     response.insert_header("content-type", "application/json");
                     return Ok(response);
                 }
-                Progress::Ended(ending) => {
-                    self.tally.ended(&ending);
+                Progress::Failed(failure) => {
+                    self.tracker.record_failure(&failure);
                     let request = Some(call.request);
-                    return Err(answer::ended(
-                        &ending,
+                    return Err(error_response::for_failure(
+                        &failure,
                         request,
                         self.is_idempotent,
                     ));
                 }
-                Progress::Head(_) | Progress::Data(_) | Progress::Held(_) => {}
+                Progress::Head(_)
+                | Progress::Data(_)
+                | Progress::KeyHeld(_) => {}
             }
         }
     }
 
     /// Answers with events, once it is known that there is an answer.
-    async fn stream(
+    async fn respond_streaming(
         mut self,
         entry: &Arc<Shared>,
         call: &Call,
         includes_usage: bool,
     ) -> Result<Response, Box<Response>> {
         let Some(first) = self.next().await else {
-            return Err(self.caller_gone());
+            return Err(self.record_disconnect());
         };
-        if let Progress::Ended(ending) = &first {
-            self.tally.ended(ending);
+        if let Progress::Failed(failure) = &first {
+            self.tracker.record_failure(failure);
             let request = Some(call.request);
-            return Err(answer::ended(ending, request, self.is_idempotent));
+            return Err(error_response::for_failure(
+                failure,
+                request,
+                self.is_idempotent,
+            ));
         }
         let (writer, body) = body::channel();
-        let mut response = self.response(call);
+        let mut response = self.new_response(call);
         response.set_body(body);
         response.insert_header("content-type", "text/event-stream");
         response.insert_header("cache-control", "no-cache");
-        let stream = Stream {
-            chunks: self.shape.chunk_encoder(includes_usage),
-            answering: self,
+        let stream = EventStream {
+            encoder: self.template.chunk_encoder(includes_usage),
+            responder: self,
             writer,
         };
         entry.spawn(stream.run(first));
@@ -193,19 +208,19 @@
     /// The next progress; none when the caller has hung up.
     async fn next(&mut self) -> Option<Progress> {
         let next = async { Some(self.source.next().await) };
-        let gone = async {
-            (&mut self.gone).await;
+        let disconnected = async {
+            (&mut self.disconnected).await;
             None
         };
-        next.or(gone).await
+        next.or(disconnected).await
     }
 
-    fn caller_gone(&mut self) -> Box<Response> {
-        self.tally.caller_gone();
+    fn record_disconnect(&mut self) -> Box<Response> {
+        self.tracker.record_disconnect();
         Box::new(Response::new(StatusCode::BadRequest))
     }
 
-    fn response(&self, call: &Call) -> Response {
+    fn new_response(&self, call: &Call) -> Response {
         let mut response = Response::new(StatusCode::Ok);
         response.insert_header(REQUEST_HEADER, call.request.to_string());
         response
@@ -213,58 +228,60 @@
 }
 
 /// A streamed answer under way.
-struct Stream {
-    answering: Answering,
-    chunks: ChunkEncoder,
+struct EventStream {
+    responder: Responder,
+    encoder: ChunkEncoder,
     writer: BodyWriter,
 }
 
-impl Stream {
+impl EventStream {
     async fn run(mut self, first: Progress) {
-        if let Some(opening) = self.chunks.first_chunk() {
-            self.writer.write(opening);
+        if let Some(first_chunk) = self.encoder.first_chunk() {
+            self.writer.write(first_chunk);
         }
         let mut progress = Some(first);
         while let Some(next) = progress.take() {
             match next {
                 Progress::Token(token) => {
-                    self.answering.tally.part(1);
-                    if !self.writer.write(self.chunks.text_chunk(&token.text))
+                    self.responder.tracker.record_delivery(1);
+                    if !self.writer.write(self.encoder.text_chunk(&token.text))
                     {
                         break;
                     }
                 }
-                Progress::Whole(finished) => {
-                    self.answering.tally.completed();
+                Progress::Finished(finished) => {
+                    self.responder.tracker.record_completed();
                     let usage = usage(&finished);
-                    let closing =
-                        self.chunks.final_events(finished.finish(), usage);
-                    self.writer.write(closing);
+                    let final_events =
+                        self.encoder.final_events(finished.finish(), usage);
+                    self.writer.write(final_events);
                     self.writer.finish();
                     return;
                 }
-                Progress::Ended(ending) => {
-                    self.answering.tally.ended(&ending);
-                    let object = answer::error_object(&ending);
+                Progress::Failed(failure) => {
+                    self.responder.tracker.record_failure(&failure);
+                    let object = error_response::error_object(&failure);
                     self.writer.write(error_event(&object));
                     // Dropping the writer unfinished breaks the body off: an
                     // answer that is not whole must not look like one.
                     return;
                 }
-                Progress::Head(_) | Progress::Data(_) | Progress::Held(_) => {}
+                Progress::Head(_)
+                | Progress::Data(_)
+                | Progress::KeyHeld(_) => {}
             }
             progress = self.next().await;
         }
-        self.answering.tally.caller_gone();
+        self.responder.tracker.record_disconnect();
     }
 
     /// The next progress; none when the caller has gone.
     async fn next(&mut self) -> Option<Progress> {
-        let unread = async {
+        let reader_gone = async {
             self.writer.reader_gone().await;
             None
         };
-        self.answering.next().or(unread).await
+        self.responder.next().or(reader_gone).await
     }
 }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -25,30 +25,30 @@
 //! | `outage` | how long the platform's store has been failing |
 //! | `answer` | outcomes as statuses, headers and error objects |
 
-mod answer;
 mod api;
 mod call;
-mod ending;
-mod kept;
-mod key_hold;
+mod draining_vms;
+mod error_response;
+mod failure;
+mod key_claim;
 mod keyed;
 mod language;
-mod listed;
 mod models;
 pub mod node;
 pub mod openai;
 mod outage;
-mod peers;
 mod plain;
-mod recent;
+mod progress_source;
+mod recent_requests;
 pub mod request_options;
+mod request_tracker;
 mod session;
 mod session_event;
 mod shared;
 pub mod shutdown;
-mod sides;
-mod source;
-mod tally;
+mod side_links;
+mod side_registry;
+mod stored_response;
 mod view;
 
 pub use node::{Entry, EntryParts};
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -79,40 +79,40 @@
         );
         shared.view.store(Arc::new(view));
         shared.links().set_generation(generation);
-        shared.follow_sides();
+        shared.update_side_links();
     }
 
     /// Takes over which VMs the platform lists as leaving; none when the
     /// list does not answer.
     pub fn set_draining_vms(&self, vms: Option<BTreeSet<String>>) {
-        self.shared.vms_leaving(vms);
+        self.shared.update_draining_vms(vms);
     }
 
     /// Closes callers' connections after their next answer from now on.
     pub fn set_draining(&self, is_draining: bool) {
-        self.shared.stop.set_leaving(is_draining);
+        self.shared.shutdown.set_draining(is_draining);
     }
 
     /// Whether the process is leaving.
     pub fn is_draining(&self) -> bool {
-        self.shared.stop.is_leaving()
+        self.shared.shutdown.is_draining()
     }
 
     /// Takes no more connections of callers, and closes those without a
     /// request, for good.
     pub fn stop_accepting(&self) {
-        self.shared.stop.close_callers();
+        self.shared.shutdown.stop_accepting();
     }
 
     /// What is still to be waited for before the process may end.
     pub fn remaining_work(&self) -> RemainingWork {
-        self.shared.stop.remaining_work(self.in_flight())
+        self.shared.shutdown.remaining_work(self.in_flight())
     }
 
     /// Ends every request that is open with the outcome that is known.
     pub fn abort_requests(&self) {
-        self.shared.stop.set_cut();
-        self.shared.tell_sessions(|| SessionEvent::Cut);
+        self.shared.shutdown.set_aborting();
+        self.shared.notify_sessions(|| SessionEvent::Abort);
     }
 
     /// Requests in flight.
@@ -137,7 +137,7 @@
             "is_leaving": self.is_draining(),
             "in_flight": self.in_flight(),
             "unsettled": self.remaining_work().unsettled_claims,
-            "entry_count": self.shared.peers.entry_count(),
+            "entry_count": self.shared.side_registry.entry_count(),
             "services": services,
         })
     }
@@ -155,7 +155,7 @@
     /// The choices made for a request, as JSON; none when it is not one of
     /// the last requests of this process.
     pub fn recent_choices(&self, request: RequestId) -> Option<String> {
-        self.shared.recent.explain(request)
+        self.shared.recent_requests.explain(request)
     }
 
     /// Explains the choice for a described request, as JSON.
@@ -175,10 +175,11 @@
         let policy = self.shared.policy();
         let now_ms = self.shared.clock.now_ms();
         let (fleet, live) = (&service.fleet, &service.live);
-        let need = ChainRequest::new(fleet, live, shape, &policy, now_ms)
-            .entry_data_centre(service.data_centre);
+        let chain_request =
+            ChainRequest::new(fleet, live, shape, &policy, now_ms)
+                .entry_data_centre(service.data_centre);
         let rng = &mut fastrand::Rng::new();
-        let explanation = chestnutreach_routing::explain(&need, rng);
+        let explanation = chestnutreach_routing::explain(&chain_request, rng);
         serde_json::to_string(&explanation).map_err(|e| e.to_string())
     }
 }
--- a/crates/entry/src/openai/request.rs
+++ b/crates/entry/src/openai/request.rs
@@ -18,9 +18,9 @@
 /// Bytes of text that count as a token in estimates.
 const BYTES_PER_TOKEN: usize = 4;
 
-const TEMPERATURES: RangeInclusive<f64> = 0.0..=2.0;
-const SHARES: RangeInclusive<f64> = 0.0..=1.0;
-const PENALTIES: RangeInclusive<f64> = -2.0..=2.0;
+const TEMPERATURE_RANGE: RangeInclusive<f64> = 0.0..=2.0;
+const TOP_P_RANGE: RangeInclusive<f64> = 0.0..=1.0;
+const PENALTY_RANGE: RangeInclusive<f64> = -2.0..=2.0;
 
 const ROLES: [&str; 6] =
     ["assistant", "developer", "function", "system", "tool", "user"];
@@ -73,16 +73,16 @@
     ) -> Result<ParsedRequest, ValidationError> {
         let mut body = parse(body)?;
         let model =
-            body.model.take().ok_or_else(|| wrong("model", "is missing"))?;
+            body.model.take().ok_or_else(|| invalid("model", "is missing"))?;
         let prompt_bytes = match endpoint {
             Endpoint::Chat => chat_bytes(body.messages.as_deref())?,
             Endpoint::Completions => prompt_bytes(body.prompt.as_ref())?,
         };
         check_numbers(&body)?;
         check_stop(body.stop.as_ref())?;
-        check_served(&body)?;
+        check_supported(&body)?;
         let is_stream = body.stream.unwrap_or(false);
-        let includes_usage = usage_wanted(&body, is_stream)?;
+        let includes_usage = wants_usage(&body, is_stream)?;
         let (max_tokens, max_tokens_field) = token_limit(endpoint, &body)?;
         Ok(ParsedRequest {
             model,
@@ -116,11 +116,11 @@
              the model's context",
             self.max_tokens
         );
-        Err(wrong(field, &message))
+        Err(invalid(field, &message))
     }
 }
 
-fn wrong(param: &str, message: &str) -> ValidationError {
+fn invalid(param: &str, message: &str) -> ValidationError {
     ValidationError {
         param: Some(param.to_owned()),
         message: format!("{param}: {message}"),
@@ -147,15 +147,16 @@
     if path == "." || !error.inner().is_data() {
         return ValidationError { param: None, message };
     }
-    wrong(&path, &message)
+    invalid(&path, &message)
 }
 
 fn chat_bytes(
     messages: Option<&[Object<Message>]>,
 ) -> Result<usize, ValidationError> {
-    let messages = messages.ok_or_else(|| wrong("messages", "is missing"))?;
+    let messages =
+        messages.ok_or_else(|| invalid("messages", "is missing"))?;
     if messages.is_empty() {
-        return Err(wrong("messages", "must not be empty"));
+        return Err(invalid("messages", "must not be empty"));
     }
     let mut bytes: usize = 0;
     for (at, Object(message)) in messages.iter().enumerate() {
@@ -170,18 +171,18 @@
 ) -> Result<usize, ValidationError> {
     let role_path = format!("{path}.role");
     let role = message.role.as_deref();
-    let role = role.ok_or_else(|| wrong(&role_path, "is missing"))?;
+    let role = role.ok_or_else(|| invalid(&role_path, "is missing"))?;
     if !ROLES.contains(&role) {
         let range = ROLES.join(", ");
         let message = format!("is {role:?}, not one of {range}");
-        return Err(wrong(&role_path, &message));
+        return Err(invalid(&role_path, &message));
     }
     match &message.content {
         Some(Content::Text(text)) => Ok(text.len()),
         Some(Content::Parts(parts)) => parts_bytes(parts, path),
         // It may have only called a tool.
         None if role == "assistant" => Ok(0),
-        None => Err(wrong(&format!("{path}.content"), "is missing")),
+        None => Err(invalid(&format!("{path}.content"), "is missing")),
     }
 }
 
@@ -196,20 +197,22 @@
             Some("text") => {}
             Some(other) => {
                 let message = format!("is {other:?}, not \"text\"");
-                return Err(wrong(&format!("{path}.type"), &message));
+                return Err(invalid(&format!("{path}.type"), &message));
+            }
+            None => {
+                return Err(invalid(&format!("{path}.type"), "is missing"));
             }
-            None => return Err(wrong(&format!("{path}.type"), "is missing")),
         }
         let text = part.text.as_ref();
-        let text =
-            text.ok_or_else(|| wrong(&format!("{path}.text"), "is missing"))?;
+        let text = text
+            .ok_or_else(|| invalid(&format!("{path}.text"), "is missing"))?;
         bytes += text.len();
     }
     Ok(bytes)
 }
 
 fn prompt_bytes(prompt: Option<&Texts>) -> Result<usize, ValidationError> {
-    let prompt = prompt.ok_or_else(|| wrong("prompt", "is missing"))?;
+    let prompt = prompt.ok_or_else(|| invalid("prompt", "is missing"))?;
     match prompt.as_slice() {
         [text] => Ok(text.len()),
         texts => {
@@ -217,7 +220,7 @@
                 "has {} texts, but 1 a request is served",
                 texts.len()
             );
-            Err(wrong("prompt", &message))
+            Err(invalid("prompt", &message))
         }
     }
 }
@@ -228,16 +231,16 @@
 
 fn check_numbers(body: &Body) -> Result<(), ValidationError> {
     let numbers = [
-        ("temperature", body.temperature, TEMPERATURES),
-        ("top_p", body.top_p, SHARES),
-        ("presence_penalty", body.presence_penalty, PENALTIES),
-        ("frequency_penalty", body.frequency_penalty, PENALTIES),
+        ("temperature", body.temperature, TEMPERATURE_RANGE),
+        ("top_p", body.top_p, TOP_P_RANGE),
+        ("presence_penalty", body.presence_penalty, PENALTY_RANGE),
+        ("frequency_penalty", body.frequency_penalty, PENALTY_RANGE),
     ];
     for (field, value, range) in numbers {
         if let Some(value) = value.filter(|v| !range.contains(v)) {
-            let (least, most) = (range.start(), range.end());
-            let message = format!("is {value}, not from {least} to {most}");
-            return Err(wrong(field, &message));
+            let (min, max) = (range.start(), range.end());
+            let message = format!("is {value}, not from {min} to {max}");
+            return Err(invalid(field, &message));
         }
     }
     Ok(())
@@ -250,16 +253,16 @@
     }
     let message =
         format!("has {count} sequences, more than {MAX_STOP_SEQUENCES}");
-    Err(wrong("stop", &message))
+    Err(invalid("stop", &message))
 }
 
 /// Refuses what the answer could not hold.
-fn check_served(body: &Body) -> Result<(), ValidationError> {
+fn check_supported(body: &Body) -> Result<(), ValidationError> {
     for (field, count) in [("n", body.n), ("best_of", body.best_of)] {
         if let Some(count) = count.filter(|count| *count != 1) {
             let message =
                 format!("is {count}, but 1 answer a request is served");
-            return Err(wrong(field, &message));
+            return Err(invalid(field, &message));
         }
     }
     let has_tools = body.tools.as_ref().is_some_and(|t| !t.is_empty());
@@ -268,32 +271,29 @@
     // A count of 0 asks for those of the chosen tokens.
     let wants_logprobs =
         body.logprobs.as_ref().is_some_and(|l| *l != Value::Bool(false));
-    let is_more_than_text = body
+    let wants_other_modality = body
         .modalities
         .as_ref()
         .is_some_and(|m| m.iter().any(|m| m != "text"));
-    let not_served = [
+    let unsupported = [
         ("echo", body.echo.unwrap_or(false)),
         ("suffix", has_suffix),
         ("logprobs", wants_logprobs),
         ("top_logprobs", body.top_logprobs.unwrap_or(0) > 0),
         ("tools", has_tools),
         ("functions", has_functions),
-        ("modalities", is_more_than_text),
+        ("modalities", wants_other_modality),
     ];
-    match not_served.iter().find(|(_, is_asked_for)| *is_asked_for) {
-        Some((field, _)) => Err(wrong(field, "is not served")),
+    match unsupported.iter().find(|(_, is_requested)| *is_requested) {
+        Some((field, _)) => Err(invalid(field, "is not served")),
         None => Ok(()),
     }
 }
 
-fn usage_wanted(
-    body: &Body,
-    is_stream: bool,
-) -> Result<bool, ValidationError> {
+fn wants_usage(body: &Body, is_stream: bool) -> Result<bool, ValidationError> {
     match &body.stream_options {
         Some(_) if !is_stream => {
-            Err(wrong("stream_options", "is only for a streamed answer"))
+            Err(invalid("stream_options", "is only for a streamed answer"))
         }
         Some(Object(options)) => Ok(options.include_usage.unwrap_or(false)),
         None => Ok(false),
@@ -313,7 +313,9 @@
         [("max_completion_tokens", newer), ("max_tokens", body.max_tokens)];
     for (field, limit) in stated {
         match limit {
-            Some(0) => return Err(wrong(field, "is 0, not 1 token or more")),
+            Some(0) => {
+                return Err(invalid(field, "is 0, not 1 token or more"));
+            }
             Some(limit) => return Ok((limit, Some(field))),
             None => {}
         }
--- a/crates/entry/src/openai/response.rs
+++ b/crates/entry/src/openai/response.rs
@@ -13,7 +13,7 @@
 
 /// Characters that JSON takes as they are but that client libraries which
 /// read events as lines of text may take for an end of line.
-const LINE_ENDS: [char; 3] = ['\u{85}', '\u{2028}', '\u{2029}'];
+const UNICODE_LINE_TERMINATORS: [char; 3] = ['\u{85}', '\u{2028}', '\u{2029}'];
 
 /// Tokens that a request took.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -76,7 +76,7 @@
         finish: FinishReason,
         usage: Usage,
     ) -> serde_json::Value {
-        let finish = finish_word(finish);
+        let finish = finish_reason(finish);
         let (object, choice) = match self.endpoint {
             Endpoint::Chat => (
                 "chat.completion",
@@ -167,7 +167,7 @@
             Endpoint::Chat => "\"delta\":{}",
             Endpoint::Completions => "\"text\":\"\"",
         };
-        let mut out = self.chunk(part, Some(finish_word(finish)));
+        let mut out = self.chunk(part, Some(finish_reason(finish)));
         if self.includes_usage {
             let usage = json!(usage);
             let event = format!("{}],\"usage\":{usage}}}\n\n", self.head);
@@ -190,22 +190,22 @@
 
 /// The event that tells in a streamed answer that it will not be whole.
 pub(crate) fn error_event(object: &serde_json::Value) -> Vec<u8> {
-    let object = escape_line_ends(object.to_string());
+    let object = escape_line_terminators(object.to_string());
     format!("data: {object}\n\n").into_bytes()
 }
 
 fn json_string(text: &str) -> String {
-    escape_line_ends(serde_json::Value::from(text).to_string())
+    escape_line_terminators(serde_json::Value::from(text).to_string())
 }
 
 /// Escapes [`LINE_ENDS`] in JSON, which has them only inside of strings.
-fn escape_line_ends(json: String) -> String {
-    if !json.contains(LINE_ENDS) {
+fn escape_line_terminators(json: String) -> String {
+    if !json.contains(UNICODE_LINE_TERMINATORS) {
         return json;
     }
     let mut escaped = String::with_capacity(json.len() + 8);
     for char in json.chars() {
-        if LINE_ENDS.contains(&char) {
+        if UNICODE_LINE_TERMINATORS.contains(&char) {
             escaped.push_str(&format!("\\u{:04x}", u32::from(char)));
         } else {
             escaped.push(char);
@@ -214,7 +214,7 @@
     escaped
 }
 
-fn finish_word(finish: FinishReason) -> &'static str {
+fn finish_reason(finish: FinishReason) -> &'static str {
     match finish {
         FinishReason::Length => "length",
         FinishReason::Stop | FinishReason::Unspecified => "stop",
--- a/crates/entry/src/outage.rs
+++ b/crates/entry/src/outage.rs
@@ -11,7 +11,7 @@
 const MIN_RETRY_MS: u64 = 500;
 const MAX_RETRY_MS: u64 = 30_000;
 /// Stands for "no outage".
-const NONE: u64 = 0;
+const NO_OUTAGE: u64 = 0;
 
 /// The outage of a store, if there is one.
 #[derive(Debug)]
@@ -22,19 +22,19 @@
 
 impl Outage {
     pub(crate) fn new(clock: Clock) -> Outage {
-        Outage { clock, since_ms: AtomicU64::new(NONE) }
+        Outage { clock, since_ms: AtomicU64::new(NO_OUTAGE) }
     }
 
     /// A call worked.
-    pub(crate) fn worked(&self) {
-        self.since_ms.store(NONE, Ordering::Release);
+    pub(crate) fn record_success(&self) {
+        self.since_ms.store(NO_OUTAGE, Ordering::Release);
     }
 
     /// A call failed; when to come back, in milliseconds.
-    pub(crate) fn failed(&self) -> u64 {
-        let now_ms = self.clock.now_ms().max(NONE + 1);
+    pub(crate) fn record_failure(&self) -> u64 {
+        let now_ms = self.clock.now_ms().max(NO_OUTAGE + 1);
         let since_ms = match self.since_ms.compare_exchange(
-            NONE,
+            NO_OUTAGE,
             now_ms,
             Ordering::AcqRel,
             Ordering::Acquire,
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -11,18 +11,18 @@
 };
 
 use crate::{
-    answer::{self, OUTCOME_HEADER, REQUEST_HEADER},
     call::Call,
+    error_response::{self, OUTCOME_HEADER, REQUEST_HEADER},
     language::deadline,
+    progress_source::{self, ProgressSource},
+    request_tracker::RequestTracker,
     session::{Job, JobWork, Progress},
     shared::Shared,
-    source::{self, Source},
-    tally::Tally,
 };
 
 /// Headers that end at the entry: of the connection, of the account's key,
 /// and of the router itself.
-const OWN_HEADERS: [&str; 12] = [
+const STRIPPED_HEADERS: [&str; 12] = [
     "authorization",
     "connection",
     "content-length",
@@ -36,11 +36,12 @@
     "transfer-encoding",
     "upgrade",
 ];
-const OWN_PREFIX: &str = "chestnutreach-";
+const STRIPPED_PREFIX: &str = "chestnutreach-";
 
 /// Methods that are told to a caller that asks for a tunnel; every other
 /// one is passed on too.
-const METHODS: &str = "GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS";
+const ADVERTISED_METHODS: &str =
+    "GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS";
 
 /// Refuses `CONNECT`: an answer to it would be taken for an open tunnel.
 ///
@@ -51,67 +52,71 @@
     if method != Method::Connect {
         return Ok(());
     }
-    Err(answer::wrong_method(METHODS))
+    Err(error_response::method_not_allowed(ADVERTISED_METHODS))
 }
 
 /// Serves a request for a plain service; `rest` is the path below its own.
 pub(crate) async fn serve(
     entry: &Arc<Shared>,
     mut call: Call,
-    rest: &str,
+    subpath: &str,
 ) -> Result<Response, Box<Response>> {
     let method = call.received.request.method();
-    let keyed = source::key_of(entry, &call);
-    let job = job(&mut call, rest);
+    let keyed = progress_source::key_of(entry, &call);
+    let job = job(&mut call, subpath);
     let is_idempotent = job.is_idempotent;
-    let mut tally = Tally::new(entry, &call);
-    let mut source = Source::start(entry, job, keyed);
+    let mut tracker = RequestTracker::new(entry, &call);
+    let mut source = ProgressSource::start(entry, job, keyed);
     let connection = &call.received.connection;
-    let mut answer = Collected::default();
+    let mut buffer = ResponseBuffer::default();
     loop {
         let next = async { Some(source.next().await) };
-        let gone = async {
+        let disconnected = async {
             connection.hung_up().await;
             None
         };
-        match next.or(gone).await {
+        match next.or(disconnected).await {
             None => {
-                tally.caller_gone();
+                tracker.record_disconnect();
                 return Err(Box::new(Response::new(StatusCode::BadRequest)));
             }
             Some(Progress::Head(head)) => {
-                tally.part(0);
-                answer.head = head;
+                tracker.record_delivery(0);
+                buffer.head = head;
             }
-            Some(Progress::Data(data)) => answer.body.extend(data),
-            Some(Progress::Whole(_)) => break,
-            Some(Progress::Ended(ending)) => {
-                tally.ended(&ending);
+            Some(Progress::Data(data)) => buffer.body.extend(data),
+            Some(Progress::Finished(_)) => break,
+            Some(Progress::Failed(failure)) => {
+                tracker.record_failure(&failure);
                 let request = Some(call.request);
-                return Err(answer::ended(&ending, request, is_idempotent));
+                return Err(error_response::for_failure(
+                    &failure,
+                    request,
+                    is_idempotent,
+                ));
             }
-            Some(Progress::Token(_) | Progress::Held(_)) => {}
+            Some(Progress::Token(_) | Progress::KeyHeld(_)) => {}
         }
     }
-    tally.completed();
-    let mut response = answer.into_response(method);
+    tracker.record_completed();
+    let mut response = buffer.into_response(method);
     let outcome = Outcome::Completed.as_str();
     response.insert_header(OUTCOME_HEADER, outcome);
     response.insert_header(REQUEST_HEADER, call.request.to_string());
     Ok(response)
 }
 
-fn job(call: &mut Call, rest: &str) -> Job {
+fn job(call: &mut Call, subpath: &str) -> Job {
     let body = std::mem::take(&mut call.received.body);
     let request = &call.received.request;
     let method = request.method();
-    let is_once = call
+    let is_non_idempotent = call
         .options
         .is_non_idempotent
         .unwrap_or_else(|| !is_idempotent(method));
     let plain_call = wire::PlainCall {
         method: method.to_string(),
-        target: target(request, rest),
+        target: target(request, subpath),
         headers: headers(request),
         body,
     };
@@ -120,7 +125,7 @@
         service: call.service.clone(),
         account: call.account.name.clone(),
         priority: call.options.priority,
-        is_idempotent: !is_once && call.options.key.is_none(),
+        is_idempotent: !is_non_idempotent && call.options.key.is_none(),
         deadline: deadline(call),
         work: JobWork::PlainCall(plain_call),
     }
@@ -139,8 +144,8 @@
     )
 }
 
-fn target(request: &Request, rest: &str) -> String {
-    let path = if rest.is_empty() { "/" } else { rest };
+fn target(request: &Request, subpath: &str) -> String {
+    let path = if subpath.is_empty() { "/" } else { subpath };
     match request.url().query() {
         Some(query) => format!("{path}?{query}"),
         None => path.to_owned(),
@@ -149,13 +154,13 @@
 
 fn headers(request: &Request) -> Vec<wire::Header> {
     let mut headers = Vec::new();
-    let of_connection = connection_headers(request);
+    let connection_specific = connection_headers(request);
     for (name, values) in request.iter() {
         let name = name.as_str().to_ascii_lowercase();
-        let is_own = OWN_HEADERS.contains(&name.as_str())
-            || name.starts_with(OWN_PREFIX)
-            || of_connection.contains(&name);
-        if is_own {
+        let is_stripped = STRIPPED_HEADERS.contains(&name.as_str())
+            || name.starts_with(STRIPPED_PREFIX)
+            || connection_specific.contains(&name);
+        if is_stripped {
             continue;
         }
         for value in values.iter() {
@@ -176,12 +181,12 @@
 /// The service's answer. It is sent only when it is whole, so that its
 /// status is never followed by a part of its body.
 #[derive(Default)]
-struct Collected {
+struct ResponseBuffer {
     head: wire::PlainHead,
     body: Vec<u8>,
 }
 
-impl Collected {
+impl ResponseBuffer {
     fn into_response(self, method: Method) -> Response {
         let status = StatusCode::try_from(self.head.status as u16)
             .unwrap_or(StatusCode::BadGateway);
--- a/crates/entry/src/source.rs
+++ b/crates/entry/src/progress_source.rs
@@ -4,40 +4,46 @@
 
 use crate::{
     call::Call,
-    key_hold::KeyedRequest,
+    key_claim::KeyedRequest,
     keyed,
-    session::{Ending, Job, Progress, Session},
+    session::{Job, Progress, RequestFailure, Session},
     shared::Shared,
 };
 
 /// A request under way, as its handler sees it.
-pub(crate) enum Source {
+pub(crate) enum ProgressSource {
     /// Driven by whoever asks for the next thing.
     Direct(Box<Session>),
     /// Driven by a task of its own, since it has a key.
     Keyed(async_channel::Receiver<Progress>),
 }
 
-impl Source {
+impl ProgressSource {
     /// Starts a request; see [`key_of`] for one with a key.
     pub(crate) fn start(
         entry: &Arc<Shared>,
         job: Job,
         keyed: Option<KeyedRequest>,
-    ) -> Source {
+    ) -> ProgressSource {
         match keyed {
-            Some(keyed) => Source::Keyed(keyed::start(entry, job, keyed)),
-            None => Source::Direct(Box::new(Session::new(entry, job, None))),
+            Some(keyed) => {
+                ProgressSource::Keyed(keyed::start(entry, job, keyed))
+            }
+            None => ProgressSource::Direct(Box::new(Session::new(
+                entry, job, None,
+            ))),
         }
     }
 
     /// Waits for the next thing that happens.
     pub(crate) async fn next(&mut self) -> Progress {
         match self {
-            Source::Direct(session) => session.next().await,
-            Source::Keyed(progress) => {
+            ProgressSource::Direct(session) => session.next().await,
+            ProgressSource::Keyed(progress) => {
                 progress.recv().await.unwrap_or_else(|_| {
-                    Progress::Ended(Ending::failed("the request has ended"))
+                    Progress::Failed(RequestFailure::failed(
+                        "the request has ended",
+                    ))
                 })
             }
         }
--- a/crates/entry/src/recent.rs
+++ b/crates/entry/src/recent_requests.rs
@@ -26,21 +26,21 @@
 
 /// The requests of late, oldest first.
 #[derive(Default)]
-pub(crate) struct Recent {
-    ring: Mutex<VecDeque<Arc<Remembered>>>,
+pub(crate) struct RecentRequests {
+    ring: Mutex<VecDeque<Arc<RequestRecord>>>,
 }
 
-impl Recent {
+impl RecentRequests {
     /// Remembers a request from now on.
-    pub(crate) fn begin(&self, job: &Job) -> Choices {
-        let remembered = Arc::new(Remembered::new(job));
-        let oldest = self.push(remembered.clone());
+    pub(crate) fn start(&self, job: &Job) -> ChoiceRecorder {
+        let record = Arc::new(RequestRecord::new(job));
+        let oldest = self.push(record.clone());
         // Freed outside of the lock.
         drop(oldest);
-        Choices { service: job.service.clone(), remembered }
+        ChoiceRecorder { service: job.service.clone(), record }
     }
 
-    fn push(&self, new: Arc<Remembered>) -> Option<Arc<Remembered>> {
+    fn push(&self, new: Arc<RequestRecord>) -> Option<Arc<RequestRecord>> {
         let mut ring = self.lock();
         let is_full = ring.len() >= CAPACITY;
         let oldest = if is_full { ring.pop_front() } else { None };
@@ -54,25 +54,25 @@
             let ring = self.lock();
             ring.iter().rev().find(|r| r.request == request).cloned()
         };
-        found.map(|remembered| remembered.to_json())
+        found.map(|record| record.to_json())
     }
 
-    fn lock(&self) -> MutexGuard<'_, VecDeque<Arc<Remembered>>> {
+    fn lock(&self) -> MutexGuard<'_, VecDeque<Arc<RequestRecord>>> {
         self.ring.lock().expect("no holder panics")
     }
 }
 
-struct Remembered {
+struct RequestRecord {
     request: RequestId,
     service: String,
     account: String,
-    began: Instant,
-    notes: Mutex<Notes>,
+    started: Instant,
+    state: Mutex<RecordedState>,
 }
 
 #[derive(Clone, Default, Serialize)]
-struct Notes {
-    choices: Vec<NotedChoice>,
+struct RecordedState {
+    choices: Vec<ChoiceRecord>,
     outcome: Option<&'static str>,
     reason: Option<&'static str>,
     detail: String,
@@ -81,7 +81,7 @@
 
 /// One choice, and what became of its attempt.
 #[derive(Clone, Serialize)]
-struct NotedChoice {
+struct ChoiceRecord {
     at_ms: u64,
     /// From layer 0 up.
     stages: Vec<String>,
@@ -104,26 +104,26 @@
     service: &'a str,
     account: &'a str,
     #[serde(flatten)]
-    notes: &'a Notes,
+    state: &'a RecordedState,
 }
 
-impl Remembered {
-    fn new(job: &Job) -> Remembered {
-        Remembered {
+impl RequestRecord {
+    fn new(job: &Job) -> RequestRecord {
+        RequestRecord {
             request: job.request,
             service: job.service.name.clone(),
             account: job.account.clone(),
-            began: Instant::now(),
-            notes: Mutex::default(),
+            started: Instant::now(),
+            state: Mutex::default(),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Notes> {
-        self.notes.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, RecordedState> {
+        self.state.lock().expect("no holder panics")
     }
 
     fn elapsed_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
     fn to_json(&self) -> String {
@@ -131,7 +131,7 @@
             request: self.request.to_string(),
             service: &self.service,
             account: &self.account,
-            notes: &self.lock().clone(),
+            state: &self.lock().clone(),
         };
         serde_json::to_string(&report)
             .expect("reports of plain fields can be written")
@@ -139,21 +139,21 @@
 }
 
 /// Where a request notes its choices.
-pub(crate) struct Choices {
+pub(crate) struct ChoiceRecorder {
     service: Arc<ServiceView>,
-    remembered: Arc<Remembered>,
+    record: Arc<RequestRecord>,
 }
 
-impl Choices {
+impl ChoiceRecorder {
     /// A chain was chosen.
-    pub(crate) fn chosen(
+    pub(crate) fn record_choice(
         &self,
         choice: &Choice,
         shape: &RequestShape,
         avoid: &[BackendIndex],
     ) {
-        let noted = NotedChoice {
-            at_ms: self.remembered.elapsed_ms(),
+        let choice_record = ChoiceRecord {
+            at_ms: self.record.elapsed_ms(),
             stages: self.names(&choice.stages),
             avoided: self.names(avoid),
             prompt_tokens: shape.prompt_tokens,
@@ -166,40 +166,44 @@
             ended: None,
             at_fault: None,
         };
-        self.remembered.lock().choices.push(noted);
+        self.record.lock().choices.push(choice_record);
     }
 
     /// The attempt on the chain chosen last has ended; one without stages
     /// is an earlier request's, which was not chosen here.
-    pub(crate) fn attempt_ended(
+    pub(crate) fn record_attempt_outcome(
         &self,
         stages: &[BackendIndex],
-        ended: &RequestOutcome,
+        outcome: &RequestOutcome,
         at_fault: Option<BackendIndex>,
     ) {
         if stages.is_empty() {
             return;
         }
         let at_fault = at_fault.map(|index| self.name(index));
-        if let Some(choice) = self.remembered.lock().choices.last_mut() {
-            choice.ended = Some(word(ended));
+        if let Some(choice) = self.record.lock().choices.last_mut() {
+            choice.ended = Some(outcome_name(outcome));
             choice.at_fault = at_fault;
         }
     }
 
     /// The request has its outcome; none of its own when its caller hung up
     /// or an earlier request with its key answers.
-    pub(crate) fn ended(&self, outcome: Option<Outcome>, detail: &str) {
-        let mut notes = self.remembered.lock();
-        if notes.elapsed_ms.is_some() {
+    pub(crate) fn record_outcome(
+        &self,
+        outcome: Option<Outcome>,
+        detail: &str,
+    ) {
+        let mut state = self.record.lock();
+        if state.elapsed_ms.is_some() {
             return;
         }
-        notes.elapsed_ms = Some(self.remembered.elapsed_ms());
-        notes.outcome = outcome.map(|outcome| outcome.as_str());
+        state.elapsed_ms = Some(self.record.elapsed_ms());
+        state.outcome = outcome.map(|outcome| outcome.as_str());
         if let Some(Outcome::NotRun { reason, .. }) = outcome {
-            notes.reason = Some(reason.as_str());
+            state.reason = Some(reason.as_str());
         }
-        detail.clone_into(&mut notes.detail);
+        detail.clone_into(&mut state.detail);
     }
 
     fn names(&self, indices: &[BackendIndex]) -> Vec<String> {
@@ -211,14 +215,14 @@
     }
 }
 
-impl Drop for Choices {
+impl Drop for ChoiceRecorder {
     fn drop(&mut self) {
-        self.ended(None, "");
+        self.record_outcome(None, "");
     }
 }
 
-fn word(ended: &RequestOutcome) -> &'static str {
-    match ended {
+fn outcome_name(outcome: &RequestOutcome) -> &'static str {
+    match outcome {
         RequestOutcome::Completed { .. } => "completed",
         RequestOutcome::Refused => "refused",
         RequestOutcome::Failed => "failed",
--- a/crates/entry/src/request_options.rs
+++ b/crates/entry/src/request_options.rs
@@ -78,7 +78,7 @@
     request: &Request,
     limits: DeadlineLimits,
 ) -> Result<u64, HeaderError> {
-    let Some(text) = value(request, DEADLINE_HEADER)? else {
+    let Some(text) = single_value(request, DEADLINE_HEADER)? else {
         return Ok(limits.default_ms);
     };
     let max_ms = limits.max_ms;
@@ -86,48 +86,52 @@
     let is_digits = text.bytes().all(|b| b.is_ascii_digit());
     let deadline_ms = text.parse().ok().filter(|_| is_digits);
     deadline_ms.filter(|ms| (1..=max_ms).contains(ms)).ok_or_else(|| {
-        let range = format!("a number of ms from 1 to {max_ms}");
-        wrong(DEADLINE_HEADER, text, &range)
+        let expected = format!("a number of ms from 1 to {max_ms}");
+        invalid(DEADLINE_HEADER, text, &expected)
     })
 }
 
 fn priority(request: &Request) -> Result<Priority, HeaderError> {
-    match value(request, PRIORITY_HEADER)? {
+    match single_value(request, PRIORITY_HEADER)? {
         None | Some("normal") => Ok(Priority::Normal),
         Some("low") => Ok(Priority::Low),
         Some("high") => Ok(Priority::High),
-        Some(text) => Err(wrong(PRIORITY_HEADER, text, "low, normal or high")),
+        Some(text) => {
+            Err(invalid(PRIORITY_HEADER, text, "low, normal or high"))
+        }
     }
 }
 
 fn is_non_idempotent(request: &Request) -> Result<Option<bool>, HeaderError> {
-    match value(request, NON_IDEMPOTENT_HEADER)? {
+    match single_value(request, NON_IDEMPOTENT_HEADER)? {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(text) => Err(wrong(NON_IDEMPOTENT_HEADER, text, "true or false")),
+        Some(text) => {
+            Err(invalid(NON_IDEMPOTENT_HEADER, text, "true or false"))
+        }
     }
 }
 
 fn key(request: &Request) -> Result<Option<String>, HeaderError> {
-    match value(request, KEY_HEADER)? {
+    match single_value(request, KEY_HEADER)? {
         None => Ok(None),
-        Some(text) if is_key(text) => Ok(Some(text.to_owned())),
+        Some(text) if is_valid_key(text) => Ok(Some(text.to_owned())),
         Some(text) => {
-            let range = format!("1 to {MAX_KEY_BYTES} visible characters");
-            Err(wrong(KEY_HEADER, text, &range))
+            let expected = format!("1 to {MAX_KEY_BYTES} visible characters");
+            Err(invalid(KEY_HEADER, text, &expected))
         }
     }
 }
 
-fn is_key(text: &str) -> bool {
+fn is_valid_key(text: &str) -> bool {
     let is_visible = text.bytes().all(|b| b.is_ascii_graphic() || b == b' ');
     (1..=MAX_KEY_BYTES).contains(&text.len()) && is_visible
 }
 
 /// The one value of a header. Two would leave open which of them the caller
 /// meant, and one that is not seen might be the mark of a letter.
-fn value<'a>(
+fn single_value<'a>(
     request: &'a Request,
     name: &'static str,
 ) -> Result<Option<&'a str>, HeaderError> {
@@ -142,7 +146,7 @@
     Ok(Some(values.last().as_str().trim()))
 }
 
-fn wrong(name: &'static str, value: &str, range: &str) -> HeaderError {
-    let message = format!("header {name} is {value:?}, not {range}");
+fn invalid(name: &'static str, value: &str, expected: &str) -> HeaderError {
+    let message = format!("header {name} is {value:?}, not {expected}");
     HeaderError { name, message }
 }
--- a/crates/entry/src/tally.rs
+++ b/crates/entry/src/request_tracker.rs
@@ -14,12 +14,12 @@
 
 use crate::{
     call::Call,
-    session::Ending,
+    session::RequestFailure,
     shared::{InFlight, Shared},
 };
 
 /// Counts a request from its start to its one outcome.
-pub(crate) struct Tally {
+pub(crate) struct RequestTracker {
     request: RequestId,
     service: String,
     account: String,
@@ -27,21 +27,21 @@
     account_metrics: Arc<AccountMetrics>,
     first_token_target: Duration,
     arrived: Instant,
-    first: Option<Instant>,
-    last: Option<Instant>,
+    first_delivery: Option<Instant>,
+    last_delivery: Option<Instant>,
     tokens: u32,
     has_ended: bool,
     _in_flight: InFlight,
 }
 
-impl Tally {
-    pub(crate) fn new(entry: &Arc<Shared>, call: &Call) -> Tally {
+impl RequestTracker {
+    pub(crate) fn new(entry: &Arc<Shared>, call: &Call) -> RequestTracker {
         let service_metrics = entry.metrics.service(&call.service.name);
         let account_metrics = entry.metrics.account(&call.account.name);
         service_metrics.requests_in_flight.inc();
         account_metrics.requests.inc();
         let target_ms = call.service.service.first_token_objective_ms;
-        Tally {
+        RequestTracker {
             request: call.request,
             service: call.service.name.clone(),
             account: call.account.name.clone(),
@@ -49,20 +49,20 @@
             account_metrics,
             first_token_target: Duration::from_millis(target_ms),
             arrived: call.arrived,
-            first: None,
-            last: None,
+            first_delivery: None,
+            last_delivery: None,
             tokens: 0,
             has_ended: false,
-            _in_flight: entry.enter(),
+            _in_flight: entry.count_request(),
         }
     }
 
     /// A token, or a part of a plain answer, is handed to the caller.
-    pub(crate) fn part(&mut self, tokens: u32) {
+    pub(crate) fn record_delivery(&mut self, tokens: u32) {
         let now = Instant::now();
-        match self.last.replace(now) {
+        match self.last_delivery.replace(now) {
             None => {
-                self.first = Some(now);
+                self.first_delivery = Some(now);
                 let wait = now.saturating_duration_since(self.arrived);
                 let metric = &self.service_metrics.time_to_first_token;
                 metric.observe(wait.as_secs_f64());
@@ -79,53 +79,53 @@
     }
 
     /// The answer was whole.
-    pub(crate) fn completed(&mut self) {
-        let first = self.first.unwrap_or_else(Instant::now);
+    pub(crate) fn record_completed(&mut self) {
+        let first = self.first_delivery.unwrap_or_else(Instant::now);
         let wait = first.saturating_duration_since(self.arrived);
         if wait <= self.first_token_target {
             self.service_metrics.requests_within_target.inc();
         }
-        self.end(Outcome::Completed, "");
+        self.finish(Outcome::Completed, "");
     }
 
     /// The request ended without a whole answer.
-    pub(crate) fn ended(&mut self, ending: &Ending) {
-        if ending.outcome == Outcome::Unknown {
+    pub(crate) fn record_failure(&mut self, failure: &RequestFailure) {
+        if failure.outcome == Outcome::Unknown {
             emit(
                 Event::OutcomeUnknown,
                 &[
                     ("request", &self.request),
                     ("service", &self.service),
                     ("account", &self.account),
-                    ("detail", &ending.note),
+                    ("detail", &failure.operator_detail),
                 ],
             );
         }
-        let why = match ending.note.as_str() {
-            "" => &ending.detail,
-            note => note,
+        let why = match failure.operator_detail.as_str() {
+            "" => &failure.detail,
+            operator_detail => operator_detail,
         };
-        self.end(ending.outcome, why);
+        self.finish(failure.outcome, why);
     }
 
     /// The caller hung up.
-    pub(crate) fn caller_gone(&mut self) {
+    pub(crate) fn record_disconnect(&mut self) {
         emit(
             Event::CallerGone,
             &[("request", &self.request), ("position", &self.tokens)],
         );
-        self.end_as("caller-gone", "caller_gone", "");
+        self.finish_as("caller-gone", "caller_gone", "");
     }
 
-    fn end(&mut self, outcome: Outcome, detail: &str) {
+    fn finish(&mut self, outcome: Outcome, detail: &str) {
         let reason = match outcome {
             Outcome::NotRun { reason, .. } => reason.as_str(),
             _ => "",
         };
-        self.end_as(outcome.as_str(), reason, detail);
+        self.finish_as(outcome.as_str(), reason, detail);
     }
 
-    fn end_as(
+    fn finish_as(
         &mut self,
         outcome: &'static str,
         reason: &'static str,
@@ -153,11 +153,11 @@
     }
 }
 
-impl Drop for Tally {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         // Its handler was dropped with the caller's connection.
         if !self.has_ended {
-            self.caller_gone();
+            self.record_disconnect();
         }
     }
 }
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -12,8 +12,10 @@
 };
 use chestnutreach_state::NotRunReason;
 
-use super::{Attempt, Cause, Ending, JobWork, Phase, Progress, Session};
-use crate::{key_hold::Hold, view::ServiceView};
+use super::{
+    Attempt, Cause, JobWork, Phase, Progress, RequestFailure, Session,
+};
+use crate::{key_claim::AcquireResult, view::ServiceView};
 
 /// Part of the time left that a side process is not given, so that its own
 /// answer at the deadline comes before the caller's time is over.
@@ -22,12 +24,12 @@
 impl Session {
     /// Chooses a chain and sends the request to its first stage.
     pub(super) async fn dispatch(&mut self) {
-        if self.rest_ms() <= DEADLINE_MARGIN_MS {
-            self.give_up(Cause::Deadline, "the time was over");
+        if self.remaining_ms() <= DEADLINE_MARGIN_MS {
+            self.fail_without_retry(Cause::Deadline, "the time was over");
             return;
         }
-        if self.attempt_count > 0 && !self.may_try_again() {
-            self.give_up(Cause::Backend, "no attempts are left");
+        if self.attempt_count > 0 && !self.may_retry() {
+            self.fail_without_retry(Cause::Backend, "no attempts are left");
             return;
         }
         let shape = self.shape();
@@ -35,7 +37,7 @@
             Ok(stages) => stages,
             Err(detail) => {
                 if !self.is_answered_by_claim().await {
-                    self.give_up(Cause::Backend, &detail);
+                    self.fail_without_retry(Cause::Backend, &detail);
                 }
                 return;
             }
@@ -43,7 +45,7 @@
         let Some((link, chain)) = self.connect(&stages).await else {
             return;
         };
-        if !self.hold_claim(&chain[0]).await {
+        if !self.acquire_claim(&chain[0]).await {
             return;
         }
         self.attempt_number += 1;
@@ -70,9 +72,9 @@
             started: Instant::now(),
             first_output: None,
             first_position: self.next_position,
-            has_begun_before: self.may_have_begun,
+            may_have_begun_before: self.may_have_begun,
         });
-        self.phase = Phase::Waiting;
+        self.phase = Phase::InAttempt;
     }
 
     /// Whether another attempt is allowed. One that goes on after the last
@@ -80,15 +82,15 @@
     /// broken one has left and comes nearer to its end. All others are
     /// limited, and paid from the service's budget, so that what fails or is
     /// refused at once is not multiplied.
-    fn may_try_again(&mut self) -> bool {
-        let has_progress = self.next_position > self.tried_position;
-        self.tried_position = self.next_position;
+    fn may_retry(&mut self) -> bool {
+        let has_progress = self.next_position > self.attempt_start_position;
+        self.attempt_start_position = self.next_position;
         if has_progress {
-            self.fruitless_count = 0;
+            self.attempts_without_progress = 0;
             return true;
         }
-        self.fruitless_count += 1;
-        self.fruitless_count < self.entry.settings.max_attempts
+        self.attempts_without_progress += 1;
+        self.attempts_without_progress < self.entry.settings.max_attempts
             && self.job.service.budget.try_take()
     }
 
@@ -106,7 +108,7 @@
         RequestShape {
             prompt_tokens,
             output_tokens,
-            deadline_ms: self.rest_ms(),
+            deadline_ms: self.remaining_ms(),
             priority: self.job.priority,
             prefix: None,
         }
@@ -123,13 +125,14 @@
         let policy = self.entry.policy();
         let now_ms = self.entry.clock.now_ms();
         let (fleet, live) = (&service.fleet, &service.live);
-        let need = ChainRequest::new(fleet, live, shape, &policy, now_ms)
-            .avoid(&self.avoid)
-            .entry_data_centre(service.data_centre);
-        let choice = choose(&need, &mut fastrand::Rng::new());
+        let chain_request =
+            ChainRequest::new(fleet, live, shape, &policy, now_ms)
+                .avoid(&self.avoid)
+                .entry_data_centre(service.data_centre);
+        let choice = choose(&chain_request, &mut fastrand::Rng::new());
         match choice {
             Ok(choice) => {
-                self.choices.chosen(&choice, shape, &self.avoid);
+                self.choices.record_choice(&choice, shape, &self.avoid);
                 Ok(choice.stages)
             }
             Err(no_chain) => {
@@ -140,7 +143,7 @@
                 let retry_after_ms = Some(no_chain.retry_after_ms);
                 let detail = no_chain.to_string();
                 self.last_refusal.get_or_insert_with(|| {
-                    Ending::not_run(reason, retry_after_ms, &detail)
+                    RequestFailure::not_run(reason, retry_after_ms, &detail)
                 });
                 Err(detail)
             }
@@ -155,14 +158,14 @@
             return false;
         };
         match keyed.look_up().await {
-            Hold::Mine => false,
-            Hold::Ended(ending) => {
-                self.end(ending);
+            AcquireResult::Available => false,
+            AcquireResult::Failed(failure) => {
+                self.fail(failure);
                 true
             }
-            Hold::Held(claim) => {
-                self.phase = Phase::Over;
-                self.ready.push_back(Progress::Held(claim));
+            AcquireResult::HeldByOther(claim) => {
+                self.phase = Phase::Ended;
+                self.pending_progress.push_back(Progress::KeyHeld(claim));
                 true
             }
         }
@@ -185,12 +188,12 @@
                     service.live.set_presence(first, Presence::Absent);
                     self.avoid.push(first);
                     self.last_refusal = Some(
-                        Ending::not_run(
+                        RequestFailure::not_run(
                             NotRunReason::NoChain,
-                            Some(self.entry.come_back_ms()),
+                            Some(self.entry.retry_after_ms()),
                             "no backend server can be reached now",
                         )
-                        .note(&e.to_string()),
+                        .with_operator_detail(&e.to_string()),
                     );
                     return None;
                 }
@@ -204,19 +207,19 @@
 
     /// Has the claim of a keyed request name the side process before
     /// anything is sent to it; false when the request has ended.
-    async fn hold_claim(&mut self, first: &wire::Stage) -> bool {
+    async fn acquire_claim(&mut self, first: &wire::Stage) -> bool {
         let Some(keyed) = &mut self.keyed else {
             return true;
         };
-        match keyed.hold(first).await {
-            Hold::Mine => true,
-            Hold::Ended(ending) => {
-                self.end(ending);
+        match keyed.acquire(first).await {
+            AcquireResult::Available => true,
+            AcquireResult::Failed(failure) => {
+                self.fail(failure);
                 false
             }
-            Hold::Held(claim) => {
-                self.phase = Phase::Over;
-                self.ready.push_back(Progress::Held(claim));
+            AcquireResult::HeldByOther(claim) => {
+                self.phase = Phase::Ended;
+                self.pending_progress.push_back(Progress::KeyHeld(claim));
                 false
             }
         }
@@ -240,7 +243,8 @@
                 wire::run::Work::PlainCall(call.clone())
             }
         };
-        let deadline_ms = self.rest_ms().saturating_sub(DEADLINE_MARGIN_MS);
+        let deadline_ms =
+            self.remaining_ms().saturating_sub(DEADLINE_MARGIN_MS);
         wire::Run {
             request: Some(self.job.request.into()),
             attempt: self.attempt_number,
--- a/crates/entry/src/session/events.rs
+++ b/crates/entry/src/session/events.rs
@@ -10,32 +10,34 @@
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 
-use super::{Attempt, Cause, Ending, Phase, Progress, Session, SessionEvent};
-use crate::ending::{failure_words, refusal_words};
+use super::{
+    Attempt, Cause, Phase, Progress, RequestFailure, Session, SessionEvent,
+};
+use crate::failure::{failure_message, refusal_message};
 
 impl Session {
     /// Waits for what the first stage sends, or for the deadline.
-    pub(super) async fn wait(&mut self) {
+    pub(super) async fn handle_next_event(&mut self) {
         match self.next_event().await {
             Some(SessionEvent::Frame { link_id, body }) => {
                 if self.is_current(link_id) {
                     self.handle_frame(body);
                 }
             }
-            Some(SessionEvent::Closed { link_id }) => {
+            Some(SessionEvent::LinkClosed { link_id }) => {
                 if self.is_current(link_id) {
-                    self.phase = Phase::Lost;
+                    self.phase = Phase::ConnectionLost;
                 }
             }
             // Looked at before anything else that a request does next.
-            Some(SessionEvent::Cut) => {}
-            None => self.time_over(),
+            Some(SessionEvent::Abort) => {}
+            None => self.handle_deadline(),
         }
     }
 
     /// The entry stops and the bound of its stop has passed. A request with
     /// a key runs on at its side process, where a repeat finds it.
-    pub(super) fn cut(&mut self) {
+    pub(super) fn abort(&mut self) {
         let detail = "the VM that took the request has stopped";
         let is_kept = self.keyed.is_some();
         if !is_kept {
@@ -43,20 +45,24 @@
         }
         let Some(attempt) = self.attempt.take() else {
             let reason = NotRunReason::Stopping;
-            self.last_refusal = Some(Ending::not_run(
+            self.last_refusal = Some(RequestFailure::not_run(
                 reason,
-                Some(self.entry.come_back_ms()),
+                Some(self.entry.retry_after_ms()),
                 detail,
             ));
-            self.give_up(Cause::Backend, detail);
+            self.fail_without_retry(Cause::Backend, detail);
             return;
         };
-        self.note_ended(&attempt, &RequestOutcome::Cancelled, None);
+        self.record_attempt_outcome(
+            &attempt,
+            &RequestOutcome::Cancelled,
+            None,
+        );
         let outcome = match attempt.is_accepted && !is_kept {
             true => Outcome::Failed,
             false => Outcome::Unknown,
         };
-        self.end(Ending::new(outcome, Cause::Backend, detail));
+        self.fail(RequestFailure::new(outcome, Cause::Backend, detail));
     }
 
     /// The next event; none at the deadline.
@@ -75,16 +81,16 @@
         link.is_some_and(|(link, _)| link.id() == link_id)
     }
 
-    fn time_over(&mut self) {
+    fn handle_deadline(&mut self) {
         self.cancel();
         let is_accepted = self.attempt.as_ref().is_some_and(|a| a.is_accepted);
         if is_accepted || self.attempt.is_none() {
-            self.give_up(Cause::Deadline, "the time was over");
+            self.fail_without_retry(Cause::Deadline, "the time was over");
         } else {
             let detail = "the time was over before the backend server told \
                           whether it began";
             let outcome = Outcome::Unknown;
-            self.end(Ending::new(outcome, Cause::Deadline, detail));
+            self.fail(RequestFailure::new(outcome, Cause::Deadline, detail));
         }
     }
 
@@ -102,19 +108,21 @@
     fn handle_frame(&mut self, body: Body) {
         let number = self.attempt_number;
         match body {
-            Body::Accepted(m) if m.attempt == number => self.accepted(),
-            Body::Output(m) if m.attempt == number => self.output(m),
-            Body::Finished(m) if m.attempt == number => self.finished(m),
+            Body::Accepted(m) if m.attempt == number => self.handle_accepted(),
+            Body::Output(m) if m.attempt == number => self.handle_output(m),
+            Body::Finished(m) if m.attempt == number => {
+                self.handle_finished(m)
+            }
             Body::Failed(m) if m.attempt == number => {
-                self.failed(m.reason(), &m.backend, &m.detail);
+                self.fail_attempt(m.reason(), &m.backend, &m.detail);
             }
-            Body::Refused(m) if m.attempt == number => self.refused(&m),
+            Body::Refused(m) if m.attempt == number => self.handle_refused(&m),
             // A frame of an older attempt, or a late answer to a question.
             _ => {}
         }
     }
 
-    fn accepted(&mut self) {
+    fn handle_accepted(&mut self) {
         self.may_have_begun = true;
         if let Some(attempt) = &mut self.attempt {
             attempt.is_accepted = true;
@@ -122,16 +130,20 @@
     }
 
     /// Hands on the next position once, and only after the one before it.
-    pub(super) fn output(&mut self, m: wire::Output) {
+    pub(super) fn handle_output(&mut self, m: wire::Output) {
         if m.position < self.next_position {
             return;
         }
         if m.position > self.next_position {
             let reason = FailureReason::Sequence;
-            self.failed(reason, "", "a position of the answer is missing");
+            self.fail_attempt(
+                reason,
+                "",
+                "a position of the answer is missing",
+            );
             return;
         }
-        self.accepted();
+        self.handle_accepted();
         if let Some(attempt) = &mut self.attempt {
             attempt.first_output.get_or_insert_with(Instant::now);
         }
@@ -139,32 +151,32 @@
         match m.part {
             Some(Part::Token(token)) => {
                 self.tokens.push(token.token);
-                self.ready.push_back(Progress::Token(token));
+                self.pending_progress.push_back(Progress::Token(token));
             }
             Some(Part::Head(head)) => {
-                self.ready.push_back(Progress::Head(head));
+                self.pending_progress.push_back(Progress::Head(head));
             }
             Some(Part::Data(data)) => {
-                self.ready.push_back(Progress::Data(data));
+                self.pending_progress.push_back(Progress::Data(data));
             }
             None => {}
         }
     }
 
-    pub(super) fn finished(&mut self, m: wire::Finished) {
+    pub(super) fn handle_finished(&mut self, m: wire::Finished) {
         if m.output_count != self.next_position {
             let reason = FailureReason::Sequence;
-            self.failed(reason, "", "the answer has another length");
+            self.fail_attempt(reason, "", "the answer has another length");
             return;
         }
-        self.note_completed(&m);
-        self.choices.ended(Some(Outcome::Completed), "");
-        self.phase = Phase::Over;
+        self.record_completed(&m);
+        self.choices.record_outcome(Some(Outcome::Completed), "");
+        self.phase = Phase::Ended;
         self.attempt = None;
-        self.ready.push_back(Progress::Whole(m));
+        self.pending_progress.push_back(Progress::Finished(m));
     }
 
-    fn note_completed(&self, m: &wire::Finished) {
+    fn record_completed(&self, m: &wire::Finished) {
         let Some(attempt) = &self.attempt else {
             return;
         };
@@ -173,36 +185,40 @@
         let since = |at: Instant| {
             at.saturating_duration_since(attempt.started).as_millis() as u32
         };
-        let ended = RequestOutcome::Completed {
+        let outcome = RequestOutcome::Completed {
             prompt_tokens: m.prompt_tokens,
             output_tokens: m.output_count - attempt.first_position,
             first_token_ms: since(first),
             total_ms: since(now),
         };
-        self.note_ended(attempt, &ended, None);
+        self.record_attempt_outcome(attempt, &outcome, None);
     }
 
-    /// Tells what became of an attempt: `ended` for the backend server at
+    /// Tells what became of an attempt: `outcome` for the backend server at
     /// fault, or for all of them; the others are only freed.
-    pub(super) fn note_ended(
+    pub(super) fn record_attempt_outcome(
         &self,
         attempt: &Attempt,
-        ended: &RequestOutcome,
+        outcome: &RequestOutcome,
         at_fault: Option<BackendIndex>,
     ) {
-        self.choices.attempt_ended(&attempt.stages, ended, at_fault);
+        self.choices.record_attempt_outcome(
+            &attempt.stages,
+            outcome,
+            at_fault,
+        );
         let now_ms = self.entry.clock.now_ms();
         for stage in &attempt.stages {
-            let is_meant = at_fault.is_none_or(|at| at == *stage);
-            let ended =
-                if is_meant { ended } else { &RequestOutcome::Cancelled };
+            let is_at_fault = at_fault.is_none_or(|at| at == *stage);
+            let outcome =
+                if is_at_fault { outcome } else { &RequestOutcome::Cancelled };
             let live = &self.job.service.live;
-            live.record_outcome(*stage, attempt.cost_tokens, ended, now_ms);
+            live.record_outcome(*stage, attempt.cost_tokens, outcome, now_ms);
         }
     }
 
     /// The first stage says that nothing has run.
-    pub(super) fn refused(&mut self, m: &wire::Refused) {
+    pub(super) fn handle_refused(&mut self, m: &wire::Refused) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
@@ -210,21 +226,25 @@
         if m.reason() == RefusalReason::AlreadyRun {
             let detail = "the backend server has seen the request before";
             let outcome = Outcome::Unknown;
-            self.end(Ending::new(outcome, Cause::Backend, detail));
+            self.fail(RequestFailure::new(outcome, Cause::Backend, detail));
             return;
         }
         // Nothing of this attempt has run, also if it had been accepted.
-        self.may_have_begun = attempt.has_begun_before;
+        self.may_have_begun = attempt.may_have_begun_before;
         let at_fault = self.job.service.fleet.find(&m.backend);
-        self.note_ended(&attempt, &RequestOutcome::Refused, at_fault);
+        self.record_attempt_outcome(
+            &attempt,
+            &RequestOutcome::Refused,
+            at_fault,
+        );
         let first = attempt.stages.first().copied();
         self.avoid.extend(at_fault.or(first));
-        let come_back_ms = self.entry.come_back_ms();
-        self.last_refusal = Some(to_ending(m, come_back_ms));
+        let retry_after_ms = self.entry.retry_after_ms();
+        self.last_refusal = Some(to_failure(m, retry_after_ms));
     }
 
     /// The attempt began and cannot go on.
-    pub(super) fn failed(
+    pub(super) fn fail_attempt(
         &mut self,
         reason: FailureReason,
         backend: &str,
@@ -236,17 +256,25 @@
         };
         self.may_have_begun = true;
         let at_fault = self.job.service.fleet.find(backend);
-        let fault = at_fault.or(attempt.stages.first().copied());
-        let is_nobodys =
+        let failed_backend = at_fault.or(attempt.stages.first().copied());
+        let is_unattributed_deadline =
             reason == FailureReason::Deadline && at_fault.is_none();
         // Neither a request whose time is over nor a server that asked for
         // rest says anything of a server's health.
-        if is_nobodys || reason == FailureReason::AtRest {
-            self.note_ended(&attempt, &RequestOutcome::Cancelled, None);
+        if is_unattributed_deadline || reason == FailureReason::AtRest {
+            self.record_attempt_outcome(
+                &attempt,
+                &RequestOutcome::Cancelled,
+                None,
+            );
         } else {
-            self.note_ended(&attempt, &RequestOutcome::Failed, fault);
+            self.record_attempt_outcome(
+                &attempt,
+                &RequestOutcome::Failed,
+                failed_backend,
+            );
         }
-        self.avoid.extend(fault);
+        self.avoid.extend(failed_backend);
         let cause = match reason {
             FailureReason::Deadline => Cause::Deadline,
             FailureReason::BadRequest => Cause::Request,
@@ -255,9 +283,12 @@
         let may_repeat = self.job.is_idempotent && cause == Cause::Backend;
         if !may_repeat {
             let outcome = Outcome::Failed;
-            let note = format!("{backend}: {detail}");
-            let words = failure_words(reason);
-            self.end(Ending::new(outcome, cause, words).note(&note));
+            let operator_detail = format!("{backend}: {detail}");
+            let detail = failure_message(reason);
+            self.fail(
+                RequestFailure::new(outcome, cause, detail)
+                    .with_operator_detail(&operator_detail),
+            );
             return;
         }
         emit(
@@ -274,7 +305,7 @@
 }
 
 /// What a caller is told when the last attempt ends with this refusal.
-fn to_ending(m: &wire::Refused, come_back_ms: u64) -> Ending {
+fn to_failure(m: &wire::Refused, retry_after_ms: u64) -> RequestFailure {
     let reason = match m.reason() {
         RefusalReason::Full | RefusalReason::TableFull => NotRunReason::Full,
         RefusalReason::Share => NotRunReason::ShareUsed,
@@ -282,10 +313,12 @@
         _ => NotRunReason::NoChain,
     };
     let retry_after_ms = match m.retry_after_ms {
-        0 => come_back_ms,
+        0 => retry_after_ms,
         known => u64::from(known),
     };
-    let note = format!("{} refused: {}", m.backend, m.reason().as_str_name());
-    let words = refusal_words(m.reason());
-    Ending::not_run(reason, Some(retry_after_ms), words).note(&note)
+    let operator_detail =
+        format!("{} refused: {}", m.backend, m.reason().as_str_name());
+    let detail = refusal_message(m.reason());
+    RequestFailure::not_run(reason, Some(retry_after_ms), detail)
+        .with_operator_detail(&operator_detail)
 }
--- a/crates/entry/src/session/mod.rs
+++ b/crates/entry/src/session/mod.rs
@@ -40,10 +40,10 @@
 };
 use chestnutreach_state::{NotRunReason, Outcome};
 
-pub(crate) use crate::ending::{Cause, Ending};
+pub(crate) use crate::failure::{Cause, RequestFailure};
 use crate::{
-    key_hold::KeyedRequest, recent::Choices, session_event::SessionEvent,
-    shared::Shared, view::ServiceView,
+    key_claim::KeyedRequest, recent_requests::ChoiceRecorder,
+    session_event::SessionEvent, shared::Shared, view::ServiceView,
 };
 
 /// What a request is, for all its attempts.
@@ -79,11 +79,11 @@
     /// The next bytes of a plain answer.
     Data(Vec<u8>),
     /// The answer is whole.
-    Whole(wire::Finished),
+    Finished(wire::Finished),
     /// It ended without a whole answer.
-    Ended(Ending),
+    Failed(RequestFailure),
     /// Its key is held by an earlier request.
-    Held(Box<Claim>),
+    KeyHeld(Box<Claim>),
 }
 
 /// The attempt that a session is at.
@@ -97,18 +97,18 @@
     first_output: Option<Instant>,
     first_position: u32,
     /// Whether an earlier attempt may have begun.
-    has_begun_before: bool,
+    may_have_begun_before: bool,
 }
 
 enum Phase {
     /// No attempt is under way.
     Idle,
     /// An attempt is under way.
-    Waiting,
+    InAttempt,
     /// The connection to the first stage is lost.
-    Lost,
+    ConnectionLost,
     /// Nothing more will come.
-    Over,
+    Ended,
 }
 
 /// One request under way.
@@ -125,15 +125,15 @@
     /// Whether any attempt may have begun.
     may_have_begun: bool,
     avoid: Vec<BackendIndex>,
-    last_refusal: Option<Ending>,
+    last_refusal: Option<RequestFailure>,
     tokens: Vec<u32>,
     next_position: u32,
     /// Position that the last attempt began at.
-    tried_position: u32,
+    attempt_start_position: u32,
     /// Attempts since then that delivered nothing.
-    fruitless_count: u32,
-    ready: VecDeque<Progress>,
-    choices: Choices,
+    attempts_without_progress: u32,
+    pending_progress: VecDeque<Progress>,
+    choices: ChoiceRecorder,
 }
 
 impl Session {
@@ -149,7 +149,7 @@
         Session {
             entry: entry.clone(),
             deadline: Timer::at(job.deadline),
-            choices: entry.recent.begin(&job),
+            choices: entry.recent_requests.start(&job),
             job,
             keyed,
             events,
@@ -162,9 +162,9 @@
             last_refusal: None,
             tokens: Vec::new(),
             next_position: 0,
-            tried_position: 0,
-            fruitless_count: 0,
-            ready: VecDeque::new(),
+            attempt_start_position: 0,
+            attempts_without_progress: 0,
+            pending_progress: VecDeque::new(),
         }
     }
 
@@ -184,7 +184,7 @@
 
     /// Goes on as an earlier request of the same key whose entry has gone:
     /// asks the side process that its claim names.
-    pub(crate) fn ask_for(&mut self, held: Claim) {
+    pub(crate) fn query_earlier_run(&mut self, held: Claim) {
         self.entry.unregister(self.job.request);
         self.job.request = RequestId::from_u128(held.request);
         let (sender, events) = async_channel::unbounded();
@@ -206,88 +206,94 @@
             started: Instant::now(),
             first_output: None,
             first_position: 0,
-            has_begun_before: false,
+            may_have_begun_before: false,
         });
         if let Some(keyed) = &mut self.keyed {
             keyed.replace_claim(held, self.job.request);
         }
-        self.phase = Phase::Lost;
+        self.phase = Phase::ConnectionLost;
     }
 
     /// Waits for the next thing that happens.
     pub(crate) async fn next(&mut self) -> Progress {
         loop {
-            if let Some(progress) = self.ready.pop_front() {
+            if let Some(progress) = self.pending_progress.pop_front() {
                 return progress;
             }
-            let is_open = !matches!(self.phase, Phase::Over);
-            if is_open && self.entry.stop.is_cut() {
-                self.cut();
+            let is_open = !matches!(self.phase, Phase::Ended);
+            if is_open && self.entry.shutdown.is_aborting() {
+                self.abort();
                 continue;
             }
             match self.phase {
                 Phase::Idle => self.dispatch().await,
-                Phase::Waiting => self.wait().await,
-                Phase::Lost => self.recover().await,
-                Phase::Over => {
-                    let ending = Ending::failed("the request has ended");
-                    return Progress::Ended(ending);
+                Phase::InAttempt => self.handle_next_event().await,
+                Phase::ConnectionLost => self.recover().await,
+                Phase::Ended => {
+                    let failure =
+                        RequestFailure::failed("the request has ended");
+                    return Progress::Failed(failure);
                 }
             }
         }
     }
 
-    fn end(&mut self, ending: Ending) {
-        let ending = if self.job.is_idempotent {
-            ending.worth_coming_back(self.entry.come_back_ms())
+    fn fail(&mut self, failure: RequestFailure) {
+        let failure = if self.job.is_idempotent {
+            failure.with_default_retry_after_ms(self.entry.retry_after_ms())
         } else {
-            ending.without_coming_back()
+            failure.without_retry_after_ms()
         };
-        self.phase = Phase::Over;
+        self.phase = Phase::Ended;
         self.attempt = None;
-        let why = format!("{} {}", ending.detail, ending.note);
-        self.choices.ended(Some(ending.outcome), why.trim_end());
-        self.ready.push_back(Progress::Ended(ending));
+        let detail = format!("{} {}", failure.detail, failure.operator_detail);
+        self.choices.record_outcome(Some(failure.outcome), detail.trim_end());
+        self.pending_progress.push_back(Progress::Failed(failure));
     }
 
     /// Ends a request that cannot be tried again: "not run" if that is a
     /// fact, with the last refusal's reason.
-    fn give_up(&mut self, cause: Cause, detail: &str) {
+    fn fail_without_retry(&mut self, cause: Cause, detail: &str) {
         if self.may_have_begun {
-            let ending = Ending::new(Outcome::Failed, cause, detail);
+            let failure = RequestFailure::new(Outcome::Failed, cause, detail);
             let known =
                 self.last_refusal.take().and_then(|r| r.retry_after_ms);
-            self.end(match known {
-                Some(after_ms) => ending.retry_after_ms(after_ms),
-                None => ending,
+            self.fail(match known {
+                Some(after_ms) => failure.with_retry_after_ms(after_ms),
+                None => failure,
             });
             return;
         }
-        let ending = self.last_refusal.take().unwrap_or_else(|| {
+        let failure = self.last_refusal.take().unwrap_or_else(|| {
             let reason = match cause {
                 Cause::Deadline => NotRunReason::TooLate,
                 Cause::Request => NotRunReason::BadRequest,
                 Cause::Backend => NotRunReason::NoChain,
             };
-            let retry_after_ms = Some(self.entry.come_back_ms());
-            Ending::not_run(reason, retry_after_ms, detail)
+            let retry_after_ms = Some(self.entry.retry_after_ms());
+            RequestFailure::not_run(reason, retry_after_ms, detail)
         });
-        self.end(ending);
+        self.fail(failure);
     }
 
-    fn rest_ms(&self) -> u64 {
-        let rest = self.job.deadline.saturating_duration_since(Instant::now());
-        rest.as_millis() as u64
+    fn remaining_ms(&self) -> u64 {
+        let remaining =
+            self.job.deadline.saturating_duration_since(Instant::now());
+        remaining.as_millis() as u64
     }
 }
 
 impl Drop for Session {
     fn drop(&mut self) {
         self.entry.unregister(self.job.request);
-        if matches!(self.phase, Phase::Waiting | Phase::Lost) {
+        if matches!(self.phase, Phase::InAttempt | Phase::ConnectionLost) {
             self.cancel();
             if let Some(attempt) = &self.attempt {
-                self.note_ended(attempt, &RequestOutcome::Cancelled, None);
+                self.record_attempt_outcome(
+                    attempt,
+                    &RequestOutcome::Cancelled,
+                    None,
+                );
             }
         }
     }
--- a/crates/entry/src/session/recover.rs
+++ b/crates/entry/src/session/recover.rs
@@ -11,17 +11,17 @@
 use chestnutreach_state::{NotRunReason, Outcome};
 use futures_lite::FutureExt as _;
 
-use super::{Cause, Ending, Phase, Session, SessionEvent};
-use crate::key_hold::in_progress_ms;
+use super::{Cause, Phase, RequestFailure, Session, SessionEvent};
+use crate::key_claim::in_progress_retry_ms;
 
 /// Wait between two questions to a side process that does not answer.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+const QUERY_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-enum Asked {
-    Answer(wire::QueryAnswer),
+enum QueryResult {
+    Response(wire::QueryAnswer),
     /// The process has been started anew and knows nothing.
     OtherIncarnation,
-    NoAnswer,
+    NoResponse,
 }
 
 impl Session {
@@ -31,35 +31,43 @@
         let limit = Instant::now() + Duration::from_millis(limit_ms);
         let until = limit.min(self.job.deadline);
         loop {
-            match self.ask().await {
-                Asked::Answer(answer) => {
-                    self.recovered(answer);
+            match self.query_side().await {
+                QueryResult::Response(response) => {
+                    self.handle_query_response(response);
                     return;
                 }
-                Asked::OtherIncarnation => break,
-                Asked::NoAnswer if self.job.is_idempotent => break,
-                Asked::NoAnswer if Instant::now() >= until => break,
-                Asked::NoAnswer if self.entry.stop.is_cut() => return,
-                Asked::NoAnswer => {
-                    Timer::after(ASK_AGAIN).await;
+                QueryResult::OtherIncarnation => break,
+                QueryResult::NoResponse if self.job.is_idempotent => break,
+                QueryResult::NoResponse if Instant::now() >= until => break,
+                QueryResult::NoResponse
+                    if self.entry.shutdown.is_aborting() =>
+                {
+                    return;
+                }
+                QueryResult::NoResponse => {
+                    Timer::after(QUERY_RETRY_INTERVAL).await;
                 }
             }
         }
         if self.job.is_idempotent {
             let detail = "the connection to the first stage was lost";
             let backend = self.first_backend();
-            self.failed(FailureReason::StageLost, &backend, detail);
+            self.fail_attempt(FailureReason::StageLost, &backend, detail);
             return;
         }
         let is_accepted = self.attempt.as_ref().is_some_and(|a| a.is_accepted);
         if let Some(attempt) = self.attempt.take() {
             let first = attempt.stages.first().copied();
-            self.note_ended(&attempt, &RequestOutcome::Failed, first);
+            self.record_attempt_outcome(
+                &attempt,
+                &RequestOutcome::Failed,
+                first,
+            );
         }
         let outcome =
             if is_accepted { Outcome::Failed } else { Outcome::Unknown };
         let detail = "the connection to the backend server was lost";
-        self.end(Ending::new(outcome, Cause::Backend, detail));
+        self.fail(RequestFailure::new(outcome, Cause::Backend, detail));
     }
 
     fn first_backend(&self) -> String {
@@ -68,19 +76,19 @@
     }
 
     /// Asks the first stage's process what it knows of the request.
-    async fn ask(&mut self) -> Asked {
+    async fn query_side(&mut self) -> QueryResult {
         let Some(attempt) = &mut self.attempt else {
-            return Asked::OtherIncarnation;
+            return QueryResult::OtherIncarnation;
         };
         let first = &attempt.chain[0];
         let Ok(address) = first.side_address.parse() else {
-            return Asked::OtherIncarnation;
+            return QueryResult::OtherIncarnation;
         };
         let Ok(link) = self.entry.links().connect(address).await else {
-            return Asked::NoAnswer;
+            return QueryResult::NoResponse;
         };
         if link.peer().boot_id != first.side_boot_id {
-            return Asked::OtherIncarnation;
+            return QueryResult::OtherIncarnation;
         }
         let query = wire::Query {
             request: Some(self.job.request.into()),
@@ -91,12 +99,12 @@
         };
         attempt.link = Some((link.clone(), link.busy()));
         if link.send(Body::Query(query)).is_err() {
-            return Asked::NoAnswer;
+            return QueryResult::NoResponse;
         }
-        self.await_answer(&link).await
+        self.await_query_response(&link).await
     }
 
-    async fn await_answer(&mut self, link: &Link) -> Asked {
+    async fn await_query_response(&mut self, link: &Link) -> QueryResult {
         let timeout = self.entry.settings.node.links.connect_timeout_ms;
         let until = Instant::now() + Duration::from_millis(timeout);
         loop {
@@ -110,89 +118,95 @@
                 Some(SessionEvent::Frame { link_id, body })
                     if link_id == link.id() =>
                 {
-                    if let Body::QueryAnswer(answer) = body {
-                        return Asked::Answer(answer);
+                    if let Body::QueryAnswer(response) = body {
+                        return QueryResult::Response(response);
                     }
                     // Outputs can only follow the answer on this link.
                 }
-                Some(SessionEvent::Closed { link_id })
+                Some(SessionEvent::LinkClosed { link_id })
                     if link_id == link.id() =>
                 {
-                    return Asked::NoAnswer;
+                    return QueryResult::NoResponse;
                 }
                 Some(_) => {}
-                None => return Asked::NoAnswer,
+                None => return QueryResult::NoResponse,
             }
         }
     }
 
-    fn recovered(&mut self, answer: wire::QueryAnswer) {
-        self.phase = Phase::Waiting;
-        let has_run =
-            !matches!(answer.state(), RunState::NeverSeen | RunState::Refused);
+    fn handle_query_response(&mut self, response: wire::QueryAnswer) {
+        self.phase = Phase::InAttempt;
+        let has_run = !matches!(
+            response.state(),
+            RunState::NeverSeen | RunState::Refused
+        );
         if has_run && self.attempt_count == 0 {
             // The attempt of the entry that has gone.
-            self.attempt_number = answer.attempt;
+            self.attempt_number = response.attempt;
         }
-        match answer.state() {
+        match response.state() {
             RunState::NeverSeen | RunState::Refused => {
                 let backend = self.first_backend();
                 let reason = RefusalReason::StageUnreachable.into();
-                self.refused(&wire::Refused {
+                self.handle_refused(&wire::Refused {
                     backend,
                     reason,
                     ..wire::Refused::default()
                 });
             }
-            RunState::Running if answer.is_attached => {
-                self.outputs(answer.outputs);
+            RunState::Running if response.is_attached => {
+                self.handle_outputs(response.outputs);
             }
             RunState::Finished => {
-                self.outputs(answer.outputs);
-                match answer.finished {
-                    Some(finished) => self.finished(finished),
-                    None => self.answer_gone(),
+                self.handle_outputs(response.outputs);
+                match response.finished {
+                    Some(finished) => self.handle_finished(finished),
+                    None => self.fail_response_lost(),
                 }
             }
             RunState::Failed => {
                 let backend = self.first_backend();
-                let reason = answer.failure();
-                self.outputs(answer.outputs);
-                self.failed(reason, &backend, "the attempt had failed");
+                let reason = response.failure();
+                self.handle_outputs(response.outputs);
+                self.fail_attempt(reason, &backend, "the attempt had failed");
             }
             RunState::Running if self.attempt_count == 0 => {
                 let detail = "a request with this idempotency key runs now";
-                let ending = Ending::not_run(
+                let failure = RequestFailure::not_run(
                     NotRunReason::InProgress,
-                    Some(in_progress_ms()),
+                    Some(in_progress_retry_ms()),
                     detail,
                 );
                 self.keyed = None;
                 self.attempt = None;
-                self.end(ending);
+                self.fail(failure);
             }
             RunState::CannotTell if !self.job.is_idempotent => {
                 self.attempt = None;
                 let detail = "the side process cannot tell whether it ran";
                 let outcome = Outcome::Unknown;
-                self.end(Ending::new(outcome, Cause::Backend, detail));
+                self.fail(RequestFailure::new(
+                    outcome,
+                    Cause::Backend,
+                    detail,
+                ));
             }
             RunState::Running
             | RunState::CannotTell
-            | RunState::Unspecified => self.answer_gone(),
+            | RunState::Unspecified => self.fail_response_lost(),
         }
     }
 
-    fn outputs(&mut self, outputs: Vec<wire::Output>) {
+    fn handle_outputs(&mut self, outputs: Vec<wire::Output>) {
         for output in outputs {
-            self.output(output);
+            self.handle_output(output);
         }
     }
 
     /// It ran or runs, and its answer cannot be had.
-    fn answer_gone(&mut self) {
+    fn fail_response_lost(&mut self) {
         let backend = self.first_backend();
         let detail = "the answer is no longer kept";
-        self.failed(FailureReason::StageLost, &backend, detail);
+        self.fail_attempt(FailureReason::StageLost, &backend, detail);
     }
 }
--- a/crates/entry/src/session_event.rs
+++ b/crates/entry/src/session_event.rs
@@ -14,10 +14,10 @@
         body: Body,
     },
     /// A link has closed.
-    Closed {
+    LinkClosed {
         /// Its number.
         link_id: u64,
     },
     /// The entry stops and gives requests no more time.
-    Cut,
+    Abort,
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -21,8 +21,9 @@
 use chestnutreach_telemetry::{Event, Metrics, emit};
 
 use crate::{
-    outage::Outage, peers::Peers, recent::Recent, session_event::SessionEvent,
-    shutdown::Stop, view::View,
+    outage::Outage, recent_requests::RecentRequests,
+    session_event::SessionEvent, shutdown::Shutdown,
+    side_registry::SideRegistry, view::View,
 };
 
 /// Parts of the map of open requests, each under a lock of its own.
@@ -35,15 +36,15 @@
     pub(crate) metrics: Arc<Metrics>,
     heard: Arc<Heard>,
     pub(crate) view: ArcSwap<View>,
-    pub(crate) peers: Peers,
+    pub(crate) side_registry: SideRegistry,
     pub(crate) claims: ClaimStore,
     pub(crate) store_outage: Outage,
-    pub(crate) recent: Recent,
+    pub(crate) recent_requests: RecentRequests,
     executor: Arc<Executor<'static>>,
     links: OnceLock<Links>,
     sessions: [Mutex<Sessions>; SESSION_SHARDS],
     in_flight: AtomicUsize,
-    pub(crate) stop: Stop,
+    pub(crate) shutdown: Shutdown,
 }
 
 type Sessions = BTreeMap<u128, async_channel::Sender<SessionEvent>>;
@@ -73,17 +74,17 @@
             settings,
             clock,
             store_outage: Outage::new(clock),
-            recent: Recent::default(),
+            recent_requests: RecentRequests::default(),
             metrics,
             heard,
             view: ArcSwap::from_pointee(View::empty()),
-            peers: Peers::default(),
+            side_registry: SideRegistry::default(),
             claims,
             executor,
             links: OnceLock::new(),
             sessions: std::array::from_fn(|_| Mutex::default()),
             in_flight: AtomicUsize::new(0),
-            stop: Stop::new(),
+            shutdown: Shutdown::new(),
         }
     }
 
@@ -111,7 +112,7 @@
     /// When to come back after a failure of which nothing else tells: by then
     /// this process has heard anew of every backend server. Spread, so that
     /// callers do not come back together.
-    pub(crate) fn come_back_ms(&self) -> u64 {
+    pub(crate) fn retry_after_ms(&self) -> u64 {
         let interval_ms = self.settings.node.links.idle_interval_ms;
         interval_ms / 2 + fastrand::u64(0..=interval_ms)
     }
@@ -123,7 +124,7 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> InFlight {
+    pub(crate) fn count_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight { shared: self.clone() }
     }
@@ -147,8 +148,8 @@
     }
 
     fn shard(&self, request: RequestId) -> MutexGuard<'_, Sessions> {
-        let at = request.as_u128() as usize % SESSION_SHARDS;
-        self.sessions[at].lock().expect("no holder panics")
+        let index = request.as_u128() as usize % SESSION_SHARDS;
+        self.sessions[index].lock().expect("no holder panics")
     }
 
     /// Takes what comes over the links.
@@ -169,21 +170,21 @@
         let request = match &body {
             Body::Status(m) => {
                 self.heard.note(m.generation);
-                return self.side_status(link, m);
+                return self.handle_side_status(link, m);
             }
             Body::Heartbeat(m) => {
                 self.heard.note(m.generation);
-                return self.side_loads(link, &m.loads);
+                return self.apply_side_loads(link, &m.loads);
             }
             Body::Accepted(m) => m.request,
             Body::Output(m) => m.request,
             Body::Finished(m) => {
-                self.told_load(link, m.load.as_ref());
+                self.apply_final_load(link, m.load.as_ref());
                 m.request
             }
             Body::Failed(m) => m.request,
             Body::Refused(m) => {
-                self.told_load(link, m.load.as_ref());
+                self.apply_final_load(link, m.load.as_ref());
                 m.request
             }
             Body::QueryAnswer(m) => m.request,
@@ -191,20 +192,25 @@
             _ => return,
         };
         if let Some(request) = request {
-            self.route(request, link, body);
+            self.deliver_frame(request, link, body);
         }
     }
 
     /// A load that came with the end of a request: a link over which frames
     /// flow is never asked for a heartbeat.
-    fn told_load(&self, link: &Link, load: Option<&wire::BackendLoad>) {
+    fn apply_final_load(&self, link: &Link, load: Option<&wire::BackendLoad>) {
         if let Some(load) = load {
-            self.side_loads(link, std::slice::from_ref(load));
+            self.apply_side_loads(link, std::slice::from_ref(load));
         }
     }
 
     /// Hands a frame to its request; one that has ended wants none.
-    fn route(&self, request: wire::RequestId, link: &Link, body: Body) {
+    fn deliver_frame(
+        &self,
+        request: wire::RequestId,
+        link: &Link,
+        body: Body,
+    ) {
         let request = RequestId::from(request);
         let sender = self.shard(request).get(&request.as_u128()).cloned();
         if let Some(sender) = sender {
@@ -215,13 +221,13 @@
     }
 
     fn link_closed(&self, link: &Link, reason: CloseReason) {
-        self.side_lost(link, reason);
+        self.handle_side_lost(link, reason);
         let link_id = link.id();
-        self.tell_sessions(|| SessionEvent::Closed { link_id });
+        self.notify_sessions(|| SessionEvent::LinkClosed { link_id });
     }
 
     /// Sends an event to every open request.
-    pub(crate) fn tell_sessions(&self, event: impl Fn() -> SessionEvent) {
+    pub(crate) fn notify_sessions(&self, event: impl Fn() -> SessionEvent) {
         for shard in &self.sessions {
             let sessions = shard.lock().expect("no holder panics");
             for sender in sessions.values() {
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -12,12 +12,12 @@
 
 /// Where an entry is on its way to its end.
 #[derive(Debug)]
-pub(crate) struct Stop {
-    is_leaving: AtomicBool,
-    is_cut: AtomicBool,
-    close: async_channel::Sender<()>,
+pub(crate) struct Shutdown {
+    is_draining: AtomicBool,
+    is_aborting: AtomicBool,
+    closing_sender: async_channel::Sender<()>,
     closing: async_channel::Receiver<()>,
-    callers: Arc<AtomicUsize>,
+    connections: Arc<AtomicUsize>,
     unsettled_claims: Arc<AtomicUsize>,
 }
 
@@ -41,30 +41,30 @@
     }
 }
 
-impl Stop {
-    pub(crate) fn new() -> Stop {
-        let (close, closing) = async_channel::bounded(1);
-        Stop {
-            is_leaving: AtomicBool::new(false),
-            is_cut: AtomicBool::new(false),
-            close,
+impl Shutdown {
+    pub(crate) fn new() -> Shutdown {
+        let (closing_sender, closing) = async_channel::bounded(1);
+        Shutdown {
+            is_draining: AtomicBool::new(false),
+            is_aborting: AtomicBool::new(false),
+            closing_sender,
             closing,
-            callers: Arc::default(),
+            connections: Arc::default(),
             unsettled_claims: Arc::default(),
         }
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.is_leaving.load(Ordering::Acquire)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.is_draining.load(Ordering::Acquire)
     }
 
-    pub(crate) fn set_leaving(&self, is_leaving: bool) {
-        self.is_leaving.store(is_leaving, Ordering::Release);
+    pub(crate) fn set_draining(&self, is_draining: bool) {
+        self.is_draining.store(is_draining, Ordering::Release);
     }
 
     /// No connection is taken any more.
-    pub(crate) fn close_callers(&self) {
-        self.close.close();
+    pub(crate) fn stop_accepting(&self) {
+        self.closing_sender.close();
     }
 
     /// Closes when no connection is taken any more.
@@ -72,28 +72,28 @@
         &self.closing
     }
 
-    pub(crate) fn is_cut(&self) -> bool {
-        self.is_cut.load(Ordering::Acquire)
+    pub(crate) fn is_aborting(&self) -> bool {
+        self.is_aborting.load(Ordering::Acquire)
     }
 
-    pub(crate) fn set_cut(&self) {
-        self.is_cut.store(true, Ordering::Release);
+    pub(crate) fn set_aborting(&self) {
+        self.is_aborting.store(true, Ordering::Release);
     }
 
     /// Counts a caller's connection until the guard is dropped.
-    pub(crate) fn enter_caller(&self) -> Counted {
-        Counted::new(&self.callers)
+    pub(crate) fn count_connection(&self) -> CountGuard {
+        CountGuard::new(&self.connections)
     }
 
     /// Counts a request whose end is to be noted, likewise.
-    pub(crate) fn enter_unsettled(&self) -> Counted {
-        Counted::new(&self.unsettled_claims)
+    pub(crate) fn count_unsettled_claim(&self) -> CountGuard {
+        CountGuard::new(&self.unsettled_claims)
     }
 
     pub(crate) fn remaining_work(&self, requests: usize) -> RemainingWork {
         RemainingWork {
             requests,
-            connections: self.callers.load(Ordering::Acquire),
+            connections: self.connections.load(Ordering::Acquire),
             unsettled_claims: self.unsettled_claims.load(Ordering::Acquire),
         }
     }
@@ -101,16 +101,16 @@
 
 /// Counts one thing until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Counted(Arc<AtomicUsize>);
+pub(crate) struct CountGuard(Arc<AtomicUsize>);
 
-impl Counted {
-    fn new(count: &Arc<AtomicUsize>) -> Counted {
+impl CountGuard {
+    fn new(count: &Arc<AtomicUsize>) -> CountGuard {
         count.fetch_add(1, Ordering::AcqRel);
-        Counted(count.clone())
+        CountGuard(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/entry/src/sides.rs
+++ b/crates/entry/src/side_links.rs
@@ -17,69 +17,70 @@
 };
 use chestnutreach_telemetry::{Event, emit};
 
-use crate::{shared::Shared, view::Beside};
+use crate::{shared::Shared, view::BackendRef};
 
 /// First and longest wait between two tries to reach a side process.
-const REDIAL_MIN_MS: u64 = 50;
-const REDIAL_MAX_MS: u64 = 2_000;
+const RECONNECT_MIN_MS: u64 = 50;
+const RECONNECT_MAX_MS: u64 = 2_000;
 
 impl Shared {
     /// What a choice is made by now.
     pub(crate) fn policy(&self) -> Policy {
         let policy = self.view.load().policy.clone();
-        policy.entry_count(self.peers.entry_count())
+        policy.entry_count(self.side_registry.entry_count())
     }
 
     /// Follows the side processes of a new view.
-    pub(crate) fn follow_sides(self: &Arc<Self>) {
+    pub(crate) fn update_side_links(self: &Arc<Self>) {
         let sides = self.view.load().sides();
         let addresses: Vec<SocketAddr> = sides.keys().copied().collect();
-        self.peers.set_sides(sides);
+        self.side_registry.set_sides(sides);
         for address in addresses {
             // A link that is open already says nothing of its own accord.
             if let Some(link) = self.links().existing(address) {
-                self.set_present(&link, address);
+                self.mark_present(&link, address);
             }
-            if self.peers.keep(address) {
-                let task = self.clone().keep_link(address);
+            if self.side_registry.reserve_link(address) {
+                let task = self.clone().maintain_link(address);
                 self.spawn(task);
             }
         }
     }
 
     /// Keeps a link to a side process for as long as the view names it.
-    async fn keep_link(self: Arc<Self>, address: SocketAddr) {
-        let mut wait_ms = REDIAL_MIN_MS;
-        while self.peers.beside(address).is_some() {
+    async fn maintain_link(self: Arc<Self>, address: SocketAddr) {
+        let mut wait_ms = RECONNECT_MIN_MS;
+        while self.side_registry.backends(address).is_some() {
             match self.links().connect(address).await {
                 Ok(link) => {
-                    wait_ms = REDIAL_MIN_MS;
-                    self.set_present(&link, address);
+                    wait_ms = RECONNECT_MIN_MS;
+                    self.mark_present(&link, address);
                     link.closed().await;
                 }
                 Err(_) => {
                     self.set_presence(address, Presence::Absent);
-                    let spread = fastrand::u64(wait_ms / 2..=wait_ms);
-                    Timer::after(Duration::from_millis(spread)).await;
-                    wait_ms = (wait_ms * 2).min(REDIAL_MAX_MS);
+                    let delay_ms = fastrand::u64(wait_ms / 2..=wait_ms);
+                    Timer::after(Duration::from_millis(delay_ms)).await;
+                    wait_ms = (wait_ms * 2).min(RECONNECT_MAX_MS);
                 }
             }
         }
-        self.peers.keep_no_longer(address);
+        self.side_registry.release_link(address);
     }
 
-    fn set_present(&self, link: &Link, address: SocketAddr) {
-        if self.peers.listed.is_leaving(link.peer()) {
+    fn mark_present(&self, link: &Link, address: SocketAddr) {
+        if self.side_registry.draining_vms.is_draining(link.peer()) {
             self.set_presence(address, Presence::Leaving);
             return;
         }
         let since_ms = self.clock.now_ms();
-        for beside in self.peers.beside(address).unwrap_or_default() {
-            let live = &beside.service.live;
+        for backend in self.side_registry.backends(address).unwrap_or_default()
+        {
+            let live = &backend.service.live;
             // A ramp that runs already is not begun again.
-            if live.presence(beside.index) == Presence::Absent {
+            if live.presence(backend.index) == Presence::Absent {
                 live.set_presence(
-                    beside.index,
+                    backend.index,
                     Presence::Joining { since_ms },
                 );
             }
@@ -87,72 +88,87 @@
     }
 
     fn set_presence(&self, address: SocketAddr, presence: Presence) {
-        for beside in self.peers.beside(address).unwrap_or_default() {
-            beside.service.live.set_presence(beside.index, presence);
+        for backend in self.side_registry.backends(address).unwrap_or_default()
+        {
+            backend.service.live.set_presence(backend.index, presence);
         }
     }
 
     /// A dialled link has closed.
-    pub(crate) fn side_lost(&self, link: &Link, reason: CloseReason) {
+    pub(crate) fn handle_side_lost(&self, link: &Link, reason: CloseReason) {
         emit(
             Event::LinkLost,
             &[("peer_vm", &link.peer().vm), ("cause", &format!("{reason:?}"))],
         );
         if let Some(address) = link.dialled() {
             self.set_presence(address, Presence::Absent);
-            self.peers.forget_entry_count(address);
+            self.side_registry.remove_entry_count(address);
         }
     }
 
     /// A side process tells its state.
-    pub(crate) fn side_status(&self, link: &Link, status: &Status) {
+    pub(crate) fn handle_side_status(&self, link: &Link, status: &Status) {
         if let Some(address) = link.dialled() {
-            self.peers.note_entry_count(address, status.entry_count);
+            self.side_registry.record_entry_count(address, status.entry_count);
         }
-        self.side_loads(link, &status.loads);
+        self.apply_side_loads(link, &status.loads);
     }
 
     /// A side process tells the load of its backend servers.
-    pub(crate) fn side_loads(&self, link: &Link, loads: &[BackendLoad]) {
+    pub(crate) fn apply_side_loads(&self, link: &Link, loads: &[BackendLoad]) {
         let Some(address) = link.dialled() else {
             return;
         };
-        let beside = self.peers.beside(address).unwrap_or_default();
-        let is_listed = self.peers.listed.is_leaving(link.peer());
+        let backends =
+            self.side_registry.backends(address).unwrap_or_default();
+        let is_vm_draining =
+            self.side_registry.draining_vms.is_draining(link.peer());
         for load in loads {
-            let at = beside
+            let backend = backends
                 .iter()
                 .find(|b| b.service.fleet.spec(b.index).name == load.backend);
-            if let Some(beside) = at {
-                self.one_load(beside, load, load.is_leaving || is_listed);
+            if let Some(backend) = backend {
+                self.apply_load(
+                    backend,
+                    load,
+                    load.is_leaving || is_vm_draining,
+                );
             }
         }
     }
 
-    fn one_load(&self, beside: &Beside, load: &BackendLoad, leaves: bool) {
+    fn apply_load(
+        &self,
+        backend: &BackendRef,
+        load: &BackendLoad,
+        is_draining: bool,
+    ) {
         let now_ms = self.clock.now_ms();
-        let live = &beside.service.live;
-        live.record_report(beside.index, &to_report(load), now_ms);
-        if leaves {
-            live.set_presence(beside.index, Presence::Leaving);
-        } else if live.presence(beside.index) == Presence::Leaving {
+        let live = &backend.service.live;
+        live.record_report(backend.index, &to_report(load), now_ms);
+        if is_draining {
+            live.set_presence(backend.index, Presence::Leaving);
+        } else if live.presence(backend.index) == Presence::Leaving {
             let joining = Presence::Joining { since_ms: now_ms };
-            live.set_presence(beside.index, joining);
+            live.set_presence(backend.index, joining);
         }
     }
 
     /// The platform's list of VMs has been read, or has not.
-    pub(crate) fn vms_leaving(&self, leaving: Option<BTreeSet<String>>) {
-        let Some(leaving) = leaving else {
-            self.peers.listed.lost();
+    pub(crate) fn update_draining_vms(
+        &self,
+        draining: Option<BTreeSet<String>>,
+    ) {
+        let Some(draining) = draining else {
+            self.side_registry.draining_vms.mark_unavailable();
             return;
         };
-        let fresh = self.peers.listed.read(leaving);
+        let added = self.side_registry.draining_vms.update(draining);
         for link in self.links().open() {
             let peer = link.peer();
-            if fresh.contains(&peer.vm)
+            if added.contains(&peer.vm)
                 && let Some(address) = link.dialled()
-                && self.peers.listed.is_leaving(peer)
+                && self.side_registry.draining_vms.is_draining(peer)
             {
                 emit(Event::VmLeaving, &[("vm", &peer.vm)]);
                 self.set_presence(address, Presence::Leaving);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/side_registry.rs
@@ -6,38 +6,44 @@
     sync::Mutex,
 };
 
-use crate::{listed::Listed, view::Beside};
+use crate::{draining_vms::DrainingVms, view::BackendRef};
 
 /// The side processes of the view in force.
 #[derive(Default)]
-pub(crate) struct Peers {
-    sides: Mutex<BTreeMap<SocketAddr, Vec<Beside>>>,
+pub(crate) struct SideRegistry {
+    sides: Mutex<BTreeMap<SocketAddr, Vec<BackendRef>>>,
     /// Addresses that a task keeps a link to.
-    kept: Mutex<BTreeSet<SocketAddr>>,
+    linked: Mutex<BTreeSet<SocketAddr>>,
     /// VMs that the platform lists as leaving.
-    pub(crate) listed: Listed,
+    pub(crate) draining_vms: DrainingVms,
     /// How many entries each side process has links to.
     entry_counts: Mutex<BTreeMap<SocketAddr, u32>>,
 }
 
-impl Peers {
+impl SideRegistry {
     /// Takes the side processes of a new view.
-    pub(crate) fn set_sides(&self, sides: BTreeMap<SocketAddr, Vec<Beside>>) {
+    pub(crate) fn set_sides(
+        &self,
+        sides: BTreeMap<SocketAddr, Vec<BackendRef>>,
+    ) {
         *self.sides.lock().expect("no holder panics") = sides;
     }
 
     /// Whether a task is to keep a link to an address from now on; none does.
-    pub(crate) fn keep(&self, address: SocketAddr) -> bool {
-        self.kept.lock().expect("no holder panics").insert(address)
+    pub(crate) fn reserve_link(&self, address: SocketAddr) -> bool {
+        self.linked.lock().expect("no holder panics").insert(address)
     }
 
     /// The task that kept a link has ended.
-    pub(crate) fn keep_no_longer(&self, address: SocketAddr) {
-        self.kept.lock().expect("no holder panics").remove(&address);
+    pub(crate) fn release_link(&self, address: SocketAddr) {
+        self.linked.lock().expect("no holder panics").remove(&address);
     }
 
     /// Backend servers beside a side process.
-    pub(crate) fn beside(&self, address: SocketAddr) -> Option<Vec<Beside>> {
+    pub(crate) fn backends(
+        &self,
+        address: SocketAddr,
+    ) -> Option<Vec<BackendRef>> {
         let sides = self.sides.lock().expect("no holder panics");
         sides.get(&address).cloned()
     }
@@ -49,12 +55,12 @@
         counts.values().copied().max().unwrap_or(1).max(1)
     }
 
-    pub(crate) fn note_entry_count(&self, address: SocketAddr, count: u32) {
+    pub(crate) fn record_entry_count(&self, address: SocketAddr, count: u32) {
         let mut counts = self.entry_counts.lock().expect("no holder panics");
         counts.insert(address, count);
     }
 
-    pub(crate) fn forget_entry_count(&self, address: SocketAddr) {
+    pub(crate) fn remove_entry_count(&self, address: SocketAddr) {
         let mut counts = self.entry_counts.lock().expect("no holder panics");
         counts.remove(&address);
     }
--- a/crates/entry/src/kept.rs
+++ b/crates/entry/src/stored_response.rs
@@ -9,11 +9,11 @@
 use crate::session::Progress;
 
 /// Header of a kept answer of a model; its body is a [`KeptText`].
-const KEPT_TEXT_HEADER: &str = "chestnutreach-kept-text";
+const STORED_TEXT_HEADER: &str = "chestnutreach-kept-text";
 
 /// What is kept of a model's answer.
 #[derive(Deserialize, Serialize)]
-struct KeptText {
+struct StoredText {
     text: String,
     is_length: bool,
     output_count: u32,
@@ -23,14 +23,14 @@
 
 /// Collects an answer while it is handed on.
 #[derive(Default)]
-pub(crate) struct Recorder {
+pub(crate) struct ResponseRecorder {
     text: String,
     head: Option<wire::PlainHead>,
     data: Vec<u8>,
 }
 
-impl Recorder {
-    pub(crate) fn note(&mut self, progress: &Progress) {
+impl ResponseRecorder {
+    pub(crate) fn record(&mut self, progress: &Progress) {
         match progress {
             Progress::Token(token) => self.text.push_str(&token.text),
             Progress::Head(head) => self.head = Some(head.clone()),
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(crate) fn into_answer(
+    pub(crate) fn into_stored_answer(
         self,
         finished: &wire::Finished,
     ) -> StoredAnswer {
@@ -51,43 +51,43 @@
                 body: self.data,
             };
         }
-        let kept = KeptText {
+        let stored = StoredText {
             text: self.text,
             is_length: finished.finish() == FinishReason::Length,
             output_count: finished.output_count,
             prompt_tokens: finished.prompt_tokens,
             cached_tokens: finished.cached_tokens,
         };
-        let marker = (KEPT_TEXT_HEADER.to_owned(), "1".to_owned());
+        let marker = (STORED_TEXT_HEADER.to_owned(), "1".to_owned());
         StoredAnswer {
             status: 200,
             headers: BTreeMap::from([marker]),
-            body: serde_json::to_vec(&kept).unwrap_or_default(),
+            body: serde_json::to_vec(&stored).unwrap_or_default(),
         }
     }
 }
 
 /// A kept answer as the progress that it once was.
 pub(crate) fn replay(answer: &StoredAnswer) -> Vec<Progress> {
-    let kept = answer
+    let stored = answer
         .headers
-        .contains_key(KEPT_TEXT_HEADER)
-        .then(|| serde_json::from_slice::<KeptText>(&answer.body).ok());
-    if let Some(Some(kept)) = kept {
-        let finish = if kept.is_length {
+        .contains_key(STORED_TEXT_HEADER)
+        .then(|| serde_json::from_slice::<StoredText>(&answer.body).ok());
+    if let Some(Some(stored)) = stored {
+        let finish = if stored.is_length {
             FinishReason::Length
         } else {
             FinishReason::Stop
         };
         let finished = wire::Finished {
-            output_count: kept.output_count,
+            output_count: stored.output_count,
             finish: finish.into(),
-            prompt_tokens: kept.prompt_tokens,
-            cached_tokens: kept.cached_tokens,
+            prompt_tokens: stored.prompt_tokens,
+            cached_tokens: stored.cached_tokens,
             ..wire::Finished::default()
         };
-        let token = wire::Token { token: 0, text: kept.text };
-        return vec![Progress::Token(token), Progress::Whole(finished)];
+        let token = wire::Token { token: 0, text: stored.text };
+        return vec![Progress::Token(token), Progress::Finished(finished)];
     }
     let headers = answer.headers.iter().map(|(name, value)| {
         let (name, value) = (name.clone(), value.clone());
@@ -100,6 +100,6 @@
     vec![
         Progress::Head(head),
         Progress::Data(answer.body.clone()),
-        Progress::Whole(wire::Finished::default()),
+        Progress::Finished(wire::Finished::default()),
     ]
 }
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -78,14 +78,14 @@
                 view.accounts.insert(digest.clone(), account.clone());
             }
         }
-        let places = Places::new(manifest, data_centre);
+        let data_centres = DataCentres::new(manifest, data_centre);
         for (name, service) in &manifest.services {
             let old = old.services.get(name);
             let budget = old.map(|o| o.budget.clone()).unwrap_or_else(|| {
                 Arc::new(RetryBudget::new(retry_budget_percent))
             });
-            let service =
-                places.service_view(manifest, name, service, old, budget);
+            let service = data_centres
+                .service_view(manifest, name, service, old, budget);
             view.insert(Arc::new(service));
         }
         view
@@ -133,13 +133,13 @@
     }
 
     /// Addresses of all side processes.
-    pub(crate) fn sides(&self) -> BTreeMap<SocketAddr, Vec<Beside>> {
-        let mut sides: BTreeMap<SocketAddr, Vec<Beside>> = BTreeMap::new();
+    pub(crate) fn sides(&self) -> BTreeMap<SocketAddr, Vec<BackendRef>> {
+        let mut sides: BTreeMap<SocketAddr, Vec<BackendRef>> = BTreeMap::new();
         for service in self.services.values() {
-            for (at, address) in service.sides.iter().enumerate() {
-                let index = BackendIndex(at as u32);
-                let beside = Beside { service: service.clone(), index };
-                sides.entry(*address).or_default().push(beside);
+            for (position, address) in service.sides.iter().enumerate() {
+                let index = BackendIndex(position as u32);
+                let backend = BackendRef { service: service.clone(), index };
+                sides.entry(*address).or_default().push(backend);
             }
         }
         sides
@@ -148,10 +148,14 @@
 
 impl ServiceView {
     /// What is known of the backend servers, for a new set of them.
-    fn carried(&self, to: &Fleet, specs: &[BackendServer]) -> Arc<LiveState> {
+    fn carry_over_live(
+        &self,
+        to: &Fleet,
+        specs: &[BackendServer],
+    ) -> Arc<LiveState> {
         let is_same = |name: &str| {
-            let old = self.fleet.find(name).map(|i| &self.specs[at(i)]);
-            let new = to.find(name).map(|i| &specs[at(i)]);
+            let old = self.fleet.find(name).map(|i| &self.specs[position(i)]);
+            let new = to.find(name).map(|i| &specs[position(i)]);
             old.zip(new).is_some_and(|(old, new)| is_same_server(old, new))
         };
         let names = self.fleet.indices().map(|i| &self.fleet.spec(i).name);
@@ -183,7 +187,7 @@
     }
 }
 
-fn at(index: BackendIndex) -> usize {
+fn position(index: BackendIndex) -> usize {
     index.0 as usize
 }
 
@@ -199,36 +203,36 @@
 
 /// A backend server beside a side process.
 #[derive(Clone)]
-pub(crate) struct Beside {
+pub(crate) struct BackendRef {
     pub(crate) service: Arc<ServiceView>,
     pub(crate) index: BackendIndex,
 }
 
 /// Data centres by the numbers that fleets use.
-struct Places {
-    numbers: BTreeMap<String, u32>,
+struct DataCentres {
+    indices: BTreeMap<String, u32>,
     network: Network,
-    here: u32,
+    local: u32,
 }
 
-impl Places {
-    fn new(manifest: &Manifest, data_centre: &str) -> Places {
+impl DataCentres {
+    fn new(manifest: &Manifest, data_centre: &str) -> DataCentres {
         let names = manifest.data_centres.keys();
-        let numbers: BTreeMap<String, u32> =
+        let indices: BTreeMap<String, u32> =
             names.zip(0..).map(|(name, n)| (name.clone(), n)).collect();
-        let mut network = Network::new(numbers.len() as u32);
+        let mut network = Network::new(indices.len() as u32);
         for ((a, b), path) in &manifest.paths {
             network.set_path(
-                numbers[a],
-                numbers[b],
+                indices[a],
+                indices[b],
                 path.latency_us,
                 path.bandwidth_mbit_per_s,
             );
         }
         // An entry outside the manifest's data centres counts as in the
         // first; the check of its settings cannot know the manifest.
-        let here = numbers.get(data_centre).copied().unwrap_or(0);
-        Places { numbers, network, here }
+        let local = indices.get(data_centre).copied().unwrap_or(0);
+        DataCentres { indices, network, local }
     }
 
     fn service_view(
@@ -259,7 +263,7 @@
             Fleet::try_new(layer_count, backends, self.network.clone())
                 .expect("an accepted manifest tiles its layers");
         let live = match old {
-            Some(old) => old.carried(&fleet, &specs),
+            Some(old) => old.carry_over_live(&fleet, &specs),
             None => Arc::new(LiveState::new(specs.len())),
         };
         ServiceView {
@@ -269,7 +273,7 @@
             live,
             budget,
             sides: servers.iter().map(|s| s.side_address).collect(),
-            data_centre: self.here,
+            data_centre: self.local,
             specs,
         }
     }
@@ -284,7 +288,7 @@
         let kind = kind.and_then(|k| manifest.accelerators.get(k));
         BackendSpec {
             name: name.to_owned(),
-            data_centre: self.numbers[&server.data_centre],
+            data_centre: self.indices[&server.data_centre],
             first_layer: server.first_layer,
             end_layer: server.end_layer,
             price_micros_per_hour: kind.map_or(0, |k| k.price_micros_per_hour),
