--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -1,4 +1,4 @@
-//! Which request goes where, and who may send it.
+//! HTTP server for callers: routing, authentication and admission.
 
 use std::{
     net::{TcpListener, TcpStream},
@@ -28,18 +28,18 @@
     view::{AccountView, ServiceView, View},
 };
 
-/// Methods of the endpoints that make an answer.
+/// Methods of the endpoints that generate output.
 const POST_ONLY: [Method; 2] = [Method::Post, Method::Options];
-/// Methods of the endpoints that only tell something.
+/// Methods of the read-only endpoints.
 const GET_ONLY: [Method; 3] = [Method::Get, Method::Head, Method::Options];
-/// Path of the list of models, and prefix of each.
+/// Path of the list of models, and prefix of the path of each model.
 const MODELS_PATH: &str = "/v1/models";
-/// Most connections taken over from the system when a port closes.
+/// Maximum number of pending connections accepted when the port closes.
 const MAX_PENDING_CONNECTIONS: usize = 1_024;
-/// Wait after the system refuses a connection.
+/// Delay after a failed `accept`.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves callers until the entry takes no more of them.
+/// Serves callers until the entry stops accepting connections.
 pub(crate) async fn serve(entry: Arc<Shared>, listener: Async<TcpListener>) {
     loop {
         let accepted = async { Some(listener.accept().await) };
@@ -56,7 +56,8 @@
             None => break,
         }
     }
-    // Those that the system has taken already would be reset with the port.
+    // Closing the port would reset connections that the kernel has accepted,
+    // so they are served as well.
     for _ in 0..MAX_PENDING_CONNECTIONS {
         let Ok((socket, _)) = listener.get_ref().accept() else {
             break;
@@ -111,7 +112,7 @@
     response
 }
 
-/// What a request is given when it arrives.
+/// ID and arrival time of a request.
 #[derive(Clone, Copy)]
 struct Arrival {
     request: RequestId,
@@ -154,8 +155,8 @@
     serve_completion(entry, &view, account, endpoint, received, arrival).await
 }
 
-/// The model that a path below the list of models names, if it is one;
-/// nothing for the list itself.
+/// The model that a path of the models endpoints names; empty for the list
+/// itself, and `None` for other paths.
 fn model_path(path: &str) -> Option<&str> {
     let rest = path.strip_prefix(MODELS_PATH)?;
     if rest.is_empty() {
@@ -198,7 +199,8 @@
     language::serve(entry, call, endpoint, parsed).await
 }
 
-/// Reads the terms of a request and counts it against this VM's limit.
+/// Parses the options of a request and checks the limit on requests in
+/// flight.
 fn admit(
     entry: &Arc<Shared>,
     account: Arc<AccountView>,
@@ -220,7 +222,7 @@
         })?;
     let Arrival { request, arrived } = arrival;
     if entry.is_full() {
-        let detail = "this VM has as many requests in flight as it may";
+        let detail = "this VM has reached its limit of requests in flight";
         return Err(not_run_response(
             entry,
             NotRunReason::Full,
@@ -231,7 +233,8 @@
     Ok(Call { received, account, service, options, request, arrived })
 }
 
-/// Without a manifest nobody can tell whether a key is right.
+/// Response while no manifest is in force: without one, no bearer key can be
+/// verified.
 fn no_manifest_response(entry: &Shared, arrival: Arrival) -> Box<Response> {
     let detail = "no manifest is in force on this VM yet";
     not_run_response(entry, NotRunReason::NoChain, arrival, detail)
@@ -267,7 +270,8 @@
     })
 }
 
-/// The bearer key; none where there is not exactly one.
+/// The bearer key; `None` unless the request has exactly one authorization
+/// header.
 fn bearer_key(request: &Request) -> Option<&str> {
     let mut values = request.header("authorization")?.iter();
     let only = values.next().filter(|_| values.next().is_none())?;
@@ -291,7 +295,8 @@
     ))
 }
 
-/// Refuses another method than those served, and answers `OPTIONS`.
+/// Checks the method against the supported ones. `OPTIONS` ends with its
+/// response as the error.
 fn check_method(
     method: Method,
     served: &[Method],
@@ -315,6 +320,6 @@
         "invalid_request_error",
         code,
         None,
-        &format!("no service answers to {what:?}"),
+        &format!("no service matches {what:?}"),
     )
 }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,4 +1,4 @@
-//! A request that was let in, as its handler gets it.
+//! An authenticated and admitted request.
 
 use std::{sync::Arc, time::Instant};
 
@@ -10,7 +10,7 @@
     view::{AccountView, ServiceView},
 };
 
-/// What every handler gets.
+/// An authenticated and admitted request, as passed to its handler.
 pub(crate) struct Call {
     pub(crate) received: Received,
     pub(crate) account: Arc<AccountView>,
--- a/crates/entry/src/draining_vms.rs
+++ b/crates/entry/src/draining_vms.rs
@@ -1,8 +1,9 @@
-//! What the platform's list says of VMs that leave.
+//! VMs that the platform lists as leaving.
 //!
-//! The list lags and may be down, and what was read last stays believed. A
-//! process that has started anew on a listed VM since then is believed
-//! instead: a VM that was replaced would get no work until the list is back.
+//! The list lags and can be unavailable; its last content stays in effect.
+//! While it is unavailable, a process with a new boot id on a listed VM is
+//! not treated as draining: otherwise a replaced VM would get no work until
+//! the list is available again.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,7 +12,7 @@
 
 use chestnutreach_protocol::wire::Hello;
 
-/// VMs that are listed as leaving.
+/// VMs that the platform lists as leaving.
 #[derive(Debug, Default)]
 pub(crate) struct DrainingVms {
     state: Mutex<State>,
@@ -19,14 +20,14 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// With the incarnation of the VM's process that was met first since the
-    /// VM was listed.
+    /// Listed VMs, each with the boot id of the first process seen on the VM
+    /// since it was listed.
     draining: BTreeMap<String, Option<u64>>,
     is_unavailable: bool,
 }
 
 impl DrainingVms {
-    /// The list has been read; the VMs that it lists anew.
+    /// Applies the list and returns the VMs that were not listed before.
     pub(crate) fn update(&self, draining: BTreeSet<String>) -> Vec<String> {
         let mut state = self.lock();
         state.is_unavailable = false;
@@ -42,12 +43,12 @@
         added
     }
 
-    /// The list could not be read.
+    /// Records that the list could not be read.
     pub(crate) fn mark_unavailable(&self) {
         self.lock().is_unavailable = true;
     }
 
-    /// Whether a process is on a VM that is believed to leave.
+    /// Whether the process runs on a VM that counts as draining.
     pub(crate) fn is_draining(&self, peer: &Hello) -> bool {
         let mut state = self.lock();
         let is_unavailable = state.is_unavailable;
--- a/crates/entry/src/error_response.rs
+++ b/crates/entry/src/error_response.rs
@@ -1,4 +1,4 @@
-//! Outcomes as statuses, headers and error objects.
+//! Error responses: status codes, headers and error objects of outcomes.
 
 use chestnutreach_http::head::RequestError;
 use chestnutreach_protocol::RequestId;
@@ -7,14 +7,14 @@
 
 use crate::session::{Cause, RequestFailure};
 
-/// Header that tells the outcome.
+/// Header with the outcome of the request.
 pub(crate) const OUTCOME_HEADER: &str = "chestnutreach-outcome";
-/// Header that tells the request's identity.
+/// Header with the request ID.
 pub(crate) const REQUEST_HEADER: &str = "x-request-id";
-/// Header by which published client libraries decide on asking again.
+/// Header by which OpenAI client libraries decide whether to retry.
 const SHOULD_RETRY_HEADER: &str = "x-should-retry";
 
-/// The answer to a request without a whole answer.
+/// Response to a request that ended without a complete response.
 pub(crate) fn for_failure(
     failure: &RequestFailure,
     request: Option<RequestId>,
@@ -37,7 +37,7 @@
     response
 }
 
-/// Whether the same request may be sent again by itself.
+/// Whether a client may retry the request automatically.
 fn may_retry(failure: &RequestFailure, is_idempotent: bool) -> bool {
     match failure.outcome {
         Outcome::Completed => false,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The published error object, with the outcome beside it.
+/// The OpenAI error object, extended by the outcome and the retry delay.
 pub(crate) fn error_object(failure: &RequestFailure) -> serde_json::Value {
     let (kind, code) = match failure.outcome {
         Outcome::NotRun { reason: NotRunReason::BadRequest, .. } => {
@@ -89,8 +89,8 @@
     }
 }
 
-/// An answer with the published error object, for requests that are refused
-/// before anything is done.
+/// Response with an OpenAI error object, for requests that are refused before
+/// anything runs.
 pub(crate) fn refusal(
     status: StatusCode,
     kind: &str,
@@ -115,7 +115,7 @@
     response
 }
 
-/// The refusal of a request that is wrong in itself.
+/// Response to an invalid request.
 pub(crate) fn bad_request(
     code: &str,
     param: Option<&str>,
@@ -125,20 +125,20 @@
     refusal(StatusCode::BadRequest, kind, code, param, message)
 }
 
-/// The refusal of a method; `allow` names those that are served.
+/// Response to an unsupported method; `allow` lists the supported ones.
 pub(crate) fn method_not_allowed(allow: &str) -> Box<Response> {
     let mut response = refusal(
         StatusCode::MethodNotAllowed,
         "invalid_request_error",
         "method_not_allowed",
         None,
-        &format!("only {allow} are served here"),
+        &format!("the supported methods are {allow}"),
     );
     response.insert_header("allow", allow);
     response
 }
 
-/// The answer to a request that the HTTP layer refuses.
+/// Response to a request that the HTTP layer refused.
 pub(crate) fn http_error(error: &RequestError) -> Response {
     let status =
         StatusCode::try_from(error.status).unwrap_or(StatusCode::BadRequest);
--- a/crates/entry/src/failure.rs
+++ b/crates/entry/src/failure.rs
@@ -1,28 +1,28 @@
-//! Why a request has no whole answer.
+//! Why a request ended without a complete response.
 
 use chestnutreach_protocol::wire::{FailureReason, RefusalReason};
 use chestnutreach_state::{NotRunReason, Outcome};
 
-/// Why a request has no whole answer.
+/// Why a request ended without a complete response.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestFailure {
     pub(crate) outcome: Outcome,
     pub(crate) cause: Cause,
-    /// When to come back; none where it will not help.
+    /// Delay before a retry; `None` where a retry does not help.
     pub(crate) retry_after_ms: Option<u64>,
-    /// What the caller is told.
+    /// Message for the caller.
     pub(crate) detail: String,
-    /// What operators are told beside it: names and addresses that are no
-    /// caller's business.
+    /// Additional detail for operators: names and addresses that are not
+    /// disclosed to callers.
     pub(crate) operator_detail: String,
 }
 
-/// What ended a request that may have begun.
+/// What ended a request that may have started.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Cause {
-    /// Its time was over.
+    /// The deadline has passed.
     Deadline,
-    /// The request itself is wrong.
+    /// The request itself is invalid.
     Request,
     /// Backend servers or connections failed.
     Backend,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds what operators are told.
+    /// Sets the detail for operators.
     pub(super) fn with_operator_detail(
         mut self,
         operator_detail: &str,
@@ -71,7 +71,7 @@
         self
     }
 
-    /// Sets when to come back after an answer that broke off.
+    /// Sets the retry delay after a response that was interrupted.
     pub(super) fn with_retry_after_ms(
         mut self,
         after_ms: u64,
@@ -80,8 +80,8 @@
         self
     }
 
-    /// An idempotent request that may have run may be sent again: tells when,
-    /// unless it is known or will not help.
+    /// Sets the retry delay of an idempotent request that may have run,
+    /// unless a delay is set already or a retry does not help.
     pub(super) fn with_default_retry_after_ms(
         mut self,
         after_ms: u64,
@@ -94,7 +94,8 @@
         self
     }
 
-    /// A non-idempotent request that may have run must not be sent again.
+    /// Removes the retry delay of a request that may have run: if it is not
+    /// idempotent, the caller must not send it again.
     pub(super) fn without_retry_after_ms(mut self) -> RequestFailure {
         if !matches!(self.outcome, Outcome::NotRun { .. }) {
             self.retry_after_ms = None;
@@ -103,39 +104,39 @@
     }
 }
 
-/// What a caller is told of a failure.
+/// Message to the caller about a failure.
 pub(super) fn failure_message(reason: FailureReason) -> &'static str {
     match reason {
         FailureReason::BackendError => "a backend server failed",
-        FailureReason::BackendSilent => "a backend server did not answer",
-        FailureReason::StageLost => "a backend server was lost",
-        FailureReason::Deadline => "the time was over",
-        FailureReason::Cancelled => "the request was given up",
-        FailureReason::Sequence => "the answer came out of order",
+        FailureReason::BackendSilent => "a backend server did not respond",
+        FailureReason::StageLost => "a backend server became unreachable",
+        FailureReason::Deadline => "the deadline was exceeded",
+        FailureReason::Cancelled => "the request was cancelled",
+        FailureReason::Sequence => "the output arrived out of order",
         FailureReason::Stopped => "a backend server stopped",
         FailureReason::BadRequest => "the model refused the request",
-        FailureReason::AtRest => "a backend server asked for rest",
+        FailureReason::AtRest => "a backend server requested a cooldown",
         FailureReason::Unspecified => "the request failed",
     }
 }
 
-/// What a caller is told of a refusal.
+/// Message to the caller about a refusal.
 pub(super) fn refusal_message(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Full | RefusalReason::TableFull => {
-            "no backend server has room"
+            "no backend server has free capacity"
         }
         RefusalReason::Share => "the client account has used its share",
-        RefusalReason::TooLate => "it could not finish in its time",
-        RefusalReason::Leaving => "the backend server is leaving",
+        RefusalReason::TooLate => {
+            "the request could not finish by its deadline"
+        }
+        RefusalReason::Leaving => "the backend server is draining",
         RefusalReason::BackendDown
         | RefusalReason::StageUnreachable
         | RefusalReason::WrongTarget
-        | RefusalReason::UnknownService => {
-            "no backend server can be reached now"
-        }
+        | RefusalReason::UnknownService => "no backend server can be reached",
         RefusalReason::Fenced
         | RefusalReason::AlreadyRun
-        | RefusalReason::Unspecified => "the request was given up",
+        | RefusalReason::Unspecified => "the request was cancelled",
     }
 }
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -1,4 +1,4 @@
-//! The claim of an idempotency key.
+//! Claims of idempotency keys.
 
 use std::{
     sync::Arc,
@@ -15,38 +15,39 @@
 
 use crate::{failure::RequestFailure, shared::Shared};
 
-/// How long a key and its answer are kept.
+/// How long a key and its stored response are retained.
 const CLAIM_RETENTION_S: u64 = 24 * 60 * 60;
-/// Tries to note how a request ended, and the wait between them.
+/// Attempts to record the outcome of a request, and the delay between them.
 const RECORD_ATTEMPTS: u32 = 5;
 const RECORD_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The key of a request and its claim.
+/// The idempotency key of a request and its claim.
 pub(crate) struct KeyedRequest {
     entry: Arc<Shared>,
     key: ClaimKey,
     digest: [u8; 32],
     request: RequestId,
     account: String,
-    /// The claim as it was written last, once it is held.
+    /// The claim as last written; `None` until the key is held.
     claim: Option<Claim>,
-    /// The claim of an earlier request that this one takes over.
+    /// Claim of an earlier request that this request takes over.
     replaced_claim: Option<Claim>,
 }
 
-/// Answer to the wish to hold a key.
+/// Result of acquiring or looking up a key.
 pub(crate) enum AcquireResult {
-    /// The claim names this side process; the request may be sent to it.
+    /// No earlier request holds the key. After [`KeyedRequest::acquire`], the
+    /// claim names the side process, and the request may be sent to it.
     Available,
-    /// An earlier request holds it.
+    /// An earlier request holds the key.
     HeldByOther(Box<Claim>),
-    /// The request ends.
+    /// The request ends with this failure.
     Failed(RequestFailure),
 }
 
 impl KeyedRequest {
-    /// The key of a request, with the digest of all that makes it the same
-    /// request.
+    /// Creates the key of a request. A repeated request must have the same
+    /// `digest`.
     pub(crate) fn new(
         entry: &Arc<Shared>,
         account: &str,
@@ -65,12 +66,13 @@
         }
     }
 
-    /// Of all that makes it the same request.
+    /// Digest that a repeated request must match.
     pub(crate) fn digest(&self) -> [u8; 32] {
         self.digest
     }
 
-    /// Has the claim name the side process of `first`.
+    /// Claims the key, or updates the claim, so that it names the side process
+    /// of the first stage.
     pub(crate) async fn acquire(
         &mut self,
         first: &wire::Stage,
@@ -100,8 +102,7 @@
         }
     }
 
-    /// Who holds the key, without claiming it: `Mine` when no earlier request
-    /// does.
+    /// Looks up whether an earlier request holds the key, without claiming it.
     pub(crate) async fn look_up(&mut self) -> AcquireResult {
         if self.claim.is_some() || self.replaced_claim.is_some() {
             return AcquireResult::Available;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Takes over the claim of an earlier request, to go on as `request`.
+    /// Takes over the claim of an earlier request and continues as `request`.
     pub(crate) fn replace_claim(&mut self, held: Claim, request: RequestId) {
         self.request = request;
         self.replaced_claim = Some(held);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Has the claim held name another side process.
+    /// Updates the held claim to name another side process.
     async fn update_side(
         &mut self,
         held: Claim,
@@ -158,8 +159,9 @@
                 AcquireResult::Available
             }
             Err(error) => {
-                // Whichever of the two the table holds, nothing was sent to
-                // either side process that has not been refused there.
+                // The table may hold either claim, and both are correct:
+                // nothing was sent to the new side process, and the old one
+                // refused what was sent to it.
                 self.claim = Some(held);
                 AcquireResult::Failed(self.store_failed(&error))
             }
@@ -181,7 +183,7 @@
             ],
         );
         let retry_after_ms = Some(self.entry.store_outage.record_failure());
-        let detail = format!("the table service: {error}");
+        let detail = format!("the table service failed: {error}");
         RequestFailure::not_run(
             NotRunReason::StoreDown,
             retry_after_ms,
@@ -196,7 +198,7 @@
         self.entry.metrics.claim(result);
     }
 
-    /// Notes how the request ended, for repeats.
+    /// Records the outcome in the claim, for repeated requests.
     pub(crate) async fn record_outcome(mut self, state: ClaimState) {
         let claims = &self.entry.claims;
         for _ in 0..RECORD_ATTEMPTS {
@@ -223,13 +225,13 @@
             &[
                 ("request", &self.request),
                 ("account", &self.account),
-                ("error", &"its end could not be noted"),
+                ("error", &"the outcome could not be recorded"),
             ],
         );
     }
 }
 
-/// When to ask again for a request that runs, spread over callers.
+/// Retry delay for a request that is in progress, with jitter.
 pub(crate) fn in_progress_retry_ms() -> u64 {
     fastrand::u64(500..=1_500)
 }
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -1,13 +1,14 @@
 //! Requests with an idempotency key.
 //!
-//! The key is claimed in the platform's table before anything is sent, with
-//! the side process that will run the request named in the claim; the
-//! finished answer is kept for repeats, which may come to any entry. A repeat
-//! whose first entry has died asks the side process named in the claim and is
-//! never run again by guess.
+//! The key is claimed in the platform's table before anything is sent. The
+//! claim names the side process that will run the request. The finished
+//! response is stored for repeated requests, which may arrive at any entry.
+//! If the entry that made the claim has exited, a repeated request queries
+//! the side process named in the claim; it runs again only if the first run
+//! is known not to have happened.
 //!
-//! A keyed request is driven by a task of its own: a caller that hangs up
-//! does not end it, since the caller will ask for its answer by the key.
+//! A keyed request is driven by its own task and continues after the caller
+//! disconnects, because the caller will retry with the key.
 
 use std::sync::Arc;
 
@@ -26,7 +27,7 @@
     stored_response::{ResponseRecorder, replay},
 };
 
-/// Starts a keyed request; what happens to it comes over the channel.
+/// Starts a keyed request and returns the channel of its progress.
 pub(crate) fn start(
     entry: &Arc<Shared>,
     job: Job,
@@ -86,7 +87,8 @@
                 continue;
             }
         };
-        // The caller first: its answer does not depend on the store.
+        // The caller is served first: its response does not depend on the
+        // table service.
         let _ = sender.try_send(progress);
         sender.close();
         if let (Some(keyed), Some(state)) = (session.take_keyed(), state) {
@@ -96,13 +98,13 @@
     }
 }
 
-/// What a request does whose key is held.
+/// How to continue a request whose key an earlier request holds.
 enum Resolution {
-    /// It ends with this.
+    /// Respond with this progress, which ends the request.
     Respond(Vec<Progress>),
-    /// It runs, since the earlier one did not.
+    /// Run the request, because the earlier request did not run.
     Run,
-    /// It asks the side process that the claim names.
+    /// Query the side process that the claim names.
     QuerySide,
 }
 
@@ -118,8 +120,8 @@
     let owner = match (is_own, entry.is_registered(request)) {
         (_, true) => Owner::Running,
         (true, false) => Owner::NotRunning,
-        // Only the side process can tell whether the other entry still
-        // takes the answer.
+        // Only the side process knows whether the other entry still
+        // receives the output.
         (false, false) => Owner::Gone,
     };
     let not_run = |reason, retry_after_ms, detail: &str| {
@@ -133,11 +135,12 @@
         }
         Repeat::KeyReused => {
             entry.metrics.claim(ClaimResult::KeyReused);
-            let detail = "the idempotency key was used for another request";
+            let detail =
+                "the idempotency key was used for a different request";
             not_run(NotRunReason::KeyReused, None, detail)
         }
         Repeat::InProgress => {
-            let detail = "a request with this idempotency key runs now";
+            let detail = "a request with this idempotency key is in progress";
             not_run(
                 NotRunReason::InProgress,
                 Some(in_progress_retry_ms()),
@@ -146,7 +149,7 @@
         }
         Repeat::Failed => {
             let detail = "the request with this idempotency key failed \
-                          after it began";
+                          after it started";
             let failure = RequestFailure::failed(detail);
             Resolution::Respond(vec![Progress::Failed(failure)])
         }
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -30,11 +30,11 @@
     view::ServiceView,
 };
 
-/// Reads a request's body.
+/// Parses a request body.
 ///
 /// # Errors
 ///
-/// The answer that names the field at fault.
+/// Returns an error response that names the invalid field.
 pub(crate) fn parse(
     endpoint: Endpoint,
     body: &[u8],
@@ -48,11 +48,11 @@
     })
 }
 
-/// Fits a request into the context of its model.
+/// Limits a request to the context length of its model.
 ///
 /// # Errors
 ///
-/// The answer that names the limit.
+/// Returns an error response that names the limit.
 pub(crate) fn limit_to_context(
     parsed: &mut ParsedRequest,
     service: &ServiceView,
@@ -107,15 +107,15 @@
     }
 }
 
-/// Ends when the caller hangs up. It is kept over all tokens of an answer: a
-/// new one would look at the socket each time.
+/// Completes when the caller disconnects. One future is reused for all tokens
+/// of a response, because each new future would poll the socket.
 type Disconnect = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 fn wait_for_disconnect(connection: SharedStream) -> Disconnect {
     Box::pin(async move { connection.hung_up().await })
 }
 
-/// A request whose answer is being made.
+/// Builds the response to a request.
 struct Responder {
     source: ProgressSource,
     disconnected: Disconnect,
@@ -125,7 +125,7 @@
 }
 
 impl Responder {
-    /// Answers with one JSON object.
+    /// Responds with one JSON object.
     async fn respond(
         mut self,
         call: &Call,
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Answers with events, once it is known that there is an answer.
+    /// Responds with an event stream. Waits for the first progress, so that a
+    /// request that fails before then gets an error status.
     async fn respond_streaming(
         mut self,
         entry: &Arc<Shared>,
@@ -205,7 +206,7 @@
         Ok(response)
     }
 
-    /// The next progress; none when the caller has hung up.
+    /// The next progress; `None` if the caller has disconnected.
     async fn next(&mut self) -> Option<Progress> {
         let next = async { Some(self.source.next().await) };
         let disconnected = async {
@@ -227,7 +228,7 @@
     }
 }
 
-/// A streamed answer under way.
+/// A streamed response in progress.
 struct EventStream {
     responder: Responder,
     encoder: ChunkEncoder,
@@ -262,8 +263,8 @@
                     self.responder.tracker.record_failure(&failure);
                     let object = error_response::error_object(&failure);
                     self.writer.write(error_event(&object));
-                    // Dropping the writer unfinished breaks the body off: an
-                    // answer that is not whole must not look like one.
+                    // Dropping the writer without `finish` truncates the
+                    // body, so that the client sees an incomplete response.
                     return;
                 }
                 Progress::Head(_)
@@ -275,7 +276,7 @@
         self.responder.tracker.record_disconnect();
     }
 
-    /// The next progress; none when the caller has gone.
+    /// The next progress; `None` if the caller has disconnected.
     async fn next(&mut self) -> Option<Progress> {
         let reader_gone = async {
             self.writer.reader_gone().await;
@@ -293,7 +294,7 @@
     )
 }
 
-/// When a call's time is over.
+/// Deadline of a call.
 pub(crate) fn deadline(call: &Call) -> Instant {
     call.arrived + Duration::from_millis(call.options.deadline_ms)
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,29 +1,30 @@
-//! The role `entry`: speaks HTTP to callers and owns their answers.
+//! The role `entry`: accepts HTTP requests from callers and runs each one on
+//! the backend servers.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`node`] | the process as a whole |
-//! | `view` | the manifest in force, made ready for requests |
-//! | `shared` | what all its parts share |
-//! | `peers` | which side processes there are |
-//! | `sides` | links to them, and what they say |
-//! | `listed` | what the platform's list says of VMs that leave |
+//! | `view` | the manifest in force, indexed for requests |
+//! | `shared` | state shared by all modules |
+//! | `side_registry` | side processes of the manifest in force |
+//! | `side_links` | links to side processes and the state they report |
+//! | `draining_vms` | VMs that the platform lists as leaving |
 //! | `session` | one request over all its attempts |
-//! | `session_event`, `ending` | what reaches it, how it ends |
-//! | `kept` | answers kept for repeats |
-//! | `keyed`, `key_hold` | requests with an idempotency key, its claim |
-//! | `api`, `call` | which request goes where, and who may send it |
-//! | [`request_options`] | the headers that say how a request is served |
+//! | `session_event`, `failure` | events of a session, and how it fails |
+//! | `stored_response` | responses stored for repeated requests |
+//! | `keyed`, `key_claim` | requests with an idempotency key, and its claim |
+//! | `api`, `call` | routing and authentication of HTTP requests |
+//! | [`request_options`] | request headers that set deadline and priority |
 //! | `models` | the list of models |
-//! | [`openai`] | the published shapes of requests and answers |
+//! | [`openai`] | OpenAI request and response formats |
 //! | `language` | requests for a model |
 //! | `plain` | requests for a plain service |
-//! | `recent` | the routing choices of recent requests |
-//! | [`shutdown`] | how an entry stops |
-//! | `source` | where the progress of a request comes from |
-//! | `tally` | what is counted and logged of a request |
-//! | `outage` | how long the platform's store has been failing |
-//! | `answer` | outcomes as statuses, headers and error objects |
+//! | `recent_requests` | the routing choices of recent requests |
+//! | [`shutdown`] | how an entry shuts down |
+//! | `progress_source` | what drives a request: its handler or a task |
+//! | `request_tracker` | metrics and log events of a request |
+//! | `outage` | how long the platform's table service has been failing |
+//! | `error_response` | outcomes as status codes, headers and error objects |
 
 mod api;
 mod call;
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -1,4 +1,4 @@
-//! The list of models, as published.
+//! The models endpoints of the OpenAI API.
 
 use chestnutreach_config::manifest::Account;
 use http_types::{Response, StatusCode};
@@ -7,7 +7,7 @@
 
 use crate::view::{AccountView, ServiceView, View};
 
-/// The models that an account may use.
+/// Response with the models that an account may use.
 pub(crate) fn list(view: &View, account: &AccountView) -> Response {
     let Account { services, .. } = &account.account;
     let data: Vec<Value> = view
@@ -18,12 +18,12 @@
     respond(&json!({"object": "list", "data": data}))
 }
 
-/// One model.
+/// Response that describes one model.
 pub(crate) fn one(model: &str, service: &ServiceView) -> Response {
     respond(&object(model, service))
 }
 
-/// A model's name as a path holds it; a client library escapes "/".
+/// Decodes a model name from a path; client libraries escape "/".
 pub(crate) fn decode(segment: &str) -> String {
     percent_decode_str(segment).decode_utf8_lossy().into_owned()
 }
@@ -32,7 +32,7 @@
     json!({
         "id": model,
         "object": "model",
-        // The published field is required, and nothing here knows it.
+        // The API requires this field, and the manifest does not hold it.
         "created": 0,
         "owned_by": service.name,
     })
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! The process as a whole.
+//! The entry process as a whole.
 
 use std::{collections::BTreeSet, net::TcpListener, sync::Arc};
 
@@ -16,34 +16,34 @@
     view::View,
 };
 
-/// The role `entry` of a process; clones are handles to the same one.
+/// The role `entry` of a process; clones are handles to the same entry.
 #[derive(Clone)]
 pub struct Entry {
     shared: Arc<Shared>,
 }
 
-/// What an entry is made of.
+/// Dependencies of an entry.
 pub struct EntryParts {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: EntrySettings,
-    /// Who it is.
+    /// Identity that the entry presents to its peers.
     pub identity: Identity,
-    /// Where it counts.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// What peers tell of the manifest.
+    /// What peers report about the manifest.
     pub heard: Arc<Heard>,
-    /// Claims of keyed requests.
+    /// Store for the claims of idempotency keys.
     pub claims: ClaimStore,
-    /// Runs its tasks.
+    /// Executor for the entry's tasks.
     pub executor: Arc<Executor<'static>>,
-    /// Where callers connect.
+    /// Listener for HTTP connections of callers.
     pub http: Async<TcpListener>,
-    /// Where other processes of the system connect.
+    /// Listener for links of other processes of the system.
     pub inner: Async<TcpListener>,
 }
 
 impl Entry {
-    /// Starts the role; it serves nothing until a manifest is applied.
+    /// Starts the role. It refuses all requests until a manifest is applied.
     pub fn start(parts: EntryParts) -> Entry {
         let options =
             chestnutreach_node::links::options(&parts.settings.node.links);
@@ -82,45 +82,46 @@
         shared.update_side_links();
     }
 
-    /// Takes over which VMs the platform lists as leaving; none when the
-    /// list does not answer.
+    /// Sets the VMs that the platform lists as leaving; `None` if the list
+    /// could not be read.
     pub fn set_draining_vms(&self, vms: Option<BTreeSet<String>>) {
         self.shared.update_draining_vms(vms);
     }
 
-    /// Closes callers' connections after their next answer from now on.
+    /// Sets whether connections of callers are closed after their next
+    /// response.
     pub fn set_draining(&self, is_draining: bool) {
         self.shared.shutdown.set_draining(is_draining);
     }
 
-    /// Whether the process is leaving.
+    /// Whether the process is draining.
     pub fn is_draining(&self) -> bool {
         self.shared.shutdown.is_draining()
     }
 
-    /// Takes no more connections of callers, and closes those without a
-    /// request, for good.
+    /// Stops accepting connections of callers and closes idle ones. This
+    /// cannot be undone.
     pub fn stop_accepting(&self) {
         self.shared.shutdown.stop_accepting();
     }
 
-    /// What is still to be waited for before the process may end.
+    /// Work that must finish before the process can exit.
     pub fn remaining_work(&self) -> RemainingWork {
         self.shared.shutdown.remaining_work(self.in_flight())
     }
 
-    /// Ends every request that is open with the outcome that is known.
+    /// Ends all open requests with the outcome known so far.
     pub fn abort_requests(&self) {
         self.shared.shutdown.set_aborting();
         self.shared.notify_sessions(|| SessionEvent::Abort);
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight()
     }
 
-    /// State of the process, for operators.
+    /// Status of the process for operators, as JSON.
     pub fn status(&self) -> serde_json::Value {
         let view = self.shared.view.load();
         let now_ms = self.shared.clock.now_ms();
@@ -142,27 +143,27 @@
         })
     }
 
-    /// The process's links.
+    /// Links of the process.
     pub fn links(&self) -> &Links {
         self.shared.links()
     }
 
-    /// Generation in force; 0 for none.
+    /// Manifest generation in force; 0 if none is.
     pub fn generation(&self) -> u64 {
         self.shared.view.load().generation
     }
 
-    /// The choices made for a request, as JSON; none when it is not one of
-    /// the last requests of this process.
+    /// Routing choices made for a request, as JSON; `None` if the request is
+    /// not among the recent requests of this process.
     pub fn recent_choices(&self, request: RequestId) -> Option<String> {
         self.shared.recent_requests.explain(request)
     }
 
-    /// Explains the choice for a described request, as JSON.
+    /// Explains the routing choice for a hypothetical request, as JSON.
     ///
     /// # Errors
     ///
-    /// The service is not in the manifest in force.
+    /// Fails if the service is not in the manifest in force.
     pub fn explain(
         &self,
         service: &str,
@@ -170,7 +171,7 @@
     ) -> Result<String, String> {
         let view = self.shared.view.load();
         let Some(service) = view.services.get(service) else {
-            return Err(format!("service {service:?} is not known"));
+            return Err(format!("unknown service {service:?}"));
         };
         let policy = self.shared.policy();
         let now_ms = self.shared.clock.now_ms();
--- a/crates/entry/src/openai.rs
+++ b/crates/entry/src/openai.rs
@@ -1,19 +1,19 @@
-//! The published shapes of requests and answers.
+//! OpenAI request and response formats.
 //!
-//! Only what the router itself needs is read from a request; the engine gets
-//! the caller's JSON as it came. A field whose effect the router could not
-//! hand back, a second choice for instance, is refused by its name: an answer
-//! that lacks what was asked for is not whole.
+//! Only the fields that the router needs are read from a request; the engine
+//! gets the caller's JSON unchanged. A field that asks for more than the
+//! response can hold, such as a second choice, is refused by name, because a
+//! response without it would be incomplete.
 //!
-//! The module has no state and is public so that its tests and fuzz tests
-//! reach it without an entry.
+//! The module has no state and is public so that integration tests and fuzz
+//! tests can use it without an entry.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`request`] | what is read of a request, and its checks |
-//! | `fields` | the fields as they are parsed |
-//! | [`response`] | whole answers and streamed chunks |
-//! | [`endpoint`] | which of the two endpoints |
+//! | [`request`] | parsing and validation of requests |
+//! | `fields` | the parsed fields |
+//! | [`response`] | full responses and streamed chunks |
+//! | [`endpoint`] | the two endpoints |
 
 pub mod endpoint;
 mod fields;
--- a/crates/entry/src/openai/endpoint.rs
+++ b/crates/entry/src/openai/endpoint.rs
@@ -1,6 +1,6 @@
-//! The two endpoints.
+//! The two endpoints that generate output.
 
-/// Which of the two endpoints a request came to.
+/// Endpoint that received a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Endpoint {
     /// `/v1/chat/completions`.
--- a/crates/entry/src/openai/fields.rs
+++ b/crates/entry/src/openai/fields.rs
@@ -1,7 +1,7 @@
-//! The fields of a request, as they are parsed.
+//! The parsed fields of a request.
 //!
-//! A field may be absent or null, which the published shapes treat alike.
-//! Fields that are not listed go to the engine unread.
+//! A field may be absent or null; the OpenAI API treats both the same. Fields
+//! that are not listed here are forwarded to the engine without validation.
 
 use std::{fmt, marker::PhantomData, slice};
 
@@ -66,7 +66,7 @@
     pub(super) text: Option<String>,
 }
 
-/// One text or a list of them.
+/// One text or a list of texts.
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "expected a string or a list of strings")]
 pub(super) enum Texts {
@@ -83,8 +83,8 @@
     }
 }
 
-/// A value that is written as a JSON object. A derived type alone would also
-/// take a list, with the fields by their order.
+/// A value that must be a JSON object. A derived `Deserialize` alone would
+/// also accept a list of the fields in order.
 pub(super) struct Object<T>(pub(super) T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Object<T> {
--- a/crates/entry/src/openai/request.rs
+++ b/crates/entry/src/openai/request.rs
@@ -1,4 +1,4 @@
-//! What is read of a request, and its checks.
+//! Parsing and validation of requests.
 
 use std::{error, fmt, ops::RangeInclusive};
 
@@ -9,13 +9,14 @@
     fields::{Body, Content, Message, Object, Part, Texts},
 };
 
-/// Answer tokens of a chat request that states no limit.
+/// Output token limit of a chat request that does not set one.
 pub const DEFAULT_CHAT_MAX_TOKENS: u32 = 1024;
-/// The same for a completion; the published default.
+/// Output token limit of a completion request that does not set one; the
+/// default of the OpenAI API.
 pub const DEFAULT_COMPLETION_MAX_TOKENS: u32 = 16;
-/// Most stop sequences, as published.
+/// Maximum number of stop sequences in the OpenAI API.
 pub const MAX_STOP_SEQUENCES: usize = 4;
-/// Bytes of text that count as a token in estimates.
+/// Bytes of text per token, for estimates.
 const BYTES_PER_TOKEN: usize = 4;
 
 const TEMPERATURE_RANGE: RangeInclusive<f64> = 0.0..=2.0;
@@ -25,30 +26,29 @@
 const ROLES: [&str; 6] =
     ["assistant", "developer", "function", "system", "tool", "user"];
 
-/// What the router reads of a request.
+/// The fields of a request that the router uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParsedRequest {
-    /// Model named.
+    /// Name of the model.
     pub model: String,
-    /// Most tokens of the answer; at least 1.
+    /// Maximum number of output tokens; at least 1.
     pub max_tokens: u32,
-    /// Field that stated the limit; none where it is the default.
+    /// Field that set the limit; `None` for the default.
     pub max_tokens_field: Option<&'static str>,
-    /// The answer is to be streamed.
+    /// Whether the response is streamed.
     pub is_stream: bool,
-    /// A streamed answer is to end with its usage.
+    /// Whether a streamed response ends with its token usage.
     pub includes_usage: bool,
-    /// Estimate of the prompt's length.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens_estimate: u32,
 }
 
-/// A request that is not of the published shape, or asks for what is not
-/// served.
+/// A request that is malformed or asks for an unsupported feature.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ValidationError {
-    /// The field at fault, if it is known.
+    /// The invalid field, if known.
     pub param: Option<String>,
-    /// What is wrong with it, for the caller.
+    /// Description of the error, for the caller.
     pub message: String,
 }
 
@@ -61,12 +61,12 @@
 impl error::Error for ValidationError {}
 
 impl ParsedRequest {
-    /// Reads a request's body.
+    /// Parses a request body.
     ///
     /// # Errors
     ///
-    /// The body is no JSON, not of the published shape, or asks for what is
-    /// not served.
+    /// Fails if the body is not JSON, does not have the format of the OpenAI
+    /// API or asks for an unsupported feature.
     pub fn try_parse(
         endpoint: Endpoint,
         body: &[u8],
@@ -94,12 +94,12 @@
         })
     }
 
-    /// Fits the answer into the model's context: a stated limit that cannot
-    /// fit is refused, the default gives way.
+    /// Limits the output to the model's context length. The default limit is
+    /// reduced to fit; an explicit limit that does not fit is refused.
     ///
     /// # Errors
     ///
-    /// The stated limit leaves no token for the prompt.
+    /// Fails if the explicit limit leaves no token for the prompt.
     pub fn limit_to_context(
         &mut self,
         max_context_tokens: u32,
@@ -112,8 +112,8 @@
             return Ok(());
         };
         let message = format!(
-            "is {} tokens, not less than the {max_context_tokens} tokens of \
-             the model's context",
+            "is {} tokens, but must be less than the model's context length \
+             of {max_context_tokens} tokens",
             self.max_tokens
         );
         Err(invalid(field, &message))
@@ -143,7 +143,7 @@
 ) -> ValidationError {
     let path = error.path().to_string();
     let message = error.inner().to_string();
-    // A body that is no JSON at all is not the fault of a field.
+    // An error of the whole body or of the JSON syntax belongs to no field.
     if path == "." || !error.inner().is_data() {
         return ValidationError { param: None, message };
     }
@@ -180,7 +180,7 @@
     match &message.content {
         Some(Content::Text(text)) => Ok(text.len()),
         Some(Content::Parts(parts)) => parts_bytes(parts, path),
-        // It may have only called a tool.
+        // The message may consist of tool calls only.
         None if role == "assistant" => Ok(0),
         None => Err(invalid(&format!("{path}.content"), "is missing")),
     }
@@ -217,7 +217,7 @@
         [text] => Ok(text.len()),
         texts => {
             let message = format!(
-                "has {} texts, but 1 a request is served",
+                "has {} texts, but only 1 per request is supported",
                 texts.len()
             );
             Err(invalid("prompt", &message))
@@ -239,7 +239,8 @@
     for (field, value, range) in numbers {
         if let Some(value) = value.filter(|v| !range.contains(v)) {
             let (min, max) = (range.start(), range.end());
-            let message = format!("is {value}, not from {min} to {max}");
+            let message =
+                format!("is {value}, but must be from {min} to {max}");
             return Err(invalid(field, &message));
         }
     }
@@ -256,19 +257,21 @@
     Err(invalid("stop", &message))
 }
 
-/// Refuses what the answer could not hold.
+/// Refuses features that the response cannot represent.
 fn check_supported(body: &Body) -> Result<(), ValidationError> {
     for (field, count) in [("n", body.n), ("best_of", body.best_of)] {
         if let Some(count) = count.filter(|count| *count != 1) {
-            let message =
-                format!("is {count}, but 1 answer a request is served");
+            let message = format!(
+                "is {count}, but only 1 answer per request is supported"
+            );
             return Err(invalid(field, &message));
         }
     }
     let has_tools = body.tools.as_ref().is_some_and(|t| !t.is_empty());
     let has_functions = body.functions.as_ref().is_some_and(|f| !f.is_empty());
     let has_suffix = body.suffix.as_ref().is_some_and(|s| !s.is_empty());
-    // A count of 0 asks for those of the chosen tokens.
+    // In the completions API, 0 asks for the log probabilities of the chosen
+    // tokens.
     let wants_logprobs =
         body.logprobs.as_ref().is_some_and(|l| *l != Value::Bool(false));
     let wants_other_modality = body
@@ -285,22 +288,23 @@
         ("modalities", wants_other_modality),
     ];
     match unsupported.iter().find(|(_, is_requested)| *is_requested) {
-        Some((field, _)) => Err(invalid(field, "is not served")),
+        Some((field, _)) => Err(invalid(field, "is not supported")),
         None => Ok(()),
     }
 }
 
 fn wants_usage(body: &Body, is_stream: bool) -> Result<bool, ValidationError> {
     match &body.stream_options {
-        Some(_) if !is_stream => {
-            Err(invalid("stream_options", "is only for a streamed answer"))
-        }
+        Some(_) if !is_stream => Err(invalid(
+            "stream_options",
+            "is only allowed for a streamed response",
+        )),
         Some(Object(options)) => Ok(options.include_usage.unwrap_or(false)),
         None => Ok(false),
     }
 }
 
-/// The limit of the answer, and the field that states it.
+/// The output token limit, and the field that sets it.
 fn token_limit(
     endpoint: Endpoint,
     body: &Body,
@@ -314,7 +318,10 @@
     for (field, limit) in stated {
         match limit {
             Some(0) => {
-                return Err(invalid(field, "is 0, not 1 token or more"));
+                return Err(invalid(
+                    field,
+                    "is 0, but must be at least 1 token",
+                ));
             }
             Some(limit) => return Ok((limit, Some(field))),
             None => {}
--- a/crates/entry/src/openai/response.rs
+++ b/crates/entry/src/openai/response.rs
@@ -1,7 +1,7 @@
-//! Whole answers and streamed chunks.
+//! Full responses and streamed chunks.
 //!
-//! Streamed chunks are written around the text with parts that are made once
-//! a request, since this runs for each token.
+//! The constant parts of streamed chunks are formatted once per request,
+//! because a chunk is encoded for each token.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -11,11 +11,11 @@
 
 use super::endpoint::Endpoint;
 
-/// Characters that JSON takes as they are but that client libraries which
-/// read events as lines of text may take for an end of line.
+/// Characters that are valid unescaped in JSON strings, but that client
+/// libraries may treat as line terminators when they split events into lines.
 const UNICODE_LINE_TERMINATORS: [char; 3] = ['\u{85}', '\u{2028}', '\u{2029}'];
 
-/// Tokens that a request took.
+/// Token usage of a request.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Usage {
     prompt_tokens: u32,
@@ -30,7 +30,8 @@
 }
 
 impl Usage {
-    /// Usage by counts of tokens; `cached` of the prompt's were in a cache.
+    /// Creates the usage from token counts; `cached` is the number of prompt
+    /// tokens that were in a cache.
     pub fn new(prompt: u32, cached: u32, completion: u32) -> Usage {
         Usage {
             prompt_tokens: prompt,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Names of an answer, the same in all its parts.
+/// The fields of a response that are the same in all its chunks.
 pub struct ResponseTemplate {
     endpoint: Endpoint,
     id: String,
@@ -50,7 +51,7 @@
 }
 
 impl ResponseTemplate {
-    /// The names of an answer that is made now.
+    /// Creates the template of a response, with the current time.
     pub fn new(
         endpoint: Endpoint,
         request: RequestId,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The whole answer as one JSON object.
+    /// Builds the full response as one JSON object.
     pub fn full_response(
         &self,
         text: &str,
@@ -111,7 +112,7 @@
         })
     }
 
-    /// The parts that streamed chunks are written with.
+    /// Creates the encoder of a streamed response.
     pub fn chunk_encoder(&self, includes_usage: bool) -> ChunkEncoder {
         let object = match self.endpoint {
             Endpoint::Chat => "chat.completion.chunk",
@@ -124,14 +125,15 @@
             self.created,
             json_string(&self.model),
         );
-        // Published: with usage asked for, each chunk but the last has null.
+        // OpenAI API: if usage is requested, it is null in all chunks but the
+        // last.
         let tail =
             if includes_usage { "],\"usage\":null}\n\n" } else { "]}\n\n" };
         ChunkEncoder { endpoint: self.endpoint, head, tail, includes_usage }
     }
 }
 
-/// Writes streamed chunks, each one event of one line.
+/// Encodes streamed chunks, each as one event on one line.
 pub struct ChunkEncoder {
     endpoint: Endpoint,
     head: String,
@@ -140,7 +142,8 @@
 }
 
 impl ChunkEncoder {
-    /// The first chunk of a chat answer, which names the role.
+    /// Encodes the first chunk of a chat response, which sets the role; a
+    /// completion has none.
     pub fn first_chunk(&self) -> Option<Vec<u8>> {
         match self.endpoint {
             Endpoint::Chat => {
@@ -151,7 +154,7 @@
         }
     }
 
-    /// A chunk with text.
+    /// Encodes a chunk with text.
     pub fn text_chunk(&self, text: &str) -> Vec<u8> {
         let text = json_string(text);
         let part = match self.endpoint {
@@ -161,7 +164,8 @@
         self.chunk(&part, None)
     }
 
-    /// The last events: why it ended, the usage if asked for, the end mark.
+    /// Encodes the last events: the finish reason, the usage if requested, and
+    /// the `[DONE]` marker.
     pub fn final_events(&self, finish: FinishReason, usage: Usage) -> Vec<u8> {
         let part = match self.endpoint {
             Endpoint::Chat => "\"delta\":{}",
@@ -188,7 +192,7 @@
     }
 }
 
-/// The event that tells in a streamed answer that it will not be whole.
+/// Encodes the error event of a streamed response that stays incomplete.
 pub(crate) fn error_event(object: &serde_json::Value) -> Vec<u8> {
     let object = escape_line_terminators(object.to_string());
     format!("data: {object}\n\n").into_bytes()
@@ -198,7 +202,8 @@
     escape_line_terminators(serde_json::Value::from(text).to_string())
 }
 
-/// Escapes [`LINE_ENDS`] in JSON, which has them only inside of strings.
+/// Escapes [`UNICODE_LINE_TERMINATORS`] in JSON, where they occur only inside
+/// strings.
 fn escape_line_terminators(json: String) -> String {
     if !json.contains(UNICODE_LINE_TERMINATORS) {
         return json;
--- a/crates/entry/src/outage.rs
+++ b/crates/entry/src/outage.rs
@@ -1,8 +1,8 @@
-//! How long the platform's store has been failing.
+//! How long the platform's table service has been failing.
 //!
-//! A caller is told to come back after about as long as the outage has
-//! lasted already, within bounds: a short one is over soon, and a long one
-//! should not be met by all callers every second.
+//! The suggested retry delay grows with the age of the outage, within limits:
+//! a short outage is over soon, and during a long one callers should not all
+//! retry every second.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -10,10 +10,9 @@
 
 const MIN_RETRY_MS: u64 = 500;
 const MAX_RETRY_MS: u64 = 30_000;
-/// Stands for "no outage".
 const NO_OUTAGE: u64 = 0;
 
-/// The outage of a store, if there is one.
+/// The current outage of the table service, if any.
 #[derive(Debug)]
 pub(crate) struct Outage {
     clock: Clock,
@@ -25,12 +24,13 @@
         Outage { clock, since_ms: AtomicU64::new(NO_OUTAGE) }
     }
 
-    /// A call worked.
+    /// Ends the outage: a call succeeded.
     pub(crate) fn record_success(&self) {
         self.since_ms.store(NO_OUTAGE, Ordering::Release);
     }
 
-    /// A call failed; when to come back, in milliseconds.
+    /// Begins or continues the outage and returns the delay in milliseconds
+    /// after which the caller should retry. The delay has random jitter.
     pub(crate) fn record_failure(&self) -> u64 {
         let now_ms = self.clock.now_ms().max(NO_OUTAGE + 1);
         let since_ms = match self.since_ms.compare_exchange(
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -20,8 +20,8 @@
     shared::Shared,
 };
 
-/// Headers that end at the entry: of the connection, of the account's key,
-/// and of the router itself.
+/// Request headers that are not forwarded: those of the connection and the
+/// bearer key. Headers of the router itself are removed by prefix.
 const STRIPPED_HEADERS: [&str; 12] = [
     "authorization",
     "connection",
@@ -38,16 +38,16 @@
 ];
 const STRIPPED_PREFIX: &str = "chestnutreach-";
 
-/// Methods that are told to a caller that asks for a tunnel; every other
-/// one is passed on too.
+/// Methods in the `allow` header of a refused tunnel. All methods except
+/// `CONNECT` are forwarded, also those that are not listed here.
 const ADVERTISED_METHODS: &str =
     "GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS";
 
-/// Refuses `CONNECT`: an answer to it would be taken for an open tunnel.
+/// Refuses `CONNECT`: a client takes a successful response as an open tunnel.
 ///
 /// # Errors
 ///
-/// The answer that names other methods.
+/// Returns the error response if the method is `CONNECT`.
 pub(crate) fn refuse_tunnel(method: Method) -> Result<(), Box<Response>> {
     if method != Method::Connect {
         return Ok(());
@@ -55,7 +55,8 @@
     Err(error_response::method_not_allowed(ADVERTISED_METHODS))
 }
 
-/// Serves a request for a plain service; `rest` is the path below its own.
+/// Serves a request for a plain service; `subpath` is the path below that of
+/// the service.
 pub(crate) async fn serve(
     entry: &Arc<Shared>,
     mut call: Call,
@@ -131,7 +132,7 @@
     }
 }
 
-/// Whether HTTP itself calls a method idempotent.
+/// Whether the HTTP standard defines the method as idempotent.
 fn is_idempotent(method: Method) -> bool {
     matches!(
         method,
@@ -171,15 +172,15 @@
     headers
 }
 
-/// Headers that the caller says are of its connection only.
+/// Headers that the request's `connection` header lists as hop-by-hop.
 fn connection_headers(request: &Request) -> BTreeSet<String> {
     let values = request.header("connection").into_iter().flatten();
     let names = values.flat_map(|value| value.as_str().split(','));
     names.map(|name| name.trim().to_ascii_lowercase()).collect()
 }
 
-/// The service's answer. It is sent only when it is whole, so that its
-/// status is never followed by a part of its body.
+/// Buffers the service's response, which is sent only once it is complete, so
+/// that a success status is never followed by a truncated body.
 #[derive(Default)]
 struct ResponseBuffer {
     head: wire::PlainHead,
@@ -192,13 +193,14 @@
             .unwrap_or(StatusCode::BadGateway);
         let mut response = Response::new(status);
         if method == Method::Head {
-            // The length that GET would have is not known here, and one
-            // that is stated must be that.
+            // Content-Length would have to match the length of the GET
+            // response, which is not known here.
             response.set_body(Body::from_reader(io::empty(), None));
         } else {
             response.set_body(self.body);
         }
-        // A body sets the content type, which is the service's to say.
+        // Setting the body sets a content type, which only the service
+        // decides.
         response.remove_header("content-type");
         for header in &self.head.headers {
             append(&mut response, header);
@@ -207,8 +209,8 @@
     }
 }
 
-/// Adds a header, but for one that is not ASCII: the library panics on it,
-/// and a peer must not be able to have it do so.
+/// Adds a header and skips one that is not ASCII: `http_types` panics on such
+/// a header, and a peer must not be able to trigger the panic.
 fn append(response: &mut Response, header: &wire::Header) {
     let name = HeaderName::from_str(&header.name);
     let value = HeaderValue::from_str(&header.value);
--- a/crates/entry/src/progress_source.rs
+++ b/crates/entry/src/progress_source.rs
@@ -1,4 +1,4 @@
-//! Where the progress of a request comes from.
+//! What drives a request: its HTTP handler, or a task of its own.
 
 use std::sync::Arc;
 
@@ -10,16 +10,16 @@
     shared::Shared,
 };
 
-/// A request under way, as its handler sees it.
+/// An open request, as seen by its HTTP handler.
 pub(crate) enum ProgressSource {
-    /// Driven by whoever asks for the next thing.
+    /// Driven by the caller of `next`.
     Direct(Box<Session>),
-    /// Driven by a task of its own, since it has a key.
+    /// A request with an idempotency key, driven by its own task.
     Keyed(async_channel::Receiver<Progress>),
 }
 
 impl ProgressSource {
-    /// Starts a request; see [`key_of`] for one with a key.
+    /// Starts a request; [`key_of`] makes its key, if it has one.
     pub(crate) fn start(
         entry: &Arc<Shared>,
         job: Job,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Waits for the next thing that happens.
+    /// Waits for the next progress of the request.
     pub(crate) async fn next(&mut self) -> Progress {
         match self {
             ProgressSource::Direct(session) => session.next().await,
@@ -50,8 +50,8 @@
     }
 }
 
-/// The key of a call that has one. It needs the call's body, so it is made
-/// before the body moves to the job.
+/// The idempotency key of a call, if it has one. Must run before the body
+/// moves to the job, because the digest covers the body.
 pub(crate) fn key_of(
     entry: &Arc<Shared>,
     call: &Call,
@@ -62,7 +62,7 @@
     Some(KeyedRequest::new(entry, account, key, digest, call.request))
 }
 
-/// Digest of all that makes a repeat the same request.
+/// Digest of method, path, query and body: a repeated request must match it.
 fn digest(call: &Call) -> [u8; 32] {
     let request = &call.received.request;
     let mut hasher = blake3::Hasher::new();
--- a/crates/entry/src/recent_requests.rs
+++ b/crates/entry/src/recent_requests.rs
@@ -1,10 +1,10 @@
-//! The routing choices of recent requests, for operators to ask about.
+//! Routing choices of recent requests, for queries by operators.
 //!
-//! A ring holds the last [`CAPACITY`] requests. A request takes the ring's
-//! lock once, when it begins; what it notes later goes under a lock of its
-//! own, which only someone who asks about it shares. Nothing is noted per
-//! token. Names are copied instead of keeping the view: a ring that lives
-//! over many generations would keep all their views alive.
+//! A ring buffer holds the last [`CAPACITY`] requests. A request locks the
+//! ring once, when it starts; later updates lock only its own record, so that
+//! they contend only with a query for that request. Nothing is recorded per
+//! token. Names are copied, because references would keep the views of many
+//! manifest generations alive.
 
 use std::{
     collections::VecDeque,
@@ -21,21 +21,21 @@
 
 use crate::{session::Job, view::ServiceView};
 
-/// Requests remembered.
+/// Maximum number of requests in the ring.
 const CAPACITY: usize = 4_096;
 
-/// The requests of late, oldest first.
+/// Ring buffer of recent requests, oldest first.
 #[derive(Default)]
 pub(crate) struct RecentRequests {
     ring: Mutex<VecDeque<Arc<RequestRecord>>>,
 }
 
 impl RecentRequests {
-    /// Remembers a request from now on.
+    /// Adds a request and returns the recorder for its choices.
     pub(crate) fn start(&self, job: &Job) -> ChoiceRecorder {
         let record = Arc::new(RequestRecord::new(job));
         let oldest = self.push(record.clone());
-        // Freed outside of the lock.
+        // The evicted record is freed outside the lock.
         drop(oldest);
         ChoiceRecorder { service: job.service.clone(), record }
     }
@@ -48,7 +48,7 @@
         oldest
     }
 
-    /// What is remembered of a request, as JSON.
+    /// The record of a request, as JSON.
     pub(crate) fn explain(&self, request: RequestId) -> Option<String> {
         let found = {
             let ring = self.lock();
@@ -79,11 +79,11 @@
     elapsed_ms: Option<u64>,
 }
 
-/// One choice, and what became of its attempt.
+/// One routing choice and the outcome of its attempt.
 #[derive(Clone, Serialize)]
 struct ChoiceRecord {
     at_ms: u64,
-    /// From layer 0 up.
+    /// Backend servers in the order of their layers.
     stages: Vec<String>,
     avoided: Vec<String>,
     prompt_tokens: u32,
@@ -93,7 +93,7 @@
     total_ms: u64,
     price_micros: u64,
     cost: f64,
-    /// None while it is under way, and where nothing was sent.
+    /// Outcome of the attempt; `None` while it runs, or if nothing was sent.
     ended: Option<&'static str>,
     at_fault: Option<String>,
 }
@@ -138,14 +138,14 @@
     }
 }
 
-/// Where a request notes its choices.
+/// Records the choices and the outcome of one request.
 pub(crate) struct ChoiceRecorder {
     service: Arc<ServiceView>,
     record: Arc<RequestRecord>,
 }
 
 impl ChoiceRecorder {
-    /// A chain was chosen.
+    /// Records a chosen chain.
     pub(crate) fn record_choice(
         &self,
         choice: &Choice,
@@ -169,8 +169,9 @@
         self.record.lock().choices.push(choice_record);
     }
 
-    /// The attempt on the chain chosen last has ended; one without stages
-    /// is an earlier request's, which was not chosen here.
+    /// Records the outcome of the attempt on the last chosen chain. An attempt
+    /// without stages belongs to an earlier request with the same key, whose
+    /// chain was not chosen here, and is ignored.
     pub(crate) fn record_attempt_outcome(
         &self,
         stages: &[BackendIndex],
@@ -187,8 +188,8 @@
         }
     }
 
-    /// The request has its outcome; none of its own when its caller hung up
-    /// or an earlier request with its key answers.
+    /// Records the outcome of the request; `None` if the caller disconnected
+    /// or an earlier request with the same key provides the response.
     pub(crate) fn record_outcome(
         &self,
         outcome: Option<Outcome>,
--- a/crates/entry/src/request_options.rs
+++ b/crates/entry/src/request_options.rs
@@ -1,49 +1,49 @@
-//! What the headers of a request say of how it is to be served.
+//! Request headers that set deadline, priority and idempotency.
 
 use std::{error, fmt};
 
 use chestnutreach_routing::Priority;
 use http_types::Request;
 
-/// Header with the caller's time in milliseconds.
+/// Header with the deadline of the request, in milliseconds from its arrival.
 pub const DEADLINE_HEADER: &str = "chestnutreach-deadline-ms";
 /// Header that marks a request as non-idempotent.
 pub const NON_IDEMPOTENT_HEADER: &str = "chestnutreach-non-idempotent";
 /// Header with the request's priority.
 pub const PRIORITY_HEADER: &str = "chestnutreach-priority";
-/// Published header with the key of a request that runs at most once.
+/// Widely used header with the key of a request that runs at most once.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Longest key.
+/// Maximum length of an idempotency key.
 pub const MAX_KEY_BYTES: usize = 255;
 
-/// What the headers of a request say of how it is to be served.
+/// Options that a request sets by its headers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestOptions {
-    /// The caller's time.
+    /// Time from the arrival of the request to its deadline.
     pub deadline_ms: u64,
     /// Priority among the requests of its account.
     pub priority: Priority,
-    /// None where the caller does not say.
+    /// `None` if the caller does not set the header.
     pub is_non_idempotent: Option<bool>,
     /// Key of a request that runs at most once.
     pub key: Option<String>,
 }
 
-/// Deadlines of a service.
+/// Default and maximum deadline of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DeadlineLimits {
-    /// For a caller that states none.
+    /// Deadline of a request that does not set one.
     pub default_ms: u64,
-    /// The longest that may be asked for.
+    /// Longest deadline that a request may set.
     pub max_ms: u64,
 }
 
-/// A header whose value is not one that it may have.
+/// A header that is repeated or has an invalid value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HeaderError {
     /// Name of the header.
     pub name: &'static str,
-    /// What is wrong with it, for the caller.
+    /// Description of the error, for the caller.
     pub message: String,
 }
 
@@ -56,11 +56,11 @@
 impl error::Error for HeaderError {}
 
 impl RequestOptions {
-    /// Reads the terms of a request.
+    /// Parses the headers of a request.
     ///
     /// # Errors
     ///
-    /// A header is given twice or has a value that it may not have.
+    /// Fails if a header is repeated or has an invalid value.
     pub fn try_new(
         request: &Request,
         limits: DeadlineLimits,
@@ -82,7 +82,7 @@
         return Ok(limits.default_ms);
     };
     let max_ms = limits.max_ms;
-    // `parse` alone would take a sign.
+    // `parse` alone would accept a sign.
     let is_digits = text.bytes().all(|b| b.is_ascii_digit());
     let deadline_ms = text.parse().ok().filter(|_| is_digits);
     deadline_ms.filter(|ms| (1..=max_ms).contains(ms)).ok_or_else(|| {
@@ -129,8 +129,9 @@
     (1..=MAX_KEY_BYTES).contains(&text.len()) && is_visible
 }
 
-/// The one value of a header. Two would leave open which of them the caller
-/// meant, and one that is not seen might be the mark of a letter.
+/// The value of a header that must not be repeated. With two values it would
+/// be unclear which one applies, and an ignored one could be the mark of a
+/// non-idempotent request.
 fn single_value<'a>(
     request: &'a Request,
     name: &'static str,
@@ -140,7 +141,8 @@
     };
     let count = values.iter().count();
     if count > 1 {
-        let message = format!("header {name} is given {count} times, not 1");
+        let message =
+            format!("header {name} is given {count} times, not once");
         return Err(HeaderError { name, message });
     }
     Ok(Some(values.last().as_str().trim()))
--- a/crates/entry/src/request_tracker.rs
+++ b/crates/entry/src/request_tracker.rs
@@ -1,4 +1,4 @@
-//! What is counted and logged of one request.
+//! Metrics and log events of one request.
 
 use std::{
     sync::Arc,
@@ -18,7 +18,8 @@
     shared::{InFlight, Shared},
 };
 
-/// Counts a request from its start to its one outcome.
+/// Records a request from its arrival to its outcome, which is recorded
+/// exactly once.
 pub(crate) struct RequestTracker {
     request: RequestId,
     service: String,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A token, or a part of a plain answer, is handed to the caller.
+    /// Records the delivery of tokens, or of the head of a plain response.
     pub(crate) fn record_delivery(&mut self, tokens: u32) {
         let now = Instant::now();
         match self.last_delivery.replace(now) {
@@ -78,7 +79,7 @@
         self.account_metrics.tokens_delivered.inc_by(tokens.into());
     }
 
-    /// The answer was whole.
+    /// Records a complete response.
     pub(crate) fn record_completed(&mut self) {
         let first = self.first_delivery.unwrap_or_else(Instant::now);
         let wait = first.saturating_duration_since(self.arrived);
@@ -88,7 +89,7 @@
         self.finish(Outcome::Completed, "");
     }
 
-    /// The request ended without a whole answer.
+    /// Records a request that ended without a complete response.
     pub(crate) fn record_failure(&mut self, failure: &RequestFailure) {
         if failure.outcome == Outcome::Unknown {
             emit(
@@ -108,7 +109,7 @@
         self.finish(failure.outcome, why);
     }
 
-    /// The caller hung up.
+    /// Records that the caller disconnected.
     pub(crate) fn record_disconnect(&mut self) {
         emit(
             Event::CallerGone,
@@ -155,7 +156,7 @@
 
 impl Drop for RequestTracker {
     fn drop(&mut self) {
-        // Its handler was dropped with the caller's connection.
+        // The handler was dropped together with the caller's connection.
         if !self.has_ended {
             self.record_disconnect();
         }
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -17,15 +17,18 @@
 };
 use crate::{key_claim::AcquireResult, view::ServiceView};
 
-/// Part of the time left that a side process is not given, so that its own
-/// answer at the deadline comes before the caller's time is over.
+/// Subtracted from the deadline that a side process gets, so that its response
+/// at that deadline arrives before the deadline of the caller.
 const DEADLINE_MARGIN_MS: u64 = 20;
 
 impl Session {
     /// Chooses a chain and sends the request to its first stage.
     pub(super) async fn dispatch(&mut self) {
         if self.remaining_ms() <= DEADLINE_MARGIN_MS {
-            self.fail_without_retry(Cause::Deadline, "the time was over");
+            self.fail_without_retry(
+                Cause::Deadline,
+                "the deadline was exceeded",
+            );
             return;
         }
         if self.attempt_count > 0 && !self.may_retry() {
@@ -53,7 +56,7 @@
         let run = self.run_message(&chain);
         let guard = link.busy();
         if link.send(Body::Run(run)).is_err() {
-            // A frame that the link did not take has reached nobody.
+            // The link did not accept the frame, so nothing was sent.
             self.avoid.push(stages[0]);
             return;
         }
@@ -77,11 +80,11 @@
         self.phase = Phase::InAttempt;
     }
 
-    /// Whether another attempt is allowed. One that goes on after the last
-    /// attempt had delivered something is free: it takes the place that the
-    /// broken one has left and comes nearer to its end. All others are
-    /// limited, and paid from the service's budget, so that what fails or is
-    /// refused at once is not multiplied.
+    /// Whether another attempt is allowed. An attempt after one that delivered
+    /// output is free: it uses the slot that the failed attempt released, and
+    /// the request makes progress. All other retries are limited in number and
+    /// use the service's retry budget, so that immediate failures and refusals
+    /// do not multiply the load.
     fn may_retry(&mut self) -> bool {
         let has_progress = self.next_position > self.attempt_start_position;
         self.attempt_start_position = self.next_position;
@@ -114,9 +117,12 @@
         }
     }
 
+    /// Chooses a chain and records the choice.
+    ///
     /// # Errors
     ///
-    /// Why there is no chain; noted as the last refusal as well.
+    /// Returns why there is no chain. The reason also becomes the last refusal,
+    /// if there is none yet.
     fn choose(
         &mut self,
         shape: &RequestShape,
@@ -150,9 +156,9 @@
         }
     }
 
-    /// Whether the key of a request that cannot be sent is held already: a
-    /// repeat needs no chain, and must not be told that it did not run when
-    /// it did.
+    /// Whether an earlier request holds the key of a request that cannot be
+    /// sent. A repeated request needs no chain, and "not run" would be wrong
+    /// if the earlier request did run.
     async fn is_answered_by_claim(&mut self) -> bool {
         let Some(keyed) = &mut self.keyed else {
             return false;
@@ -171,7 +177,8 @@
         }
     }
 
-    /// The link to the first stage and the chain as it is sent.
+    /// Connects to the first stage and returns the link and the chain in wire
+    /// format; `None` if the first stage cannot be reached.
     async fn connect(
         &mut self,
         stages: &[BackendIndex],
@@ -191,7 +198,7 @@
                         RequestFailure::not_run(
                             NotRunReason::NoChain,
                             Some(self.entry.retry_after_ms()),
-                            "no backend server can be reached now",
+                            "no backend server can be reached",
                         )
                         .with_operator_detail(&e.to_string()),
                     );
@@ -205,8 +212,8 @@
         Some((link, chain))
     }
 
-    /// Has the claim of a keyed request name the side process before
-    /// anything is sent to it; false when the request has ended.
+    /// Makes the claim of a keyed request name the side process before
+    /// anything is sent there. Returns false if the request must not be sent.
     async fn acquire_claim(&mut self, first: &wire::Stage) -> bool {
         let Some(keyed) = &mut self.keyed else {
             return true;
--- a/crates/entry/src/session/events.rs
+++ b/crates/entry/src/session/events.rs
@@ -1,4 +1,4 @@
-//! What comes back of an attempt, and how attempts end.
+//! Output of an attempt, and how attempts end.
 
 use std::time::Instant;
 
@@ -16,7 +16,8 @@
 use crate::failure::{failure_message, refusal_message};
 
 impl Session {
-    /// Waits for what the first stage sends, or for the deadline.
+    /// Waits for an event of the first stage or for the deadline, and handles
+    /// it.
     pub(super) async fn handle_next_event(&mut self) {
         match self.next_event().await {
             Some(SessionEvent::Frame { link_id, body }) => {
@@ -29,16 +30,17 @@
                     self.phase = Phase::ConnectionLost;
                 }
             }
-            // Looked at before anything else that a request does next.
+            // `next` checks for an abort before the request continues.
             Some(SessionEvent::Abort) => {}
             None => self.handle_deadline(),
         }
     }
 
-    /// The entry stops and the bound of its stop has passed. A request with
-    /// a key runs on at its side process, where a repeat finds it.
+    /// Aborts the request because the drain limit of the entry has passed. A
+    /// keyed request continues at its side process, where a repeated request
+    /// finds it.
     pub(super) fn abort(&mut self) {
-        let detail = "the VM that took the request has stopped";
+        let detail = "the VM that accepted the request is shutting down";
         let is_kept = self.keyed.is_some();
         if !is_kept {
             self.cancel();
@@ -65,7 +67,7 @@
         self.fail(RequestFailure::new(outcome, Cause::Backend, detail));
     }
 
-    /// The next event; none at the deadline.
+    /// The next event; `None` at the deadline.
     async fn next_event(&mut self) -> Option<SessionEvent> {
         let events = &self.events;
         let event = async { events.recv().await.ok() };
@@ -85,16 +87,19 @@
         self.cancel();
         let is_accepted = self.attempt.as_ref().is_some_and(|a| a.is_accepted);
         if is_accepted || self.attempt.is_none() {
-            self.fail_without_retry(Cause::Deadline, "the time was over");
+            self.fail_without_retry(
+                Cause::Deadline,
+                "the deadline was exceeded",
+            );
         } else {
-            let detail = "the time was over before the backend server told \
-                          whether it began";
+            let detail = "the deadline was exceeded before the backend server \
+                          reported whether the request started";
             let outcome = Outcome::Unknown;
             self.fail(RequestFailure::new(outcome, Cause::Deadline, detail));
         }
     }
 
-    /// Tells the first stage that nobody waits any more.
+    /// Cancels the attempt at the first stage.
     pub(super) fn cancel(&self) {
         let attempt = self.attempt.as_ref();
         if let Some((link, _)) = attempt.and_then(|a| a.link.as_ref()) {
@@ -117,7 +122,7 @@
                 self.fail_attempt(m.reason(), &m.backend, &m.detail);
             }
             Body::Refused(m) if m.attempt == number => self.handle_refused(&m),
-            // A frame of an older attempt, or a late answer to a question.
+            // A frame of an older attempt, or a late response to a query.
             _ => {}
         }
     }
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Hands on the next position once, and only after the one before it.
+    /// Passes on each position exactly once and in order.
     pub(super) fn handle_output(&mut self, m: wire::Output) {
         if m.position < self.next_position {
             return;
@@ -139,7 +144,7 @@
             self.fail_attempt(
                 reason,
                 "",
-                "a position of the answer is missing",
+                "a position of the output is missing",
             );
             return;
         }
@@ -166,7 +171,11 @@
     pub(super) fn handle_finished(&mut self, m: wire::Finished) {
         if m.output_count != self.next_position {
             let reason = FailureReason::Sequence;
-            self.fail_attempt(reason, "", "the answer has another length");
+            self.fail_attempt(
+                reason,
+                "",
+                "the output has an unexpected length",
+            );
             return;
         }
         self.record_completed(&m);
@@ -194,8 +203,9 @@
         self.record_attempt_outcome(attempt, &outcome, None);
     }
 
-    /// Tells what became of an attempt: `outcome` for the backend server at
-    /// fault, or for all of them; the others are only freed.
+    /// Records the end of an attempt at its backend servers: `outcome` for the
+    /// server at fault, or for all servers if none is given. The other servers
+    /// only release the load of the attempt.
     pub(super) fn record_attempt_outcome(
         &self,
         attempt: &Attempt,
@@ -217,19 +227,19 @@
         }
     }
 
-    /// The first stage says that nothing has run.
+    /// Handles a refusal: the first stage states that nothing has run.
     pub(super) fn handle_refused(&mut self, m: &wire::Refused) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
         self.phase = Phase::Idle;
         if m.reason() == RefusalReason::AlreadyRun {
-            let detail = "the backend server has seen the request before";
+            let detail = "the backend server has received the request before";
             let outcome = Outcome::Unknown;
             self.fail(RequestFailure::new(outcome, Cause::Backend, detail));
             return;
         }
-        // Nothing of this attempt has run, also if it had been accepted.
+        // Nothing of this attempt has run, even if it was accepted.
         self.may_have_begun = attempt.may_have_begun_before;
         let at_fault = self.job.service.fleet.find(&m.backend);
         self.record_attempt_outcome(
@@ -243,7 +253,8 @@
         self.last_refusal = Some(to_failure(m, retry_after_ms));
     }
 
-    /// The attempt began and cannot go on.
+    /// Ends an attempt that started and cannot continue. Depending on the
+    /// reason, the request ends as well or is sent to another chain.
     pub(super) fn fail_attempt(
         &mut self,
         reason: FailureReason,
@@ -259,8 +270,8 @@
         let failed_backend = at_fault.or(attempt.stages.first().copied());
         let is_unattributed_deadline =
             reason == FailureReason::Deadline && at_fault.is_none();
-        // Neither a request whose time is over nor a server that asked for
-        // rest says anything of a server's health.
+        // Neither an exceeded deadline nor a requested cooldown says anything
+        // about the health of a server.
         if is_unattributed_deadline || reason == FailureReason::AtRest {
             self.record_attempt_outcome(
                 &attempt,
@@ -304,7 +315,7 @@
     }
 }
 
-/// What a caller is told when the last attempt ends with this refusal.
+/// The failure of a request whose last attempt ends with this refusal.
 fn to_failure(m: &wire::Refused, retry_after_ms: u64) -> RequestFailure {
     let reason = match m.reason() {
         RefusalReason::Full | RefusalReason::TableFull => NotRunReason::Full,
--- a/crates/entry/src/session/mod.rs
+++ b/crates/entry/src/session/mod.rs
@@ -1,26 +1,24 @@
 //! One request over all its attempts.
 //!
-//! A session chooses a chain, sends the request to the first stage and hands
-//! on what comes back, position by position. When an attempt breaks, it goes
-//! on where it can be done without running anything twice that must not be:
+//! A session chooses a chain, sends the request to the first stage and passes
+//! the output on in order of its positions. When an attempt fails, the session
+//! continues only where nothing runs twice that must run at most once:
 //!
-//! - "not run" frees it to try another chain, whatever the request;
-//! - an idempotent request goes to another chain and resumes after the last
-//!   position delivered;
-//! - a non-idempotent one is never sent again after an ambiguous point: the
-//!   session asks the side process what it knows until it answers or the
-//!   time for that has passed.
+//! - After "not run", any request may be sent to another chain.
+//! - An idempotent request is sent to another chain and resumes after the last
+//!   delivered position.
+//! - A non-idempotent request whose attempt may have run is never sent again:
+//!   the session queries the side process until it responds or the time limit
+//!   for recovery has passed.
 //!
-//! Nobody waits on an old connection, and a request that cannot go on ends
-//! at once.
-
+//! A session never waits on a lost connection, and a request that cannot
+//! continue ends immediately.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | `ending` | why a request has no whole answer |
 //! | `dispatch` | choosing a chain and sending the request |
-//! | `events` | what comes back, and how attempts end |
-//! | `recover` | going on after a lost connection |
+//! | `events` | output of an attempt, and how attempts end |
+//! | `recover` | recovery after a lost connection |
 
 mod dispatch;
 mod events;
@@ -46,7 +44,7 @@
     session_event::SessionEvent, shared::Shared, view::ServiceView,
 };
 
-/// What a request is, for all its attempts.
+/// Parameters of a request that are the same for all its attempts.
 pub(crate) struct Job {
     pub(crate) request: RequestId,
     pub(crate) service: Arc<ServiceView>,
@@ -57,36 +55,36 @@
     pub(crate) work: JobWork,
 }
 
-/// What is asked for.
+/// The kind of work that a request asks for.
 pub(crate) enum JobWork {
-    /// Tokens from a model.
+    /// Generate tokens with a model.
     Generate {
         model: String,
         request_json: Vec<u8>,
         max_tokens: u32,
         prompt_tokens_estimate: u32,
     },
-    /// One call of a plain service.
+    /// Call a plain service once.
     PlainCall(wire::PlainCall),
 }
 
-/// The next thing that happened to a request.
+/// A step in the progress of a request.
 pub(crate) enum Progress {
     /// The next token.
     Token(wire::Token),
-    /// The head of a plain answer.
+    /// The status and headers of a plain response.
     Head(wire::PlainHead),
-    /// The next bytes of a plain answer.
+    /// The next bytes of a plain response.
     Data(Vec<u8>),
-    /// The answer is whole.
+    /// The response is complete.
     Finished(wire::Finished),
-    /// It ended without a whole answer.
+    /// The request ended without a complete response.
     Failed(RequestFailure),
-    /// Its key is held by an earlier request.
+    /// An earlier request holds the idempotency key.
     KeyHeld(Box<Claim>),
 }
 
-/// The attempt that a session is at.
+/// The current attempt of a session.
 struct Attempt {
     stages: Vec<BackendIndex>,
     chain: Vec<wire::Stage>,
@@ -96,22 +94,22 @@
     started: Instant,
     first_output: Option<Instant>,
     first_position: u32,
-    /// Whether an earlier attempt may have begun.
+    /// Whether an earlier attempt may have started.
     may_have_begun_before: bool,
 }
 
 enum Phase {
-    /// No attempt is under way.
+    /// No attempt is in progress.
     Idle,
-    /// An attempt is under way.
+    /// An attempt is in progress.
     InAttempt,
     /// The connection to the first stage is lost.
     ConnectionLost,
-    /// Nothing more will come.
+    /// The request has ended.
     Ended,
 }
 
-/// One request under way.
+/// One open request.
 pub(crate) struct Session {
     entry: Arc<Shared>,
     job: Job,
@@ -122,22 +120,22 @@
     attempt_number: u32,
     attempt_count: u32,
     attempt: Option<Attempt>,
-    /// Whether any attempt may have begun.
+    /// Whether any attempt may have started.
     may_have_begun: bool,
     avoid: Vec<BackendIndex>,
     last_refusal: Option<RequestFailure>,
     tokens: Vec<u32>,
     next_position: u32,
-    /// Position that the last attempt began at.
+    /// Position at which the last attempt started.
     attempt_start_position: u32,
-    /// Attempts since then that delivered nothing.
+    /// Consecutive attempts that delivered nothing.
     attempts_without_progress: u32,
     pending_progress: VecDeque<Progress>,
     choices: ChoiceRecorder,
 }
 
 impl Session {
-    /// A session that has not been sent anywhere.
+    /// Creates a session whose request has not been sent yet.
     pub(crate) fn new(
         entry: &Arc<Shared>,
         job: Job,
@@ -168,13 +166,13 @@
         }
     }
 
-    /// The key and its claim, to note how the request ended.
+    /// Takes the key and its claim, to record the outcome.
     pub(crate) fn take_keyed(&mut self) -> Option<KeyedRequest> {
         self.keyed.take()
     }
 
-    /// Goes on in place of an earlier request of the same key that surely
-    /// did not run.
+    /// Takes over the key from an earlier request that is known not to have
+    /// run, and runs this request.
     pub(crate) fn take_over(&mut self, held: Claim) {
         if let Some(keyed) = &mut self.keyed {
             keyed.replace_claim(held, self.job.request);
@@ -182,15 +180,15 @@
         self.phase = Phase::Idle;
     }
 
-    /// Goes on as an earlier request of the same key whose entry has gone:
-    /// asks the side process that its claim names.
+    /// Continues as an earlier request with the same key whose entry no longer
+    /// handles it: queries the side process named in its claim.
     pub(crate) fn query_earlier_run(&mut self, held: Claim) {
         self.entry.unregister(self.job.request);
         self.job.request = RequestId::from_u128(held.request);
         let (sender, events) = async_channel::unbounded();
         self.entry.register(self.job.request, sender);
         self.events = events;
-        // Above every attempt that the other entry can have made.
+        // Higher than every attempt number that the other entry can have used.
         self.attempt_number = unix_s();
         let first = wire::Stage {
             side_address: held.side_address.to_string(),
@@ -214,7 +212,7 @@
         self.phase = Phase::ConnectionLost;
     }
 
-    /// Waits for the next thing that happens.
+    /// Waits for the next progress of the request.
     pub(crate) async fn next(&mut self) -> Progress {
         loop {
             if let Some(progress) = self.pending_progress.pop_front() {
@@ -251,8 +249,8 @@
         self.pending_progress.push_back(Progress::Failed(failure));
     }
 
-    /// Ends a request that cannot be tried again: "not run" if that is a
-    /// fact, with the last refusal's reason.
+    /// Ends a request that cannot be retried: as failed if an attempt may have
+    /// started, and otherwise as "not run" with the reason of the last refusal.
     fn fail_without_retry(&mut self, cause: Cause, detail: &str) {
         if self.may_have_begun {
             let failure = RequestFailure::new(Outcome::Failed, cause, detail);
--- a/crates/entry/src/session/recover.rs
+++ b/crates/entry/src/session/recover.rs
@@ -1,4 +1,4 @@
-//! Going on after the connection to the first stage was lost.
+//! Recovery after the connection to the first stage was lost.
 
 use std::time::{Duration, Instant};
 
@@ -14,18 +14,19 @@
 use super::{Cause, Phase, RequestFailure, Session, SessionEvent};
 use crate::key_claim::in_progress_retry_ms;
 
-/// Wait between two questions to a side process that does not answer.
+/// Delay between queries to a side process that does not respond.
 const QUERY_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 enum QueryResult {
     Response(wire::QueryAnswer),
-    /// The process has been started anew and knows nothing.
+    /// The side process was restarted and has no record of the request.
     OtherIncarnation,
     NoResponse,
 }
 
 impl Session {
-    /// The connection to the first stage is lost: asks over a new one.
+    /// Queries the first stage over a new connection and continues, retries or
+    /// ends the request accordingly.
     pub(super) async fn recover(&mut self) {
         let limit_ms = self.entry.settings.recover_limit_ms;
         let limit = Instant::now() + Duration::from_millis(limit_ms);
@@ -75,7 +76,8 @@
         attempt.map_or_else(String::new, |a| a.chain[0].backend.clone())
     }
 
-    /// Asks the first stage's process what it knows of the request.
+    /// Queries the side process of the first stage for the state of the
+    /// request, and attaches to its output.
     async fn query_side(&mut self) -> QueryResult {
         let Some(attempt) = &mut self.attempt else {
             return QueryResult::OtherIncarnation;
@@ -121,7 +123,7 @@
                     if let Body::QueryAnswer(response) = body {
                         return QueryResult::Response(response);
                     }
-                    // Outputs can only follow the answer on this link.
+                    // Output arrives on this link only after the response.
                 }
                 Some(SessionEvent::LinkClosed { link_id })
                     if link_id == link.id() =>
@@ -141,7 +143,7 @@
             RunState::NeverSeen | RunState::Refused
         );
         if has_run && self.attempt_count == 0 {
-            // The attempt of the entry that has gone.
+            // The attempt was made by the entry that held the claim.
             self.attempt_number = response.attempt;
         }
         match response.state() {
@@ -168,10 +170,11 @@
                 let backend = self.first_backend();
                 let reason = response.failure();
                 self.handle_outputs(response.outputs);
-                self.fail_attempt(reason, &backend, "the attempt had failed");
+                self.fail_attempt(reason, &backend, "the attempt failed");
             }
             RunState::Running if self.attempt_count == 0 => {
-                let detail = "a request with this idempotency key runs now";
+                let detail =
+                    "a request with this idempotency key is in progress";
                 let failure = RequestFailure::not_run(
                     NotRunReason::InProgress,
                     Some(in_progress_retry_ms()),
@@ -183,7 +186,8 @@
             }
             RunState::CannotTell if !self.job.is_idempotent => {
                 self.attempt = None;
-                let detail = "the side process cannot tell whether it ran";
+                let detail =
+                    "the side process cannot tell whether the request ran";
                 let outcome = Outcome::Unknown;
                 self.fail(RequestFailure::new(
                     outcome,
@@ -203,10 +207,11 @@
         }
     }
 
-    /// It ran or runs, and its answer cannot be had.
+    /// Fails the attempt: the request ran or is running, but its output cannot
+    /// be retrieved.
     fn fail_response_lost(&mut self) {
         let backend = self.first_backend();
-        let detail = "the answer is no longer kept";
+        let detail = "the output is no longer available";
         self.fail_attempt(FailureReason::StageLost, &backend, detail);
     }
 }
--- a/crates/entry/src/session_event.rs
+++ b/crates/entry/src/session_event.rs
@@ -1,23 +1,15 @@
-//! What reaches a request from the links.
+//! Events that are sent to the session of a request.
 
 use chestnutreach_protocol::wire::frame::Body;
 
-/// What reaches a session from links.
-// A box would cost an allocation for each token.
+/// An event for a session.
+// Boxing the frame would cost an allocation for each token.
 #[allow(clippy::large_enum_variant)]
 pub(crate) enum SessionEvent {
-    /// A frame of the request.
-    Frame {
-        /// Link it came over.
-        link_id: u64,
-        /// The frame.
-        body: Body,
-    },
+    /// A link delivered a frame of the request.
+    Frame { link_id: u64, body: Body },
     /// A link has closed.
-    LinkClosed {
-        /// Its number.
-        link_id: u64,
-    },
-    /// The entry stops and gives requests no more time.
+    LinkClosed { link_id: u64 },
+    /// The entry shuts down and aborts the requests that are still open.
     Abort,
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of the process share: view, open requests, links.
+//! State shared by all modules: view, open requests and links.
 
 use std::{
     collections::BTreeMap,
@@ -26,10 +26,10 @@
     side_registry::SideRegistry, view::View,
 };
 
-/// Parts of the map of open requests, each under a lock of its own.
+/// Shards of the map of open requests, each with its own lock.
 const SESSION_SHARDS: usize = 16;
 
-/// What all parts of the process share.
+/// State shared by all modules of the entry.
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
     pub(crate) clock: Clock,
@@ -49,7 +49,7 @@
 
 type Sessions = BTreeMap<u128, async_channel::Sender<SessionEvent>>;
 
-/// Counts one request in flight until it is dropped.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
 }
@@ -61,7 +61,7 @@
 }
 
 impl Shared {
-    /// Before any link and any request.
+    /// Creates the state; the links must be set before anything is served.
     pub(crate) fn new(
         settings: EntrySettings,
         metrics: Arc<Metrics>,
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Sets the links, once, before anything is served.
+    /// Sets the links. Must be called once, before anything is served.
     pub(crate) fn set_links(&self, links: Links) {
         self.links.set(links).ok();
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
@@ -109,27 +109,27 @@
         self.executor.spawn(task).detach();
     }
 
-    /// When to come back after a failure of which nothing else tells: by then
-    /// this process has heard anew of every backend server. Spread, so that
-    /// callers do not come back together.
+    /// Retry delay for a failure that suggests none: by then every backend
+    /// server has reported its state again. Has jitter, so that callers do
+    /// not retry at the same time.
     pub(crate) fn retry_after_ms(&self) -> u64 {
         let interval_ms = self.settings.node.links.idle_interval_ms;
         interval_ms / 2 + fastrand::u64(0..=interval_ms)
     }
 
-    /// Whether as many requests as allowed are in flight.
+    /// Whether the limit on requests in flight is reached.
     pub(crate) fn is_full(&self) -> bool {
         let limit = self.settings.max_requests_in_flight;
         self.in_flight() >= limit
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub(crate) fn count_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight { shared: self.clone() }
     }
 
-    /// Sends the frames of a request to this channel.
+    /// Registers the channel that receives the events of a request.
     pub(crate) fn register(
         &self,
         request: RequestId,
@@ -138,7 +138,7 @@
         self.shard(request).insert(request.as_u128(), sender);
     }
 
-    /// Whether a request is under way here.
+    /// Whether this process has a session for the request.
     pub(crate) fn is_registered(&self, request: RequestId) -> bool {
         self.shard(request).contains_key(&request.as_u128())
     }
@@ -152,7 +152,7 @@
         self.sessions[index].lock().expect("no holder panics")
     }
 
-    /// Takes what comes over the links.
+    /// Handles an event of a link.
     pub(crate) fn handle(self: &Arc<Self>, event: LinkEvent) {
         match event {
             LinkEvent::Opened(link) => {
@@ -188,7 +188,8 @@
                 m.request
             }
             Body::QueryAnswer(m) => m.request,
-            // These are for side processes, or the link has dealt with them.
+            // Other frames are meant for side processes or were handled by
+            // the link.
             _ => return,
         };
         if let Some(request) = request {
@@ -196,15 +197,15 @@
         }
     }
 
-    /// A load that came with the end of a request: a link over which frames
-    /// flow is never asked for a heartbeat.
+    /// Applies the load that arrives with the end of a request. Heartbeats
+    /// are requested only on idle links, so a busy link reports load this way.
     fn apply_final_load(&self, link: &Link, load: Option<&wire::BackendLoad>) {
         if let Some(load) = load {
             self.apply_side_loads(link, std::slice::from_ref(load));
         }
     }
 
-    /// Hands a frame to its request; one that has ended wants none.
+    /// Delivers a frame to its session; dropped if the request has ended.
     fn deliver_frame(
         &self,
         request: wire::RequestId,
@@ -226,7 +227,7 @@
         self.notify_sessions(|| SessionEvent::LinkClosed { link_id });
     }
 
-    /// Sends an event to every open request.
+    /// Sends an event to every session.
     pub(crate) fn notify_sessions(&self, event: impl Fn() -> SessionEvent) {
         for shard in &self.sessions {
             let sessions = shard.lock().expect("no holder panics");
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -1,16 +1,16 @@
-//! How an entry stops.
+//! How an entry shuts down.
 //!
-//! First it only says so: answers close their connections, and the balancer
-//! is told by readiness. Then it takes no more connections and closes those
-//! without a request. What is left is waited for, and at the bound of the
-//! stop every request that is still open is ended with an outcome.
+//! The entry first drains: responses close their connections, and the
+//! readiness endpoint takes the entry out of the load balancer. Then it stops
+//! accepting connections and closes idle ones. It waits for the remaining
+//! work, and at the drain limit ends every open request with an outcome.
 
 use std::sync::{
     Arc,
     atomic::{AtomicBool, AtomicUsize, Ordering},
 };
 
-/// Where an entry is on its way to its end.
+/// Progress of an entry's shutdown.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
     is_draining: AtomicBool,
@@ -21,19 +21,19 @@
     unsettled_claims: Arc<AtomicUsize>,
 }
 
-/// What an entry still holds.
+/// Work that must finish before the process can exit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RemainingWork {
     /// Requests in flight.
     pub requests: usize,
     /// Open connections of callers.
     pub connections: usize,
-    /// Requests with a key whose end is not noted yet.
+    /// Keyed requests whose outcome is not recorded in their claim yet.
     pub unsettled_claims: usize,
 }
 
 impl RemainingWork {
-    /// Whether nothing is left.
+    /// Whether no work remains.
     pub fn is_empty(&self) -> bool {
         self.requests == 0
             && self.connections == 0
@@ -62,12 +62,12 @@
         self.is_draining.store(is_draining, Ordering::Release);
     }
 
-    /// No connection is taken any more.
+    /// Stops accepting connections.
     pub(crate) fn stop_accepting(&self) {
         self.closing_sender.close();
     }
 
-    /// Closes when no connection is taken any more.
+    /// Channel that closes when the entry stops accepting connections.
     pub(crate) fn closing(&self) -> &async_channel::Receiver<()> {
         &self.closing
     }
@@ -85,7 +85,8 @@
         CountGuard::new(&self.connections)
     }
 
-    /// Counts a request whose end is to be noted, likewise.
+    /// Counts a keyed request with an unrecorded outcome until the guard is
+    /// dropped.
     pub(crate) fn count_unsettled_claim(&self) -> CountGuard {
         CountGuard::new(&self.unsettled_claims)
     }
@@ -99,7 +100,7 @@
     }
 }
 
-/// Counts one thing until it is dropped.
+/// Increments a counter until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard(Arc<AtomicUsize>);
 
--- a/crates/entry/src/side_links.rs
+++ b/crates/entry/src/side_links.rs
@@ -1,8 +1,8 @@
-//! Links to side processes, and what they say.
+//! Links to side processes, and the state that they report.
 //!
-//! A backend server takes new work only while its side process can be
-//! reached, says so itself, and the platform does not list its VM as
-//! leaving: whichever of the three knows first that it leaves, wins.
+//! A backend server gets new work only while its side process is connected,
+//! the side process does not report it as draining, and the platform does not
+//! list its VM as leaving. The first of the three to change takes effect.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,24 +19,26 @@
 
 use crate::{shared::Shared, view::BackendRef};
 
-/// First and longest wait between two tries to reach a side process.
+/// Delay before reconnecting to a side process, doubled on each failure.
 const RECONNECT_MIN_MS: u64 = 50;
 const RECONNECT_MAX_MS: u64 = 2_000;
 
 impl Shared {
-    /// What a choice is made by now.
+    /// The routing policy for the current number of entries.
     pub(crate) fn policy(&self) -> Policy {
         let policy = self.view.load().policy.clone();
         policy.entry_count(self.side_registry.entry_count())
     }
 
-    /// Follows the side processes of a new view.
+    /// Updates the registry for a new view and connects to new side
+    /// processes.
     pub(crate) fn update_side_links(self: &Arc<Self>) {
-        let sides = self.view.load().sides();
+        let sides = self.view.load().backends_by_side();
         let addresses: Vec<SocketAddr> = sides.keys().copied().collect();
         self.side_registry.set_sides(sides);
         for address in addresses {
-            // A link that is open already says nothing of its own accord.
+            // An open link emits no further connect event, so the presence
+            // of new backend servers is set here.
             if let Some(link) = self.links().existing(address) {
                 self.mark_present(&link, address);
             }
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Keeps a link to a side process for as long as the view names it.
+    /// Maintains a link to a side process while the view names it.
     async fn maintain_link(self: Arc<Self>, address: SocketAddr) {
         let mut wait_ms = RECONNECT_MIN_MS;
         while self.side_registry.backends(address).is_some() {
@@ -77,7 +79,7 @@
         for backend in self.side_registry.backends(address).unwrap_or_default()
         {
             let live = &backend.service.live;
-            // A ramp that runs already is not begun again.
+            // A backend server that is joining keeps its ramp-up.
             if live.presence(backend.index) == Presence::Absent {
                 live.set_presence(
                     backend.index,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// A dialled link has closed.
+    /// Marks the backend servers of a closed outgoing link as absent.
     pub(crate) fn handle_side_lost(&self, link: &Link, reason: CloseReason) {
         emit(
             Event::LinkLost,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// A side process tells its state.
+    /// Applies the status that a side process reports.
     pub(crate) fn handle_side_status(&self, link: &Link, status: &Status) {
         if let Some(address) = link.dialled() {
             self.side_registry.record_entry_count(address, status.entry_count);
@@ -114,7 +116,7 @@
         self.apply_side_loads(link, &status.loads);
     }
 
-    /// A side process tells the load of its backend servers.
+    /// Applies the load that a side process reports for its backend servers.
     pub(crate) fn apply_side_loads(&self, link: &Link, loads: &[BackendLoad]) {
         let Some(address) = link.dialled() else {
             return;
@@ -154,7 +156,8 @@
         }
     }
 
-    /// The platform's list of VMs has been read, or has not.
+    /// Applies the platform's list of leaving VMs; `None` if the list could
+    /// not be read.
     pub(crate) fn update_draining_vms(
         &self,
         draining: Option<BTreeSet<String>>,
--- a/crates/entry/src/side_registry.rs
+++ b/crates/entry/src/side_registry.rs
@@ -1,4 +1,4 @@
-//! Which side processes there are.
+//! Registry of side processes and their backend servers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,16 +12,16 @@
 #[derive(Default)]
 pub(crate) struct SideRegistry {
     sides: Mutex<BTreeMap<SocketAddr, Vec<BackendRef>>>,
-    /// Addresses that a task keeps a link to.
+    /// Addresses to which a task maintains a link.
     linked: Mutex<BTreeSet<SocketAddr>>,
     /// VMs that the platform lists as leaving.
     pub(crate) draining_vms: DrainingVms,
-    /// How many entries each side process has links to.
+    /// Number of entries that each side process is linked to.
     entry_counts: Mutex<BTreeMap<SocketAddr, u32>>,
 }
 
 impl SideRegistry {
-    /// Takes the side processes of a new view.
+    /// Replaces the side processes with those of a new view.
     pub(crate) fn set_sides(
         &self,
         sides: BTreeMap<SocketAddr, Vec<BackendRef>>,
@@ -29,17 +29,18 @@
         *self.sides.lock().expect("no holder panics") = sides;
     }
 
-    /// Whether a task is to keep a link to an address from now on; none does.
+    /// Reserves the link to an address for a task. Returns false if another
+    /// task maintains that link already.
     pub(crate) fn reserve_link(&self, address: SocketAddr) -> bool {
         self.linked.lock().expect("no holder panics").insert(address)
     }
 
-    /// The task that kept a link has ended.
+    /// Releases a link whose task has ended.
     pub(crate) fn release_link(&self, address: SocketAddr) {
         self.linked.lock().expect("no holder panics").remove(&address);
     }
 
-    /// Backend servers beside a side process.
+    /// Backend servers of a side process; `None` if the view does not name it.
     pub(crate) fn backends(
         &self,
         address: SocketAddr,
@@ -48,8 +49,9 @@
         sides.get(&address).cloned()
     }
 
-    /// How many entries share the traffic. Each side process may miss some,
-    /// so the highest count is the nearest; a lone entry counts itself.
+    /// Number of entries that share the traffic, at least 1 for this entry. A
+    /// side process may lack links to some entries, so the maximum of all
+    /// reported counts is the best estimate.
     pub(crate) fn entry_count(&self) -> u32 {
         let counts = self.entry_counts.lock().expect("no holder panics");
         counts.values().copied().max().unwrap_or(1).max(1)
--- a/crates/entry/src/stored_response.rs
+++ b/crates/entry/src/stored_response.rs
@@ -1,4 +1,4 @@
-//! Answers of keyed requests as they are kept for repeats.
+//! Responses of keyed requests, stored for repeated requests.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 use crate::session::Progress;
 
-/// Header of a kept answer of a model; its body is a [`KeptText`].
+/// Marks the stored response of a model, whose body is a [`StoredText`].
 const STORED_TEXT_HEADER: &str = "chestnutreach-kept-text";
 
-/// What is kept of a model's answer.
+/// Stored form of a model's output.
 #[derive(Deserialize, Serialize)]
 struct StoredText {
     text: String,
@@ -21,7 +21,7 @@
     cached_tokens: u32,
 }
 
-/// Collects an answer while it is handed on.
+/// Collects a response while it is passed on to the caller.
 #[derive(Default)]
 pub(crate) struct ResponseRecorder {
     text: String,
@@ -67,7 +67,8 @@
     }
 }
 
-/// A kept answer as the progress that it once was.
+/// Turns a stored response back into the progress of a request. The text of
+/// a model becomes a single token.
 pub(crate) fn replay(answer: &StoredAnswer) -> Vec<Progress> {
     let stored = answer
         .headers
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,8 +1,9 @@
-//! The manifest in force, made ready for requests.
+//! The manifest in force, indexed for requests.
 //!
-//! A view never changes; a new generation makes a new one. What is learned
-//! of a backend server lives on in it, also while others of its service come
-//! and go, until the manifest puts another in its place.
+//! A view is immutable; each manifest generation gets a new one. The live
+//! state of a backend server is carried over to the new view, also when other
+//! servers of its service are added or removed, until the manifest replaces
+//! that server.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -14,7 +15,7 @@
     BackendIndex, BackendSpec, Fleet, LiveState, Network, Policy, RetryBudget,
 };
 
-/// A generation, ready for requests.
+/// One manifest generation, indexed for requests.
 pub(crate) struct View {
     pub(crate) generation: u64,
     accounts: BTreeMap<String, Arc<AccountView>>,
@@ -37,15 +38,15 @@
     pub(crate) fleet: Fleet,
     pub(crate) live: Arc<LiveState>,
     pub(crate) budget: Arc<RetryBudget>,
-    /// Side process of each backend server, by its index.
+    /// Address of the side process of each backend server, by index.
     pub(crate) sides: Vec<SocketAddr>,
-    /// Data centre of this entry, as the fleet counts them.
+    /// Index of this entry's data centre in the fleet.
     pub(crate) data_centre: u32,
     specs: Vec<BackendServer>,
 }
 
 impl View {
-    /// A view without services.
+    /// Returns a view without services.
     pub(crate) fn empty() -> View {
         View {
             generation: 0,
@@ -57,7 +58,8 @@
         }
     }
 
-    /// The view of a manifest, with what `old` has learned.
+    /// Builds the view of a manifest and carries over the live state and the
+    /// retry budgets of `old`.
     pub(crate) fn new(
         generation: u64,
         manifest: &Manifest,
@@ -103,37 +105,41 @@
         self.services.insert(service.name.clone(), service);
     }
 
-    /// The account of a bearer key's digest.
+    /// Finds an account by the digest of its bearer key.
     pub(crate) fn account(&self, digest: &str) -> Option<&Arc<AccountView>> {
         self.accounts.get(digest)
     }
 
-    /// The service of a model.
+    /// Finds the service of a model.
     pub(crate) fn model(&self, model: &str) -> Option<&Arc<ServiceView>> {
         self.models.get(model)
     }
 
-    /// Models by name.
+    /// Iterates over the models by name.
     pub(crate) fn models(
         &self,
     ) -> impl Iterator<Item = (&String, &Arc<ServiceView>)> {
         self.models.iter()
     }
 
-    /// The plain service whose path holds this one, and the rest of it.
+    /// Finds the plain service whose path is a prefix of `path`, and returns
+    /// it with the remaining path.
     pub(crate) fn plain<'a>(
         &self,
         path: &'a str,
     ) -> Option<(&Arc<ServiceView>, &'a str)> {
         self.paths.iter().rev().find_map(|(prefix, service)| {
-            let rest = path.strip_prefix(prefix.as_str())?;
-            let is_whole = rest.is_empty() || rest.starts_with('/');
-            is_whole.then_some((service, rest))
+            let remaining_path = path.strip_prefix(prefix.as_str())?;
+            let is_segment_end =
+                remaining_path.is_empty() || remaining_path.starts_with('/');
+            is_segment_end.then_some((service, remaining_path))
         })
     }
 
-    /// Addresses of all side processes.
-    pub(crate) fn sides(&self) -> BTreeMap<SocketAddr, Vec<BackendRef>> {
+    /// Backend servers by the address of their side process.
+    pub(crate) fn backends_by_side(
+        &self,
+    ) -> BTreeMap<SocketAddr, Vec<BackendRef>> {
         let mut sides: BTreeMap<SocketAddr, Vec<BackendRef>> = BTreeMap::new();
         for service in self.services.values() {
             for (position, address) in service.sides.iter().enumerate() {
@@ -147,7 +153,8 @@
 }
 
 impl ServiceView {
-    /// What is known of the backend servers, for a new set of them.
+    /// Live state for the new fleet `to`. The state is shared with this view
+    /// if no server changed, and otherwise copied for the unchanged servers.
     fn carry_over_live(
         &self,
         to: &Fleet,
@@ -166,7 +173,7 @@
         Arc::new(self.live.carry_over_where(&self.fleet, to, is_same))
     }
 
-    /// Presence and circuit of each backend server, for operators.
+    /// Presence and circuit state of each backend server, as status JSON.
     pub(crate) fn status(&self, now_ms: u64) -> serde_json::Value {
         let backends: serde_json::Map<String, serde_json::Value> = self
             .fleet
@@ -191,8 +198,8 @@
     index.0 as usize
 }
 
-/// Whether what was learned of one holds of the other: the same process
-/// beside the same kind of accelerator with the same layers.
+/// Whether the live state of `old` applies to `new`: the same process next to
+/// the same kind of accelerator with the same layers.
 fn is_same_server(old: &BackendServer, new: &BackendServer) -> bool {
     old.side_address == new.side_address
         && old.vm == new.vm
@@ -201,14 +208,14 @@
         && (old.first_layer, old.end_layer) == (new.first_layer, new.end_layer)
 }
 
-/// A backend server beside a side process.
+/// A backend server of a service.
 #[derive(Clone)]
 pub(crate) struct BackendRef {
     pub(crate) service: Arc<ServiceView>,
     pub(crate) index: BackendIndex,
 }
 
-/// Data centres by the numbers that fleets use.
+/// Data centres by the indices that fleets use.
 struct DataCentres {
     indices: BTreeMap<String, u32>,
     network: Network,
@@ -229,8 +236,8 @@
                 path.bandwidth_mbit_per_s,
             );
         }
-        // An entry outside the manifest's data centres counts as in the
-        // first; the check of its settings cannot know the manifest.
+        // An entry outside the manifest's data centres is assigned to the
+        // first one: validation of its settings does not see the manifest.
         let local = indices.get(data_centre).copied().unwrap_or(0);
         DataCentres { indices, network, local }
     }
