--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -213,7 +213,7 @@
         settings,
         identity: common.identity.clone(),
         metrics: common.metrics.clone(),
-        heard: common.heard.clone(),
+        peer_reports: common.heard.clone(),
         claims,
         executor: executor.clone(),
         http,
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -73,8 +73,8 @@
                 continue;
             }
             Progress::Finished(finished) => {
-                let answer =
-                    std::mem::take(&mut recorder).into_stored_answer(finished);
+                let answer = std::mem::take(&mut recorder)
+                    .into_stored_response(finished);
                 Some(ClaimState::Completed { answer })
             }
             Progress::Failed(failure) => match failure.outcome {
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -77,7 +77,7 @@
 ) -> Result<Response, Box<Response>> {
     let is_non_idempotent = call.options.is_non_idempotent.unwrap_or(false);
     let is_idempotent = !is_non_idempotent && call.options.key.is_none();
-    let keyed = progress_source::key_of(entry, &call);
+    let keyed = progress_source::keyed_request(entry, &call);
     let work = JobWork::Generate {
         model: parsed.model.clone(),
         request_json: std::mem::take(&mut call.received.body),
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -31,7 +31,7 @@
     /// Metrics of the process.
     pub metrics: Arc<Metrics>,
     /// What peers report about the manifest.
-    pub heard: Arc<Heard>,
+    pub peer_reports: Arc<Heard>,
     /// Store for the claims of idempotency keys.
     pub claims: ClaimStore,
     /// Executor for the entry's tasks.
@@ -50,7 +50,7 @@
         let shared = Arc::new(Shared::new(
             parts.settings,
             parts.metrics,
-            parts.heard,
+            parts.peer_reports,
             parts.claims,
             parts.executor.clone(),
         ));
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -63,7 +63,7 @@
     subpath: &str,
 ) -> Result<Response, Box<Response>> {
     let method = call.received.request.method();
-    let keyed = progress_source::key_of(entry, &call);
+    let keyed = progress_source::keyed_request(entry, &call);
     let job = job(&mut call, subpath);
     let is_idempotent = job.is_idempotent;
     let mut tracker = RequestTracker::new(entry, &call);
--- a/crates/entry/src/progress_source.rs
+++ b/crates/entry/src/progress_source.rs
@@ -19,7 +19,7 @@
 }
 
 impl ProgressSource {
-    /// Starts a request; [`key_of`] makes its key, if it has one.
+    /// Starts a request; [`keyed_request`] makes its key, if it has one.
     pub(crate) fn start(
         entry: &Arc<Shared>,
         job: Job,
@@ -52,7 +52,7 @@
 
 /// The idempotency key of a call, if it has one. Must run before the body
 /// moves to the job, because the digest covers the body.
-pub(crate) fn key_of(
+pub(crate) fn keyed_request(
     entry: &Arc<Shared>,
     call: &Call,
 ) -> Option<KeyedRequest> {
--- a/crates/entry/src/request_tracker.rs
+++ b/crates/entry/src/request_tracker.rs
@@ -102,11 +102,11 @@
                 ],
             );
         }
-        let why = match failure.operator_detail.as_str() {
+        let detail = match failure.operator_detail.as_str() {
             "" => &failure.detail,
             operator_detail => operator_detail,
         };
-        self.finish(failure.outcome, why);
+        self.finish(failure.outcome, detail);
     }
 
     /// Records that the caller disconnected.
@@ -138,7 +138,7 @@
         let elapsed = self.arrived.elapsed();
         self.service_metrics.requests_in_flight.dec();
         self.service_metrics.request_ended(outcome, reason, elapsed);
-        let why = if reason.is_empty() { detail } else { reason };
+        let logged_reason = if reason.is_empty() { detail } else { reason };
         emit(
             Event::RequestEnded,
             &[
@@ -146,7 +146,7 @@
                 ("service", &self.service),
                 ("account", &self.account),
                 ("outcome", &outcome),
-                ("reason", &why),
+                ("reason", &logged_reason),
                 ("tokens", &self.tokens),
                 ("elapsed_ms", &elapsed.as_millis()),
             ],
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -75,7 +75,7 @@
             started: Instant::now(),
             first_output: None,
             first_position: self.next_position,
-            may_have_begun_before: self.may_have_begun,
+            may_have_started_before: self.may_have_started,
         });
         self.phase = Phase::InAttempt;
     }
--- a/crates/entry/src/session/events.rs
+++ b/crates/entry/src/session/events.rs
@@ -41,8 +41,8 @@
     /// finds it.
     pub(super) fn abort(&mut self) {
         let detail = "the VM that accepted the request is shutting down";
-        let is_kept = self.keyed.is_some();
-        if !is_kept {
+        let is_keyed = self.keyed.is_some();
+        if !is_keyed {
             self.cancel();
         }
         let Some(attempt) = self.attempt.take() else {
@@ -60,7 +60,7 @@
             &RequestOutcome::Cancelled,
             None,
         );
-        let outcome = match attempt.is_accepted && !is_kept {
+        let outcome = match attempt.is_accepted && !is_keyed {
             true => Outcome::Failed,
             false => Outcome::Unknown,
         };
@@ -128,7 +128,7 @@
     }
 
     fn handle_accepted(&mut self) {
-        self.may_have_begun = true;
+        self.may_have_started = true;
         if let Some(attempt) = &mut self.attempt {
             attempt.is_accepted = true;
         }
@@ -240,7 +240,7 @@
             return;
         }
         // Nothing of this attempt has run, even if it was accepted.
-        self.may_have_begun = attempt.may_have_begun_before;
+        self.may_have_started = attempt.may_have_started_before;
         let at_fault = self.job.service.fleet.find(&m.backend);
         self.record_attempt_outcome(
             &attempt,
@@ -265,7 +265,7 @@
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        self.may_have_begun = true;
+        self.may_have_started = true;
         let at_fault = self.job.service.fleet.find(backend);
         let failed_backend = at_fault.or(attempt.stages.first().copied());
         let is_unattributed_deadline =
@@ -291,8 +291,8 @@
             FailureReason::BadRequest => Cause::Request,
             _ => Cause::Backend,
         };
-        let may_repeat = self.job.is_idempotent && cause == Cause::Backend;
-        if !may_repeat {
+        let may_resume = self.job.is_idempotent && cause == Cause::Backend;
+        if !may_resume {
             let outcome = Outcome::Failed;
             let operator_detail = format!("{backend}: {detail}");
             let detail = failure_message(reason);
--- a/crates/entry/src/session/mod.rs
+++ b/crates/entry/src/session/mod.rs
@@ -95,7 +95,7 @@
     first_output: Option<Instant>,
     first_position: u32,
     /// Whether an earlier attempt may have started.
-    may_have_begun_before: bool,
+    may_have_started_before: bool,
 }
 
 enum Phase {
@@ -121,7 +121,7 @@
     attempt_count: u32,
     attempt: Option<Attempt>,
     /// Whether any attempt may have started.
-    may_have_begun: bool,
+    may_have_started: bool,
     avoid: Vec<BackendIndex>,
     last_refusal: Option<RequestFailure>,
     tokens: Vec<u32>,
@@ -155,7 +155,7 @@
             attempt_number: 0,
             attempt_count: 0,
             attempt: None,
-            may_have_begun: false,
+            may_have_started: false,
             avoid: Vec::new(),
             last_refusal: None,
             tokens: Vec::new(),
@@ -204,7 +204,7 @@
             started: Instant::now(),
             first_output: None,
             first_position: 0,
-            may_have_begun_before: false,
+            may_have_started_before: false,
         });
         if let Some(keyed) = &mut self.keyed {
             keyed.replace_claim(held, self.job.request);
@@ -252,7 +252,7 @@
     /// Ends a request that cannot be retried: as failed if an attempt may have
     /// started, and otherwise as "not run" with the reason of the last refusal.
     fn fail_without_retry(&mut self, cause: Cause, detail: &str) {
-        if self.may_have_begun {
+        if self.may_have_started {
             let failure = RequestFailure::new(Outcome::Failed, cause, detail);
             let known =
                 self.last_refusal.take().and_then(|r| r.retry_after_ms);
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -34,7 +34,7 @@
     pub(crate) settings: EntrySettings,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    heard: Arc<Heard>,
+    peer_reports: Arc<Heard>,
     pub(crate) view: ArcSwap<View>,
     pub(crate) side_registry: SideRegistry,
     pub(crate) claims: ClaimStore,
@@ -65,7 +65,7 @@
     pub(crate) fn new(
         settings: EntrySettings,
         metrics: Arc<Metrics>,
-        heard: Arc<Heard>,
+        peer_reports: Arc<Heard>,
         claims: ClaimStore,
         executor: Arc<Executor<'static>>,
     ) -> Shared {
@@ -76,7 +76,7 @@
             store_outage: Outage::new(clock),
             recent_requests: RecentRequests::default(),
             metrics,
-            heard,
+            peer_reports,
             view: ArcSwap::from_pointee(View::empty()),
             side_registry: SideRegistry::default(),
             claims,
@@ -109,9 +109,9 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Retry delay for a failure that suggests none: by then every backend
-    /// server has reported its state again. Has jitter, so that callers do
-    /// not retry at the same time.
+    /// Retry delay for a failure that suggests none: on average one idle
+    /// interval, in which the backend servers report their state again. The
+    /// jitter keeps callers from retrying at the same time.
     pub(crate) fn retry_after_ms(&self) -> u64 {
         let interval_ms = self.settings.node.links.idle_interval_ms;
         interval_ms / 2 + fastrand::u64(0..=interval_ms)
@@ -156,7 +156,7 @@
     pub(crate) fn handle(self: &Arc<Self>, event: LinkEvent) {
         match event {
             LinkEvent::Opened(link) => {
-                self.heard.met(link.peer());
+                self.peer_reports.met(link.peer());
                 emit(Event::LinkOpened, &[("peer_vm", &link.peer().vm)]);
             }
             LinkEvent::Frame(link, body) => self.handle_frame(&link, body),
@@ -169,11 +169,11 @@
     fn handle_frame(&self, link: &Link, body: Body) {
         let request = match &body {
             Body::Status(m) => {
-                self.heard.note(m.generation);
+                self.peer_reports.note(m.generation);
                 return self.handle_side_status(link, m);
             }
             Body::Heartbeat(m) => {
-                self.heard.note(m.generation);
+                self.peer_reports.note(m.generation);
                 return self.apply_side_loads(link, &m.loads);
             }
             Body::Accepted(m) => m.request,
--- a/crates/entry/src/stored_response.rs
+++ b/crates/entry/src/stored_response.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(crate) fn into_stored_answer(
+    pub(crate) fn into_stored_response(
         self,
         finished: &wire::Finished,
     ) -> StoredAnswer {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -166,8 +166,8 @@
             old.zip(new).is_some_and(|(old, new)| is_same_server(old, new))
         };
         let names = self.fleet.indices().map(|i| &self.fleet.spec(i).name);
-        let is_kept = to.len() == self.fleet.len();
-        if is_kept && names.into_iter().all(|name| is_same(name)) {
+        let is_same_size = to.len() == self.fleet.len();
+        if is_same_size && names.into_iter().all(|name| is_same(name)) {
             return self.live.clone();
         }
         Arc::new(self.live.carry_over_where(&self.fleet, to, is_same))
--- a/crates/entry/tests/api/support/mod.rs
+++ b/crates/entry/tests/api/support/mod.rs
@@ -92,7 +92,7 @@
             settings: settings(self.max_requests_in_flight),
             identity: Identity::new("entry-1", Role::Entry, "hall-medina"),
             metrics: Arc::new(Metrics::new("entry", "entry-1")),
-            heard: Arc::new(Heard::new()),
+            peer_reports: Arc::new(Heard::new()),
             claims,
             executor: executor.clone(),
             http,
