--- a/crates/entry/src/session/events.rs
+++ b/crates/entry/src/session/events.rs
@@ -270,8 +270,8 @@
         let failed_backend = at_fault.or(attempt.stages.first().copied());
         let is_unattributed_deadline =
             reason == FailureReason::Deadline && at_fault.is_none();
-        // Neither an exceeded deadline nor a requested cooldown says anything
-        // about the health of a server.
+        // A deadline that no server is blamed for and a requested cooldown say
+        // nothing about the health of a server.
         if is_unattributed_deadline || reason == FailureReason::AtRest {
             self.record_attempt_outcome(
                 &attempt,
--- a/crates/entry/tests/api/main.rs
+++ b/crates/entry/tests/api/main.rs
@@ -1,14 +1,13 @@
-//! What a caller gets, over real sockets.
+//! Responses to callers, over real sockets.
 //!
-//! An entry runs in this process with a side process that does as it is
-//! told, so that each refusal, outcome and broken connection is caused and
-//! not waited for.
+//! An entry runs in this process with a scripted side process, so that each
+//! refusal, outcome and lost connection is caused by the test.
 
 mod connections;
+mod keyed_requests;
 mod models;
 mod outcomes;
 mod plain;
-mod refused;
-mod repeats;
+mod refusals;
 mod streams;
 mod support;
--- a/crates/entry/tests/api/plain.rs
+++ b/crates/entry/tests/api/plain.rs
@@ -4,10 +4,10 @@
 
 use chestnutreach_protocol::wire::{self, FailureReason, run::Work};
 
-use crate::support::{Reply, Request, Stage};
+use crate::support::{Fixture, Reply, Request};
 
-/// A whole answer of the service.
-fn answers(
+/// Replies with a complete response of the service.
+fn successful_replies(
     status: u32,
     headers: &[(&'static str, &'static str)],
 ) -> Vec<Reply> {
@@ -20,44 +20,44 @@
     ]
 }
 
-fn call_of(run: wire::Run) -> wire::PlainCall {
+fn plain_call(run: wire::Run) -> wire::PlainCall {
     match run.work {
         Some(Work::PlainCall(call)) => call,
-        other => panic!("no call of a plain service: {other:?}"),
+        other => panic!("not a call of a plain service: {other:?}"),
     }
 }
 
-/// A target as the caller writes it, and as the service gets it.
+/// A target as requested by the caller, and as forwarded to the service.
 struct Target {
-    written: &'static str,
-    passed_on: &'static str,
+    requested: &'static str,
+    forwarded: &'static str,
 }
 
 #[test]
-fn targets_are_those_below_the_services_path() {
+fn targets_are_relative_to_the_path_of_the_service() {
     let cases = [
-        Target { written: "/ledger-app", passed_on: "/" },
-        Target { written: "/ledger-app/", passed_on: "/" },
-        Target { written: "/ledger-app?a=1", passed_on: "/?a=1" },
+        Target { requested: "/ledger-app", forwarded: "/" },
+        Target { requested: "/ledger-app/", forwarded: "/" },
+        Target { requested: "/ledger-app?a=1", forwarded: "/?a=1" },
         Target {
-            written: "/ledger-app/schedules/24%2F17?from=a%20b&to=",
-            passed_on: "/schedules/24%2F17?from=a%20b&to=",
+            requested: "/ledger-app/schedules/24%2F17?from=a%20b&to=",
+            forwarded: "/schedules/24%2F17?from=a%20b&to=",
         },
-        Target { written: "/ledger-app//x", passed_on: "//x" },
-        Target { written: "/x/../ledger-app/a/../b", passed_on: "/b" },
+        Target { requested: "/ledger-app//x", forwarded: "//x" },
+        Target { requested: "/x/../ledger-app/a/../b", forwarded: "/b" },
     ];
-    let stage = Stage::start();
-    stage.side.reply(&answers(200, &[]));
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&successful_replies(200, &[]));
     for case in cases {
-        let answer = stage.call(&Request::new("GET", case.written));
-        assert_eq!(answer.status, 200, "{}", case.written);
-        let call = call_of(stage.side.next_run());
-        assert_eq!(call.target, case.passed_on, "{}", case.written);
+        let response = fixture.call(&Request::new("GET", case.requested));
+        assert_eq!(response.status, 200, "{}", case.requested);
+        let call = plain_call(fixture.side.next_run());
+        assert_eq!(call.target, case.forwarded, "{}", case.requested);
     }
 }
 
-/// A method, the mark of the caller, and whether a request may be repeated.
-struct Repeat {
+/// A method with the caller's headers, and whether the request is idempotent.
+struct IdempotencyCase {
     method: &'static str,
     mark: Option<&'static str>,
     key: Option<&'static str>,
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn methods_say_what_may_be_repeated() {
-    let case = |method, mark, key, is_idempotent| Repeat {
+fn methods_marks_and_keys_decide_whether_a_request_is_idempotent() {
+    let case = |method, mark, key, is_idempotent| IdempotencyCase {
         method,
         mark,
         key,
@@ -84,8 +84,8 @@
         case("GET", Some("true"), None, false),
         case("POST", Some("false"), Some("receipt-1"), false),
     ];
-    let stage = Stage::start();
-    stage.side.reply(&answers(200, &[]));
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&successful_replies(200, &[]));
     for case in cases {
         let mut request = Request::new(case.method, "/ledger-app/x");
         if let Some(mark) = case.mark {
@@ -94,22 +94,22 @@
         if let Some(key) = case.key {
             request = request.header("idempotency-key", key);
         }
-        assert_eq!(stage.call(&request).status, 200, "{request:?}");
-        let run = stage.side.next_run();
+        assert_eq!(fixture.call(&request).status, 200, "{request:?}");
+        let run = fixture.side.next_run();
         assert_eq!(run.is_idempotent, case.is_idempotent, "{request:?}");
-        assert_eq!(call_of(run).method, case.method);
+        assert_eq!(plain_call(run).method, case.method);
     }
 }
 
 #[test]
-fn published_headers_are_passed_on_and_ours_are_not() {
-    let passed_on = [
+fn only_end_to_end_headers_are_forwarded() {
+    let forwarded = [
         ("traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad-01"),
         ("idempotency-key", "receipt-88"),
         ("content-type", "application/json"),
         ("accept-encoding", "br"),
     ];
-    let kept = [
+    let stripped = [
         ("chestnutreach-priority", "high"),
         ("chestnutreach-deadline-ms", "900"),
         ("connection", "x-hop, keep-alive"),
@@ -117,110 +117,114 @@
         ("te", "trailers"),
         ("proxy-authorization", "Basic eDp5"),
     ];
-    let stage = Stage::start();
-    stage.side.reply(&answers(200, &[]));
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&successful_replies(200, &[]));
     let mut request = Request::new("POST", "/ledger-app/receipts").body("{}");
-    for (name, value) in passed_on.iter().chain(&kept) {
+    for (name, value) in forwarded.iter().chain(&stripped) {
         request = request.header(name, value);
     }
-    assert_eq!(stage.call(&request).status, 200);
-    let run = stage.side.next_run();
+    assert_eq!(fixture.call(&request).status, 200);
+    let run = fixture.side.next_run();
     assert_eq!(run.priority(), wire::Priority::High);
     assert!(run.deadline_ms <= 900, "{run:?}");
-    let call = call_of(run);
+    let call = plain_call(run);
     assert_eq!(call.body, b"{}");
     let headers: BTreeMap<&str, &str> = call
         .headers
         .iter()
         .map(|h| (h.name.as_str(), h.value.as_str()))
         .collect();
-    assert_eq!(headers, BTreeMap::from(passed_on));
+    assert_eq!(headers, BTreeMap::from(forwarded));
 }
 
 #[test]
-fn the_services_answer_is_passed_on_as_it_is() {
+fn responses_of_the_service_are_forwarded_unchanged() {
     let headers = [("content-type", "text/x-ledger"), ("etag", "\"7\"")];
-    let stage = Stage::start();
+    let fixture = Fixture::start();
     for status in [200, 201, 404, 409, 500, 503] {
-        stage.side.reply(&answers(status, &headers));
-        let answer = stage.call(&Request::new("GET", "/ledger-app/x"));
-        assert_eq!(u32::from(answer.status), status);
-        assert_eq!(answer.body, "{\"loan\":2417}");
-        assert!(answer.is_whole);
+        fixture.side.set_replies(&successful_replies(status, &headers));
+        let response = fixture.call(&Request::new("GET", "/ledger-app/x"));
+        assert_eq!(u32::from(response.status), status);
+        assert_eq!(response.body, "{\"loan\":2417}");
+        assert!(response.is_complete);
         for (name, value) in headers {
-            assert_eq!(answer.header(name), Some(value));
+            assert_eq!(response.header(name), Some(value));
         }
-        // The service's own answer, whatever it says, is a whole one.
-        let outcome = answer.header("chestnutreach-outcome");
+        // A complete response of the service counts as completed, whatever
+        // its status.
+        let outcome = response.header("chestnutreach-outcome");
         assert_eq!(outcome, Some("completed"));
-        assert!(answer.header("retry-after").is_none());
+        assert!(response.header("retry-after").is_none());
     }
 }
 
 #[test]
-fn a_header_that_is_not_ascii_costs_only_itself() {
+fn non_ascii_response_headers_are_skipped() {
     let headers = [("x-name", "caf\u{e9}"), ("x-\u{e9}", "1"), ("etag", "7")];
-    let stage = Stage::start();
-    stage.side.reply(&answers(200, &headers));
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&successful_replies(200, &headers));
     for _ in 0..4 {
-        let answer = stage.call(&Request::new("GET", "/ledger-app/x"));
-        assert_eq!(answer.status, 200);
-        assert_eq!(answer.header("etag"), Some("7"));
-        assert_eq!(answer.header("x-name"), None);
+        let response = fixture.call(&Request::new("GET", "/ledger-app/x"));
+        assert_eq!(response.status, 200);
+        assert_eq!(response.header("etag"), Some("7"));
+        assert_eq!(response.header("x-name"), None);
     }
 }
 
 #[test]
-fn an_answer_that_breaks_is_never_begun() {
-    let stage = Stage::start();
-    stage.side.reply(&[
+fn an_interrupted_response_is_not_sent() {
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&[
         Reply::Accept,
         Reply::Head(200, vec![]),
         Reply::Data(b"{\"loan\":"),
         Reply::Fail(FailureReason::BackendError),
     ]);
-    let answer = stage.call(&Request::new("POST", "/ledger-app/receipts"));
-    assert_eq!(answer.status, 502);
-    assert_eq!(answer.json()["error"]["outcome"], "failed");
-    assert_eq!(answer.header("x-should-retry"), Some("false"));
+    let response = fixture.call(&Request::new("POST", "/ledger-app/receipts"));
+    assert_eq!(response.status, 502);
+    assert_eq!(response.json()["error"]["outcome"], "failed");
+    assert_eq!(response.header("x-should-retry"), Some("false"));
 }
 
 #[test]
-fn what_the_service_does_not_say_is_not_said() {
-    let stage = Stage::start();
-    let bare = [Reply::Accept, Reply::Head(204, vec![]), Reply::Finish];
-    stage.side.reply(&bare);
-    let answer = stage.call(&Request::new("DELETE", "/ledger-app/x"));
-    assert_eq!(answer.status, 204);
-    assert_eq!(answer.header("content-type"), None);
-    stage.side.reply(&answers(200, &[]));
-    let answer = stage.call(&Request::new("GET", "/ledger-app/x"));
-    assert_eq!(answer.header("content-type"), None);
-    assert_eq!(answer.header("content-length"), Some("13"));
+fn no_content_type_is_added_to_responses_of_the_service() {
+    let fixture = Fixture::start();
+    let empty_response =
+        [Reply::Accept, Reply::Head(204, vec![]), Reply::Finish];
+    fixture.side.set_replies(&empty_response);
+    let response = fixture.call(&Request::new("DELETE", "/ledger-app/x"));
+    assert_eq!(response.status, 204);
+    assert_eq!(response.header("content-type"), None);
+    fixture.side.set_replies(&successful_replies(200, &[]));
+    let response = fixture.call(&Request::new("GET", "/ledger-app/x"));
+    assert_eq!(response.header("content-type"), None);
+    assert_eq!(response.header("content-length"), Some("13"));
 }
 
 #[test]
-fn head_does_not_state_a_length_that_get_has_not() {
-    let bare = [Reply::Accept, Reply::Head(200, vec![]), Reply::Finish];
-    let stage = Stage::start();
-    stage.side.reply(&bare);
-    let mut caller = stage.caller();
+fn responses_to_head_have_no_content_length() {
+    let empty_response =
+        [Reply::Accept, Reply::Head(200, vec![]), Reply::Finish];
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&empty_response);
+    let mut caller = fixture.caller();
     let head = Request::new("HEAD", "/ledger-app/x");
-    // The second would read a body of the first as its head.
+    // If the first response had a body, it would be read as the head of the
+    // second one.
     for _ in 0..2 {
         caller.send(&head);
-        let answer = caller.answer(&head);
-        assert_eq!(answer.status, 200);
-        assert_eq!(answer.header("content-length"), None);
+        let response = caller.read_response(&head);
+        assert_eq!(response.status, 200);
+        assert_eq!(response.header("content-length"), None);
     }
 }
 
 #[test]
-fn a_tunnel_is_refused() {
-    let stage = Stage::start();
-    let answer = stage.call(&Request::new("CONNECT", "/ledger-app/x"));
-    assert_eq!(answer.status, 405, "{answer:?}");
-    assert!(answer.header("allow").is_some());
-    assert_eq!(answer.header("chestnutreach-outcome"), Some("not-run"));
-    assert_eq!(stage.side.runs(), 0);
+fn connect_requests_are_refused() {
+    let fixture = Fixture::start();
+    let response = fixture.call(&Request::new("CONNECT", "/ledger-app/x"));
+    assert_eq!(response.status, 405, "{response:?}");
+    assert!(response.header("allow").is_some());
+    assert_eq!(response.header("chestnutreach-outcome"), Some("not-run"));
+    assert_eq!(fixture.side.take_run_count(), 0);
 }
--- a/crates/entry/tests/api/streams.rs
+++ b/crates/entry/tests/api/streams.rs
@@ -1,33 +1,42 @@
-//! Streamed answers.
+//! Streamed responses.
 
 use chestnutreach_protocol::wire::FailureReason;
 use serde_json::{Value, json};
 
-use crate::support::{Reply, Request, Stage};
+use crate::support::{Fixture, Reply, Request};
 
-/// Text with all that a line of JSON must escape, and more.
+/// Text with all characters that a line of JSON must escape, line separators
+/// and multi-byte characters.
 const TEXT: &str = "\"q\" \\ \n\r\n\t\u{0}\u{1f}\u{7f}\u{85}\u{2028}\
                     \u{2029} é 貸 🧾";
 
-fn streamed(more: Value) -> Request {
-    let mut all = json!({"stream": true});
-    all.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
-    Request::chat(all)
+fn streamed(extra_fields: Value) -> Request {
+    let mut fields = json!({"stream": true});
+    fields
+        .as_object_mut()
+        .unwrap()
+        .extend(extra_fields.as_object().unwrap().clone());
+    Request::chat(fields)
 }
 
 #[test]
-fn a_stream_ends_with_done() {
-    let stage = Stage::start();
+fn streams_end_with_done_and_include_usage_on_request() {
+    let fixture = Fixture::start();
     let token = Reply::Token;
-    stage.side.reply(&[Reply::Accept, token("a"), token("b"), Reply::Finish]);
+    fixture.side.set_replies(&[
+        Reply::Accept,
+        token("a"),
+        token("b"),
+        Reply::Finish,
+    ]);
     let with_usage = json!({"stream_options": {"include_usage": true}});
-    for (more, has_usage) in [(json!({}), false), (with_usage, true)] {
-        let answer = stage.call(&streamed(more));
-        assert_eq!(answer.status, 200);
-        assert!(answer.is_whole);
-        assert_eq!(answer.header("content-type"), Some("text/event-stream"));
-        assert_eq!(answer.header("transfer-encoding"), Some("chunked"));
-        let events = answer.events();
+    for (extra_fields, has_usage) in [(json!({}), false), (with_usage, true)] {
+        let response = fixture.call(&streamed(extra_fields));
+        assert_eq!(response.status, 200);
+        assert!(response.is_complete);
+        assert_eq!(response.header("content-type"), Some("text/event-stream"));
+        assert_eq!(response.header("transfer-encoding"), Some("chunked"));
+        let events = response.events();
         assert_eq!(events.last(), Some(&"[DONE]"));
         let last: Value =
             serde_json::from_str(events[events.len() - 2]).unwrap();
@@ -36,15 +45,20 @@
 }
 
 #[test]
-fn any_text_comes_through_as_it_is() {
-    let stage = Stage::start();
+fn special_characters_in_text_are_preserved() {
+    let fixture = Fixture::start();
     let token = Reply::Token;
-    stage.side.reply(&[Reply::Accept, token(TEXT), token(""), Reply::Finish]);
-    let whole = stage.call(&Request::chat(json!({})));
+    fixture.side.set_replies(&[
+        Reply::Accept,
+        token(TEXT),
+        token(""),
+        Reply::Finish,
+    ]);
+    let whole = fixture.call(&Request::chat(json!({})));
     assert_eq!(whole.json()["choices"][0]["message"]["content"], TEXT);
-    let answer = stage.call(&streamed(json!({})));
+    let response = fixture.call(&streamed(json!({})));
     let mut text = String::new();
-    for event in answer.events() {
+    for event in response.events() {
         let Ok(event) = serde_json::from_str::<Value>(event) else {
             continue;
         };
@@ -55,17 +69,17 @@
 }
 
 #[test]
-fn each_token_is_sent_when_it_comes() {
-    let stage = Stage::start();
-    stage.side.reply(&[Reply::Accept, Reply::Token("first")]);
-    let mut caller = stage.caller();
+fn tokens_are_sent_without_waiting_for_the_next() {
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&[Reply::Accept, Reply::Token("first")]);
+    let mut caller = fixture.caller();
     caller.send(&streamed(json!({})));
     assert_eq!(caller.read_head().status, 200);
     let mut text = String::new();
     while !text.contains("first") {
         text += &caller.read_chunk().expect("the first token");
     }
-    stage.side.go_on(&[Reply::Token("second"), Reply::Finish]);
+    fixture.side.continue_last_run(&[Reply::Token("second"), Reply::Finish]);
     while !text.contains("[DONE]") {
         text += &caller.read_chunk().expect("the rest");
     }
@@ -73,43 +87,47 @@
 }
 
 #[test]
-fn a_broken_stream_has_an_error_and_no_end() {
-    let stage = Stage::start();
-    stage.side.reply(&[
+fn an_interrupted_stream_has_an_error_event_and_no_end_marker() {
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&[
         Reply::Accept,
         Reply::Token("a"),
         Reply::Fail(FailureReason::BackendError),
     ]);
     let request =
         streamed(json!({})).header("chestnutreach-non-idempotent", "true");
-    let answer = stage.call(&request);
-    assert_eq!(answer.status, 200);
-    assert!(!answer.is_whole, "{answer:?}");
-    let events = answer.events();
+    let response = fixture.call(&request);
+    assert_eq!(response.status, 200);
+    assert!(!response.is_complete, "{response:?}");
+    let events = response.events();
     let last: Value = serde_json::from_str(events.last().unwrap()).unwrap();
     assert_eq!(last["error"]["outcome"], "failed");
     assert_eq!(last["error"]["code"], "failed");
-    assert!(!answer.body.contains("[DONE]"));
+    assert!(!response.body.contains("[DONE]"));
 }
 
 #[test]
-fn a_completion_streams_text() {
-    let stage = Stage::start();
-    stage.side.reply(&[Reply::Accept, Reply::Token("a"), Reply::Finish]);
+fn completions_are_streamed_as_text() {
+    let fixture = Fixture::start();
+    fixture.side.set_replies(&[
+        Reply::Accept,
+        Reply::Token("a"),
+        Reply::Finish,
+    ]);
     let body = json!({
         "model": "org/desk-llm", "prompt": "hi", "stream": true,
         "max_tokens": 3,
     });
     let request = Request::new("POST", "/v1/completions");
-    let answer = stage.call(&request.body(&body.to_string()));
-    let first: Value = serde_json::from_str(answer.events()[0]).unwrap();
+    let response = fixture.call(&request.body(&body.to_string()));
+    let first: Value = serde_json::from_str(response.events()[0]).unwrap();
     assert_eq!(first["object"], "text_completion");
     assert_eq!(first["choices"][0]["text"], "a");
-    let run = stage.side.next_run();
+    let run = fixture.side.next_run();
     let Some(chestnutreach_protocol::wire::run::Work::Generate(work)) =
         run.work
     else {
-        panic!("no work for a model: {run:?}");
+        panic!("not a request for a model: {run:?}");
     };
     assert_eq!(work.max_tokens, 3);
     assert_eq!(work.request_json, body.to_string().as_bytes());
--- a/crates/entry/tests/api/support/caller.rs
+++ b/crates/entry/tests/api/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that writes the bytes of its requests itself.
+//! An HTTP client that writes the raw bytes of its requests.
 
 use std::{
     collections::BTreeMap,
@@ -8,9 +8,9 @@
 
 use serde_json::Value;
 
-use super::{CLERK, LIMIT};
+use super::{CLERK_KEY, TIMEOUT};
 
-/// A request, set by chained methods.
+/// A request, configured by chained methods.
 #[derive(Clone, Debug)]
 pub struct Request {
     method: String,
@@ -28,17 +28,17 @@
             headers: Vec::new(),
             body: Vec::new(),
         }
-        .header("authorization", &format!("Bearer {CLERK}"))
+        .header("authorization", &format!("Bearer {CLERK_KEY}"))
     }
 
-    /// A chat request with more fields.
-    pub fn chat(more: Value) -> Request {
+    /// A chat request with additional fields in its body.
+    pub fn chat(extra_fields: Value) -> Request {
         let mut body = serde_json::json!({
             "model": "org/desk-llm",
             "messages": [{"role": "user", "content": "hi"}],
         });
-        if let Value::Object(more) = more {
-            body.as_object_mut().unwrap().extend(more);
+        if let Value::Object(extra_fields) = extra_fields {
+            body.as_object_mut().unwrap().extend(extra_fields);
         }
         Request::new("POST", "/v1/chat/completions").body(&body.to_string())
     }
@@ -49,7 +49,7 @@
     }
 
     /// The same request without the headers of this name.
-    pub fn without(mut self, name: &str) -> Request {
+    pub fn without_header(mut self, name: &str) -> Request {
         self.headers.retain(|(n, _)| n != name);
         self
     }
@@ -72,27 +72,27 @@
     }
 }
 
-/// What a caller got.
+/// A response as received by the caller.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: String,
-    /// The body came to its stated end.
-    pub is_whole: bool,
+    /// Whether the body arrived completely.
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl HttpResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
-    /// The body as JSON; null when it is none.
+    /// The body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// Data of the events of a streamed answer.
+    /// Data of the events of a streamed response.
     pub fn events(&self) -> Vec<&str> {
         let events = self.body.split_terminator("\n\n");
         events.filter_map(|event| event.strip_prefix("data: ")).collect()
@@ -107,7 +107,7 @@
 impl Caller {
     pub fn connect(address: SocketAddr) -> Caller {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Caller { stream: BufReader::new(stream) }
     }
 
@@ -116,48 +116,48 @@
     }
 
     pub fn send_bytes(&mut self, bytes: &[u8]) {
-        // The entry may have refused the rest already.
+        // The entry may have closed the connection after an early refusal.
         let _ = self.stream.get_mut().write_all(bytes);
     }
 
-    /// Says that nothing more will be sent.
-    pub fn shut_down(&mut self) {
+    /// Closes the write half of the connection.
+    pub fn shut_down_write(&mut self) {
         let _ = self.stream.get_mut().shutdown(Shutdown::Write);
     }
 
-    /// Reads the answer to a request.
-    pub fn answer(&mut self, request: &Request) -> Answer {
+    /// Reads the response to a request.
+    pub fn read_response(&mut self, request: &Request) -> HttpResponse {
         let is_head = request.method == "HEAD";
-        let mut answer = self.read_head();
-        if is_head || answer.status == 204 {
-            answer.is_whole = true;
-            return answer;
+        let mut response = self.read_head();
+        if is_head || response.status == 204 {
+            response.is_complete = true;
+            return response;
         }
-        match answer.header("content-length").map(str::to_owned) {
-            Some(length) => self.read_length(&mut answer, &length),
-            None => self.read_chunks(&mut answer),
+        match response.header("content-length").map(str::to_owned) {
+            Some(length) => self.read_sized_body(&mut response, &length),
+            None => self.read_chunked_body(&mut response),
         }
-        answer
+        response
     }
 
-    /// Reads an answer's head.
-    pub fn read_head(&mut self) -> Answer {
-        let mut answer = Answer::default();
+    /// Reads the head of a response.
+    pub fn read_head(&mut self) -> HttpResponse {
+        let mut response = HttpResponse::default();
         let status_line = self.read_line();
         let status = status_line.split(' ').nth(1);
-        answer.status = status
+        response.status = status
             .and_then(|text| text.parse().ok())
             .unwrap_or_else(|| panic!("no status: {status_line:?}"));
         loop {
             let line = self.read_line();
             let Some((name, value)) = line.split_once(": ") else {
-                return answer;
+                return response;
             };
-            answer.headers.insert(name.to_owned(), value.to_owned());
+            response.headers.insert(name.to_owned(), value.to_owned());
         }
     }
 
-    /// Reads the next chunk of a streamed body; none at its end.
+    /// Reads the next chunk of a chunked body; `None` if the connection ends.
     pub fn read_chunk(&mut self) -> Option<String> {
         let length = self.read_line();
         let length = usize::from_str_radix(&length, 16).ok()?;
@@ -167,23 +167,23 @@
         Some(String::from_utf8(bytes).unwrap())
     }
 
-    fn read_length(&mut self, answer: &mut Answer, length: &str) {
+    fn read_sized_body(&mut self, response: &mut HttpResponse, length: &str) {
         let mut bytes = vec![0; length.parse().unwrap()];
-        answer.is_whole = self.stream.read_exact(&mut bytes).is_ok();
-        answer.body = String::from_utf8(bytes).unwrap();
+        response.is_complete = self.stream.read_exact(&mut bytes).is_ok();
+        response.body = String::from_utf8(bytes).unwrap();
     }
 
-    fn read_chunks(&mut self, answer: &mut Answer) {
+    fn read_chunked_body(&mut self, response: &mut HttpResponse) {
         while let Some(chunk) = self.read_chunk() {
             if chunk.is_empty() {
-                answer.is_whole = true;
+                response.is_complete = true;
                 return;
             }
-            answer.body.push_str(&chunk);
+            response.body.push_str(&chunk);
         }
     }
 
-    /// The next line; nothing at the connection's end.
+    /// Reads the next line; empty at the end of the connection.
     fn read_line(&mut self) -> String {
         let mut line = String::new();
         let _ = self.stream.read_line(&mut line);
--- a/crates/entry/tests/api/support/mod.rs
+++ b/crates/entry/tests/api/support/mod.rs
@@ -1,4 +1,4 @@
-//! An entry in this process, with a side process that does as it is told.
+//! An entry in the test process, with a scripted side process.
 
 pub mod caller;
 pub mod side;
@@ -24,24 +24,24 @@
 use chestnutreach_telemetry::Metrics;
 
 pub use self::{
-    caller::{Answer, Caller, Request},
+    caller::{Caller, HttpResponse, Request},
     side::{FakeSide, Reply},
 };
 
-/// Longest wait for anything that must happen.
-pub const LIMIT: Duration = Duration::from_secs(10);
-/// Account that may use the model and `/ledger-app`.
-pub const CLERK: &str = "key-of-the-clerk";
-/// Account that may use `/pipe-records` only.
-pub const AGENT: &str = "key-of-the-agent";
-/// Longest body that the entry takes.
+/// Timeout for every expected event.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
+/// Bearer key of the account that may use the model and `/ledger-app`.
+pub const CLERK_KEY: &str = "key-of-the-clerk";
+/// Bearer key of the account that may use `/pipe-records` only.
+pub const AGENT_KEY: &str = "key-of-the-agent";
+/// Longest request body that the entry accepts.
 pub const MAX_BODY_BYTES: usize = 4_096;
-/// Threads that run the entry, its side process and the table.
+/// Threads that run the entry, its side process and the table service.
 const THREADS: usize = 2;
-/// Time of one call of the table; the entry's claims have twice as long.
+/// Timeout of one call to the table service; claims have twice as long.
 const TABLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a test starts, set by chained methods.
+/// Configuration of a fixture, set by chained methods.
 pub struct Setup {
     has_side: bool,
     has_manifest: bool,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// No side process can be reached.
+    /// The manifest names a side process that cannot be reached.
     pub fn without_side(mut self) -> Setup {
         self.has_side = false;
         self
@@ -74,7 +74,7 @@
         self
     }
 
-    pub fn start(self) -> Stage {
+    pub fn start(self) -> Fixture {
         let executor = Arc::new(Executor::new());
         for _ in 0..THREADS {
             let executor = executor.clone();
@@ -98,56 +98,56 @@
             http,
             inner,
         });
-        let stage = Stage { entry, side, table_faults, http_address };
+        let fixture = Fixture { entry, side, table_faults, http_address };
         if self.has_manifest {
             let address = match self.has_side {
-                true => stage.side.address(),
-                false => free_address(),
+                true => fixture.side.address(),
+                false => refusing_address(),
             };
-            stage.apply(1, address);
+            fixture.apply_manifest(1, address);
             if self.has_side {
-                stage.wait_for_side();
+                fixture.wait_for_side();
             }
         }
-        stage
+        fixture
     }
 }
 
-/// A running entry with what it needs.
-pub struct Stage {
+/// A running entry with its side process and table service.
+pub struct Fixture {
     pub entry: Entry,
     pub side: FakeSide,
     pub table_faults: Arc<Faults>,
     http_address: SocketAddr,
 }
 
-impl Stage {
-    pub fn start() -> Stage {
+impl Fixture {
+    pub fn start() -> Fixture {
         Setup::new().start()
     }
 
-    /// A new connection of a caller.
+    /// Opens a new connection of a caller.
     pub fn caller(&self) -> Caller {
         Caller::connect(self.http_address)
     }
 
-    /// Sends one request on a connection of its own.
-    pub fn call(&self, request: &Request) -> Answer {
+    /// Sends one request on a new connection.
+    pub fn call(&self, request: &Request) -> HttpResponse {
         let mut caller = self.caller();
         caller.send(request);
-        caller.answer(request)
+        caller.read_response(request)
     }
 
-    /// Has the manifest name a side process that cannot be reached.
-    pub fn lose_side(&self) {
-        self.apply(2, free_address());
+    /// Applies a manifest that names an unreachable side process.
+    pub fn make_side_unreachable(&self) {
+        self.apply_manifest(2, refusing_address());
     }
 
-    fn apply(&self, generation: u64, side: SocketAddr) {
+    fn apply_manifest(&self, generation: u64, side: SocketAddr) {
         let text = manifest(side);
         let manifest = Manifest::try_parse("test.ini", &text);
         self.entry
-            .apply(generation, &manifest.expect("the manifest is right"));
+            .apply(generation, &manifest.expect("the manifest is valid"));
     }
 
     fn wait_for_side(&self) {
@@ -158,11 +158,11 @@
     }
 }
 
-/// Waits until something holds.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LIMIT;
-    while !holds() {
-        assert!(Instant::now() < until, "not in time: {what}");
+/// Waits until a condition is true.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -174,7 +174,7 @@
 }
 
 /// An address that refuses connections.
-fn free_address() -> SocketAddr {
+fn refusing_address() -> SocketAddr {
     listen().1
 }
 
@@ -228,8 +228,8 @@
         );
     }
     let accounts = [
-        ("clerk", CLERK, "desk-llm, ledger-app"),
-        ("agent", AGENT, "pipe-records"),
+        ("clerk", CLERK_KEY, "desk-llm, ledger-app"),
+        ("agent", AGENT_KEY, "pipe-records"),
     ];
     for (name, key, services) in accounts {
         let digest = key_digest(key);
--- a/crates/entry/tests/api/support/side.rs
+++ b/crates/entry/tests/api/support/side.rs
@@ -1,4 +1,4 @@
-//! A side process that answers each request as it is told.
+//! A side process with scripted replies.
 
 use std::{
     collections::VecDeque,
@@ -15,9 +15,9 @@
     },
 };
 
-use super::{LIMIT, listen};
+use super::{TIMEOUT, listen};
 
-/// One thing that the side process does for a request.
+/// One action of the side process for a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
     Accept,
@@ -30,7 +30,7 @@
     CloseLink,
 }
 
-/// The side process; links and requests are recorded.
+/// A side process that replies by script and records runs and cancels.
 pub struct FakeSide {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -39,7 +39,7 @@
 }
 
 struct Shared {
-    /// Replies to the next requests; the last ones stay for all later ones.
+    /// Replies to the next requests; the last entry applies to all later ones.
     scripts: Mutex<VecDeque<Vec<Reply>>>,
     last_run: Mutex<Option<(Link, wire::Run, u32)>>,
     runs: mpsc::Sender<wire::Run>,
@@ -72,37 +72,39 @@
         self.address
     }
 
-    /// Sets the replies to all requests from now on.
-    pub fn reply(&self, replies: &[Reply]) {
-        self.reply_in_turn(&[replies]);
+    /// Sets the replies to all later requests.
+    pub fn set_replies(&self, replies: &[Reply]) {
+        self.set_reply_sequence(&[replies]);
     }
 
-    /// Sets the replies to the next requests; the last are for all others.
-    pub fn reply_in_turn(&self, scripts: &[&[Reply]]) {
+    /// Sets the replies to the next requests; the last entry applies to all
+    /// later ones.
+    pub fn set_reply_sequence(&self, scripts: &[&[Reply]]) {
         let scripts = scripts.iter().map(|replies| replies.to_vec());
         *self.shared.scripts.lock().unwrap() = scripts.collect();
     }
 
-    /// Goes on with the request that came last.
-    pub fn go_on(&self, replies: &[Reply]) {
+    /// Sends further replies to the last received request.
+    pub fn continue_last_run(&self, replies: &[Reply]) {
         let mut last = self.shared.last_run.lock().unwrap();
-        let (link, run, position) = last.as_mut().expect("a request came");
-        play(link, run, position, replies);
+        let (link, run, position) =
+            last.as_mut().expect("a request was received");
+        send_replies(link, run, position, replies);
     }
 
-    /// The next request that came.
+    /// Waits for the next request.
     pub fn next_run(&self) -> wire::Run {
-        self.runs.recv_timeout(LIMIT).expect("a request comes")
+        self.runs.recv_timeout(TIMEOUT).expect("a request is received")
     }
 
-    /// Requests that came and were not taken yet.
-    pub fn runs(&self) -> usize {
+    /// Takes all received requests and returns their number.
+    pub fn take_run_count(&self) -> usize {
         self.runs.try_iter().count()
     }
 
-    /// The next request that was cancelled.
+    /// Waits for the next cancelled request.
     pub fn next_cancel(&self) -> wire::Cancel {
-        self.cancels.recv_timeout(LIMIT).expect("a request is cancelled")
+        self.cancels.recv_timeout(TIMEOUT).expect("a request is cancelled")
     }
 }
 
@@ -125,26 +127,31 @@
                 _ => scripts.pop_front().unwrap_or_default(),
             }
         };
-        // Recorded before the caller can have an answer.
+        // Recorded before the caller can get a response.
         let mut last = self.last_run.lock().unwrap();
         let _ = self.runs.send(run.clone());
         let mut position = 0;
-        play(&link, &run, &mut position, &replies);
+        send_replies(&link, &run, &mut position, &replies);
         *last = Some((link, run, position));
     }
 }
 
-fn play(link: &Link, run: &wire::Run, position: &mut u32, replies: &[Reply]) {
+fn send_replies(
+    link: &Link,
+    run: &wire::Run,
+    position: &mut u32,
+    replies: &[Reply],
+) {
     for reply in replies {
         if matches!(reply, Reply::CloseLink) {
             link.close(chestnutreach_protocol::CloseReason::Lost);
             return;
         }
-        let _ = link.send(to_body(run, position, reply));
+        let _ = link.send(to_frame(run, position, reply));
     }
 }
 
-fn to_body(run: &wire::Run, position: &mut u32, reply: &Reply) -> Body {
+fn to_frame(run: &wire::Run, position: &mut u32, reply: &Reply) -> Body {
     let (request, attempt) = (run.request, run.attempt);
     let mut output = |part| {
         let at = *position;
@@ -191,8 +198,8 @@
             attempt,
             reason: (*reason).into(),
             backend: run.chain[0].backend.clone(),
-            detail: "as told".to_owned(),
+            detail: "scripted failure".to_owned(),
         }),
-        Reply::CloseLink => unreachable!("no frame"),
+        Reply::CloseLink => unreachable!("closing the link sends no frame"),
     }
 }
--- a/crates/entry/tests/fuzz.rs
+++ b/crates/entry/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Arbitrary and almost right requests, and arbitrary text, with fixed seeds.
+//! Property tests with arbitrary and almost valid requests and arbitrary text,
+//! with fixed seeds.
 //!
 //! `PROPTEST_CASES` sets the number of cases.
 
@@ -20,8 +21,8 @@
 use serde_json::{Value, json};
 
 const SEED: u64 = 2417;
-const MAX_MS: u64 = 20_000;
-/// Fields that are read, and some that are not.
+const MAX_DEADLINE_MS: u64 = 20_000;
+/// Fields that are parsed, and some that are not.
 const FIELDS: &[&str] = &[
     "model",
     "messages",
@@ -43,8 +44,8 @@
     "suffix",
     "unknown",
 ];
-/// Pieces of text that a writer of lines or of JSON may get wrong.
-const PIECES: &[&str] = &[
+/// Text fragments that are error-prone to encode in lines or JSON.
+const TEXT_FRAGMENTS: &[&str] = &[
     "\"",
     "\\",
     "\\u0022",
@@ -102,8 +103,8 @@
     select(vec![Endpoint::Chat, Endpoint::Completions])
 }
 
-/// A right request to either endpoint.
-fn right() -> Value {
+/// A valid request to either endpoint.
+fn valid_request() -> Value {
     json!({
         "model": "m",
         "messages": [
@@ -119,8 +120,8 @@
     })
 }
 
-/// Puts `value` somewhere into `json`, by a path of numbers.
-fn put(json: &mut Value, path: &[usize], value: Value) {
+/// Replaces the part of `json` that a path of indices selects by `value`.
+fn replace_at(json: &mut Value, path: &[usize], value: Value) {
     let Some((at, rest)) = path.split_first() else {
         *json = value;
         return;
@@ -133,34 +134,36 @@
         _ => None,
     };
     match inner {
-        Some(inner) => put(inner, rest, value),
+        Some(inner) => replace_at(inner, rest, value),
         None => *json = value,
     }
 }
 
-/// Bytes of a right request with one of them changed, or cut short.
-fn broken_bytes() -> impl Strategy<Value = Vec<u8>> {
-    let length = right().to_string().len();
-    (0..length, any::<u8>(), any::<bool>()).prop_map(|(at, byte, is_cut)| {
-        let mut bytes = right().to_string().into_bytes();
-        match is_cut {
-            true => bytes.truncate(at),
-            false => bytes[at] = byte,
-        }
-        bytes
-    })
+/// Bytes of a valid request with one byte changed, or truncated.
+fn corrupted_bytes() -> impl Strategy<Value = Vec<u8>> {
+    let length = valid_request().to_string().len();
+    (0..length, any::<u8>(), any::<bool>()).prop_map(
+        |(at, byte, is_truncated)| {
+            let mut bytes = valid_request().to_string().into_bytes();
+            match is_truncated {
+                true => bytes.truncate(at),
+                false => bytes[at] = byte,
+            }
+            bytes
+        },
+    )
 }
 
 fn check_parse(endpoint: Endpoint, body: &[u8]) -> Result<(), TestCaseError> {
     match ParsedRequest::try_parse(endpoint, body) {
-        Ok(mut asked) => {
-            prop_assert!(asked.max_tokens >= 1);
-            prop_assert!(asked.prompt_tokens_estimate >= 1);
-            prop_assert!(asked.is_stream || !asked.includes_usage);
+        Ok(mut request) => {
+            prop_assert!(request.max_tokens >= 1);
+            prop_assert!(request.prompt_tokens_estimate >= 1);
+            prop_assert!(request.is_stream || !request.includes_usage);
             let json: Value = serde_json::from_slice(body).unwrap();
-            prop_assert_eq!(&json["model"], &asked.model);
-            if asked.limit_to_context(1_000).is_ok() {
-                prop_assert!((1..1_000).contains(&asked.max_tokens));
+            prop_assert_eq!(&json["model"], &request.model);
+            if request.limit_to_context(1_000).is_ok() {
+                prop_assert!((1..1_000).contains(&request.max_tokens));
             }
         }
         Err(error) => {
@@ -172,12 +175,12 @@
 }
 
 fn text() -> impl Strategy<Value = String> {
-    let piece = prop_oneof![
-        select(PIECES).prop_map(str::to_owned),
+    let fragment = prop_oneof![
+        select(TEXT_FRAGMENTS).prop_map(str::to_owned),
         any::<String>(),
         any::<char>().prop_map(String::from),
     ];
-    vec(piece, 0..6).prop_map(|pieces| pieces.concat())
+    vec(fragment, 0..6).prop_map(|fragments| fragments.concat())
 }
 
 fn header_value() -> impl Strategy<Value = String> {
@@ -190,7 +193,7 @@
     ]
 }
 
-fn check_terms(
+fn check_options(
     headers: &[(&'static str, String)],
 ) -> Result<(), TestCaseError> {
     let mut request = Request::new(Method::Post, "http://entry/");
@@ -198,15 +201,15 @@
         let value = HeaderValue::from_bytes(value.clone().into_bytes());
         request.append_header(*name, value.unwrap());
     }
-    let limits = DeadlineLimits { default_ms: 500, max_ms: MAX_MS };
+    let limits = DeadlineLimits { default_ms: 500, max_ms: MAX_DEADLINE_MS };
     let is_given = |name| headers.iter().any(|(given, _)| *given == name);
     match RequestOptions::try_new(&request, limits) {
-        Ok(terms) => {
-            prop_assert!((1..=MAX_MS).contains(&terms.deadline_ms));
+        Ok(options) => {
+            prop_assert!((1..=MAX_DEADLINE_MS).contains(&options.deadline_ms));
             let is_marked = is_given(NON_IDEMPOTENT_HEADER);
-            prop_assert_eq!(terms.is_non_idempotent.is_some(), is_marked);
-            prop_assert_eq!(terms.key.is_some(), is_given(KEY_HEADER));
-            let length = terms.key.map_or(1, |key| key.len());
+            prop_assert_eq!(options.is_non_idempotent.is_some(), is_marked);
+            prop_assert_eq!(options.key.is_some(), is_given(KEY_HEADER));
+            let length = options.key.map_or(1, |key| key.len());
             prop_assert!((1..=MAX_KEY_BYTES).contains(&length));
         }
         Err(error) => {
@@ -217,8 +220,8 @@
     Ok(())
 }
 
-/// Text of the events that `lines` of a streamed answer hold.
-fn text_of(event: &str, endpoint: Endpoint) -> String {
+/// Text of an event of a streamed response.
+fn event_text(event: &str, endpoint: Endpoint) -> String {
     let json = event.strip_prefix("data: ").expect("an event");
     let event: Value = serde_json::from_str(json).expect("valid JSON");
     let choice = &event["choices"][0];
@@ -229,8 +232,9 @@
     text.as_str().unwrap_or_default().to_owned()
 }
 
-/// What libraries that read by lines of text take for an end of line.
-fn ends_line(char: char) -> bool {
+/// Whether client libraries that split text into lines may treat the
+/// character as a line terminator.
+fn is_line_terminator(char: char) -> bool {
     matches!(
         char,
         '\n' | '\r' | '\u{b}' | '\u{c}' | '\u{1c}'
@@ -250,26 +254,26 @@
     }
 
     #[test]
-    fn changed_requests_are_parsed_or_refused(
+    fn modified_requests_are_parsed_or_refused(
         endpoint in endpoint(),
         path in vec(0..FIELDS.len(), 0..4),
         value in json_value(),
     ) {
-        let mut json = right();
-        put(&mut json, &path, value);
+        let mut json = valid_request();
+        replace_at(&mut json, &path, value);
         check_parse(endpoint, json.to_string().as_bytes())?;
     }
 
     #[test]
-    fn broken_bytes_are_parsed_or_refused(
+    fn corrupted_bytes_are_parsed_or_refused(
         endpoint in endpoint(),
-        bytes in broken_bytes(),
+        bytes in corrupted_bytes(),
     ) {
         check_parse(endpoint, &bytes)?;
     }
 
     #[test]
-    fn terms_are_read_or_refused_by_name(
+    fn header_options_are_parsed_or_refused_by_name(
         headers in vec(
             (
                 select(vec![
@@ -283,11 +287,11 @@
             0..4,
         ),
     ) {
-        check_terms(&headers)?;
+        check_options(&headers)?;
     }
 
     #[test]
-    fn events_are_one_line_and_hold_the_text(
+    fn each_event_is_one_line_and_texts_are_preserved(
         endpoint in endpoint(),
         model in text(),
         texts in vec(text(), 0..5),
@@ -303,11 +307,11 @@
         let usage = Usage::new(1, 0, texts.len() as u32);
         bytes.extend(chunks.final_events(FinishReason::Stop, usage));
         let stream = String::from_utf8(bytes).expect("UTF-8");
-        let events = stream.strip_suffix("data: [DONE]\n\n").expect("its end");
+        let events = stream.strip_suffix("data: [DONE]\n\n").expect("the [DONE] marker");
         let mut read = String::new();
         for event in events.split_terminator("\n\n") {
-            prop_assert!(!event.contains(ends_line), "{:?}", event);
-            read += &text_of(event, endpoint);
+            prop_assert!(!event.contains(is_line_terminator), "{:?}", event);
+            read += &event_text(event, endpoint);
         }
         prop_assert_eq!(read, texts.concat());
     }
--- a/crates/entry/tests/openai.rs
+++ b/crates/entry/tests/openai.rs
@@ -1,4 +1,4 @@
-//! Published shapes of requests and answers.
+//! OpenAI request and response formats.
 
 use chestnutreach_entry::openai::{
     Endpoint, ParsedRequest, ResponseTemplate, Usage,
@@ -9,25 +9,25 @@
 
 use Endpoint::{Chat, Completions};
 
-/// A body that is refused, and the field that is named.
+/// A body that is refused, and the expected field and message.
 struct Refused {
     endpoint: Endpoint,
     body: &'static str,
     param: Option<&'static str>,
-    says: &'static str,
+    message: &'static str,
 }
 
 const fn refused(
     endpoint: Endpoint,
     body: &'static str,
     param: &'static str,
-    says: &'static str,
+    message: &'static str,
 ) -> Refused {
     let param = if param.is_empty() { None } else { Some(param) };
-    Refused { endpoint, body, param, says }
+    Refused { endpoint, body, param, message }
 }
 
-/// A chat request with one field more than it needs.
+/// A chat request with one additional field.
 macro_rules! chat {
     ($field:literal) => {
         concat!(
@@ -38,7 +38,7 @@
     };
 }
 
-/// A chat request with this message alone.
+/// A chat request with a single message.
 macro_rules! message {
     ($message:literal) => {
         concat!(r#"{"model":"m","messages":["#, $message, "]}")
@@ -218,24 +218,28 @@
 ];
 
 #[test]
-fn wrong_bodies_are_refused_by_the_name_of_the_field() {
+fn invalid_bodies_are_refused_with_the_field_name() {
     for case in REFUSED {
         let error =
             ParsedRequest::try_parse(case.endpoint, case.body.as_bytes())
                 .expect_err(case.body);
         let param = error.param.as_deref();
         assert_eq!(param, case.param, "{}: {error}", case.body);
-        assert!(error.message.contains(case.says), "{}: {error}", case.body);
+        assert!(
+            error.message.contains(case.message),
+            "{}: {error}",
+            case.body
+        );
     }
 }
 
 #[test]
-fn deep_and_foreign_bytes_are_refused() {
-    let deep = format!("{}{}", "[".repeat(5_000), "]".repeat(5_000));
+fn deeply_nested_json_and_invalid_utf8_are_refused() {
+    let nested = format!("{}{}", "[".repeat(5_000), "]".repeat(5_000));
     let in_field = chat(json!({"stop": null}))
-        .replace("\"stop\":null", &format!("\"stop\":{deep}"));
+        .replace("\"stop\":null", &format!("\"stop\":{nested}"));
     let cases: [&[u8]; 4] = [
-        deep.as_bytes(),
+        nested.as_bytes(),
         in_field.as_bytes(),
         b"\xff\xfe",
         b"{\"model\":\"\xff\"}",
@@ -245,7 +249,7 @@
     }
 }
 
-/// A body that is accepted, and what is read of it.
+/// A body that is accepted, and the expected result of parsing it.
 struct Accepted {
     endpoint: Endpoint,
     body: Value,
@@ -255,29 +259,31 @@
     includes_usage: bool,
 }
 
-/// A chat request with more fields.
-fn chat(more: Value) -> String {
+/// A chat request with additional fields.
+fn chat(extra_fields: Value) -> String {
     merged(
         json!({
             "model": "m",
             "messages": [{"role": "user", "content": "hi"}],
             "unknown_field": null,
         }),
-        more,
+        extra_fields,
     )
     .to_string()
 }
 
-fn merged(mut body: Value, more: Value) -> Value {
-    if let (Some(body), Value::Object(more)) = (body.as_object_mut(), more) {
-        body.extend(more);
+fn merged(mut body: Value, extra_fields: Value) -> Value {
+    if let (Some(body), Value::Object(extra_fields)) =
+        (body.as_object_mut(), extra_fields)
+    {
+        body.extend(extra_fields);
     }
     body
 }
 
 impl Accepted {
-    fn chat(more: Value) -> Accepted {
-        let body = serde_json::from_str(&chat(more)).unwrap();
+    fn chat(extra_fields: Value) -> Accepted {
+        let body = serde_json::from_str(&chat(extra_fields)).unwrap();
         Accepted {
             endpoint: Chat,
             body,
@@ -288,10 +294,10 @@
         }
     }
 
-    fn completion(more: Value) -> Accepted {
+    fn completion(extra_fields: Value) -> Accepted {
         Accepted {
             endpoint: Completions,
-            body: merged(json!({"model": "m", "prompt": "hi"}), more),
+            body: merged(json!({"model": "m", "prompt": "hi"}), extra_fields),
             max_tokens: DEFAULT_COMPLETION_MAX_TOKENS,
             ..Accepted::chat(json!({}))
         }
@@ -311,7 +317,7 @@
 }
 
 #[test]
-fn published_bodies_are_accepted() {
+fn valid_bodies_are_accepted() {
     let with_usage = json!({"include_usage": true});
     let nulls = json!({
         "max_tokens": null, "max_completion_tokens": null, "stop": null,
@@ -320,7 +326,7 @@
         "logprobs": null, "top_logprobs": null, "modalities": null,
         "presence_penalty": null, "frequency_penalty": null,
     });
-    let plenty = json!({
+    let many_fields = json!({
         "temperature": 2, "top_p": 0.5, "presence_penalty": -2.0, "n": 1,
         "frequency_penalty": 0, "seed": -4, "user": "clerk-7",
         "stop": ["\n", "END"], "logprobs": false, "top_logprobs": 0,
@@ -336,7 +342,7 @@
     let cases = [
         Accepted::chat(json!({})),
         Accepted::chat(nulls),
-        Accepted::chat(plenty),
+        Accepted::chat(many_fields),
         Accepted::chat(parts),
         Accepted::chat(json!({"stop": "END"})),
         Accepted::chat(json!({"max_tokens": 7})).limit(7, "max_tokens"),
@@ -355,63 +361,68 @@
     ];
     for case in cases {
         let text = case.body.to_string();
-        let asked = ParsedRequest::try_parse(case.endpoint, text.as_bytes());
-        let asked = asked.unwrap_or_else(|e| panic!("{text}: {e}"));
-        assert_eq!(asked.model, "m", "{text}");
-        assert_eq!(asked.max_tokens, case.max_tokens, "{text}");
-        assert_eq!(asked.max_tokens_field, case.max_tokens_field, "{text}");
-        assert_eq!(asked.is_stream, case.is_stream, "{text}");
-        assert_eq!(asked.includes_usage, case.includes_usage, "{text}");
-        assert!(asked.prompt_tokens_estimate > 0, "{text}");
+        let request = ParsedRequest::try_parse(case.endpoint, text.as_bytes());
+        let request = request.unwrap_or_else(|e| panic!("{text}: {e}"));
+        assert_eq!(request.model, "m", "{text}");
+        assert_eq!(request.max_tokens, case.max_tokens, "{text}");
+        assert_eq!(request.max_tokens_field, case.max_tokens_field, "{text}");
+        assert_eq!(request.is_stream, case.is_stream, "{text}");
+        assert_eq!(request.includes_usage, case.includes_usage, "{text}");
+        assert!(request.prompt_tokens_estimate > 0, "{text}");
     }
 }
 
-/// A limit, the model's context and what becomes of the limit.
-struct Fit {
-    more: Value,
+/// Additional fields, the context length of the model and the resulting limit
+/// or the refused field.
+struct ContextLimitCase {
+    extra_fields: Value,
     max_context_tokens: u32,
     expected: Result<u32, &'static str>,
 }
 
 #[test]
-fn limits_fit_the_context() {
+fn token_limits_are_checked_against_the_context_length() {
     let newer = "max_completion_tokens";
     let cases = [
-        Fit {
-            more: json!({}),
+        ContextLimitCase {
+            extra_fields: json!({}),
             max_context_tokens: 4_096,
             expected: Ok(DEFAULT_CHAT_MAX_TOKENS),
         },
-        // A default is nobody's wish and gives way.
-        Fit { more: json!({}), max_context_tokens: 512, expected: Ok(511) },
-        Fit {
-            more: json!({"max_tokens": 511}),
+        // The default limit is reduced to fit the context.
+        ContextLimitCase {
+            extra_fields: json!({}),
             max_context_tokens: 512,
             expected: Ok(511),
         },
-        Fit {
-            more: json!({"max_tokens": 512}),
+        ContextLimitCase {
+            extra_fields: json!({"max_tokens": 511}),
+            max_context_tokens: 512,
+            expected: Ok(511),
+        },
+        ContextLimitCase {
+            extra_fields: json!({"max_tokens": 512}),
             max_context_tokens: 512,
             expected: Err("max_tokens"),
         },
-        Fit {
-            more: json!({newer: 512}),
+        ContextLimitCase {
+            extra_fields: json!({newer: 512}),
             max_context_tokens: 512,
             expected: Err(newer),
         },
     ];
     for case in cases {
-        let body = chat(case.more);
-        let mut asked =
+        let body = chat(case.extra_fields);
+        let mut request =
             ParsedRequest::try_parse(Chat, body.as_bytes()).unwrap();
-        let fitted = asked.limit_to_context(case.max_context_tokens);
-        let fitted = fitted.map(|()| asked.max_tokens);
-        let param = fitted.map_err(|e| e.param.unwrap_or_default());
+        let limited = request.limit_to_context(case.max_context_tokens);
+        let limited = limited.map(|()| request.max_tokens);
+        let param = limited.map_err(|e| e.param.unwrap_or_default());
         assert_eq!(param, case.expected.map_err(str::to_owned), "{body}");
     }
 }
 
-fn shape(endpoint: Endpoint) -> ResponseTemplate {
+fn template(endpoint: Endpoint) -> ResponseTemplate {
     ResponseTemplate::new(endpoint, RequestId::from_u128(7), "desk \"llm\"")
 }
 
@@ -420,16 +431,16 @@
 }
 
 #[test]
-fn whole_answers_have_the_published_fields() {
+fn full_responses_have_the_fields_of_the_openai_api() {
     let chat =
-        shape(Chat).full_response("a\"b", FinishReason::Length, usage());
+        template(Chat).full_response("a\"b", FinishReason::Length, usage());
     let message =
         json!({"role": "assistant", "content": "a\"b", "refusal": null});
     assert_eq!(chat["object"], "chat.completion");
     assert_eq!(chat["choices"][0]["message"], message);
     assert_eq!(chat["choices"][0]["finish_reason"], "length");
     let text =
-        shape(Completions).full_response("ab", FinishReason::Stop, usage());
+        template(Completions).full_response("ab", FinishReason::Stop, usage());
     assert_eq!(text["object"], "text_completion");
     assert_eq!(text["choices"][0]["text"], "ab");
     assert_eq!(text["choices"][0]["finish_reason"], "stop");
@@ -446,13 +457,13 @@
     }
 }
 
-/// Events of a streamed answer with these texts.
+/// Events of a streamed response with the given texts.
 fn stream(
     endpoint: Endpoint,
     texts: &[&str],
     includes_usage: bool,
 ) -> Vec<Value> {
-    let chunks = shape(endpoint).chunk_encoder(includes_usage);
+    let chunks = template(endpoint).chunk_encoder(includes_usage);
     let mut bytes = chunks.first_chunk().unwrap_or_default();
     for text in texts {
         bytes.extend(chunks.text_chunk(text));
@@ -466,7 +477,7 @@
 }
 
 #[test]
-fn streamed_chunks_have_the_published_fields() {
+fn streamed_chunks_have_the_fields_of_the_openai_api() {
     for endpoint in [Chat, Completions] {
         let events = stream(endpoint, &["a", "b"], true);
         let (last, chunks) = events.split_last().unwrap();
@@ -497,7 +508,7 @@
 }
 
 #[test]
-fn counts_that_make_no_sense_do_not_overflow() {
+fn implausible_token_counts_do_not_overflow() {
     let usage = json!(Usage::new(u32::MAX, 0, u32::MAX));
     assert_eq!(usage["total_tokens"], u32::MAX);
 }
