--- a/crates/entry/src/stored_response.rs
+++ b/crates/entry/src/stored_response.rs
@@ -69,11 +69,11 @@
 
 /// Turns a stored response back into the progress of a request. The text of
 /// a model becomes a single token.
-pub(crate) fn replay(answer: &StoredAnswer) -> Vec<Progress> {
-    let stored = answer
+pub(crate) fn replay(response: &StoredAnswer) -> Vec<Progress> {
+    let stored = response
         .headers
         .contains_key(STORED_TEXT_HEADER)
-        .then(|| serde_json::from_slice::<StoredText>(&answer.body).ok());
+        .then(|| serde_json::from_slice::<StoredText>(&response.body).ok());
     if let Some(Some(stored)) = stored {
         let finish = if stored.is_length {
             FinishReason::Length
@@ -90,17 +90,17 @@
         let token = wire::Token { token: 0, text: stored.text };
         return vec![Progress::Token(token), Progress::Finished(finished)];
     }
-    let headers = answer.headers.iter().map(|(name, value)| {
+    let headers = response.headers.iter().map(|(name, value)| {
         let (name, value) = (name.clone(), value.clone());
         wire::Header { name, value }
     });
     let head = wire::PlainHead {
-        status: answer.status.into(),
+        status: response.status.into(),
         headers: headers.collect(),
     };
     vec![
         Progress::Head(head),
-        Progress::Data(answer.body.clone()),
+        Progress::Data(response.body.clone()),
         Progress::Finished(wire::Finished::default()),
     ]
 }
--- a/crates/entry/tests/api/streams.rs
+++ b/crates/entry/tests/api/streams.rs
@@ -54,8 +54,8 @@
         token(""),
         Reply::Finish,
     ]);
-    let whole = fixture.call(&Request::chat(json!({})));
-    assert_eq!(whole.json()["choices"][0]["message"]["content"], TEXT);
+    let full_response = fixture.call(&Request::chat(json!({})));
+    assert_eq!(full_response.json()["choices"][0]["message"]["content"], TEXT);
     let response = fixture.call(&streamed(json!({})));
     let mut text = String::new();
     for event in response.events() {
--- a/crates/entry/tests/openai.rs
+++ b/crates/entry/tests/openai.rs
@@ -448,12 +448,12 @@
         "prompt_tokens": 5, "completion_tokens": 3, "total_tokens": 8,
         "prompt_tokens_details": {"cached_tokens": 2},
     });
-    for answer in [chat, text] {
-        assert_eq!(answer["usage"], expected);
-        assert_eq!(answer["model"], "desk \"llm\"");
-        assert!(answer["created"].as_u64() > Some(0));
-        assert_eq!(answer["choices"][0]["index"], 0);
-        assert!(answer["choices"][0]["logprobs"].is_null());
+    for response in [chat, text] {
+        assert_eq!(response["usage"], expected);
+        assert_eq!(response["model"], "desk \"llm\"");
+        assert!(response["created"].as_u64() > Some(0));
+        assert_eq!(response["choices"][0]["index"], 0);
+        assert!(response["choices"][0]["logprobs"].is_null());
     }
 }
 
