--- a/crates/bench/src/claims.rs
+++ b/crates/bench/src/claims.rs
@@ -15,7 +15,7 @@
 use chestnutreach_fleet::Caller;
 use chestnutreach_platform::{
     ClaimOptions, ClaimStore, TableClient,
-    claims::{Claim, ClaimKey, ClaimState, StoredAnswer},
+    claims::{Claim, ClaimKey, ClaimState, StoredResponse},
 };
 use chestnutreach_standins::platform::{Faults, serve_table};
 use hdrhistogram::Histogram;
@@ -181,8 +181,8 @@
 }
 
 /// An answer of the length of a letter.
-fn answer() -> StoredAnswer {
-    StoredAnswer {
+fn answer() -> StoredResponse {
+    StoredResponse {
         status: 200,
         headers: std::collections::BTreeMap::new(),
         body: vec![b'a'; 1_500],
--- a/crates/cli/src/daemons.rs
+++ b/crates/cli/src/daemons.rs
@@ -55,10 +55,10 @@
 /// How a subcommand ends whose call has failed.
 pub(crate) fn exit_of(error: &ControlError) -> Exit {
     match error {
-        ControlError::NotReached { .. } | ControlError::Closed { .. } => {
+        ControlError::Unreachable { .. } | ControlError::Closed { .. } => {
             Exit::Lagging
         }
-        ControlError::Timeout { .. } | ControlError::Lost { .. } => {
+        ControlError::Timeout { .. } | ControlError::ConnectionLost { .. } => {
             Exit::Unknown
         }
         _ => Exit::Failed,
--- a/crates/cli/src/site/route.rs
+++ b/crates/cli/src/site/route.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use chestnutreach_adapter::engine::MOST_PARTS;
+use chestnutreach_adapter::engine::MAX_PATH_STAGES;
 use chestnutreach_routing::{LayerHolder, PathRequest, find_path};
 use chestnutreach_site::{Backend, BackendState, Model};
 use clap::{Arg, ArgMatches, Command, value_parser};
@@ -80,7 +80,7 @@
         is_start: true,
         interconnect_utilisation: 0.0,
         interconnect_prefill_ms: model.crossing_takes_ms(tokens),
-        max_stages: MOST_PARTS,
+        max_stages: MAX_PATH_STAGES,
     };
     let mut rng = fastrand::Rng::with_seed(0);
     let Some(parts) = find_path(&holders, &request, &mut rng) else {
--- a/crates/cli/src/site/state.rs
+++ b/crates/cli/src/site/state.rs
@@ -55,7 +55,7 @@
     let configuration = configuration::try_parse(&row.value)
         .map_err(|e| anyhow::anyhow!("the configuration: {e}"))?;
     let rows = client.read_table(backends::TABLE, timeout).await?.rows;
-    let backends = rows.iter().map(backends::try_backend);
+    let backends = rows.iter().map(backends::parse_backend);
     let backends = backends.collect::<Result<Vec<_>, String>>();
     let lease = client.read_row(LEASE, LEASE_KEY, timeout).await?;
     let lease = lease.and_then(|r| serde_json::from_slice(&r.value).ok());
--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -61,7 +61,8 @@
         address: SocketAddr,
         timeout: Duration,
     ) -> Result<ControlClient, ControlError> {
-        ControlClient::connect_as(address, timeout, PROTOCOL_VERSION).await
+        ControlClient::connect_with_version(address, timeout, PROTOCOL_VERSION)
+            .await
     }
 
     /// As [`ControlClient::connect`], with another version of the protocol:
@@ -70,7 +71,7 @@
     /// # Errors
     ///
     /// As there.
-    pub async fn connect_as(
+    pub async fn connect_with_version(
         address: SocketAddr,
         timeout: Duration,
         protocol_version: u32,
@@ -243,7 +244,7 @@
         };
         let opened = dialling.or(limit).await.and_then(transport);
         let transport = opened
-            .map_err(|source| ControlError::NotReached { address, source })?;
+            .map_err(|source| ControlError::Unreachable { address, source })?;
         // Made inside the adapter: it sets up a timer.
         let made = async { Stub::new(Config::default(), transport) };
         let NewClient { client, dispatch } = Compat::new(made).await;
@@ -306,7 +307,11 @@
     }
 
     fn lost(&self, detail: String) -> ControlError {
-        ControlError::Lost { address: self.address, call: self.name, detail }
+        ControlError::ConnectionLost {
+            address: self.address,
+            call: self.name,
+            detail,
+        }
     }
 }
 
--- a/crates/control/src/client/error.rs
+++ b/crates/control/src/client/error.rs
@@ -9,7 +9,7 @@
 #[non_exhaustive]
 pub enum ControlError {
     /// The process was not reached.
-    NotReached {
+    Unreachable {
         /// Its address.
         address: SocketAddr,
         /// What went wrong.
@@ -25,7 +25,7 @@
         limit_ms: u64,
     },
     /// The connection broke; the call may have been done.
-    Lost {
+    ConnectionLost {
         /// Address of the process.
         address: SocketAddr,
         /// The call.
@@ -45,14 +45,14 @@
 impl fmt::Display for ControlError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ControlError::NotReached { address, source } => {
+            ControlError::Unreachable { address, source } => {
                 write!(f, "{address} was not reached: {source}")
             }
             ControlError::Timeout { address, call, limit_ms } => write!(
                 f,
                 "{address} gave no answer to {call} within {limit_ms} ms"
             ),
-            ControlError::Lost { address, call, detail } => {
+            ControlError::ConnectionLost { address, call, detail } => {
                 write!(f, "{address} was lost during {call}: {detail}")
             }
             ControlError::Closed { address } => {
@@ -66,7 +66,7 @@
 impl error::Error for ControlError {
     fn source(&self) -> Option<&(dyn error::Error + 'static)> {
         match self {
-            ControlError::NotReached { source, .. } => Some(source),
+            ControlError::Unreachable { source, .. } => Some(source),
             _ => None,
         }
     }
--- a/crates/control/tests/calls.rs
+++ b/crates/control/tests/calls.rs
@@ -262,8 +262,11 @@
 #[test]
 fn an_unknown_version_is_refused_by_name() {
     let (address, _) = start();
-    let connecting =
-        ControlClient::connect_as(address, LIMIT, PROTOCOL_VERSION + 6);
+    let connecting = ControlClient::connect_with_version(
+        address,
+        LIMIT,
+        PROTOCOL_VERSION + 6,
+    );
     let error = block_on(connecting).err().unwrap();
     let expected = ControlRefusal::UnknownVersion {
         offered: PROTOCOL_VERSION + 6,
@@ -322,7 +325,7 @@
     drop(listener);
     let error = block_on(ControlClient::connect(address, LIMIT));
     let error = error.err().unwrap();
-    assert!(matches!(error, ControlError::NotReached { .. }), "{error:?}");
+    assert!(matches!(error, ControlError::Unreachable { .. }), "{error:?}");
 }
 
 #[test]
@@ -347,7 +350,7 @@
     });
     let error = block_on(ControlClient::connect(address, LIMIT));
     let error = error.err().unwrap();
-    assert!(matches!(error, ControlError::Lost { .. }), "{error:?}");
+    assert!(matches!(error, ControlError::ConnectionLost { .. }), "{error:?}");
 }
 
 struct Hostile {
@@ -395,7 +398,7 @@
     let client = connect(address);
     thread::sleep(SHORT * 4);
     let error = block_on(client.status()).unwrap_err();
-    assert!(matches!(error, ControlError::Lost { .. }), "{error:?}");
+    assert!(matches!(error, ControlError::ConnectionLost { .. }), "{error:?}");
 }
 
 #[test]
--- a/crates/direct/src/cluster/backend_rows.rs
+++ b/crates/direct/src/cluster/backend_rows.rs
@@ -72,12 +72,12 @@
 }
 
 fn apply_row(core: &Arc<Core>, row: &Row, is_whole: bool) {
-    if row.is_dropped {
+    if row.is_deleted {
         core.unusable_rows.forget(&row.key);
         remove(core, &row.key, row.version);
         return;
     }
-    let backend = match backends::try_backend(row) {
+    let backend = match backends::parse_backend(row) {
         Ok(backend) => backend,
         Err(error) => return disown(core, row, &error),
     };
--- a/crates/direct/src/cluster/feed_follower.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -161,7 +161,7 @@
                 self.after = Some(version);
                 FetchOutcome::Fresh
             }
-            Err(StoreError::HistoryGone) => {
+            Err(StoreError::HistoryExpired) => {
                 self.after = None;
                 FetchOutcome::Fresh
             }
@@ -340,7 +340,7 @@
 }
 
 fn apply_configuration(core: &Core, row: &Row) {
-    if row.key != KEY || row.is_dropped {
+    if row.key != KEY || row.is_deleted {
         return;
     }
     match configuration::try_parse(&row.value) {
--- a/crates/direct/src/cluster/feed_health.rs
+++ b/crates/direct/src/cluster/feed_health.rs
@@ -32,7 +32,7 @@
         // A call without an answer does not show since when the store was
         // away; one that was refused or reset does.
         let since_ms = match error {
-            StoreError::Unanswered { is_timeout: true, .. } => self.heard_ms,
+            StoreError::NoResponse { is_timeout: true, .. } => self.heard_ms,
             _ => now_ms(),
         };
         self.down_since_ms = Some(since_ms);
--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -201,7 +201,7 @@
 pub(crate) fn rows_of(answer: FeedAnswer) -> Rows {
     let row = |told: FeedRow| Row {
         key: told.key,
-        is_dropped: told.value.is_none(),
+        is_deleted: told.value.is_none(),
         value: told.value.unwrap_or_default(),
         version: told.version,
     };
@@ -212,7 +212,7 @@
 fn change_of(row: &Row) -> RowChange {
     RowChange {
         key: row.key.clone(),
-        value: (!row.is_dropped).then(|| row.value.clone()),
+        value: (!row.is_deleted).then(|| row.value.clone()),
         version: row.version,
     }
 }
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -49,7 +49,7 @@
     }
     let now_ms = now_ms();
     let values = answered.head.values(notices::LIMIT);
-    let change = match notices::limit(values) {
+    let change = match notices::parse_limit(values) {
         LimitNotice::PerS(per_s) => {
             let name = |limit: &mut ServerRateLimit| {
                 limit.record_announced(per_s, now_ms);
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -11,7 +11,7 @@
 use std::{io, sync::Arc, sync::atomic::Ordering::Relaxed, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_adapter::engine::{Report, try_report};
+use chestnutreach_adapter::engine::{Report, parse_report};
 use chestnutreach_http::relay::Outbound;
 use chestnutreach_protocol::peers::EngineUse;
 use chestnutreach_routing::{
@@ -284,7 +284,7 @@
     else {
         return;
     };
-    match try_report(&body) {
+    match parse_report(&body) {
         Ok(report) => take_report(&core, &engine, &report),
         Err(error) => emit(
             Event::RelayAnswered,
@@ -314,7 +314,9 @@
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
-        let Some(dead) = core.fleet.by_address(stalled.at) else { continue };
+        let Some(dead) = core.fleet.by_address(stalled.engine_address) else {
+            continue;
+        };
         // It may be back, while the report is of before.
         let is_flowing = dead.quiet_ms(now_ms()) < FLOWING_MS;
         if !is_flowing && dead.incarnation != engine.incarnation {
--- a/crates/direct/src/request/admit.rs
+++ b/crates/direct/src/request/admit.rs
@@ -118,7 +118,8 @@
     let Some(accounts) = &configuration.accounts else {
         return Ok(None);
     };
-    let key = request.header(clients::KEY).and_then(clients::key_of);
+    let key =
+        request.header(clients::AUTHORIZATION).and_then(clients::bearer_token);
     let found = key.and_then(|key| accounts.get(key));
     if !core.are_keys_fresh() && !route.is_public {
         return Err(Reason::KeysStale);
--- a/crates/direct/src/request/answer.rs
+++ b/crates/direct/src/request/answer.rs
@@ -191,7 +191,7 @@
         let is = |other: &str| header.name.eq_ignore_ascii_case(other);
         let is_kept = !is("content-length")
             && !is(engine::NOT_RUN)
-            && !notices::BETWEEN_ENTRY_AND_ENGINE.iter().any(|n| is(n))
+            && !notices::INTERNAL_HEADERS.iter().any(|n| is(n))
             && is_end_to_end(&header.name, connection);
         if is_kept {
             push_header(&mut out, &header.name, &header.value);
--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -50,7 +50,7 @@
         }
     }
     push_header(&mut out, clients::DEADLINE_MS, &to.left_ms.to_string());
-    push_header(&mut out, engine::INSTANCE, to.instance);
+    push_header(&mut out, engine::EXPECTED_INSTANCE, to.instance);
     if let Some(account) = to.account {
         push_header(&mut out, engine::ACCOUNT, account);
     }
@@ -75,11 +75,11 @@
 
 fn is_set_by_entry(name: &str, to: &Addressed<'_>) -> bool {
     let is = |other: &str| name.eq_ignore_ascii_case(other);
-    is(clients::KEY)
+    is(clients::AUTHORIZATION)
         || is(clients::DEADLINE_MS)
         || is("content-length")
         || (is(clients::LAST_EVENT_ID) && to.last_event.is_some())
-        || clients::SET_BY_SYSTEM.iter().any(|other| is(other))
+        || clients::RESERVED_HEADERS.iter().any(|other| is(other))
 }
 
 /// Whether an answer states that the request was not run.
@@ -128,7 +128,7 @@
     let line = format!("POST {} HTTP/1.1\r\n", engine::ORDER_TARGET);
     let mut out = line.into_bytes();
     push_header(&mut out, "host", &to.address.to_string());
-    push_header(&mut out, engine::INSTANCE, &to.id);
+    push_header(&mut out, engine::EXPECTED_INSTANCE, &to.id);
     push_header(&mut out, "content-type", "application/json");
     push_header(&mut out, "content-length", &body.len().to_string());
     out.extend_from_slice(b"\r\n");
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -8,7 +8,7 @@
 
 use std::{collections::BTreeSet, sync::Arc};
 
-use chestnutreach_adapter::engine::MOST_PARTS;
+use chestnutreach_adapter::engine::MAX_PATH_STAGES;
 use chestnutreach_routing::{LayerHolder, PathRequest, find_path};
 use chestnutreach_site::Model;
 
@@ -69,7 +69,7 @@
             is_start: true,
             interconnect_utilisation: need.crossing_use,
             interconnect_prefill_ms: need.model.crossing_takes_ms(need.tokens),
-            max_stages: MOST_PARTS,
+            max_stages: MAX_PATH_STAGES,
         };
         let none = BTreeSet::new();
         let path = self.part(need, &request, &none);
@@ -149,7 +149,7 @@
                 interconnect_prefill_ms: need
                     .model
                     .crossing_takes_ms(need.tokens),
-                max_stages: MOST_PARTS.saturating_sub(kept_parts),
+                max_stages: MAX_PATH_STAGES.saturating_sub(kept_parts),
             };
             let part = self.part(need, &request, &used)?;
             let names = part.stages.iter();
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -184,9 +184,9 @@
 
 /// Tokens that a request is expected to hold in memory.
 fn needed_tokens(request: &RelayRequest, model: &Model) -> u64 {
-    let stated = request.header(clients::TOKENS);
+    let stated = request.header(clients::TOKEN_COUNT);
     let (prompt, most) = stated
-        .and_then(clients::tokens_of)
+        .and_then(clients::parse_token_counts)
         .unwrap_or((model.usual_prompt_tokens, model.usual_answer_tokens));
     let hint = request.header(clients::LENGTH_HINT);
     let hint = hint.and_then(|value| value.trim().parse::<f64>().ok());
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -119,7 +119,7 @@
         connection: &mut Outbound,
         head: AnswerHead,
     ) -> AttemptEnd {
-        let at = head.header(engine::REFUSED_AT).map(str::to_owned);
+        let at = head.header(engine::REFUSED_BY).map(str::to_owned);
         let is_not_run = exchange::is_not_run(&head);
         emit(
             Event::RelayAnswered,
--- a/crates/direct/src/request/stream/watch.rs
+++ b/crates/direct/src/request/stream/watch.rs
@@ -296,7 +296,7 @@
                     return !self.can_move();
                 }
                 Ok(Ok((_, body))) => {
-                    let named = engine::refused_address(&body)
+                    let named = engine::refusing_engine(&body)
                         .and_then(|at| self.core.fleet.by_address(at));
                     self.note_path_refused(&path, named.as_deref(), &result);
                     let Some(named) = named else { return true };
--- a/crates/entry/src/kept.rs
+++ b/crates/entry/src/kept.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnutreach_platform::claims::StoredAnswer;
+use chestnutreach_platform::claims::StoredResponse;
 use chestnutreach_protocol::wire::{self, FinishReason};
 use serde::{Deserialize, Serialize};
 
@@ -42,10 +42,10 @@
     pub(crate) fn into_answer(
         self,
         finished: &wire::Finished,
-    ) -> StoredAnswer {
+    ) -> StoredResponse {
         if let Some(head) = self.head {
             let headers = head.headers.into_iter().map(|h| (h.name, h.value));
-            return StoredAnswer {
+            return StoredResponse {
                 status: head.status as u16,
                 headers: headers.collect(),
                 body: self.data,
@@ -59,7 +59,7 @@
             cached_tokens: finished.cached_tokens,
         };
         let marker = (KEPT_TEXT_HEADER.to_owned(), "1".to_owned());
-        StoredAnswer {
+        StoredResponse {
             status: 200,
             headers: BTreeMap::from([marker]),
             body: serde_json::to_vec(&kept).unwrap_or_default(),
@@ -68,7 +68,7 @@
 }
 
 /// A kept answer as the progress that it once was.
-pub(crate) fn replay(answer: &StoredAnswer) -> Vec<Progress> {
+pub(crate) fn replay(answer: &StoredResponse) -> Vec<Progress> {
     let kept = answer
         .headers
         .contains_key(KEPT_TEXT_HEADER)
--- a/crates/entry/src/key_hold.rs
+++ b/crates/entry/src/key_hold.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use chestnutreach_platform::claims::{
-    Claim, ClaimError, ClaimKey, ClaimState, Claimed,
+    Claim, ClaimError, ClaimKey, ClaimOutcome, ClaimState,
 };
 use chestnutreach_protocol::{RequestId, wire};
 use chestnutreach_state::NotRunReason;
@@ -123,13 +123,13 @@
             None => claims.claim(&self.key, claim.clone()).await,
         };
         match taken {
-            Ok(Claimed::Mine) => {
+            Ok(ClaimOutcome::Acquired) => {
                 self.note(ClaimResult::Taken);
                 self.claim = Some(claim);
                 self.replaces = None;
                 Hold::Mine
             }
-            Ok(Claimed::Held(held)) => Hold::Held(Box::new(held)),
+            Ok(ClaimOutcome::Held(held)) => Hold::Held(Box::new(held)),
             Err(error) => Hold::Ended(self.store_failed(&error)),
         }
     }
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use chestnutreach_platform::claims::{
-    Claim, ClaimState, Owner, Repeat, decide,
+    Claim, ClaimState, OwnerStatus, RepeatAction, decide,
 };
 use chestnutreach_protocol::RequestId;
 use chestnutreach_state::{NotRunReason, Outcome};
@@ -110,37 +110,37 @@
         held.entry_vm == identity.vm && held.entry_boot_id == identity.boot_id;
     let request = RequestId::from_u128(held.request);
     let owner = match (is_mine, entry.is_registered(request)) {
-        (_, true) => Owner::Running,
-        (true, false) => Owner::NotRunning,
+        (_, true) => OwnerStatus::Running,
+        (true, false) => OwnerStatus::NotRunning,
         // Only the side process can tell whether the other entry still
         // takes the answer.
-        (false, false) => Owner::Gone,
+        (false, false) => OwnerStatus::Unavailable,
     };
     let end = |reason, retry_after_ms, detail: &str| {
         let ending = Ending::not_run(reason, retry_after_ms, detail);
         Resolved::Told(vec![Progress::Ended(ending)])
     };
     match decide(held, digest, owner, unix_s()) {
-        Repeat::Answer(answer) => {
+        RepeatAction::Replay(answer) => {
             entry.metrics.claim(ClaimResult::Repeated);
             Resolved::Told(replay(answer))
         }
-        Repeat::KeyReused => {
+        RepeatAction::KeyReused => {
             entry.metrics.claim(ClaimResult::KeyReused);
             let detail = "the idempotency key was used for another request";
             end(NotRunReason::KeyReused, None, detail)
         }
-        Repeat::InProgress => {
+        RepeatAction::InProgress => {
             let detail = "a request with this idempotency key runs now";
             end(NotRunReason::InProgress, Some(in_progress_ms()), detail)
         }
-        Repeat::Failed => {
+        RepeatAction::Failed => {
             let detail = "the request with this idempotency key failed \
                           after it began";
             let ending = Ending::failed(detail);
             Resolved::Told(vec![Progress::Ended(ending)])
         }
-        Repeat::Run => Resolved::Run,
-        Repeat::AskSide { .. } => Resolved::Ask,
+        RepeatAction::Run => Resolved::Run,
+        RepeatAction::QuerySide { .. } => Resolved::Ask,
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -8,7 +8,7 @@
 
 use chestnutreach_control::{ControlClient, ControlError, GenerationInfo};
 use chestnutreach_platform::{
-    concurrent::call_each,
+    concurrent::join_all,
     manifest_store::{Head, PartCache},
 };
 
@@ -67,7 +67,7 @@
         for address in &asked {
             calls.push(generation_of(*address, self.timeout));
         }
-        let answers = call_each(calls).await;
+        let answers = join_all(calls).await;
         let heads: Vec<(SocketAddr, Head)> = asked
             .into_iter()
             .zip(answers)
--- a/crates/platform/src/claims/answer.rs
+++ b/crates/platform/src/claims/answer.rs
@@ -10,9 +10,9 @@
     clippy::large_enum_variant,
     reason = "taken apart by the caller at once and never stored"
 )]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The key is the caller's.
-    Mine,
+    Acquired,
     /// The key is held by this claim; see [`decide`](super::decide()).
     Held(Claim),
 }
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimError {
     /// Surely not written: a service is down or too slow.
-    StoreDown,
+    StoreUnavailable,
     /// It may have been written. A new claim of this kind must not be
     /// dispatched; it is withdrawn once the service answers.
     Ambiguous,
@@ -35,7 +35,7 @@
 impl fmt::Display for ClaimError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ClaimError::StoreDown => "the claim was not written",
+            ClaimError::StoreUnavailable => "the claim was not written",
             ClaimError::Ambiguous => "the claim may have been written",
             ClaimError::NotOwner { .. } => "the claim is held by another",
         })
--- a/crates/platform/src/claims/claim.rs
+++ b/crates/platform/src/claims/claim.rs
@@ -76,7 +76,7 @@
     /// It ran to its end.
     Completed {
         /// What every repeat gets.
-        answer: StoredAnswer,
+        answer: StoredResponse,
     },
     /// It did not run; the key may be claimed again.
     NotRun,
@@ -86,7 +86,7 @@
 
 /// A finished answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers by lower-case name.
--- a/crates/platform/src/claims/counts.rs
+++ b/crates/platform/src/claims/counts.rs
@@ -10,7 +10,7 @@
     /// Claims and updates found written.
     pub written: u64,
     /// Transactions whose answer was lost.
-    pub lost_answers: u64,
+    pub lost_responses: u64,
     /// Claims withdrawn.
     pub withdrawn: u64,
 }
@@ -19,7 +19,7 @@
 pub(super) struct Counters {
     pub(super) transactions: AtomicU64,
     pub(super) written: AtomicU64,
-    pub(super) lost_answers: AtomicU64,
+    pub(super) lost_responses: AtomicU64,
     pub(super) withdrawn: AtomicU64,
 }
 
@@ -29,7 +29,7 @@
         ClaimCounts {
             transactions: load(&self.transactions),
             written: load(&self.written),
-            lost_answers: load(&self.lost_answers),
+            lost_responses: load(&self.lost_responses),
             withdrawn: load(&self.withdrawn),
         }
     }
--- a/crates/platform/src/claims/decide.rs
+++ b/crates/platform/src/claims/decide.rs
@@ -8,30 +8,30 @@
 
 use chestnutreach_state::RunState;
 
-use super::claim::{Claim, ClaimState, StoredAnswer};
+use super::claim::{Claim, ClaimState, StoredResponse};
 
 /// What is known of the entry that owns a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Owner {
+pub enum OwnerStatus {
     /// It says that it runs the request.
     Running,
     /// It says that it does not.
     NotRunning,
     /// It has gone, or restarted, or does not answer.
-    Gone,
+    Unavailable,
 }
 
 /// What a repeated request gets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat<'a> {
+pub enum RepeatAction<'a> {
     /// The kept answer.
-    Answer(&'a StoredAnswer),
+    Replay(&'a StoredResponse),
     /// A refusal: the key belongs to another request.
     KeyReused,
     /// A refusal: the same request runs at this moment.
     InProgress,
-    /// The word of the side process, see [`decide_by_side`].
-    AskSide {
+    /// The word of the side process, see [`decide_by_side_response`].
+    QuerySide {
         /// Its address.
         address: SocketAddr,
         /// Boot id it must still have.
@@ -49,33 +49,36 @@
 pub fn decide<'a>(
     held: &'a Claim,
     request_digest: &[u8; 32],
-    owner: Owner,
+    owner: OwnerStatus,
     now_unix_s: u64,
-) -> Repeat<'a> {
+) -> RepeatAction<'a> {
     if held.has_expired(now_unix_s) {
-        return Repeat::Run;
+        return RepeatAction::Run;
     }
     if held.request_digest != *request_digest {
-        return Repeat::KeyReused;
+        return RepeatAction::KeyReused;
     }
     match (&held.state, owner) {
-        (ClaimState::Completed { answer }, _) => Repeat::Answer(answer),
-        (ClaimState::NotRun, _) => Repeat::Run,
-        (ClaimState::Failed, _) => Repeat::Failed,
-        (ClaimState::Claimed, Owner::Running) => Repeat::InProgress,
-        (ClaimState::Claimed, Owner::NotRunning | Owner::Gone) => {
-            Repeat::AskSide {
-                address: held.side_address,
-                boot_id: held.side_boot_id,
-                request: held.request,
-            }
+        (ClaimState::Completed { answer }, _) => RepeatAction::Replay(answer),
+        (ClaimState::NotRun, _) => RepeatAction::Run,
+        (ClaimState::Failed, _) => RepeatAction::Failed,
+        (ClaimState::Claimed, OwnerStatus::Running) => {
+            RepeatAction::InProgress
         }
+        (
+            ClaimState::Claimed,
+            OwnerStatus::NotRunning | OwnerStatus::Unavailable,
+        ) => RepeatAction::QuerySide {
+            address: held.side_address,
+            boot_id: held.side_boot_id,
+            request: held.request,
+        },
     }
 }
 
 /// Answer of the side process named in a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SideAnswer {
+pub enum SideResponse {
     /// What its run-once table holds. The question has fenced the request.
     State(RunState),
     /// It is another incarnation, whose table begins empty.
@@ -86,13 +89,13 @@
 
 /// What a repeated request gets by the word of the side process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SideVerdict {
+pub enum SideDecision {
     /// A run of its own, once the claim has been replaced.
     Run,
     /// A refusal: the same request runs at this moment.
     InProgress,
     /// The answer that the side process keeps.
-    TakeAnswer,
+    FetchResponse,
     /// The news that it began and failed.
     Failed,
     /// The news that nobody can tell.
@@ -100,17 +103,17 @@
 }
 
 /// Decides on a repeat whose claim's owner has gone.
-pub fn decide_by_side(answer: SideAnswer) -> SideVerdict {
+pub fn decide_by_side_response(answer: SideResponse) -> SideDecision {
     match answer {
-        SideAnswer::OtherBoot | SideAnswer::Unreachable => {
-            SideVerdict::Unknown
+        SideResponse::OtherBoot | SideResponse::Unreachable => {
+            SideDecision::Unknown
         }
-        SideAnswer::State(state) => match state {
-            RunState::NeverSeen | RunState::Refused => SideVerdict::Run,
-            RunState::Admitted | RunState::Running => SideVerdict::InProgress,
-            RunState::CannotTell => SideVerdict::Unknown,
-            RunState::Finished => SideVerdict::TakeAnswer,
-            RunState::Failed => SideVerdict::Failed,
+        SideResponse::State(state) => match state {
+            RunState::NeverSeen | RunState::Refused => SideDecision::Run,
+            RunState::Admitted | RunState::Running => SideDecision::InProgress,
+            RunState::CannotTell => SideDecision::Unknown,
+            RunState::Finished => SideDecision::FetchResponse,
+            RunState::Failed => SideDecision::Failed,
         },
     }
 }
--- a/crates/platform/src/claims/flusher/mod.rs
+++ b/crates/platform/src/claims/flusher/mod.rs
@@ -182,7 +182,7 @@
                 // After a lost answer an error tells of the last attempt
                 // only; an earlier one may have been applied.
                 Err(e) if was_ambiguous || is_lost_answer(&e) => {
-                    count(&self.counters.lost_answers);
+                    count(&self.counters.lost_responses);
                     let settled = self.settle(batch).await;
                     if !settled.is_whole {
                         token = new_token();
@@ -239,7 +239,7 @@
             } else if is_throttled {
                 self.requeue(pending);
             } else {
-                pending.reply(Err(ClaimError::StoreDown));
+                pending.reply(Err(ClaimError::StoreUnavailable));
             }
         }
     }
--- a/crates/platform/src/claims/flusher/settle.rs
+++ b/crates/platform/src/claims/flusher/settle.rs
@@ -135,7 +135,7 @@
             pending.reply(Err(ClaimError::Ambiguous));
             self.withdraw(&pending);
         } else {
-            pending.reply(Err(ClaimError::StoreDown));
+            pending.reply(Err(ClaimError::StoreUnavailable));
         }
     }
 
--- a/crates/platform/src/claims/mod.rs
+++ b/crates/platform/src/claims/mod.rs
@@ -38,11 +38,12 @@
 mod pending;
 mod row;
 
-pub use answer::{ClaimError, Claimed};
-pub use claim::{Claim, ClaimKey, ClaimState, StoredAnswer};
+pub use answer::{ClaimError, ClaimOutcome};
+pub use claim::{Claim, ClaimKey, ClaimState, StoredResponse};
 pub use counts::ClaimCounts;
 pub use decide::{
-    Owner, Repeat, SideAnswer, SideVerdict, decide, decide_by_side,
+    OwnerStatus, RepeatAction, SideDecision, SideResponse, decide,
+    decide_by_side_response,
 };
 pub use options::ClaimOptions;
 
@@ -90,13 +91,13 @@
     ///
     /// # Errors
     ///
-    /// [`ClaimError::StoreDown`] and [`ClaimError::Ambiguous`]; the request
+    /// [`ClaimError::StoreUnavailable`] and [`ClaimError::Ambiguous`]; the request
     /// must not be dispatched after either.
     pub async fn claim(
         &self,
         key: &ClaimKey,
         claim: Claim,
-    ) -> Result<Claimed, ClaimError> {
+    ) -> Result<ClaimOutcome, ClaimError> {
         self.take(key, claim, Condition::Absent).await
     }
 
@@ -112,13 +113,13 @@
         key: &ClaimKey,
         held: &Claim,
         claim: Claim,
-    ) -> Result<Claimed, ClaimError> {
+    ) -> Result<ClaimOutcome, ClaimError> {
         let Some((version, row)) = self.read_row(key).await? else {
             return self.take(key, claim, Condition::Absent).await;
         };
         let current = row.load(self.objects()).await?;
         if current != *held {
-            return Ok(Claimed::Held(current));
+            return Ok(ClaimOutcome::Held(current));
         }
         self.take(key, claim, Condition::Version(version)).await
     }
@@ -167,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// [`ClaimError::StoreDown`].
+    /// [`ClaimError::StoreUnavailable`].
     pub async fn read(
         &self,
         key: &ClaimKey,
@@ -191,7 +192,7 @@
         key: &ClaimKey,
         claim: Claim,
         condition: Condition,
-    ) -> Result<Claimed, ClaimError> {
+    ) -> Result<ClaimOutcome, ClaimError> {
         let claim_id = claim.claim_id;
         let is_open = claim.state == ClaimState::Claimed;
         let mut row = ClaimRow::new(claim);
@@ -203,12 +204,12 @@
                 if is_open {
                     self.keep_version(claim_id, version);
                 }
-                Ok(Claimed::Mine)
+                Ok(ClaimOutcome::Acquired)
             }
             Reply::Occupied(Some(row)) => {
-                row.load(self.objects()).await.map(Claimed::Held)
+                row.load(self.objects()).await.map(ClaimOutcome::Held)
             }
-            Reply::Occupied(None) => Err(ClaimError::StoreDown),
+            Reply::Occupied(None) => Err(ClaimError::StoreUnavailable),
         }
     }
 
@@ -227,7 +228,7 @@
         let (pending, reception) =
             Pending::new(key.row_key(), row, condition, kind, timeout);
         let sent = self.queue.try_send(pending);
-        sent.map_err(|_| ClaimError::StoreDown)?;
+        sent.map_err(|_| ClaimError::StoreUnavailable)?;
         Ok(Waiter { reception, withdrawal, queue: self.queue.clone() })
     }
 
@@ -236,7 +237,7 @@
         key: &ClaimKey,
     ) -> Result<Option<(u64, ClaimRow)>, ClaimError> {
         let row = self.table.read(key.row_key()).await;
-        let Some(row) = row.map_err(|_| ClaimError::StoreDown)? else {
+        let Some(row) = row.map_err(|_| ClaimError::StoreUnavailable)? else {
             return Ok(None);
         };
         decode(&row).map(|decoded| Some((row.version, decoded)))
@@ -279,7 +280,7 @@
 }
 
 fn decode(row: &Row) -> Result<ClaimRow, ClaimError> {
-    ClaimRow::try_decode(row).ok_or(ClaimError::StoreDown)
+    ClaimRow::try_decode(row).ok_or(ClaimError::StoreUnavailable)
 }
 
 /// A reception that withdraws its claim if it is dropped too early.
--- a/crates/platform/src/claims/pending.rs
+++ b/crates/platform/src/claims/pending.rs
@@ -202,7 +202,7 @@
             Ordering::Acquire,
         );
         match stage {
-            Ok(_) | Err(CANCELLED) => ClaimError::StoreDown,
+            Ok(_) | Err(CANCELLED) => ClaimError::StoreUnavailable,
             Err(_) => ClaimError::Ambiguous,
         }
     }
--- a/crates/platform/src/claims/row.rs
+++ b/crates/platform/src/claims/row.rs
@@ -48,10 +48,10 @@
         if answer.body.len() <= limit_bytes {
             return Ok(());
         }
-        let objects = objects.ok_or(ClaimError::StoreDown)?;
+        let objects = objects.ok_or(ClaimError::StoreUnavailable)?;
         let key = body_key(&answer.body);
         let put = objects.put(&key, &answer.body).await;
-        put.map_err(|_| ClaimError::StoreDown)?;
+        put.map_err(|_| ClaimError::StoreUnavailable)?;
         answer.body.clear();
         self.body_object = Some(key);
         Ok(())
@@ -69,11 +69,11 @@
         let Some(key) = self.body_object else {
             return Ok(claim);
         };
-        let objects = objects.ok_or(ClaimError::StoreDown)?;
+        let objects = objects.ok_or(ClaimError::StoreUnavailable)?;
         let body = objects.read(&key).await;
-        let body = body.ok().flatten().ok_or(ClaimError::StoreDown)?;
+        let body = body.ok().flatten().ok_or(ClaimError::StoreUnavailable)?;
         if body_key(&body) != key {
-            return Err(ClaimError::StoreDown);
+            return Err(ClaimError::StoreUnavailable);
         }
         answer.body = body;
         Ok(claim)
--- a/crates/platform/src/concurrent.rs
+++ b/crates/platform/src/concurrent.rs
@@ -9,7 +9,7 @@
 
 /// Makes calls, and ends at the first error. Answers come in the order of
 /// the calls.
-pub(crate) async fn call_all<T, E, F>(
+pub(crate) async fn try_join_all<T, E, F>(
     calls: impl IntoIterator<Item = F>,
 ) -> Result<Vec<T>, E>
 where
@@ -35,7 +35,7 @@
 }
 
 /// Makes calls, and gives the answer of each in their order.
-pub async fn call_each<T, F>(calls: impl IntoIterator<Item = F>) -> Vec<T>
+pub async fn join_all<T, F>(calls: impl IntoIterator<Item = F>) -> Vec<T>
 where
     F: Future<Output = T> + Send,
     T: Send,
@@ -44,7 +44,7 @@
     for call in calls {
         sure.push(without_error(call));
     }
-    let Ok(answers) = call_all(sure).await;
+    let Ok(answers) = try_join_all(sure).await;
     answers
 }
 
--- a/crates/platform/src/manifest_store/errors.rs
+++ b/crates/platform/src/manifest_store/errors.rs
@@ -113,7 +113,7 @@
         object: String,
     },
     /// The objects are intact but make no manifest.
-    Unfit {
+    InvalidParts {
         /// Why not.
         error: PartsError,
     },
@@ -139,7 +139,7 @@
             FetchError::Corrupt { object } => {
                 write!(f, "the content of {object:?} is corrupt")
             }
-            FetchError::Unfit { error } => error.fmt(f),
+            FetchError::InvalidParts { error } => error.fmt(f),
         }
     }
 }
@@ -148,7 +148,7 @@
 
 impl From<PartsError> for FetchError {
     fn from(error: PartsError) -> FetchError {
-        FetchError::Unfit { error }
+        FetchError::InvalidParts { error }
     }
 }
 
--- a/crates/platform/src/manifest_store/mod.rs
+++ b/crates/platform/src/manifest_store/mod.rs
@@ -70,7 +70,7 @@
 pub struct ManifestStore {
     table: Arc<TableClient>,
     objects: Arc<ObjectClient>,
-    settle_for: Duration,
+    resolve_timeout: Duration,
 }
 
 impl ManifestStore {
@@ -79,12 +79,12 @@
         table: Arc<TableClient>,
         objects: Arc<ObjectClient>,
     ) -> ManifestStore {
-        ManifestStore { table, objects, settle_for: SETTLE_FOR }
+        ManifestStore { table, objects, resolve_timeout: SETTLE_FOR }
     }
 
     /// How long a submission whose answer was lost is asked for.
-    pub fn settle_for(mut self, time: Duration) -> ManifestStore {
-        self.settle_for = time;
+    pub fn resolve_timeout(mut self, time: Duration) -> ManifestStore {
+        self.resolve_timeout = time;
         self
     }
 
@@ -135,7 +135,7 @@
             for digest in missing.iter().take(concurrent::CALLS_AT_ONCE) {
                 reads.push(read_object(&self.objects, *digest));
             }
-            let read = concurrent::call_each(reads).await;
+            let read = concurrent::join_all(reads).await;
             let mut result = Ok(());
             for (digest, bytes) in missing.into_iter().zip(read) {
                 let taken = bytes.and_then(|b| cache.insert(digest, b));
@@ -218,7 +218,7 @@
             let key = ObjectDigest::Part(digest).key();
             self.objects.put(&key, body).await
         });
-        concurrent::call_all(puts).await?;
+        concurrent::try_join_all(puts).await?;
         let root = encode_root(&parts.root);
         let digest = ObjectDigest::Root(*blake3::hash(&root).as_bytes());
         self.objects.put(&digest.key(), &root).await?;
@@ -226,7 +226,7 @@
     }
 
     async fn commit(&self, change: &Change) -> Result<Accepted, SubmitError> {
-        let give_up = Instant::now() + self.settle_for;
+        let give_up = Instant::now() + self.resolve_timeout;
         // Once an answer was lost, "not applied" is true of that attempt
         // only and no longer of the submission.
         let mut is_ambiguous = false;
--- a/crates/platform/tests/platform/claims.rs
+++ b/crates/platform/tests/platform/claims.rs
@@ -7,7 +7,7 @@
 
 use chestnutreach_platform::{
     ClaimOptions, ClaimStore, TableClient,
-    claims::{Claim, ClaimError, ClaimKey, ClaimState, Claimed},
+    claims::{Claim, ClaimError, ClaimKey, ClaimOutcome, ClaimState},
 };
 use chestnutreach_standins::platform::{Down, FaultSettings};
 use futures_lite::future;
@@ -34,7 +34,7 @@
     platform: &Platform,
     claims: &Arc<ClaimStore>,
     count: u128,
-) -> Vec<Result<Claimed, ClaimError>> {
+) -> Vec<Result<ClaimOutcome, ClaimError>> {
     claim_all_as(platform, claims, 0, count).await
 }
 
@@ -44,7 +44,7 @@
     claims: &Arc<ClaimStore>,
     first_id: u128,
     count: u128,
-) -> Vec<Result<Claimed, ClaimError>> {
+) -> Vec<Result<ClaimOutcome, ClaimError>> {
     let tasks: Vec<_> = (0..count)
         .map(|number| {
             let claims = claims.clone();
@@ -66,7 +66,7 @@
     run(|platform| async move {
         let claims = platform.claims(options().batch(50));
         let answers = claim_all(&platform, &claims, 1000).await;
-        assert!(answers.iter().all(|a| *a == Ok(Claimed::Mine)));
+        assert!(answers.iter().all(|a| *a == Ok(ClaimOutcome::Acquired)));
         let stats = platform.table_stats().await;
         assert_eq!(stats.rows_written, 1000);
         assert!(stats.writes <= 1000 / 50 + 2, "{stats:?}");
@@ -83,8 +83,8 @@
         let answers = claim_all(&platform, &claims, 20).await;
         for (number, answer) in answers.into_iter().enumerate() {
             let expected = match number {
-                3 => Claimed::Held(held.clone()),
-                _ => Claimed::Mine,
+                3 => ClaimOutcome::Held(held.clone()),
+                _ => ClaimOutcome::Acquired,
             };
             assert_eq!(answer, Ok(expected), "key {number}");
         }
@@ -109,7 +109,7 @@
             claims.update(&key(1), done.clone()),
         )
         .await;
-        assert_eq!(held, Ok(Claimed::Held(claim(9999))));
+        assert_eq!(held, Ok(ClaimOutcome::Held(claim(9999))));
         assert_eq!(updated, Ok(()));
         assert_eq!(claims.read(&key(1)).await, Ok(Some(done)));
     });
@@ -123,8 +123,8 @@
         let first = claims.claim(&key, claim(1));
         let second = claims.claim(&key, claim(2));
         let (first, second) = future::zip(first, second).await;
-        assert_eq!(first, Ok(Claimed::Mine));
-        assert_eq!(second, Ok(Claimed::Held(claim(1))));
+        assert_eq!(first, Ok(ClaimOutcome::Acquired));
+        assert_eq!(second, Ok(ClaimOutcome::Held(claim(1))));
     });
 }
 
@@ -148,7 +148,7 @@
         };
         platform.set_faults(faults.clone());
         let mine = claims.claim(&key(1), claim(1)).await;
-        assert_eq!(mine, Ok(Claimed::Mine));
+        assert_eq!(mine, Ok(ClaimOutcome::Acquired));
 
         platform.set_faults(faults.clone());
         let done = completed(claim(1), b"whole");
@@ -158,15 +158,15 @@
 
         platform.set_faults(faults);
         let answer = claims.claim(&key(1), claim(2)).await;
-        assert_eq!(answer, Ok(Claimed::Held(done)));
-        assert!(claims.counts().lost_answers >= 2);
+        assert_eq!(answer, Ok(ClaimOutcome::Held(done)));
+        assert!(claims.counts().lost_responses >= 2);
         let stats = platform.table_stats().await;
         assert_eq!(stats.rows_written, 2, "{stats:?}");
     });
 }
 
 #[rstest]
-#[case::unavailable(Down::Unavailable, ClaimError::StoreDown, true)]
+#[case::unavailable(Down::Unavailable, ClaimError::StoreUnavailable, true)]
 #[case::closed(Down::Closed, ClaimError::Ambiguous, false)]
 fn a_store_that_is_down_does_not_hold_claims(
     #[case] down: Down,
@@ -189,7 +189,7 @@
 
         platform.set_faults(FaultSettings::default());
         let answer = claims.claim(&key(2), claim(2)).await;
-        assert_eq!(answer, Ok(Claimed::Mine));
+        assert_eq!(answer, Ok(ClaimOutcome::Acquired));
     });
 }
 
@@ -202,7 +202,7 @@
         let claims = ClaimStore::new(table, options(), executor);
         let begin = Instant::now();
         let answer = claims.claim(&key(1), claim(1)).await;
-        assert_eq!(answer, Err(ClaimError::StoreDown));
+        assert_eq!(answer, Err(ClaimError::StoreUnavailable));
         assert!(begin.elapsed() < CALL_TIMEOUT / 2);
     });
 }
@@ -220,7 +220,7 @@
         )
         .await;
         assert_eq!(sent, Err(ClaimError::Ambiguous));
-        assert_eq!(queued, Err(ClaimError::StoreDown));
+        assert_eq!(queued, Err(ClaimError::StoreUnavailable));
     });
 }
 
@@ -241,7 +241,7 @@
         })
         .await;
         let replaced = claims.replace(&key(1), &held, claim(2)).await;
-        assert_eq!(replaced, Ok(Claimed::Mine));
+        assert_eq!(replaced, Ok(ClaimOutcome::Acquired));
     });
 }
 
@@ -253,7 +253,7 @@
         platform.set_faults(settings);
         let claims = platform.claims(options().batch(5).flush_ms(1));
         let answers = claim_all(&platform, &claims, 100).await;
-        assert!(answers.iter().all(|a| *a == Ok(Claimed::Mine)));
+        assert!(answers.iter().all(|a| *a == Ok(ClaimOutcome::Acquired)));
         assert!(platform.table_stats().await.throttled > 0);
     });
 }
@@ -271,10 +271,10 @@
         let moved = Claim { side_boot_id: 99, ..claim(1) };
         owner.update(&key(1), moved.clone()).await.unwrap();
         let late = other.replace(&key(1), &claim(1), claim(3)).await;
-        assert_eq!(late, Ok(Claimed::Held(moved.clone())));
+        assert_eq!(late, Ok(ClaimOutcome::Held(moved.clone())));
 
         let taken = other.replace(&key(1), &moved, claim(3)).await;
-        assert_eq!(taken, Ok(Claimed::Mine));
+        assert_eq!(taken, Ok(ClaimOutcome::Acquired));
         let current = Some(Box::new(claim(3)));
         let refused = owner.update(&key(1), completed(moved, b"x")).await;
         assert_eq!(refused, Err(ClaimError::NotOwner { current }));
@@ -290,7 +290,7 @@
         let done = completed(claim(1), &body);
         claims.update(&key(1), done.clone()).await.unwrap();
         let held = claims.claim(&key(1), claim(2)).await;
-        assert_eq!(held, Ok(Claimed::Held(done)));
+        assert_eq!(held, Ok(ClaimOutcome::Held(done)));
         let stats = platform.object_stats().await;
         assert_eq!(stats.written_bytes, body.len() as u64);
     });
@@ -304,7 +304,7 @@
         claims.claim(&key(1), old).await.unwrap();
         assert_eq!(claims.read(&key(1)).await, Ok(None));
         let anew = claims.claim(&key(1), claim(2)).await;
-        assert_eq!(anew, Ok(Claimed::Mine));
+        assert_eq!(anew, Ok(ClaimOutcome::Acquired));
         assert_eq!(claims.read(&key(1)).await, Ok(Some(claim(2))));
     });
 }
@@ -331,7 +331,7 @@
 
         platform.set_faults(FaultSettings::default());
         let reader = platform.claims(options());
-        let mine = Ok(Claimed::Mine);
+        let mine = Ok(ClaimOutcome::Acquired);
         let owned = left.iter().chain(&right).filter(|a| **a == mine);
         // Faults that pass cost time, and no key but a few its claim.
         assert!(owned.count() > KEYS as usize * 9 / 10);
@@ -339,7 +339,7 @@
             let number = number as u128;
             let row = reader.read(&key(number)).await.unwrap();
             let (left, right) = answers;
-            let is_mine = |a: &Result<_, _>| *a == Ok(Claimed::Mine);
+            let is_mine = |a: &Result<_, _>| *a == Ok(ClaimOutcome::Acquired);
             assert!(!(is_mine(&left) && is_mine(&right)), "key {number}");
             if is_mine(&left) {
                 assert_eq!(row, Some(claim(number)));
--- a/crates/platform/tests/platform/decide.rs
+++ b/crates/platform/tests/platform/decide.rs
@@ -1,8 +1,8 @@
 //! What a repeated request gets.
 
 use chestnutreach_platform::claims::{
-    Claim, ClaimState, Owner, Repeat, SideAnswer, SideVerdict, decide,
-    decide_by_side,
+    Claim, ClaimState, OwnerStatus, RepeatAction, SideDecision, SideResponse,
+    decide, decide_by_side_response,
 };
 use chestnutreach_state::RunState;
 use rstest::rstest;
@@ -12,9 +12,9 @@
 struct DecideCase {
     held: Claim,
     digest: [u8; 32],
-    owner: Owner,
+    owner: OwnerStatus,
     now_unix_s: u64,
-    expected: fn(&Repeat<'_>) -> bool,
+    expected: fn(&RepeatAction<'_>) -> bool,
 }
 
 impl Default for DecideCase {
@@ -22,7 +22,7 @@
         DecideCase {
             held: claim(1),
             digest: claim(1).request_digest,
-            owner: Owner::Gone,
+            owner: OwnerStatus::Unavailable,
             now_unix_s: 0,
             expected: |_| false,
         }
@@ -32,45 +32,45 @@
 #[rstest]
 #[case::answer(DecideCase {
     held: completed(claim(1), b"x"),
-    expected: |r| matches!(r, Repeat::Answer(a) if a.body == b"x"),
+    expected: |r| matches!(r, RepeatAction::Replay(a) if a.body == b"x"),
     ..DecideCase::default()
 })]
 #[case::another_request(DecideCase {
     held: completed(claim(1), b"x"),
     digest: [8; 32],
-    expected: |r| matches!(r, Repeat::KeyReused),
+    expected: |r| matches!(r, RepeatAction::KeyReused),
     ..DecideCase::default()
 })]
 #[case::running(DecideCase {
-    owner: Owner::Running,
-    expected: |r| matches!(r, Repeat::InProgress),
+    owner: OwnerStatus::Running,
+    expected: |r| matches!(r, RepeatAction::InProgress),
     ..DecideCase::default()
 })]
 #[case::owner_gone(DecideCase {
     expected: |r| matches!(
         r,
-        Repeat::AskSide { boot_id: 12, request: 1001, .. }
+        RepeatAction::QuerySide { boot_id: 12, request: 1001, .. }
     ),
     ..DecideCase::default()
 })]
 #[case::owner_does_not_run_it(DecideCase {
-    owner: Owner::NotRunning,
-    expected: |r| matches!(r, Repeat::AskSide { .. }),
+    owner: OwnerStatus::NotRunning,
+    expected: |r| matches!(r, RepeatAction::QuerySide { .. }),
     ..DecideCase::default()
 })]
 #[case::not_run(DecideCase {
     held: Claim { state: ClaimState::NotRun, ..claim(1) },
-    expected: |r| matches!(r, Repeat::Run),
+    expected: |r| matches!(r, RepeatAction::Run),
     ..DecideCase::default()
 })]
 #[case::failed(DecideCase {
     held: Claim { state: ClaimState::Failed, ..claim(1) },
-    expected: |r| matches!(r, Repeat::Failed),
+    expected: |r| matches!(r, RepeatAction::Failed),
     ..DecideCase::default()
 })]
 #[case::expired(DecideCase {
     now_unix_s: u64::MAX,
-    expected: |r| matches!(r, Repeat::Run),
+    expected: |r| matches!(r, RepeatAction::Run),
     ..DecideCase::default()
 })]
 fn a_repeat_is_decided(#[case] case: DecideCase) {
@@ -79,17 +79,17 @@
 }
 
 #[rstest]
-#[case(SideAnswer::State(RunState::NeverSeen), SideVerdict::Run)]
-#[case(SideAnswer::State(RunState::Refused), SideVerdict::Run)]
-#[case(SideAnswer::State(RunState::Admitted), SideVerdict::InProgress)]
-#[case(SideAnswer::State(RunState::Running), SideVerdict::InProgress)]
-#[case(SideAnswer::State(RunState::Finished), SideVerdict::TakeAnswer)]
-#[case(SideAnswer::State(RunState::Failed), SideVerdict::Failed)]
-#[case(SideAnswer::OtherBoot, SideVerdict::Unknown)]
-#[case(SideAnswer::Unreachable, SideVerdict::Unknown)]
+#[case(SideResponse::State(RunState::NeverSeen), SideDecision::Run)]
+#[case(SideResponse::State(RunState::Refused), SideDecision::Run)]
+#[case(SideResponse::State(RunState::Admitted), SideDecision::InProgress)]
+#[case(SideResponse::State(RunState::Running), SideDecision::InProgress)]
+#[case(SideResponse::State(RunState::Finished), SideDecision::FetchResponse)]
+#[case(SideResponse::State(RunState::Failed), SideDecision::Failed)]
+#[case(SideResponse::OtherBoot, SideDecision::Unknown)]
+#[case(SideResponse::Unreachable, SideDecision::Unknown)]
 fn a_side_process_has_the_word(
-    #[case] answer: SideAnswer,
-    #[case] expected: SideVerdict,
+    #[case] answer: SideResponse,
+    #[case] expected: SideDecision,
 ) {
-    assert_eq!(decide_by_side(answer), expected);
+    assert_eq!(decide_by_side_response(answer), expected);
 }
--- a/crates/platform/tests/platform/manifest.rs
+++ b/crates/platform/tests/platform/manifest.rs
@@ -107,8 +107,8 @@
 #[test]
 fn what_cannot_be_settled_is_unknown_until_submitted_again() {
     run(|platform| async move {
-        let settle_for = Duration::from_millis(100);
-        let manifests = platform.manifests().settle_for(settle_for);
+        let resolve_timeout = Duration::from_millis(100);
+        let manifests = platform.manifests().resolve_timeout(resolve_timeout);
         let settings =
             FaultSettings { lose_requests: 1000, ..FaultSettings::default() };
         platform.set_faults(settings);
--- a/crates/platform/tests/platform/support.rs
+++ b/crates/platform/tests/platform/support.rs
@@ -13,7 +13,7 @@
 use chestnutreach_http::{Client, ClientOptions};
 use chestnutreach_platform::{
     ClaimOptions, ClaimStore, ManifestStore, ObjectClient, TableClient,
-    claims::{Claim, ClaimState, StoredAnswer},
+    claims::{Claim, ClaimState, StoredResponse},
 };
 use chestnutreach_standins::platform::{
     FaultSettings, Faults, ObjectStats, TableStats, serve_objects, serve_table,
@@ -148,6 +148,6 @@
 pub fn completed(claim: Claim, body: &[u8]) -> Claim {
     let kind = ("content-type".to_owned(), "text/plain".to_owned());
     let headers = BTreeMap::from([kind]);
-    let answer = StoredAnswer { status: 200, headers, body: body.to_vec() };
+    let answer = StoredResponse { status: 200, headers, body: body.to_vec() };
     Claim { state: ClaimState::Completed { answer }, ..claim }
 }
