--- a/crates/platform/src/concurrent.rs
+++ b/crates/platform/src/concurrent.rs
@@ -1,14 +1,15 @@
-//! Several calls of one kind at once.
+//! Running several calls concurrently.
 
 use std::{convert::Infallible, future::Future};
 
 use async_executor::Executor;
 
-/// Calls in flight; a slow store would make hundreds in a row too long.
-pub(crate) const CALLS_AT_ONCE: usize = 32;
+/// Maximum concurrent calls. With a slow store, hundreds of sequential calls
+/// would take too long.
+pub(crate) const MAX_CONCURRENT_CALLS: usize = 32;
 
-/// Makes calls, and ends at the first error. Answers come in the order of
-/// the calls.
+/// Runs calls concurrently and returns their results in the order of the calls,
+/// or an error if any call fails.
 pub(crate) async fn try_join_all<T, E, F>(
     calls: impl IntoIterator<Item = F>,
 ) -> Result<Vec<T>, E>
@@ -17,38 +18,38 @@
     T: Send,
     E: Send,
 {
-    let mut answers = Vec::new();
+    let mut results = Vec::new();
     let mut calls = calls.into_iter().peekable();
     while calls.peek().is_some() {
         let executor = Executor::new();
-        let some = calls.by_ref().take(CALLS_AT_ONCE);
-        let tasks: Vec<_> = some.map(|call| executor.spawn(call)).collect();
+        let next = calls.by_ref().take(MAX_CONCURRENT_CALLS);
+        let tasks: Vec<_> = next.map(|call| executor.spawn(call)).collect();
         let chunk = async {
             for task in tasks {
-                answers.push(task.await?);
+                results.push(task.await?);
             }
             Ok(())
         };
         executor.run(chunk).await?;
     }
-    Ok(answers)
+    Ok(results)
 }
 
-/// Makes calls, and gives the answer of each in their order.
+/// Runs calls concurrently and returns their results in the order of the calls.
 pub async fn join_all<T, F>(calls: impl IntoIterator<Item = F>) -> Vec<T>
 where
     F: Future<Output = T> + Send,
     T: Send,
 {
-    let mut sure = Vec::new();
+    let mut infallible = Vec::new();
     for call in calls {
-        sure.push(without_error(call));
+        infallible.push(infallible_call(call));
     }
-    let Ok(answers) = try_join_all(sure).await;
-    answers
+    let Ok(results) = try_join_all(infallible).await;
+    results
 }
 
-async fn without_error<T>(
+async fn infallible_call<T>(
     call: impl Future<Output = T>,
 ) -> Result<T, Infallible> {
     Ok(call.await)
--- a/crates/platform/src/hex.rs
+++ b/crates/platform/src/hex.rs
@@ -1,17 +1,17 @@
-//! Hexadecimal digits, and numbers and digests as such in JSON.
+//! Hexadecimal encoding, also of numbers and digests in JSON.
 
 use std::fmt::Write as _;
 
-/// Lower-case digits of bytes.
+/// Encodes bytes as lower-case hex digits.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
-        write!(text, "{byte:02x}").expect("a String takes all writes");
+        write!(text, "{byte:02x}").expect("writing to a String never fails");
     }
     text
 }
 
-/// Bytes of exactly `2 * N` digits.
+/// Decodes exactly `2 * N` hex digits.
 pub(crate) fn decode<const N: usize>(text: &str) -> Option<[u8; N]> {
     if text.len() != 2 * N || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
@@ -24,7 +24,7 @@
     Some(bytes)
 }
 
-/// For `#[serde(with)]` on a 32-byte digest.
+/// `#[serde(with)]` module for 32-byte digests.
 pub(crate) mod digest {
     use serde::{Deserialize, Deserializer, Serializer, de::Error as _};
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// For `#[serde(with)]` on a 128-bit number.
+/// `#[serde(with)]` module for 128-bit numbers.
 pub(crate) mod number {
     use serde::{Deserialize, Deserializer, Serializer, de::Error as _};
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,19 +1,19 @@
 //! Clients of the platform's services, over HTTP/1.1.
 //!
-//! The platform keeps all that must last. Each call ends in time, and an
-//! error tells whether a write surely was not applied or may have been.
-//! Requests are not signed yet: signing is left to the platform's own
-//! network rules.
+//! All durable state is kept in these services. Every call has a timeout, and
+//! an error states whether a write was certainly not applied or may have been.
+//! Requests are not signed: access is restricted by the platform's network
+//! rules.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`table`] | rows of the table service, with conditions |
 //! | [`wire`] | messages of the table service's protocol |
 //! | [`objects`] | objects by path |
-//! | [`vm_list`] | the list of live and leaving VMs |
+//! | [`vm_list`] | the list of running and draining VMs |
 //! | [`manifest_store`] | generations of the manifest |
-//! | [`claims`] | claims of requests with an idempotency key |
-//! | [`concurrent`] | several calls at once |
+//! | [`claims`] | claims of idempotency keys |
+//! | [`concurrent`] | running several calls concurrently |
 //!
 //! # Example
 //!
--- a/crates/platform/src/manifest_store/cache.rs
+++ b/crates/platform/src/manifest_store/cache.rs
@@ -1,8 +1,8 @@
-//! Parts of the manifest that a process holds.
+//! In-memory cache of manifest objects.
 //!
-//! What is held can come from anywhere: each object is checked against its
-//! digest when it is taken. A read that fails half way keeps what it got, so
-//! that a store which often fails still brings a generation through.
+//! Objects can come from any source: the cache checks each against its digest.
+//! A fetch that fails part way keeps the objects that it has read, so that
+//! repeated fetches from an unreliable store complete eventually.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,37 +15,38 @@
 
 use super::{FetchError, ObjectDigest};
 
-/// Objects of the generation held last, and those got for the next.
+/// Objects of the last complete generation, and objects fetched so far for the
+/// next.
 #[derive(Clone, Debug, Default)]
 pub struct PartCache {
-    root: Option<HeldRoot>,
+    root: Option<CachedRoot>,
     parts: BTreeMap<PartDigest, Arc<[u8]>>,
 }
 
 #[derive(Clone, Debug)]
-struct HeldRoot {
+struct CachedRoot {
     digest: [u8; 32],
     parts: Arc<[PartDigest]>,
 }
 
 impl PartCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new() -> PartCache {
         PartCache::default()
     }
 
-    /// Parts held.
+    /// Number of cached parts.
     pub fn len(&self) -> usize {
         self.parts.len()
     }
 
-    /// Whether no part is held.
+    /// Returns whether no part is cached.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
 
-    /// Objects that a generation still needs: its root, or where that is
-    /// held the parts that are not.
+    /// Returns the objects of a generation that are not cached: the root, or if
+    /// the root is cached, the missing parts.
     pub fn missing(&self, root: &[u8; 32]) -> BTreeSet<ObjectDigest> {
         let Some(digests) = self.root(root) else {
             return BTreeSet::from([ObjectDigest::Root(*root)]);
@@ -58,7 +59,7 @@
         missing.map(ObjectDigest::Part).collect()
     }
 
-    /// An object that is held.
+    /// Returns a cached object.
     pub fn get(&self, digest: &ObjectDigest) -> Option<Vec<u8>> {
         match digest {
             ObjectDigest::Root(root) => self.root(root).map(encode_root),
@@ -68,17 +69,17 @@
         }
     }
 
-    /// Takes an object.
+    /// Adds an object.
     ///
     /// # Errors
     ///
-    /// It is not what its digest says.
+    /// The bytes do not match the digest, or are not a valid root.
     pub fn insert(
         &mut self,
         digest: ObjectDigest,
         bytes: Vec<u8>,
     ) -> Result<(), FetchError> {
-        if !digest.is_of(&bytes) {
+        if !digest.matches(&bytes) {
             return Err(FetchError::corrupt(&digest.key()));
         }
         match digest {
@@ -86,7 +87,7 @@
                 let parts = decode_root(&bytes)
                     .map_err(|_| FetchError::corrupt(&digest.key()))?;
                 let parts = parts.into();
-                self.root = Some(HeldRoot { digest: root, parts });
+                self.root = Some(CachedRoot { digest: root, parts });
             }
             ObjectDigest::Part(part) => {
                 self.parts.insert(part, bytes.into());
@@ -95,31 +96,32 @@
         Ok(())
     }
 
-    /// Sections of a generation of which nothing is missing; forgets the
-    /// parts that it does not name.
+    /// Returns the sections of a generation whose objects are all cached, and
+    /// drops the parts of other generations.
     ///
     /// # Errors
     ///
-    /// Something is missing, or is not what a manifest is made of.
+    /// An object is missing, or the parts do not form a valid manifest.
     pub fn sections(
         &mut self,
         root: &[u8; 32],
     ) -> Result<BTreeMap<String, String>, FetchError> {
-        let digests = self.root.as_ref().filter(|held| held.digest == *root);
-        let Some(held) = digests.cloned() else {
+        let cached =
+            self.root.as_ref().filter(|cached| cached.digest == *root);
+        let Some(cached) = cached.cloned() else {
             let root = ObjectDigest::Root(*root);
             return Err(FetchError::missing(&root.key()));
         };
         let empty = PartDigest::of_empty();
         self.parts.entry(empty).or_insert_with(|| EMPTY_BODY.into());
-        let sections = assemble(&held.parts, &self.parts)?;
-        let named: BTreeSet<&PartDigest> = held.parts.iter().collect();
-        self.parts.retain(|digest, _| named.contains(digest));
+        let sections = assemble(&cached.parts, &self.parts)?;
+        let listed: BTreeSet<&PartDigest> = cached.parts.iter().collect();
+        self.parts.retain(|digest, _| listed.contains(digest));
         Ok(sections)
     }
 
     fn root(&self, digest: &[u8; 32]) -> Option<&[PartDigest]> {
-        let held = self.root.as_ref()?;
-        (held.digest == *digest).then_some(&held.parts)
+        let cached = self.root.as_ref()?;
+        (cached.digest == *digest).then_some(&cached.parts)
     }
 }
--- a/crates/platform/src/manifest_store/change.rs
+++ b/crates/platform/src/manifest_store/change.rs
@@ -1,4 +1,4 @@
-//! The writes that make a generation.
+//! The writes that create a generation.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,7 +11,7 @@
 /// Key of the head row.
 pub(super) const HEAD_KEY: &str = "manifest/head";
 
-/// Row of one accepted submission.
+/// Row of an accepted submission.
 #[derive(Deserialize, Serialize)]
 pub(super) struct SubmissionRow {
     pub(super) generation: u64,
@@ -19,7 +19,8 @@
     pub(super) root: [u8; 32],
 }
 
-/// The two writes of a submission.
+/// The transaction of a submission: writes of the head row and of the
+/// submission's row.
 pub(super) struct Change {
     condition: Condition,
     pub(super) head: Head,
@@ -27,7 +28,8 @@
 }
 
 impl Change {
-    /// For a head row as read; none before the first generation.
+    /// Creates the change that follows `base`, the version and content of the
+    /// head row; none before the first generation.
     pub(super) fn new(
         base: Option<(u64, Head)>,
         submission: &str,
@@ -42,7 +44,7 @@
         };
         let submission = submission.to_owned();
         let head = Head { generation, submission, parent_submission, root };
-        let token = token_of(&head);
+        let token = request_token(&head);
         Change { condition, head, token }
     }
 
@@ -66,9 +68,9 @@
     }
 }
 
-/// The same for the same writes, so that a repeat by a new process is one
-/// transaction with the first.
-fn token_of(head: &Head) -> String {
+/// Derives the request token from the writes: a repeat by a new process counts
+/// as the same transaction.
+fn request_token(head: &Head) -> String {
     let digest = blake3::hash(&encode(head));
     hex::encode(&digest.as_bytes()[..16])
 }
@@ -79,5 +81,5 @@
 }
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(value).expect("rows of plain fields can be written")
+    serde_json::to_vec(value).expect("plain fields always serialize")
 }
--- a/crates/platform/src/manifest_store/errors.rs
+++ b/crates/platform/src/manifest_store/errors.rs
@@ -10,36 +10,37 @@
 /// Why a submission was not accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SubmitError {
-    /// It was made for another generation than the accepted one.
+    /// The submission is based on a generation that is not the current one.
     Stale {
-        /// Generation it was made for.
+        /// Generation that the submission is based on.
         base_generation: u64,
-        /// The accepted one.
+        /// The current generation, if any.
         current: Option<Head>,
     },
     /// Another submission for the same generation was accepted first.
     LostRace {
-        /// The generation accepted now.
+        /// Head of the current generation.
         winner: Head,
     },
-    /// The id was accepted before with other sections.
+    /// A submission with this id but other sections was accepted before.
     IdReused {
         /// Generation accepted with the id.
         generation: u64,
     },
-    /// The id cannot be used.
+    /// The id is invalid.
     Invalid {
-        /// What is wrong with it.
+        /// What is wrong with the id.
         detail: String,
     },
-    /// Not accepted, since a service is down.
+    /// The submission was not accepted because a service is unavailable.
     Unavailable {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
-    /// It may have been accepted. Submitting the same id again settles it.
+    /// The submission may have been accepted. Submitting the same id and
+    /// sections again determines the outcome.
     Unknown {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
 }
@@ -55,7 +56,7 @@
                 }
             }
             SubmitError::LostRace { winner } => {
-                f.write_str("another submission came first: ")?;
+                f.write_str("another submission was accepted first: ")?;
                 write_head(f, winner)
             }
             SubmitError::IdReused { generation } => write!(
@@ -97,9 +98,9 @@
 /// Why the sections of a generation cannot be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FetchError {
-    /// The object store is down.
+    /// The object store is unavailable.
     Unavailable {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
     /// The object store lacks an object.
@@ -107,14 +108,14 @@
         /// Key of the object.
         object: String,
     },
-    /// The content of an object does not fit its digest.
+    /// The content of an object does not match its digest.
     Corrupt {
         /// Key of the object.
         object: String,
     },
-    /// The objects are intact but make no manifest.
+    /// The objects are intact but do not form a valid manifest.
     InvalidParts {
-        /// Why not.
+        /// What is wrong with the parts.
         error: PartsError,
     },
 }
@@ -134,7 +135,7 @@
         match self {
             FetchError::Unavailable { detail } => f.write_str(detail),
             FetchError::Missing { object } => {
-                write!(f, "the object store lacks {object:?}")
+                write!(f, "object {object:?} is missing from the object store")
             }
             FetchError::Corrupt { object } => {
                 write!(f, "the content of {object:?} is corrupt")
--- a/crates/platform/src/manifest_store/mod.rs
+++ b/crates/platform/src/manifest_store/mod.rs
@@ -1,11 +1,11 @@
 //! Generations of the manifest.
 //!
-//! The head is one row, changed by compare-and-set. The sections lie in the
-//! object store in parts named by their digest, put there before the head
-//! names them, so that whoever reads a head can read all it names. A
-//! submission also writes a row of its own in the same transaction: whoever
-//! lost the answer can tell later that it was accepted, even when other
-//! generations came after it.
+//! The head is a single row, changed by compare-and-swap. The sections are
+//! stored in the object store, in parts named by their digest. The parts are
+//! written before the head refers to them, so all objects of a head that was
+//! read can be read too. The transaction of a submission also writes a row for
+//! the submission itself: if the response is lost, this row shows later that
+//! the submission was accepted, even after further generations.
 
 use std::{
     collections::BTreeMap,
@@ -37,23 +37,25 @@
 
 use change::{Change, HEAD_KEY, SubmissionRow, submission_key};
 
-/// How long a submission whose answer was lost is asked for.
-const SETTLE_FOR: Duration = Duration::from_secs(5);
-/// Pause between two questions after it.
-const SETTLE_PAUSE: Duration = Duration::from_millis(50);
-/// Longest id of a submission, in bytes.
-const MAX_SUBMISSION_BYTES: usize = 128;
+/// How long a submission with an unknown outcome is retried.
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two such retries.
+const RESOLVE_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum length of a submission id, in bytes.
+const MAX_SUBMISSION_ID_BYTES: usize = 128;
 
-/// The accepted generation.
+/// The current generation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
-    /// 1 for the first, one more with each accepted submission.
+    /// Generation number: 1 for the first, incremented by each accepted
+    /// submission.
     pub generation: u64,
-    /// Id of the submission that made it.
+    /// Id of the submission that created this generation.
     pub submission: String,
-    /// Id of the submission it came after; none for the first.
+    /// Id of the submission that created the previous generation; none for the
+    /// first.
     pub parent_submission: Option<String>,
-    /// BLAKE3 digest of the root, which names the parts.
+    /// BLAKE3 digest of the root, which lists the parts.
     #[serde(with = "hex::digest")]
     pub root: [u8; 32],
 }
@@ -61,11 +63,11 @@
 /// An accepted submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Accepted {
-    /// Its generation.
+    /// Generation that the submission created.
     pub generation: u64,
 }
 
-/// Manifests in the platform's services.
+/// Store of manifest generations in the table service and the object store.
 #[derive(Clone, Debug)]
 pub struct ManifestStore {
     table: Arc<TableClient>,
@@ -74,32 +76,32 @@
 }
 
 impl ManifestStore {
-    /// A store over the two services.
+    /// Creates a store that uses the two services.
     pub fn new(
         table: Arc<TableClient>,
         objects: Arc<ObjectClient>,
     ) -> ManifestStore {
-        ManifestStore { table, objects, resolve_timeout: SETTLE_FOR }
+        ManifestStore { table, objects, resolve_timeout: RESOLVE_TIMEOUT }
     }
 
-    /// How long a submission whose answer was lost is asked for.
-    pub fn resolve_timeout(mut self, time: Duration) -> ManifestStore {
-        self.resolve_timeout = time;
+    /// Sets how long a submission with an unknown outcome is retried.
+    pub fn resolve_timeout(mut self, timeout: Duration) -> ManifestStore {
+        self.resolve_timeout = timeout;
         self
     }
 
-    /// The accepted generation; none before the first.
+    /// Reads the current generation; none before the first.
     ///
     /// # Errors
     ///
-    /// The table service gives no answer, or no head.
+    /// The table service does not respond, or the head row is invalid.
     pub async fn head(&self) -> Result<Option<Head>, TableError> {
         let head = self.head_row().await?;
         Ok(head.map(|(_, head)| head))
     }
 
-    /// Sections of a generation. Only parts that the cache does not hold are
-    /// read; afterwards it holds just the parts of this generation.
+    /// Returns the sections of a generation. Reads only the objects that are not
+    /// cached; afterwards the cache has only the parts of this generation.
     ///
     /// # Errors
     ///
@@ -113,8 +115,8 @@
         cache.sections(&head.root)
     }
 
-    /// Reads the objects of a generation that the cache does not hold. What
-    /// was read before an error stays in the cache.
+    /// Reads the objects of a generation that are not cached. Objects read before
+    /// an error stay in the cache.
     ///
     /// # Errors
     ///
@@ -129,24 +131,26 @@
             if missing.is_empty() {
                 return Ok(());
             }
-            // A borrowing closure would keep the future from being `Send`
-            // for any lifetime.
+            // A loop, because a closure that borrows would make the future not
+            // `Send` for every lifetime.
             let mut reads = Vec::new();
-            for digest in missing.iter().take(concurrent::CALLS_AT_ONCE) {
+            for digest in missing.iter().take(concurrent::MAX_CONCURRENT_CALLS)
+            {
                 reads.push(read_object(&self.objects, *digest));
             }
-            let read = concurrent::join_all(reads).await;
+            let bodies = concurrent::join_all(reads).await;
             let mut result = Ok(());
-            for (digest, bytes) in missing.into_iter().zip(read) {
-                let taken = bytes.and_then(|b| cache.insert(digest, b));
-                result = result.and(taken);
+            for (digest, bytes) in missing.into_iter().zip(bodies) {
+                let inserted = bytes.and_then(|b| cache.insert(digest, b));
+                result = result.and(inserted);
             }
             result?;
         }
     }
 
-    /// Submits sections to follow a generation, 0 for none. Repeating it
-    /// with the same id and sections gives the same answer.
+    /// Submits sections as the successor of a generation; 0 for the first.
+    /// Repeating a submission with the same id and sections returns the same
+    /// result.
     ///
     /// # Errors
     ///
@@ -157,10 +161,10 @@
         sections: &BTreeMap<String, String>,
         submission: &str,
     ) -> Result<Accepted, SubmitError> {
-        check_id(submission)?;
+        check_submission_id(submission)?;
         let parts = Parts::from_sections(sections);
         let root = *blake3::hash(&encode_root(&parts.root)).as_bytes();
-        if let Some(accepted) = self.accepted(submission, &root).await? {
+        if let Some(accepted) = self.find_accepted(submission, &root).await? {
             return Ok(accepted);
         }
         let base = self.head_row().await?;
@@ -182,8 +186,8 @@
         Ok(Some((row.version, head)))
     }
 
-    /// Whether a submission has been accepted.
-    async fn accepted(
+    /// Looks up whether a submission was accepted.
+    async fn find_accepted(
         &self,
         submission: &str,
         root: &[u8; 32],
@@ -200,19 +204,20 @@
         Ok(Some(Accepted { generation }))
     }
 
-    /// Puts the parts that the base does not have, then the root. What the
-    /// base names is there already, and the base is still the head when the
+    /// Writes the parts that the base does not have, then the root. The parts of
+    /// the base already exist, and the base is still the head if the
     /// transaction succeeds.
     async fn put_parts(
         &self,
         parts: &Parts,
         base: Option<&Head>,
     ) -> Result<(), SubmitError> {
-        let known = match base {
+        let existing = match base {
             Some(head) => self.read_root(&head.root).await.ok(),
             None => None,
         };
-        let mut new = parts.new_bodies(known.as_deref().unwrap_or_default());
+        let mut new =
+            parts.new_bodies(existing.as_deref().unwrap_or_default());
         new.remove(&PartDigest::of_empty());
         let puts = new.into_iter().map(|(digest, body)| async move {
             let key = ObjectDigest::Part(digest).key();
@@ -226,9 +231,9 @@
     }
 
     async fn commit(&self, change: &Change) -> Result<Accepted, SubmitError> {
-        let give_up = Instant::now() + self.resolve_timeout;
-        // Once an answer was lost, "not applied" is true of that attempt
-        // only and no longer of the submission.
+        let deadline = Instant::now() + self.resolve_timeout;
+        // After a lost response, "not applied" holds for the last attempt only,
+        // not for the submission.
         let mut is_ambiguous = false;
         loop {
             let writes = change.writes();
@@ -236,7 +241,7 @@
             let error = match result {
                 Ok(()) => return Ok(change.accepted()),
                 Err(TableError::Conflict { .. }) => {
-                    return self.lost(change).await;
+                    return self.resolve_conflict(change).await;
                 }
                 Err(e @ TableError::Ambiguous { .. }) => {
                     is_ambiguous = true;
@@ -245,31 +250,35 @@
                 Err(e) if is_ambiguous => e,
                 Err(e) => return Err(e.into()),
             };
-            let name = &change.head.submission;
+            let id = &change.head.submission;
             let root = &change.head.root;
-            if let Ok(Some(accepted)) = self.accepted(name, root).await {
+            if let Ok(Some(accepted)) = self.find_accepted(id, root).await {
                 return Ok(accepted);
             }
-            // Not there yet; it may still be on its way. The same token
-            // makes sending it again safe.
-            if Instant::now() >= give_up {
+            // The write may still be in transit. Because of the token, it can be
+            // repeated safely.
+            if Instant::now() >= deadline {
                 let detail = error.to_string();
                 return Err(SubmitError::Unknown { detail });
             }
-            Timer::after(SETTLE_PAUSE).await;
+            Timer::after(RESOLVE_INTERVAL).await;
         }
     }
 
-    /// Tells what a submission lost to, unless it is itself the winner.
-    async fn lost(&self, change: &Change) -> Result<Accepted, SubmitError> {
-        let name = &change.head.submission;
-        let found = self.accepted(name, &change.head.root).await;
-        match found.map_err(unknown)? {
+    /// Returns the result of a submission whose conditions failed: accepted by an
+    /// earlier attempt, or beaten by another submission.
+    async fn resolve_conflict(
+        &self,
+        change: &Change,
+    ) -> Result<Accepted, SubmitError> {
+        let id = &change.head.submission;
+        let found = self.find_accepted(id, &change.head.root).await;
+        match found.map_err(unknown_outcome)? {
             Some(accepted) => Ok(accepted),
-            None => match self.head().await.map_err(unknown)? {
+            None => match self.head().await.map_err(unknown_outcome)? {
                 Some(winner) => Err(SubmitError::LostRace { winner }),
                 None => {
-                    let detail = "the head row is gone".to_owned();
+                    let detail = "the head row was removed".to_owned();
                     Err(SubmitError::Unavailable { detail })
                 }
             },
@@ -293,27 +302,27 @@
     let key = digest.key();
     let bytes = objects.read(&key).await?;
     let bytes = bytes.ok_or_else(|| FetchError::missing(&key))?;
-    if !digest.is_of(&bytes) {
+    if !digest.matches(&bytes) {
         return Err(FetchError::corrupt(&key));
     }
     Ok(bytes)
 }
 
-fn check_id(submission: &str) -> Result<(), SubmitError> {
-    let is_plain = |b: u8| b.is_ascii_graphic();
-    let length = submission.len();
-    let is_in_range = (1..=MAX_SUBMISSION_BYTES).contains(&length);
-    if is_in_range && submission.bytes().all(is_plain) {
+fn check_submission_id(id: &str) -> Result<(), SubmitError> {
+    let is_allowed = |b: u8| b.is_ascii_graphic();
+    let length = id.len();
+    let is_in_range = (1..=MAX_SUBMISSION_ID_BYTES).contains(&length);
+    if is_in_range && id.bytes().all(is_allowed) {
         return Ok(());
     }
     let detail = format!(
-        "submission id {submission:?} is not 1 to {MAX_SUBMISSION_BYTES} \
+        "submission id {id:?} is not 1 to {MAX_SUBMISSION_ID_BYTES} \
          bytes of printable ASCII without spaces"
     );
     Err(SubmitError::Invalid { detail })
 }
 
-fn unknown(error: impl std::fmt::Display) -> SubmitError {
+fn unknown_outcome(error: impl std::fmt::Display) -> SubmitError {
     SubmitError::Unknown { detail: error.to_string() }
 }
 
--- a/crates/platform/src/manifest_store/object.rs
+++ b/crates/platform/src/manifest_store/object.rs
@@ -1,20 +1,20 @@
-//! Names of the objects that a manifest is stored in.
+//! Digests and keys of the objects that store a manifest.
 
 use chestnutreach_config::parts::{PART_DIGEST_BYTES, PartDigest};
 
 use crate::hex;
 
-/// Digest of one object: a root, or a part that a root names.
+/// Digest of an object: a root, or a part listed by a root.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum ObjectDigest {
-    /// A root, which lists the digests of the parts.
+    /// Digest of a root, which lists the digests of its parts.
     Root([u8; 32]),
-    /// A part, which holds sections.
+    /// Digest of a part, which contains sections.
     Part(PartDigest),
 }
 
 impl ObjectDigest {
-    /// A digest from its bytes; the two kinds differ in length.
+    /// Parses a digest; the two kinds differ in length.
     pub fn from_bytes(bytes: &[u8]) -> Option<ObjectDigest> {
         if let Ok(root) = bytes.try_into() {
             return Some(ObjectDigest::Root(root));
@@ -23,7 +23,7 @@
         Some(ObjectDigest::Part(PartDigest::from_bytes(part)))
     }
 
-    /// Its bytes.
+    /// Bytes of the digest.
     pub fn as_bytes(&self) -> &[u8] {
         match self {
             ObjectDigest::Root(root) => root,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Whether it is the digest of these bytes.
-    pub(crate) fn is_of(&self, bytes: &[u8]) -> bool {
+    /// Returns whether this is the digest of the bytes.
+    pub(crate) fn matches(&self, bytes: &[u8]) -> bool {
         match self {
             ObjectDigest::Root(root) => blake3::hash(bytes) == *root,
             ObjectDigest::Part(part) => PartDigest::of(bytes) == *part,
--- a/crates/platform/src/objects.rs
+++ b/crates/platform/src/objects.rs
@@ -1,29 +1,30 @@
-//! Objects by path, as in the published S3 path-style API.
+//! Client of the object store, for path-style requests of the S3 API.
 //!
-//! Objects here are named by the digest of their content or written once, so
-//! that a put may be repeated and needs no condition.
+//! Object keys contain the digest of the content or are written only once, so
+//! a put can be repeated and needs no condition.
 
 use std::{error, fmt, net::SocketAddr, time::Duration};
 
 use chestnutreach_http::ClientError;
 use http_types::Method;
 
-use crate::transport::{Answer, Call, Transport};
+use crate::transport::{Call, Response, Transport};
 
-/// Name of the bucket unless another is set.
+/// Default name of the bucket.
 pub const DEFAULT_BUCKET: &str = "chestnutreach";
 
 /// Why a call to the object store failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ObjectError {
-    /// No answer, or one that it is down; a put may have been applied.
+    /// No response, or a response that the service is unavailable; a put may
+    /// have been applied.
     Unavailable {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
-    /// The call is wrong.
+    /// The call is invalid or was rejected.
     Protocol {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
 }
@@ -35,7 +36,7 @@
                 write!(f, "the object store is unavailable: {detail}")
             }
             ObjectError::Protocol { detail } => {
-                write!(f, "the object store refused a call: {detail}")
+                write!(f, "rejected call to the object store: {detail}")
             }
         }
     }
@@ -51,19 +52,19 @@
 }
 
 impl ObjectClient {
-    /// A client whose calls take at most `timeout`.
+    /// Creates a client whose calls take at most `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> ObjectClient {
         let transport = Transport::new(address, timeout);
         ObjectClient { transport, bucket: DEFAULT_BUCKET.to_owned() }
     }
 
-    /// Uses another bucket.
+    /// Sets the name of the bucket.
     pub fn bucket(mut self, name: &str) -> ObjectClient {
         name.clone_into(&mut self.bucket);
         self
     }
 
-    /// Sets an object. Keys are letters, digits and `/ - _ .`.
+    /// Writes an object. A key consists of letters, digits and `/ - _ .`.
     ///
     /// # Errors
     ///
@@ -73,14 +74,14 @@
         key: &str,
         body: &[u8],
     ) -> Result<(), ObjectError> {
-        let answer = self.call(Method::Put, key, body.to_vec()).await?;
-        match answer.status {
+        let response = self.call(Method::Put, key, body.to_vec()).await?;
+        match response.status {
             200 => Ok(()),
-            _ => Err(error_of(key, &answer)),
+            _ => Err(status_error(key, &response)),
         }
     }
 
-    /// Reads an object.
+    /// Reads an object, or returns none if it does not exist.
     ///
     /// # Errors
     ///
@@ -89,11 +90,11 @@
         &self,
         key: &str,
     ) -> Result<Option<Vec<u8>>, ObjectError> {
-        let answer = self.call(Method::Get, key, Vec::new()).await?;
-        match answer.status {
-            200 => Ok(Some(answer.body)),
+        let response = self.call(Method::Get, key, Vec::new()).await?;
+        match response.status {
+            200 => Ok(Some(response.body)),
             404 => Ok(None),
-            _ => Err(error_of(key, &answer)),
+            _ => Err(status_error(key, &response)),
         }
     }
 
@@ -102,12 +103,12 @@
         method: Method,
         key: &str,
         body: Vec<u8>,
-    ) -> Result<Answer, ObjectError> {
+    ) -> Result<Response, ObjectError> {
         check_key(key)?;
         let target = format!("/{}/{key}", self.bucket);
         let call = Call { method, target: &target, headers: &[], body };
-        let answer = self.transport.send(call).await;
-        answer.map_err(|e: ClientError| {
+        let response = self.transport.send(call).await;
+        response.map_err(|e: ClientError| {
             let detail = e.to_string();
             ObjectError::Unavailable { detail }
         })
@@ -115,17 +116,17 @@
 }
 
 fn check_key(key: &str) -> Result<(), ObjectError> {
-    let is_plain = |b: u8| b.is_ascii_alphanumeric() || b"/-_.".contains(&b);
-    if !key.is_empty() && key.bytes().all(is_plain) {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"/-_.".contains(&b);
+    if !key.is_empty() && key.bytes().all(is_allowed) {
         return Ok(());
     }
-    let detail = format!("{key:?} is no key of an object");
+    let detail = format!("{key:?} is not a valid object key");
     Err(ObjectError::Protocol { detail })
 }
 
-fn error_of(key: &str, answer: &Answer) -> ObjectError {
-    let detail = format!("status {} for {key:?}", answer.status);
-    match answer.status {
+fn status_error(key: &str, response: &Response) -> ObjectError {
+    let detail = format!("status {} for {key:?}", response.status);
+    match response.status {
         429 | 500.. => ObjectError::Unavailable { detail },
         _ => ObjectError::Protocol { detail },
     }
--- a/crates/platform/src/table/encoding.rs
+++ b/crates/platform/src/table/encoding.rs
@@ -1,4 +1,4 @@
-//! Rows as items of the protocol.
+//! Conversion between rows and items of the protocol.
 
 use base64::{Engine as _, engine::general_purpose::STANDARD as BASE64};
 
@@ -8,7 +8,7 @@
     TransactWriteItem, Update,
 };
 
-/// One write of a transaction.
+/// Encodes one write of a transaction.
 pub(super) fn write_item(
     table_name: &str,
     expiring: &ExpiringWrite,
@@ -23,7 +23,7 @@
             return TransactWriteItem::Delete(delete);
         }
         (Some(value), Condition::Any) => {
-            return update_of(table_name, key, value, *expires_at_unix_s);
+            return update_item(table_name, key, value, *expires_at_unix_s);
         }
         (Some(_), Condition::Absent) => 1,
         (Some(_), Condition::Version(old)) => old + 1,
@@ -38,7 +38,7 @@
     TransactWriteItem::Put(Put { table_name, item, condition })
 }
 
-fn update_of(
+fn update_item(
     table_name: String,
     key: Item,
     value: &[u8],
@@ -78,7 +78,7 @@
     }
 }
 
-/// The key of a row.
+/// Encodes the key of a row.
 pub(super) fn key_item(key: &str) -> Item {
     let value = AttributeValue::S(key.to_owned());
     Item::from([(wire::KEY.to_owned(), value)])
@@ -92,8 +92,8 @@
     AttributeValue::B(BASE64.encode(value))
 }
 
-/// Key and row of an item.
-pub(super) fn row_of(item: &Item) -> Result<(String, Row), TableError> {
+/// Decodes the key and the row of an item.
+pub(super) fn decode_row(item: &Item) -> Result<(String, Row), TableError> {
     let attribute = |name: &str| item.get(name);
     let key = match attribute(wire::KEY) {
         Some(AttributeValue::S(key)) => Some(key.clone()),
@@ -113,7 +113,8 @@
         }
         _ => {
             let names: Vec<_> = item.keys().collect();
-            let detail = format!("an item with {names:?} is no row");
+            let detail =
+                format!("an item with the attributes {names:?} is not a row");
             Err(TableError::Protocol { detail })
         }
     }
--- a/crates/platform/src/table/errors.rs
+++ b/crates/platform/src/table/errors.rs
@@ -5,26 +5,26 @@
 /// Why a call to the table service failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TableError {
-    /// Surely not applied.
+    /// The call was certainly not applied.
     Unavailable {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
-        /// The service is up, and the call was over its rate.
+        /// The service is available, but the call exceeded its rate limit.
         is_throttled: bool,
     },
-    /// A write that may have been applied.
+    /// The write may have been applied.
     Ambiguous {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
-    /// Not applied, since conditions failed.
+    /// The writes were not applied because conditions failed.
     Conflict {
         /// Indexes of the writes whose condition failed.
         failed: Vec<usize>,
     },
-    /// Not applied, since the two ends do not understand each other.
+    /// The request or the response is invalid; a write was not applied.
     Protocol {
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
 }
@@ -39,10 +39,10 @@
                 write!(f, "a write may have been applied: {detail}")
             }
             TableError::Conflict { failed } => {
-                write!(f, "conditions of writes {failed:?} failed")
+                write!(f, "the conditions of writes {failed:?} failed")
             }
             TableError::Protocol { detail } => {
-                write!(f, "the table service's answer is wrong: {detail}")
+                write!(f, "protocol error of the table service: {detail}")
             }
         }
     }
--- a/crates/platform/src/table/mod.rs
+++ b/crates/platform/src/table/mod.rs
@@ -1,8 +1,9 @@
-//! Rows of the table service.
+//! Client for the rows of the table service.
 //!
-//! Every write is a transaction with a request token, also that of a single
-//! row: the token makes it safe to send the same write again when an answer
-//! was lost. Reads are consistent ones, since they settle lost answers.
+//! Every write, even of a single row, is a transaction with a request token.
+//! The token makes it safe to repeat a write whose response was lost. Reads
+//! are strongly consistent, since they determine whether such a write was
+//! applied.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -11,26 +12,26 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    transport::{Answer, Call, Transport},
+    transport::{Call, Response, Transport},
     wire::{
         self, BatchGetItemRequest, BatchGetItemResponse, GetItemRequest,
         GetItemResponse, KeysAndAttributes, TransactWriteItemsRequest,
     },
 };
 
-mod answer;
 mod encoding;
 mod errors;
 mod observer;
+mod response;
 mod row;
 
 pub use errors::TableError;
 pub use observer::{CallResult, TableCall};
 pub use row::{Condition, ExpiringWrite, Row, Write};
 
-/// Name of the table unless another is set.
+/// Default name of the table.
 pub const DEFAULT_TABLE_NAME: &str = "chestnutreach";
-/// Rounds in which a batch of reads must be whole.
+/// Maximum requests to read one batch; the service can return it in parts.
 const MAX_BATCH_ROUNDS: usize = 8;
 
 /// A client of the table service.
@@ -42,7 +43,7 @@
 }
 
 impl TableClient {
-    /// A client whose calls take at most `timeout`.
+    /// Creates a client whose calls take at most `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> TableClient {
         let transport = Transport::new(address, timeout);
         let table_name = DEFAULT_TABLE_NAME.to_owned();
@@ -50,26 +51,26 @@
         TableClient { transport, table_name, observer }
     }
 
-    /// Has each call told of, to count it.
+    /// Sets a callback that receives the result of each call, for metrics.
     pub fn on_call(
         mut self,
-        tell: impl Fn(TableCall, CallResult) + Send + Sync + 'static,
+        observe: impl Fn(TableCall, CallResult) + Send + Sync + 'static,
     ) -> TableClient {
-        self.observer = observer::Observer::new(tell);
+        self.observer = observer::Observer::new(observe);
         self
     }
 
-    /// Uses another table.
+    /// Sets the name of the table.
     pub fn table_name(mut self, name: &str) -> TableClient {
         name.clone_into(&mut self.table_name);
         self
     }
 
-    /// Reads a row.
+    /// Reads a row, or returns none if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`TableError::Unavailable`] and [`TableError::Protocol`] only.
+    /// Only [`TableError::Unavailable`] and [`TableError::Protocol`].
     pub async fn read(&self, key: &str) -> Result<Option<Row>, TableError> {
         let request = GetItemRequest {
             table_name: self.table_name.clone(),
@@ -79,14 +80,14 @@
         let response: GetItemResponse =
             self.call_read(wire::GET_ITEM, &request).await?;
         let item = response.item.as_ref();
-        Ok(item.map(encoding::row_of).transpose()?.map(|(_, row)| row))
+        Ok(item.map(encoding::decode_row).transpose()?.map(|(_, row)| row))
     }
 
-    /// Reads rows; those that do not exist are left out.
+    /// Reads rows by key; rows that do not exist are omitted.
     ///
     /// # Errors
     ///
-    /// As of [`TableClient::read`].
+    /// As for [`TableClient::read`].
     pub async fn read_many(
         &self,
         keys: &[String],
@@ -111,8 +112,8 @@
         self.transact(vec![write], token).await
     }
 
-    /// Writes rows, all or none. The same writes with the same token are
-    /// applied once, however often they are sent within ten minutes.
+    /// Writes rows atomically. The same writes with the same token are applied
+    /// once, however often they are sent within ten minutes.
     ///
     /// # Errors
     ///
@@ -126,7 +127,7 @@
         self.transact_expiring(writes, token).await
     }
 
-    /// As [`TableClient::transact`], for rows that may be forgotten.
+    /// As [`TableClient::transact`], for rows that can expire.
     ///
     /// # Errors
     ///
@@ -146,7 +147,7 @@
             client_request_token: token.to_owned(),
         };
         let result = self.send_writes(&request, count).await;
-        self.observer.note(TableCall::Write, result)
+        self.observer.record(TableCall::Write, result)
     }
 
     async fn send_writes(
@@ -155,7 +156,7 @@
         count: usize,
     ) -> Result<(), TableError> {
         let call = self.call(wire::TRANSACT_WRITE_ITEMS, request);
-        let answer = call.await.map_err(|e| {
+        let response = call.await.map_err(|e| {
             let detail = e.to_string();
             match e.may_have_run() {
                 true => TableError::Ambiguous { detail },
@@ -164,9 +165,9 @@
                 }
             }
         })?;
-        match answer.status {
+        match response.status {
             200 => Ok(()),
-            _ => Err(answer::write_error(&answer, count)),
+            _ => Err(response::write_error(&response, count)),
         }
     }
 
@@ -177,14 +178,14 @@
     ) -> Result<(), TableError> {
         let mut keys = keys.iter().map(|k| encoding::key_item(k)).collect();
         for _ in 0..MAX_BATCH_ROUNDS {
-            let wanted = KeysAndAttributes { keys, consistent_read: true };
+            let requested = KeysAndAttributes { keys, consistent_read: true };
             let table_name = self.table_name.clone();
-            let request_items = BTreeMap::from([(table_name, wanted)]);
+            let request_items = BTreeMap::from([(table_name, requested)]);
             let request = BatchGetItemRequest { request_items };
             let mut response: BatchGetItemResponse =
                 self.call_read(wire::BATCH_GET_ITEM, &request).await?;
             for item in response.responses.values().flatten() {
-                let (key, row) = encoding::row_of(item)?;
+                let (key, row) = encoding::decode_row(item)?;
                 rows.insert(key, row);
             }
             match response.unprocessed_keys.remove(&self.table_name) {
@@ -192,8 +193,9 @@
                 _ => return Ok(()),
             }
         }
-        let detail =
-            format!("keys left unread after {MAX_BATCH_ROUNDS} rounds");
+        let detail = format!(
+            "some keys are still unprocessed after {MAX_BATCH_ROUNDS} requests"
+        );
         Err(TableError::Unavailable { detail, is_throttled: true })
     }
 
@@ -203,23 +205,25 @@
         request: &impl Serialize,
     ) -> Result<R, TableError> {
         let result = match self.call(target, request).await {
-            Ok(answer) if answer.status == 200 => answer::decode(&answer.body),
-            Ok(answer) => Err(answer::read_error(&answer)),
+            Ok(response) if response.status == 200 => {
+                response::decode(&response.body)
+            }
+            Ok(response) => Err(response::read_error(&response)),
             Err(e) => {
                 let detail = e.to_string();
                 Err(TableError::Unavailable { detail, is_throttled: false })
             }
         };
-        self.observer.note(TableCall::Read, result)
+        self.observer.record(TableCall::Read, result)
     }
 
     async fn call(
         &self,
         target: &str,
         request: &impl Serialize,
-    ) -> Result<Answer, ClientError> {
+    ) -> Result<Response, ClientError> {
         let body = serde_json::to_vec(request)
-            .expect("messages of plain fields can be written");
+            .expect("plain fields always serialize");
         let headers = [
             (wire::TARGET_HEADER, target),
             ("content-type", wire::CONTENT_TYPE),
--- a/crates/platform/src/table/observer.rs
+++ b/crates/platform/src/table/observer.rs
@@ -1,4 +1,4 @@
-//! Who is told of each call, to count it.
+//! Reporting of each call's result, for metrics.
 
 use std::{fmt, sync::Arc};
 
@@ -13,16 +13,16 @@
     Write,
 }
 
-/// What became of a call.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallResult {
-    /// It was done.
+    /// The call was carried out.
     Done,
-    /// A condition did not hold.
+    /// A condition failed.
     Conflict,
-    /// It was not done.
+    /// The call was not carried out.
     Failed,
-    /// It may have been done.
+    /// The call may have been carried out.
     Unknown,
 }
 
@@ -38,29 +38,29 @@
     }
 }
 
-type Tell = dyn Fn(TableCall, CallResult) + Send + Sync;
+type Callback = dyn Fn(TableCall, CallResult) + Send + Sync;
 
-/// Told of each call; nobody unless set.
+/// Optional callback that receives the result of each call.
 #[derive(Clone, Default)]
 pub(super) struct Observer {
-    tell: Option<Arc<Tell>>,
+    callback: Option<Arc<Callback>>,
 }
 
 impl Observer {
     pub(super) fn new(
-        tell: impl Fn(TableCall, CallResult) + Send + Sync + 'static,
+        callback: impl Fn(TableCall, CallResult) + Send + Sync + 'static,
     ) -> Observer {
-        Observer { tell: Some(Arc::new(tell)) }
+        Observer { callback: Some(Arc::new(callback)) }
     }
 
-    /// Tells of a call and hands its result on.
-    pub(super) fn note<T>(
+    /// Reports a call to the callback and returns its result unchanged.
+    pub(super) fn record<T>(
         &self,
         call: TableCall,
         result: Result<T, TableError>,
     ) -> Result<T, TableError> {
-        if let Some(tell) = &self.tell {
-            tell(call, CallResult::of(&result));
+        if let Some(callback) = &self.callback {
+            callback(call, CallResult::of(&result));
         }
         result
     }
@@ -68,7 +68,7 @@
 
 impl fmt::Debug for Observer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let is_set = self.tell.is_some();
+        let is_set = self.callback.is_some();
         f.debug_struct("Observer").field("is_set", &is_set).finish()
     }
 }
--- a/crates/platform/src/table/answer.rs
+++ b/crates/platform/src/table/response.rs
@@ -1,14 +1,14 @@
-//! What an answer of the service means.
+//! Interpretation of the service's responses.
 
 use serde::de::DeserializeOwned;
 
 use super::TableError;
 use crate::{
-    transport::Answer,
+    transport::Response,
     wire::{self, ErrorBody},
 };
 
-/// Reads the body of an answer.
+/// Parses the body of a successful response.
 pub(super) fn decode<R: DeserializeOwned>(
     body: &[u8],
 ) -> Result<R, TableError> {
@@ -18,9 +18,9 @@
     })
 }
 
-/// The named error of an answer, if it has one.
-fn error_body(answer: &Answer) -> ErrorBody {
-    serde_json::from_slice(&answer.body).unwrap_or_default()
+/// Parses the error body of a response; empty if there is none.
+fn error_body(response: &Response) -> ErrorBody {
+    serde_json::from_slice(&response.body).unwrap_or_default()
 }
 
 fn is_throttling(kind: &str) -> bool {
@@ -34,35 +34,43 @@
     )
 }
 
-fn short_kind(kind: &str) -> &str {
+fn error_name(kind: &str) -> &str {
     kind.rsplit('#').next().unwrap_or(kind)
 }
 
-/// The error that a read got.
-pub(super) fn read_error(answer: &Answer) -> TableError {
-    let body = error_body(answer);
-    let kind = short_kind(&body.kind);
-    let detail = format!("status {}, {kind} {}", answer.status, body.message);
+/// Returns the error for an unsuccessful response to a read.
+pub(super) fn read_error(response: &Response) -> TableError {
+    let body = error_body(response);
+    let kind = error_name(&body.kind);
+    let detail =
+        format!("status {}, {kind} {}", response.status, body.message);
     let is_throttled = is_throttling(kind);
-    if is_throttled || answer.status >= 500 {
+    if is_throttled || response.status >= 500 {
         return TableError::Unavailable { detail, is_throttled };
     }
     TableError::Protocol { detail }
 }
 
-/// The error that a write got. A 5xx counts as "not applied" only when the service itself says that it
-/// is unavailable; one of a balancer in between may come after the write.
-pub(super) fn write_error(answer: &Answer, write_count: usize) -> TableError {
-    let body = error_body(answer);
-    let kind = short_kind(&body.kind);
-    let detail = format!("status {}, {kind} {}", answer.status, body.message);
+/// Returns the error for an unsuccessful response to a write.
+///
+/// A 5xx status counts as "not applied" only if the service itself reports
+/// that it is unavailable: a load balancer in between can send a 5xx after the
+/// write was applied.
+pub(super) fn write_error(
+    response: &Response,
+    write_count: usize,
+) -> TableError {
+    let body = error_body(response);
+    let kind = error_name(&body.kind);
+    let detail =
+        format!("status {}, {kind} {}", response.status, body.message);
     if kind == wire::TRANSACTION_CANCELED {
-        return cancelled(&body, detail, write_count);
+        return cancellation_error(&body, detail, write_count);
     }
     let is_throttled = is_throttling(kind);
-    let is_overlap = kind == "TransactionInProgressException";
-    match answer.status {
-        400 if is_overlap => TableError::Ambiguous { detail },
+    let is_in_progress = kind == "TransactionInProgressException";
+    match response.status {
+        400 if is_in_progress => TableError::Ambiguous { detail },
         400 if is_throttled => {
             TableError::Unavailable { detail, is_throttled }
         }
@@ -74,7 +82,7 @@
     }
 }
 
-fn cancelled(
+fn cancellation_error(
     body: &ErrorBody,
     detail: String,
     write_count: usize,
@@ -92,14 +100,14 @@
     if !failed.is_empty() {
         return TableError::Conflict { failed };
     }
-    // Another transaction held a row at that moment, or the rate was passed:
-    // worth another try.
-    let is_known = |code: &str| {
+    // Another transaction was using one of the rows, or the rate limit was
+    // exceeded: a retry can succeed.
+    let is_retryable = |code: &str| {
         code == wire::REASON_NONE
             || code == "TransactionConflict"
             || is_throttling(code)
     };
-    match reasons.iter().all(|r| is_known(&r.code)) {
+    match reasons.iter().all(|r| is_retryable(&r.code)) {
         true => TableError::Unavailable { detail, is_throttled: true },
         false => TableError::Protocol { detail },
     }
--- a/crates/platform/src/table/row.rs
+++ b/crates/platform/src/table/row.rs
@@ -1,12 +1,12 @@
-//! Rows, and writes of them.
+//! Rows and writes of rows.
 
 /// A row as read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Row {
-    /// 1 for a new row, one more with each write. A row that was deleted
-    /// begins at 1 again.
+    /// Version: 1 for a new row, incremented by each write. A row that is
+    /// created again after a deletion starts at 1.
     pub version: u64,
-    /// The value.
+    /// Value of the row.
     pub value: Vec<u8>,
 }
 
@@ -17,16 +17,16 @@
     pub key: String,
     /// The new value; none deletes the row.
     pub value: Option<Vec<u8>>,
-    /// When it may happen.
+    /// Precondition of the write.
     pub condition: Condition,
 }
 
-/// When a write may happen.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Condition {
-    /// Always.
+    /// Always holds.
     Any,
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row has this version.
     Version(u64),
@@ -43,12 +43,13 @@
     }
 }
 
-/// A write whose row may be forgotten.
+/// A write of a row that can expire.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ExpiringWrite {
     /// The write.
     pub write: Write,
-    /// The service deletes the row some time after this; none keeps it.
+    /// The service deletes the row some time after this Unix time; none keeps
+    /// the row.
     pub expires_at_unix_s: Option<u64>,
 }
 
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -1,8 +1,8 @@
-//! Calls to one of the platform's services.
+//! HTTP calls to one of the platform's services.
 //!
-//! A call that timed out or broke throws away every kept connection: when
-//! something between the two ends has lost track of one of them, it has
-//! often lost the others too, and each would cost one more timeout.
+//! A call that times out or loses its connection closes all idle connections
+//! too. If a device on the network path has lost the state of one connection,
+//! it has often lost the others, and each would cost another timeout.
 
 use std::{
     net::SocketAddr,
@@ -13,11 +13,11 @@
 use chestnutreach_http::{Client, ClientError, ClientOptions};
 use http_types::{Method, Request};
 
-/// Longest part of a call's time that dialling may take.
-const MAX_DIAL: Duration = Duration::from_millis(500);
+/// Maximum time to open a connection.
+const MAX_CONNECT_TIME: Duration = Duration::from_millis(500);
 
-/// A whole answer.
-pub(crate) struct Answer {
+/// A complete response.
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) body: Vec<u8>,
 }
@@ -25,7 +25,7 @@
 /// One request.
 pub(crate) struct Call<'a> {
     pub(crate) method: Method,
-    /// Target "/path"; characters of URLs only.
+    /// Path and query of the URL, already escaped.
     pub(crate) target: &'a str,
     pub(crate) headers: &'a [(&'static str, &'a str)],
     pub(crate) body: Vec<u8>,
@@ -44,12 +44,16 @@
         Transport { address, timeout, client }
     }
 
-    /// Any status is an answer.
+    /// Sends a call. A response with any status is a success.
     pub(crate) async fn send(
         &self,
         call: Call<'_>,
-    ) -> Result<Answer, ClientError> {
-        let client = self.client.lock().expect("no holder panics").clone();
+    ) -> Result<Response, ClientError> {
+        let client = self
+            .client
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .clone();
         let url = client.url(call.target).map_err(|e| {
             let detail = format!("target {:?}: {e}", call.target);
             let address = self.address;
@@ -63,17 +67,20 @@
         }
         match client.send(request, self.timeout).await {
             Ok((response, body)) => {
-                Ok(Answer { status: u16::from(response.status()), body })
+                Ok(Response { status: u16::from(response.status()), body })
             }
             Err(e) => {
-                self.forget_connections(&client);
+                self.discard_connections(&client);
                 Err(e)
             }
         }
     }
 
-    fn forget_connections(&self, failed: &Arc<Client>) {
-        let mut client = self.client.lock().expect("no holder panics");
+    fn discard_connections(&self, failed: &Arc<Client>) {
+        let mut client = self
+            .client
+            .lock()
+            .expect("no thread panics while it holds the lock");
         if Arc::ptr_eq(&client, failed) {
             *client = new_client(self.address, self.timeout);
         }
@@ -81,6 +88,7 @@
 }
 
 fn new_client(address: SocketAddr, timeout: Duration) -> Arc<Client> {
-    let options = ClientOptions::new().connect_timeout(MAX_DIAL.min(timeout));
+    let options =
+        ClientOptions::new().connect_timeout(MAX_CONNECT_TIME.min(timeout));
     Arc::new(Client::new(address, options))
 }
--- a/crates/platform/src/vm_list.rs
+++ b/crates/platform/src/vm_list.rs
@@ -1,6 +1,6 @@
-//! The platform's list of live and leaving VMs.
+//! Client of the platform's list of running and draining VMs.
 //!
-//! The list lags: what a process hears itself goes before it.
+//! The list is delayed: what a process learns from its peers takes precedence.
 
 use std::{error, fmt, net::SocketAddr, time::Duration};
 
@@ -16,22 +16,22 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It serves.
+    /// The VM is in service.
     Live,
-    /// It is being stopped.
+    /// The VM is being shut down.
     Leaving,
 }
 
-/// One VM.
+/// List entry of a VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmEntry {
-    /// Its name.
+    /// Name of the VM.
     pub vm: String,
-    /// Its state.
+    /// State of the VM.
     pub state: VmState,
 }
 
-/// The list could not be had.
+/// The list could not be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmListError {
     detail: String,
@@ -39,7 +39,7 @@
 
 impl fmt::Display for VmListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "no list of VMs: {}", self.detail)
+        write!(f, "could not read the VM list: {}", self.detail)
     }
 }
 
@@ -52,16 +52,16 @@
 }
 
 impl VmListClient {
-    /// A client whose calls take at most `timeout`.
+    /// Creates a client whose calls take at most `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> VmListClient {
         VmListClient { transport: Transport::new(address, timeout) }
     }
 
-    /// The list as the platform knows it now.
+    /// Reads the current list.
     ///
     /// # Errors
     ///
-    /// There is no list, or it cannot be read.
+    /// The service does not respond, or its response is invalid.
     pub async fn list(&self) -> Result<Vec<VmEntry>, VmListError> {
         let call = Call {
             method: Method::Get,
@@ -69,14 +69,14 @@
             headers: &[],
             body: Vec::new(),
         };
-        let answer = self.transport.send(call).await.map_err(failed)?;
-        if answer.status != 200 {
-            return Err(failed(format!("status {}", answer.status)));
+        let response = self.transport.send(call).await.map_err(list_error)?;
+        if response.status != 200 {
+            return Err(list_error(format!("status {}", response.status)));
         }
-        serde_json::from_slice(&answer.body).map_err(failed)
+        serde_json::from_slice(&response.body).map_err(list_error)
     }
 }
 
-fn failed(detail: impl fmt::Display) -> VmListError {
+fn list_error(detail: impl fmt::Display) -> VmListError {
     VmListError { detail: detail.to_string() }
 }
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,16 +1,17 @@
-//! Messages of the table service, a subset of the published DynamoDB JSON
-//! protocol (version 2012-08-10).
+//! Messages of the table service, a subset of the DynamoDB JSON protocol
+//! (version 2012-08-10).
 //!
-//! `GetItem`, `BatchGetItem` and `TransactWriteItems` are used. `PutItem` is
-//! not: it takes no request token, so a lost answer could not be settled by
-//! sending it again. A row is one item with the key `pk`, the value `v`, its
-//! version `ver` and, if it may be forgotten, the time-to-live `expires_at`.
+//! The client uses `GetItem`, `BatchGetItem` and `TransactWriteItems`. It does
+//! not use `PutItem`, which takes no request token: after a lost response, a
+//! `PutItem` could not be repeated safely. A row is one item with the key `pk`,
+//! the value `v`, the version `ver` and optionally the time-to-live
+//! `expires_at`.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Header that names the operation.
+/// Header with the name of the operation.
 pub const TARGET_HEADER: &str = "x-amz-target";
 /// Content type of all messages.
 pub const CONTENT_TYPE: &str = "application/x-amz-json-1.0";
@@ -18,7 +19,7 @@
 pub const GET_ITEM: &str = "DynamoDB_20120810.GetItem";
 /// Operation that reads many items.
 pub const BATCH_GET_ITEM: &str = "DynamoDB_20120810.BatchGetItem";
-/// Operation that writes items, all or none.
+/// Operation that writes items atomically.
 pub const TRANSACT_WRITE_ITEMS: &str = "DynamoDB_20120810.TransactWriteItems";
 
 /// Attribute of the key.
@@ -27,28 +28,28 @@
 pub const VALUE: &str = "v";
 /// Attribute of the version.
 pub const VERSION: &str = "ver";
-/// Attribute of the time-to-live, in seconds since 1970.
+/// Attribute of the time-to-live, in Unix seconds.
 pub const EXPIRES_AT: &str = "expires_at";
 
-/// Condition that there is no such item.
+/// Condition that the item does not exist.
 pub const IF_ABSENT: &str = "attribute_not_exists(pk)";
 /// Condition that the item has the version `:ver`.
 pub const IF_VERSION: &str = "ver = :ver";
-/// Change of an item of any version.
+/// Update of an item of any version.
 pub const SET_VALUE: &str = "SET v = :v ADD ver :one";
-/// Likewise with a time-to-live.
+/// Update of an item of any version, with a time-to-live.
 pub const SET_VALUE_EXPIRING: &str =
     "SET v = :v, expires_at = :expires_at ADD ver :one";
 
-/// Published limit of one transaction.
+/// Documented limit of items in one transaction.
 pub const MAX_TRANSACT_ITEMS: usize = 100;
-/// Published limit of one batch of reads.
+/// Documented limit of keys in one batch read.
 pub const MAX_BATCH_KEYS: usize = 100;
 
-/// Attributes by name.
+/// Attribute values by attribute name.
 pub type Item = BTreeMap<String, AttributeValue>;
 
-/// A typed value.
+/// A typed attribute value.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AttributeValue {
     /// Text.
@@ -59,7 +60,7 @@
     B(String),
 }
 
-/// Reads one item.
+/// Request of `GetItem`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct GetItemRequest {
@@ -67,73 +68,74 @@
     pub table_name: String,
     /// Key of the item.
     pub key: Item,
-    /// Sees every write that was answered before.
+    /// Whether the read reflects all writes acknowledged before it.
     #[serde(default)]
     pub consistent_read: bool,
 }
 
-/// The item, if there is one.
+/// Response of `GetItem`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct GetItemResponse {
-    /// The item.
+    /// The item, if it exists.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub item: Option<Item>,
 }
 
-/// Reads many items.
+/// Request of `BatchGetItem`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct BatchGetItemRequest {
-    /// What to read, by table.
+    /// Items to read, by table.
     pub request_items: BTreeMap<String, KeysAndAttributes>,
 }
 
-/// Items to read of one table.
+/// Items to read from one table.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct KeysAndAttributes {
     /// Keys of the items.
     pub keys: Vec<Item>,
-    /// Sees every write that was answered before.
+    /// Whether the read reflects all writes acknowledged before it.
     #[serde(default)]
     pub consistent_read: bool,
 }
 
-/// Items found, and what is to be asked for again.
+/// Response of `BatchGetItem`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct BatchGetItemResponse {
     /// Items by table, in any order.
     #[serde(default)]
     pub responses: BTreeMap<String, Vec<Item>>,
-    /// Not looked up this time.
+    /// Keys that were not processed and must be requested again.
     #[serde(default)]
     pub unprocessed_keys: BTreeMap<String, KeysAndAttributes>,
 }
 
-/// Writes items, all or none.
+/// Request of `TransactWriteItems`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TransactWriteItemsRequest {
-    /// The writes, each to another item.
+    /// The writes, each to a different item.
     pub transact_items: Vec<TransactWriteItem>,
-    /// Repeats with the same token within ten minutes are one transaction.
+    /// Idempotency token: repeats with the same token within ten minutes count
+    /// as one transaction.
     pub client_request_token: String,
 }
 
-/// One write.
+/// One write of a transaction.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TransactWriteItem {
-    /// Sets a whole item.
+    /// Replaces a whole item.
     Put(Put),
-    /// Changes attributes.
+    /// Changes attributes of an item.
     Update(Update),
-    /// Removes an item.
+    /// Deletes an item.
     Delete(Delete),
 }
 
-/// Sets a whole item.
+/// Replaces a whole item.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Put {
@@ -141,12 +143,12 @@
     pub table_name: String,
     /// The new item.
     pub item: Item,
-    /// When the write may happen.
+    /// Precondition of the write.
     #[serde(flatten)]
     pub condition: ConditionFields,
 }
 
-/// Changes attributes.
+/// Changes attributes of an item.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Update {
@@ -156,11 +158,11 @@
     pub key: Item,
     /// [`SET_VALUE`] or [`SET_VALUE_EXPIRING`].
     pub update_expression: String,
-    /// Values named in the expression.
+    /// Values of the placeholders in the expression.
     pub expression_attribute_values: Item,
 }
 
-/// Removes an item.
+/// Deletes an item.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Delete {
@@ -168,33 +170,33 @@
     pub table_name: String,
     /// Key of the item.
     pub key: Item,
-    /// When the write may happen.
+    /// Precondition of the write.
     #[serde(flatten)]
     pub condition: ConditionFields,
 }
 
-/// When a write may happen.
+/// Precondition of a write.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ConditionFields {
     /// [`IF_ABSENT`], [`IF_VERSION`] or none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub condition_expression: Option<String>,
-    /// Values named in the expression.
+    /// Values of the placeholders in the expression.
     #[serde(default, skip_serializing_if = "Item::is_empty")]
     pub expression_attribute_values: Item,
 }
 
-/// Body of an answer other than 200.
+/// Body of a response with a status other than 200.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ErrorBody {
-    /// Name of the error, after a `#` if there is one.
+    /// Name of the error; if the text contains a `#`, the name follows it.
     #[serde(rename = "__type", default)]
     pub kind: String,
-    /// For people.
+    /// Human-readable description.
     #[serde(default, alias = "Message")]
     pub message: String,
-    /// Of a cancelled transaction, one for each write.
+    /// For a cancelled transaction, one reason for each write.
     #[serde(
         rename = "CancellationReasons",
         default,
@@ -212,20 +214,20 @@
     pub code: String,
 }
 
-/// Reason of a write that was not at fault.
+/// Reason code of a write that did not cause the cancellation.
 pub const REASON_NONE: &str = "None";
-/// Reason of a write whose condition failed.
+/// Reason code of a write whose condition failed.
 pub const REASON_CONDITION: &str = "ConditionalCheckFailed";
 
-/// The writes of a transaction were cancelled together.
+/// The transaction was cancelled.
 pub const TRANSACTION_CANCELED: &str = "TransactionCanceledException";
-/// A token was used with other writes.
+/// The token was used before with different writes.
 pub const TOKEN_MISMATCH: &str = "IdempotentParameterMismatchException";
-/// A request was over the rate.
+/// The request exceeded the rate limit.
 pub const THROUGHPUT_EXCEEDED: &str = "ProvisionedThroughputExceededException";
-/// The service is down and has done nothing.
+/// The service is unavailable and did not carry out the request.
 pub const SERVICE_UNAVAILABLE: &str = "ServiceUnavailable";
-/// The service failed at some point.
+/// The service failed; the request may have been carried out.
 pub const INTERNAL_ERROR: &str = "InternalServerError";
-/// A request is malformed.
+/// The request is malformed.
 pub const VALIDATION: &str = "ValidationException";
