--- a/crates/platform/src/claims/claim.rs
+++ b/crates/platform/src/claims/claim.rs
@@ -1,4 +1,4 @@
-//! A claim as it lies in its row.
+//! A claim as stored in its row.
 
 use std::{
     collections::BTreeMap,
@@ -17,10 +17,10 @@
 }
 
 impl ClaimKey {
-    /// A key that a caller of the account gave. Keys of two accounts never
-    /// meet.
+    /// Creates the key for an idempotency key that a caller of the account
+    /// sent. Equal keys of two accounts are distinct.
     pub fn new(account: &str, key: &str) -> ClaimKey {
-        // The caller's bytes do not go into the row's key.
+        // A digest keeps bytes chosen by the caller out of the row key.
         let mut hasher = blake3::Hasher::new();
         hasher.update(&(account.len() as u64).to_be_bytes());
         hasher.update(account.as_bytes());
@@ -34,75 +34,75 @@
     }
 }
 
-/// Who runs the request of a key, and how far it is.
+/// Claim of a key: which entry runs its request, and the request's state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
     /// Random id of the claim.
     #[serde(with = "hex::number")]
     pub claim_id: u128,
-    /// Digest of what the caller asked for.
+    /// Digest of the caller's request.
     #[serde(with = "hex::digest")]
     pub request_digest: [u8; 32],
-    /// Number of the request between the processes.
+    /// Id of the request in messages between processes.
     #[serde(with = "hex::number")]
     pub request: u128,
-    /// VM of the entry that owns it.
+    /// VM of the entry that owns the claim.
     pub entry_vm: String,
     /// Boot id of that entry.
     pub entry_boot_id: u64,
-    /// Side process of the first stage it is sent to.
+    /// Address of the side process that runs the first stage of the request.
     pub side_address: SocketAddr,
     /// Boot id of that side process.
     pub side_boot_id: u64,
-    /// How far it is.
+    /// State of the request.
     pub state: ClaimState,
-    /// When the key may be used anew, in seconds since 1970.
+    /// Unix time in seconds from which the key may be reused.
     pub expires_at_unix_s: u64,
 }
 
 impl Claim {
-    /// Whether the key may be used anew.
+    /// Returns whether the key may be reused.
     pub fn has_expired(&self, now_unix_s: u64) -> bool {
         self.expires_at_unix_s <= now_unix_s
     }
 }
 
-/// How far the request of a claim is.
+/// State of a claim's request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// It is or was about to run.
+    /// The request runs, or was about to run.
     Claimed,
-    /// It ran to its end.
+    /// The request ran to completion.
     Completed {
-        /// What every repeat gets.
+        /// Response for every repeat.
         answer: StoredResponse,
     },
-    /// It did not run; the key may be claimed again.
+    /// The request did not run; the key may be claimed again.
     NotRun,
-    /// It began and failed.
+    /// The request started and failed.
     Failed,
 }
 
-/// A finished answer.
+/// A complete response, kept for repeats.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers by lower-case name.
+    /// Header values by lower-case name.
     pub headers: BTreeMap<String, String>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "base64_bytes")]
     pub body: Vec<u8>,
 }
 
-/// Seconds since 1970.
+/// Current Unix time in seconds.
 pub(super) fn now_unix_s() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| d.as_secs())
 }
 
-/// For `#[serde(with)]` on bytes.
+/// `#[serde(with)]` module for bytes.
 mod base64_bytes {
     use base64::{Engine as _, engine::general_purpose::STANDARD};
     use serde::{Deserialize, Deserializer, Serializer, de::Error as _};
--- a/crates/platform/src/claims/counts.rs
+++ b/crates/platform/src/claims/counts.rs
@@ -1,15 +1,15 @@
-//! Counts of a claim store.
+//! Counters of a claim store.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts since the store was made.
+/// Counts since the store was created.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ClaimCounts {
-    /// Transactions sent, repeats included.
+    /// Transactions sent, including repeats.
     pub transactions: u64,
-    /// Claims and updates found written.
+    /// Claims and updates known to be written.
     pub written: u64,
-    /// Transactions whose answer was lost.
+    /// Transactions whose response was lost.
     pub lost_responses: u64,
     /// Claims withdrawn.
     pub withdrawn: u64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Adds one.
-pub(super) fn count(counter: &AtomicU64) {
+/// Adds one to a counter.
+pub(super) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
--- a/crates/platform/src/claims/decide.rs
+++ b/crates/platform/src/claims/decide.rs
@@ -1,8 +1,8 @@
-//! What a repeated request gets.
+//! Decisions on repeated requests.
 //!
-//! A claim whose owner has gone says nothing of whether the request ran;
-//! only the side process named in it can tell, and it is asked. It is never
-//! run again by guess.
+//! If the owner of a claim is unavailable, the claim does not show whether the
+//! request ran. Only the side process named in the claim knows, and must be
+//! queried: a request is never run again on an assumption.
 
 use std::net::SocketAddr;
 
@@ -13,39 +13,39 @@
 /// What is known of the entry that owns a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OwnerStatus {
-    /// It says that it runs the request.
+    /// The owner reports that it runs the request.
     Running,
-    /// It says that it does not.
+    /// The owner reports that it does not run the request.
     NotRunning,
-    /// It has gone, or restarted, or does not answer.
+    /// The owner has exited, restarted or does not respond.
     Unavailable,
 }
 
-/// What a repeated request gets.
+/// How to handle a repeated request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RepeatAction<'a> {
-    /// The kept answer.
+    /// Send the stored response.
     Replay(&'a StoredResponse),
-    /// A refusal: the key belongs to another request.
+    /// Refuse: the key belongs to a different request.
     KeyReused,
-    /// A refusal: the same request runs at this moment.
+    /// Refuse: the same request is running.
     InProgress,
-    /// The word of the side process, see [`decide_by_side_response`].
+    /// Query the side process, see [`decide_by_side_response`].
     QuerySide {
-        /// Its address.
+        /// Address of the side process.
         address: SocketAddr,
-        /// Boot id it must still have.
+        /// Expected boot id; another boot id means that the process restarted.
         boot_id: u64,
-        /// The request to ask for.
+        /// Id of the request to ask for.
         request: u128,
     },
-    /// A run of its own, once the claim has been replaced.
+    /// Run the request after replacing the claim.
     Run,
-    /// The news that it began and failed.
+    /// Report that the request started and failed.
     Failed,
 }
 
-/// Decides on a repeat of a claimed key.
+/// Decides how to handle a repeat of a claimed key.
 pub fn decide<'a>(
     held: &'a Claim,
     request_digest: &[u8; 32],
@@ -76,35 +76,38 @@
     }
 }
 
-/// Answer of the side process named in a claim.
+/// Response of the side process named in a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SideResponse {
-    /// What its run-once table holds. The question has fenced the request.
+    /// State in the process's run-once table. Unless the state is
+    /// [`RunState::CannotTell`], the query has also fenced the request: the
+    /// queried and older attempts are refused if they arrive later.
     State(RunState),
-    /// It is another incarnation, whose table begins empty.
+    /// The process has restarted, so its table has no earlier requests.
     OtherBoot,
-    /// It does not answer.
+    /// The process does not respond.
     Unreachable,
 }
 
-/// What a repeated request gets by the word of the side process.
+/// How to handle a repeated request after the side process responded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SideDecision {
-    /// A run of its own, once the claim has been replaced.
+    /// Run the request after replacing the claim.
     Run,
-    /// A refusal: the same request runs at this moment.
+    /// Refuse: the same request is running.
     InProgress,
-    /// The answer that the side process keeps.
+    /// Fetch the response that the side process keeps.
     FetchResponse,
-    /// The news that it began and failed.
+    /// Report that the request started and failed.
     Failed,
-    /// The news that nobody can tell.
+    /// Report that the outcome is unknown.
     Unknown,
 }
 
-/// Decides on a repeat whose claim's owner has gone.
-pub fn decide_by_side_response(answer: SideResponse) -> SideDecision {
-    match answer {
+/// Decides how to handle a repeat when the claim's owner does not run the
+/// request or is unavailable.
+pub fn decide_by_side_response(response: SideResponse) -> SideDecision {
+    match response {
         SideResponse::OtherBoot | SideResponse::Unreachable => {
             SideDecision::Unknown
         }
--- a/crates/platform/src/claims/mod.rs
+++ b/crates/platform/src/claims/mod.rs
@@ -1,23 +1,25 @@
-//! Claims of requests with an idempotency key.
+//! Claims of idempotency keys.
 //!
-//! Before a keyed request is dispatched its key is claimed, insert if
-//! absent, and the finished answer is kept in the claim for repeats, which
-//! may come to any entry. Claims are written by group commit: one task for
-//! each store puts what waits into one transaction at a time, so that the
-//! rate of writes does not grow with the load.
+//! Before an entry dispatches a request with an idempotency key, it claims the
+//! key by inserting a row that must not exist yet. The claim later holds the
+//! complete response for repeats, which can arrive at any entry. Claims are
+//! written by group commit: one task per store writes the waiting claims in
+//! one transaction at a time, so that the rate of writes does not grow with
+//! the load.
 //!
-//! A claim that nobody waits for any more when it turns out to be written is
-//! withdrawn, that is, marked as not run: its caller was never told that it
-//! holds the key, so nothing was dispatched.
+//! A claim whose caller has stopped waiting by the time that it is known to be
+//! written is withdrawn, which marks it as not run. Its caller never learned
+//! that it holds the key, so the request was not dispatched.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | `claim` | a claim and its states |
-//! | `row` | the value of its row |
-//! | `decide` | what a repeated request gets |
-//! | `pending` | a write that waits, and its waiter |
-//! | `flusher` | the task that writes |
-//! | `options` | settings |
+//! | `row` | the stored value of a claim's row |
+//! | `decide` | decisions on repeated requests |
+//! | `pending` | a write that waits for its flush, and its result's receiver |
+//! | `flusher` | the task that writes claims |
+//! | `options` | options of a claim store |
+//! | `outcome` | results of claims and updates |
 
 use std::{
     collections::BTreeMap,
@@ -29,16 +31,15 @@
 
 use crate::table::{Condition, Row, TableClient};
 
-mod answer;
 mod claim;
 mod counts;
 mod decide;
 mod flusher;
 mod options;
+mod outcome;
 mod pending;
 mod row;
 
-pub use answer::{ClaimError, ClaimOutcome};
 pub use claim::{Claim, ClaimKey, ClaimState, StoredResponse};
 pub use counts::ClaimCounts;
 pub use decide::{
@@ -46,29 +47,31 @@
     decide_by_side_response,
 };
 pub use options::ClaimOptions;
+pub use outcome::{ClaimError, ClaimOutcome};
 
 use counts::Counters;
 use flusher::Flusher;
-use pending::{Kind, Pending, Reception, Reply};
+use pending::{PendingWrite, Reply, ReplyReceiver, WriteKind};
 use row::ClaimRow;
 
-/// Versions of open claims remembered; without one the row is read first.
-const MAX_VERSIONS: usize = 100_000;
+/// Maximum cached versions of open claims; an update without one reads the row
+/// first.
+const MAX_CACHED_VERSIONS: usize = 100_000;
 
-/// Claims in the table service.
+/// Store of claims in the table service.
 #[derive(Debug)]
 pub struct ClaimStore {
     table: Arc<TableClient>,
     options: ClaimOptions,
-    queue: Sender<Pending>,
-    /// Versions of the rows of open claims owned here, by claim id.
+    queue: Sender<PendingWrite>,
+    /// Row versions of open claims owned by this process, by claim id.
     versions: Mutex<BTreeMap<u128, u64>>,
     counters: Arc<Counters>,
 }
 
 impl ClaimStore {
-    /// A store whose writing task runs on the executor until the store is
-    /// dropped and all that waits is written.
+    /// Creates a store. Its flusher runs on the executor until the store is
+    /// dropped and all waiting writes are done.
     pub fn new(
         table: Arc<TableClient>,
         options: ClaimOptions,
@@ -87,27 +90,27 @@
         ClaimStore { table, options, queue, versions, counters }
     }
 
-    /// Claims a key if nobody holds it, or its claim has expired.
+    /// Claims a key that is free or whose claim has expired.
     ///
     /// # Errors
     ///
-    /// [`ClaimError::StoreUnavailable`] and [`ClaimError::Ambiguous`]; the request
-    /// must not be dispatched after either.
+    /// [`ClaimError::StoreUnavailable`] or [`ClaimError::Ambiguous`]; after
+    /// either the request must not be dispatched.
     pub async fn claim(
         &self,
         key: &ClaimKey,
         claim: Claim,
     ) -> Result<ClaimOutcome, ClaimError> {
-        self.take(key, claim, Condition::Absent).await
+        self.write_claim(key, claim, Condition::Absent).await
     }
 
-    /// Replaces a claim by another one if it has not changed: to run a
-    /// request again that surely did not run, or to note how it ended after
-    /// its owner has gone.
+    /// Replaces a claim if it has not changed: to run a request that certainly
+    /// did not run, or to record the outcome of a request whose owner is
+    /// unavailable.
     ///
     /// # Errors
     ///
-    /// As of [`ClaimStore::claim`].
+    /// As for [`ClaimStore::claim`].
     pub async fn replace(
         &self,
         key: &ClaimKey,
@@ -115,17 +118,18 @@
         claim: Claim,
     ) -> Result<ClaimOutcome, ClaimError> {
         let Some((version, row)) = self.read_row(key).await? else {
-            return self.take(key, claim, Condition::Absent).await;
+            return self.write_claim(key, claim, Condition::Absent).await;
         };
-        let current = row.load(self.objects()).await?;
+        let current = row.load_claim(self.objects()).await?;
         if current != *held {
             return Ok(ClaimOutcome::Held(current));
         }
-        self.take(key, claim, Condition::Version(version)).await
+        self.write_claim(key, claim, Condition::Version(version)).await
     }
 
-    /// Changes a claim of one's own: to another side process before it is
-    /// dispatched there, or to how it ended. One update at a time.
+    /// Updates a claim that the caller owns: with another side process, before
+    /// the request is dispatched there, or with the outcome of the request.
+    /// Updates of a claim must not run concurrently.
     ///
     /// # Errors
     ///
@@ -137,25 +141,25 @@
     ) -> Result<(), ClaimError> {
         let claim_id = claim.claim_id;
         let is_open = claim.state == ClaimState::Claimed;
-        let version = match self.take_version(claim_id) {
+        let version = match self.remove_version(claim_id) {
             Some(version) => version,
-            None => self.own_version(key, claim_id).await?,
+            None => self.read_own_version(key, claim_id).await?,
         };
         let mut row = ClaimRow::new(claim);
         let limit_bytes = self.options.inline_limit_bytes;
-        row.store_body(self.objects(), limit_bytes).await?;
+        row.offload_body(self.objects(), limit_bytes).await?;
         let condition = Condition::Version(version);
-        let waiter = self.send(key, row, condition, Kind::Update)?;
-        match waiter.reception.wait().await? {
+        let waiter = self.enqueue(key, row, condition, WriteKind::Update)?;
+        match waiter.receiver.wait().await? {
             Reply::Written { version } => {
                 if is_open {
-                    self.keep_version(claim_id, version);
+                    self.cache_version(claim_id, version);
                 }
                 Ok(())
             }
             Reply::Occupied(row) => {
                 let current = match row {
-                    Some(row) => Some(row.load(self.objects()).await?),
+                    Some(row) => Some(row.load_claim(self.objects()).await?),
                     None => None,
                 };
                 let current = current.map(Box::new);
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Reads the claim of a key; none when there is none or it has expired.
+    /// Reads the claim of a key; none if there is none or it has expired.
     ///
     /// # Errors
     ///
@@ -179,15 +183,15 @@
         if row.claim.has_expired(claim::now_unix_s()) {
             return Ok(None);
         }
-        row.load(self.objects()).await.map(Some)
+        row.load_claim(self.objects()).await.map(Some)
     }
 
-    /// Counts since the store was made.
+    /// Counts since the store was created.
     pub fn counts(&self) -> ClaimCounts {
         self.counters.read()
     }
 
-    async fn take(
+    async fn write_claim(
         &self,
         key: &ClaimKey,
         claim: Claim,
@@ -197,39 +201,38 @@
         let is_open = claim.state == ClaimState::Claimed;
         let mut row = ClaimRow::new(claim);
         let limit_bytes = self.options.inline_limit_bytes;
-        row.store_body(self.objects(), limit_bytes).await?;
-        let waiter = self.send(key, row, condition, Kind::Claim)?;
-        match waiter.reception.wait().await? {
+        row.offload_body(self.objects(), limit_bytes).await?;
+        let waiter = self.enqueue(key, row, condition, WriteKind::Claim)?;
+        match waiter.receiver.wait().await? {
             Reply::Written { version } => {
                 if is_open {
-                    self.keep_version(claim_id, version);
+                    self.cache_version(claim_id, version);
                 }
                 Ok(ClaimOutcome::Acquired)
             }
             Reply::Occupied(Some(row)) => {
-                row.load(self.objects()).await.map(ClaimOutcome::Held)
+                row.load_claim(self.objects()).await.map(ClaimOutcome::Held)
             }
             Reply::Occupied(None) => Err(ClaimError::StoreUnavailable),
         }
     }
 
-    /// Puts a write into the queue; a full one counts as a service that is
-    /// down.
-    fn send(
+    /// Queues a write; a full queue counts as an unavailable service.
+    fn enqueue(
         &self,
         key: &ClaimKey,
         row: ClaimRow,
         condition: Condition,
-        kind: Kind,
-    ) -> Result<Waiter, ClaimError> {
-        let withdrawal = (kind == Kind::Claim)
+        kind: WriteKind,
+    ) -> Result<ReplyWaiter, ClaimError> {
+        let withdrawal = (kind == WriteKind::Claim)
             .then(|| (key.row_key().to_owned(), row.clone()));
         let timeout = self.options.claim_timeout;
-        let (pending, reception) =
-            Pending::new(key.row_key(), row, condition, kind, timeout);
-        let sent = self.queue.try_send(pending);
-        sent.map_err(|_| ClaimError::StoreUnavailable)?;
-        Ok(Waiter { reception, withdrawal, queue: self.queue.clone() })
+        let (pending, receiver) =
+            PendingWrite::new(key.row_key(), row, condition, kind, timeout);
+        let queued = self.queue.try_send(pending);
+        queued.map_err(|_| ClaimError::StoreUnavailable)?;
+        Ok(ReplyWaiter { receiver, withdrawal, queue: self.queue.clone() })
     }
 
     async fn read_row(
@@ -243,7 +246,7 @@
         decode(&row).map(|decoded| Some((row.version, decoded)))
     }
 
-    async fn own_version(
+    async fn read_own_version(
         &self,
         key: &ClaimKey,
         claim_id: u128,
@@ -254,7 +257,7 @@
         if row.claim.claim_id == claim_id {
             return Ok(version);
         }
-        let current = row.load(self.objects()).await?;
+        let current = row.load_claim(self.objects()).await?;
         let current = Some(Box::new(current));
         Err(ClaimError::NotOwner { current })
     }
@@ -263,16 +266,22 @@
         self.options.objects.as_deref()
     }
 
-    /// Takes a version out, so that it is read anew if the update does not
-    /// come back with the next one.
-    fn take_version(&self, claim_id: u128) -> Option<u64> {
-        let mut versions = self.versions.lock().expect("no holder panics");
+    /// Removes a cached version, so that the row is read again if the update
+    /// does not return the next version.
+    fn remove_version(&self, claim_id: u128) -> Option<u64> {
+        let mut versions = self
+            .versions
+            .lock()
+            .expect("no thread panics while it holds the lock");
         versions.remove(&claim_id)
     }
 
-    fn keep_version(&self, claim_id: u128, version: u64) {
-        let mut versions = self.versions.lock().expect("no holder panics");
-        if versions.len() >= MAX_VERSIONS {
+    fn cache_version(&self, claim_id: u128, version: u64) {
+        let mut versions = self
+            .versions
+            .lock()
+            .expect("no thread panics while it holds the lock");
+        if versions.len() >= MAX_CACHED_VERSIONS {
             versions.clear();
         }
         versions.insert(claim_id, version);
@@ -283,22 +292,23 @@
     ClaimRow::try_decode(row).ok_or(ClaimError::StoreUnavailable)
 }
 
-/// A reception that withdraws its claim if it is dropped too early.
-struct Waiter {
-    reception: Reception,
+/// Receiver that withdraws its claim if it is dropped before it has received
+/// the result.
+struct ReplyWaiter {
+    receiver: ReplyReceiver,
     withdrawal: Option<(String, ClaimRow)>,
-    queue: Sender<Pending>,
+    queue: Sender<PendingWrite>,
 }
 
-impl Drop for Waiter {
+impl Drop for ReplyWaiter {
     fn drop(&mut self) {
-        let is_untaken = self.reception.close();
+        let is_unreceived = self.receiver.close();
         if let Some((row_key, row)) = &self.withdrawal
-            && is_untaken
+            && is_unreceived
         {
-            // When the queue is full the claim stays until it expires, and
-            // a repeat learns from the side process that it never ran.
-            let pending = Pending::withdrawal(row_key, row);
+            // If the queue is full, the claim stays until it expires. A repeat
+            // learns from the side process that the request never ran.
+            let pending = PendingWrite::withdrawal(row_key, row);
             let _ = self.queue.try_send(pending);
         }
     }
--- a/crates/platform/src/claims/options.rs
+++ b/crates/platform/src/claims/options.rs
@@ -1,17 +1,17 @@
-//! Settings of a claim store.
+//! Options of a claim store.
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{objects::ObjectClient, wire};
 
-/// Settings of a claim store, set by chained methods.
+/// Options of a claim store.
 ///
-/// One entry writes at most `1000 / flush_ms` transactions a second, each of
-/// up to `batch` claims: with the shipped 20 ms and 50 claims, 50
-/// transactions and 2,500 claims; a held key or a lost answer adds one to
-/// its flush. Beyond that claims wait, up to
-/// `queue_limit` of them and for `claim_timeout`; the rest is refused as if
-/// the service were down.
+/// One entry writes at most `1000 / flush_ms` transactions per second, each
+/// with up to `batch` claims: with the defaults of 20 ms and 50 claims, 50
+/// transactions and 2,500 claims. A key that is already held or a lost
+/// response adds one transaction to its flush. Above this rate, up to
+/// `queue_limit` claims wait for at most `claim_timeout`; further claims fail
+/// as if the service were unavailable.
 #[derive(Clone, Debug)]
 pub struct ClaimOptions {
     pub(super) batch: usize,
@@ -36,47 +36,48 @@
 }
 
 impl ClaimOptions {
-    /// The shipped settings.
+    /// Returns the default options.
     pub fn new() -> ClaimOptions {
         ClaimOptions::default()
     }
 
-    /// Most claims in one transaction. Out of 1 to 100, the service's
-    /// limit, the nearest is taken.
+    /// Sets the maximum claims of one transaction, clamped to 1 to 100, the
+    /// limit of the service.
     pub fn batch(mut self, count: usize) -> ClaimOptions {
         self.batch = count.clamp(1, wire::MAX_TRANSACT_ITEMS);
         self
     }
 
-    /// Shortest time from one transaction to the next. A claim that comes
-    /// after a longer pause is written at once.
+    /// Sets the minimum time from one transaction to the next. A claim that
+    /// arrives later than that is written immediately.
     pub fn flush_ms(mut self, milliseconds: u64) -> ClaimOptions {
         self.flush_ms = milliseconds;
         self
     }
 
-    /// How long a claim or an update may take. The table client's own
-    /// timeout is best at most half of it, so that a lost answer can still
-    /// be settled.
+    /// Sets the timeout of a claim or an update. The timeout of the table
+    /// client should be at most half of it, which leaves time to resolve a
+    /// lost response.
     pub fn claim_timeout(mut self, timeout: Duration) -> ClaimOptions {
         self.claim_timeout = timeout;
         self
     }
 
-    /// Most claims that wait.
+    /// Sets the maximum number of claims that wait; at least 1.
     pub fn queue_limit(mut self, count: usize) -> ClaimOptions {
         self.queue_limit = count.max(1);
         self
     }
 
-    /// Longest answer kept in the row itself; 256 KiB at most, since a row
-    /// may have 400 KB.
+    /// Sets the maximum length of a response body stored in the row itself; at
+    /// most 256 KiB, since the service limits a row to 400 KB.
     pub fn inline_limit_bytes(mut self, limit: usize) -> ClaimOptions {
         self.inline_limit_bytes = limit.min(256 * 1024);
         self
     }
 
-    /// Where longer answers go. Without it they cannot be kept.
+    /// Sets the object store for longer response bodies. Without an object
+    /// store, such responses cannot be stored.
     pub fn objects(mut self, objects: Arc<ObjectClient>) -> ClaimOptions {
         self.objects = Some(objects);
         self
--- a/crates/platform/src/claims/answer.rs
+++ b/crates/platform/src/claims/outcome.rs
@@ -1,33 +1,35 @@
-//! Answers to claims and updates.
+//! Results of claims and updates.
 
 use std::{error, fmt};
 
 use super::Claim;
 
-/// Answer to a claim.
+/// Result of claiming a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "taken apart by the caller at once and never stored"
+    reason = "the caller matches on it immediately and never stores it"
 )]
 pub enum ClaimOutcome {
-    /// The key is the caller's.
+    /// The caller now holds the key.
     Acquired,
-    /// The key is held by this claim; see [`decide`](super::decide()).
+    /// Another claim holds the key; see [`decide`](super::decide()).
     Held(Claim),
 }
 
 /// Why a claim was not made or changed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimError {
-    /// Surely not written: a service is down or too slow.
+    /// The claim was certainly not written: a service is unavailable or too
+    /// slow.
     StoreUnavailable,
-    /// It may have been written. A new claim of this kind must not be
-    /// dispatched; it is withdrawn once the service answers.
+    /// The claim may have been written. The request of such a new claim must
+    /// not be dispatched; the claim is withdrawn once the service responds.
     Ambiguous,
-    /// Not changed, since the row is no longer the owner's.
+    /// The claim was not changed because the row no longer belongs to the
+    /// owner.
     NotOwner {
-        /// What the row holds; none when it is gone.
+        /// The claim in the row; none if the row was removed.
         current: Option<Box<Claim>>,
     },
 }
@@ -37,7 +39,7 @@
         f.write_str(match self {
             ClaimError::StoreUnavailable => "the claim was not written",
             ClaimError::Ambiguous => "the claim may have been written",
-            ClaimError::NotOwner { .. } => "the claim is held by another",
+            ClaimError::NotOwner { .. } => "another claim holds the key",
         })
     }
 }
--- a/crates/platform/src/claims/pending.rs
+++ b/crates/platform/src/claims/pending.rs
@@ -1,7 +1,7 @@
-//! A write that waits for its flush, and whoever waits for it.
+//! A write that waits for its flush, and the receiver of its result.
 //!
-//! The two ends share one stage: a waiter that gives up before the write was
-//! sent takes it out of the queue and knows that it was not applied.
+//! Both ends share the send state. A receiver that gives up before the write
+//! is sent cancels the write, and so knows that it is not applied.
 
 use std::{
     sync::{
@@ -22,64 +22,64 @@
 };
 use crate::table::{Condition, ExpiringWrite, Write};
 
-/// How long it is tried to withdraw a claim that nobody waits for.
-const WITHDRAW_FOR: Duration = Duration::from_secs(600);
+/// How long the withdrawal of an abandoned claim is retried.
+const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// In the queue.
+/// Send state: in the queue.
 const QUEUED: u8 = 0;
-/// Sent at least once since it was queued.
+/// Send state: sent at least once since the write was queued.
 const SENT: u8 = 1;
-/// Given up by its waiter before it was sent.
+/// Send state: cancelled by the receiver before the write was sent.
 const CANCELLED: u8 = 2;
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Debug)]
 pub(super) enum Reply {
-    /// The row has the value.
+    /// The row has the written value.
     Written { version: u64 },
-    /// The row has another value, or is gone.
+    /// The row has a different value or was removed.
     Occupied(Option<Box<ClaimRow>>),
 }
 
 pub(super) type ReplyResult = Result<Reply, ClaimError>;
 
-/// What a write is for.
+/// Purpose of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Kind {
+pub(super) enum WriteKind {
     /// A new claim.
     Claim,
     /// A change by the owner.
     Update,
-    /// Marks the claim of this call, which nobody waits for, as not run.
+    /// Marks the abandoned claim of this call as not run.
     Withdraw { call_id: u128 },
 }
 
 /// A write that waits for its flush.
-pub(super) struct Pending {
+pub(super) struct PendingWrite {
     pub(super) row_key: String,
     pub(super) row: ClaimRow,
     pub(super) value: Vec<u8>,
     pub(super) condition: Condition,
-    pub(super) kind: Kind,
+    pub(super) kind: WriteKind,
     pub(super) deadline: Instant,
-    /// A write of it may have been applied.
+    /// Whether an earlier attempt may have been applied.
     pub(super) is_ambiguous: bool,
-    waiter: Option<(Arc<AtomicU8>, Sender<ReplyResult>)>,
+    reply_to: Option<(Arc<AtomicU8>, Sender<ReplyResult>)>,
 }
 
-impl Pending {
-    /// A write and the end that waits for it.
+impl PendingWrite {
+    /// Creates a write and the receiver of its result.
     pub(super) fn new(
         row_key: &str,
         row: ClaimRow,
         condition: Condition,
-        kind: Kind,
+        kind: WriteKind,
         timeout: Duration,
-    ) -> (Pending, Reception) {
-        let stage = Arc::new(AtomicU8::new(QUEUED));
+    ) -> (PendingWrite, ReplyReceiver) {
+        let send_state = Arc::new(AtomicU8::new(QUEUED));
         let (sender, receiver) = async_channel::bounded(1);
         let deadline = Instant::now() + timeout;
-        let pending = Pending {
+        let pending = PendingWrite {
             row_key: row_key.to_owned(),
             value: row.encode(),
             row,
@@ -87,36 +87,38 @@
             kind,
             deadline,
             is_ambiguous: false,
-            waiter: Some((stage.clone(), sender)),
+            reply_to: Some((send_state.clone(), sender)),
         };
-        (pending, Reception { stage, receiver, deadline })
+        (pending, ReplyReceiver { send_state, receiver, deadline })
     }
 
-    /// The write that marks an unwanted claim as not run. Its first
-    /// condition also keeps out a write that is still on its way.
-    pub(super) fn withdrawal(row_key: &str, row: &ClaimRow) -> Pending {
+    /// Creates the write that marks an abandoned claim as not run. Its first
+    /// condition, that the row is absent, also makes an original write that is
+    /// still in transit fail.
+    pub(super) fn withdrawal(row_key: &str, row: &ClaimRow) -> PendingWrite {
         let state = ClaimState::NotRun;
         let claim = Claim { state, ..row.claim.clone() };
-        let kind = Kind::Withdraw { call_id: row.call_id };
+        let kind = WriteKind::Withdraw { call_id: row.call_id };
         let row = ClaimRow::new(claim);
-        Pending {
+        PendingWrite {
             row_key: row_key.to_owned(),
             value: row.encode(),
             row,
             condition: Condition::Absent,
             kind,
-            deadline: Instant::now() + WITHDRAW_FOR,
+            deadline: Instant::now() + WITHDRAW_TIMEOUT,
             is_ambiguous: false,
-            waiter: None,
+            reply_to: None,
         }
     }
 
-    /// Notes that it is being sent; false when its waiter has given up.
-    pub(super) fn begin_sending(&self) -> bool {
-        let Some((stage, _)) = &self.waiter else {
+    /// Marks the write as sent; returns false if the receiver cancelled the
+    /// write.
+    pub(super) fn mark_sent(&self) -> bool {
+        let Some((send_state, _)) = &self.reply_to else {
             return true;
         };
-        stage
+        send_state
             .compare_exchange(
                 QUEUED,
                 SENT,
@@ -126,26 +128,27 @@
             .is_ok()
     }
 
-    /// Notes that what was sent was not applied; false when nobody waits
-    /// any more.
-    pub(super) fn take_back(&mut self) -> bool {
+    /// Marks the write as queued again after no attempt was applied; returns
+    /// false if the receiver is closed.
+    pub(super) fn mark_queued(&mut self) -> bool {
         self.is_ambiguous = false;
-        let Some((stage, sender)) = &self.waiter else {
+        let Some((send_state, sender)) = &self.reply_to else {
             return true;
         };
-        stage.store(QUEUED, Ordering::Release);
+        send_state.store(QUEUED, Ordering::Release);
         !sender.is_closed()
     }
 
-    /// Tells the waiter; false when it has gone.
+    /// Sends the result to the receiver; returns false if the receiver is
+    /// closed.
     pub(super) fn reply(&self, reply: ReplyResult) -> bool {
-        match &self.waiter {
+        match &self.reply_to {
             Some((_, sender)) => sender.try_send(reply).is_ok(),
             None => true,
         }
     }
 
-    /// Version of the row once this write is applied.
+    /// Version of the row after this write is applied.
     pub(super) fn new_version(&self) -> u64 {
         match self.condition {
             Condition::Version(old) => old + 1,
@@ -164,44 +167,45 @@
     }
 }
 
-/// Waits for a write.
-pub(super) struct Reception {
-    stage: Arc<AtomicU8>,
+/// Receives the result of a write.
+pub(super) struct ReplyReceiver {
+    send_state: Arc<AtomicU8>,
     receiver: Receiver<ReplyResult>,
     deadline: Instant,
 }
 
-impl Reception {
+impl ReplyReceiver {
     pub(super) async fn wait(&self) -> ReplyResult {
         let reply = async {
             let reply = self.receiver.recv().await;
-            reply.unwrap_or_else(|_| Err(self.give_up()))
+            reply.unwrap_or_else(|_| Err(self.cancel()))
         };
-        let limit = async {
+        let timeout = async {
             Timer::at(self.deadline).await;
-            Err(self.give_up())
+            Err(self.cancel())
         };
-        reply.or(limit).await
+        reply.or(timeout).await
     }
 
-    /// Ends the waiting; true when the write turns out to be applied with
-    /// nobody told.
+    /// Stops receiving; returns true if the write was applied and its result
+    /// was never received.
     pub(super) fn close(&self) -> bool {
-        self.give_up();
+        self.cancel();
         self.receiver.close();
-        let untaken = self.receiver.try_recv();
-        matches!(untaken, Ok(Ok(Reply::Written { .. })))
+        let unreceived = self.receiver.try_recv();
+        matches!(unreceived, Ok(Ok(Reply::Written { .. })))
     }
 
-    /// Takes the write out of the queue if it was not sent.
-    fn give_up(&self) -> ClaimError {
-        let stage = self.stage.compare_exchange(
+    /// Cancels the write if it was not sent, and returns the error for the
+    /// caller.
+    fn cancel(&self) -> ClaimError {
+        let send_state = self.send_state.compare_exchange(
             QUEUED,
             CANCELLED,
             Ordering::AcqRel,
             Ordering::Acquire,
         );
-        match stage {
+        match send_state {
             Ok(_) | Err(CANCELLED) => ClaimError::StoreUnavailable,
             Err(_) => ClaimError::Ambiguous,
         }
--- a/crates/platform/src/claims/row.rs
+++ b/crates/platform/src/claims/row.rs
@@ -1,23 +1,24 @@
-//! The value of a claim's row.
+//! The stored value of a claim's row.
 //!
-//! A long answer lies in the object store, named by its digest, and the row
-//! keeps the name: many of them together would pass a transaction's limit.
+//! A long response body is stored in the object store under its digest, and
+//! the row refers to it: several long bodies in one transaction would exceed
+//! the service's size limit.
 
 use serde::{Deserialize, Serialize};
 
 use super::{ClaimError, claim::Claim, claim::ClaimState};
 use crate::{hex, objects::ObjectClient, table::Row};
 
-/// A claim as written.
+/// Value of a claim's row.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(super) struct ClaimRow {
-    /// Random number of the call that wrote it. Two calls of one owner must
-    /// not take each other's write for their own.
+    /// Random id of the call that wrote the row, so that two calls of one
+    /// owner do not mistake each other's write for their own.
     #[serde(with = "hex::number")]
     pub(super) call_id: u128,
-    /// The claim; its answer's body is empty if it lies elsewhere.
+    /// The claim; the response body is empty if it is stored as an object.
     pub(super) claim: Claim,
-    /// Object with the answer's body.
+    /// Key of the object with the response body.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) body_object: Option<String>,
 }
@@ -33,11 +34,11 @@
     }
 
     pub(super) fn encode(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("plain fields can be written")
+        serde_json::to_vec(self).expect("plain fields always serialize")
     }
 
-    /// Moves a body longer than the limit to the object store.
-    pub(super) async fn store_body(
+    /// Moves a response body longer than the limit to the object store.
+    pub(super) async fn offload_body(
         &mut self,
         objects: Option<&ObjectClient>,
         limit_bytes: usize,
@@ -57,8 +58,8 @@
         Ok(())
     }
 
-    /// The claim with its whole answer.
-    pub(super) async fn load(
+    /// Returns the claim with its complete response.
+    pub(super) async fn load_claim(
         self,
         objects: Option<&ObjectClient>,
     ) -> Result<Claim, ClaimError> {
--- a/crates/platform/src/concurrent.rs
+++ b/crates/platform/src/concurrent.rs
@@ -8,8 +8,8 @@
 /// would take too long.
 pub(crate) const MAX_CONCURRENT_CALLS: usize = 32;
 
-/// Runs calls concurrently and returns their results in the order of the calls,
-/// or an error if any call fails.
+/// Runs calls concurrently and returns their results in the order of the
+/// calls, or an error if any call fails.
 pub(crate) async fn try_join_all<T, E, F>(
     calls: impl IntoIterator<Item = F>,
 ) -> Result<Vec<T>, E>
@@ -35,7 +35,8 @@
     Ok(results)
 }
 
-/// Runs calls concurrently and returns their results in the order of the calls.
+/// Runs calls concurrently and returns their results in the order of the
+/// calls.
 pub async fn join_all<T, F>(calls: impl IntoIterator<Item = F>) -> Vec<T>
 where
     F: Future<Output = T> + Send,
--- a/crates/platform/src/manifest_store/cache.rs
+++ b/crates/platform/src/manifest_store/cache.rs
@@ -45,8 +45,8 @@
         self.parts.is_empty()
     }
 
-    /// Returns the objects of a generation that are not cached: the root, or if
-    /// the root is cached, the missing parts.
+    /// Returns the objects of a generation that are not cached: the root, or
+    /// if the root is cached, the missing parts.
     pub fn missing(&self, root: &[u8; 32]) -> BTreeSet<ObjectDigest> {
         let Some(digests) = self.root(root) else {
             return BTreeSet::from([ObjectDigest::Root(*root)]);
--- a/crates/platform/src/manifest_store/mod.rs
+++ b/crates/platform/src/manifest_store/mod.rs
@@ -100,8 +100,8 @@
         Ok(head.map(|(_, head)| head))
     }
 
-    /// Returns the sections of a generation. Reads only the objects that are not
-    /// cached; afterwards the cache has only the parts of this generation.
+    /// Returns the sections of a generation. Reads only the objects that are
+    /// not cached; afterwards the cache has only the parts of this generation.
     ///
     /// # Errors
     ///
@@ -115,8 +115,8 @@
         cache.sections(&head.root)
     }
 
-    /// Reads the objects of a generation that are not cached. Objects read before
-    /// an error stay in the cache.
+    /// Reads the objects of a generation that are not cached. Objects read
+    /// before an error stay in the cache.
     ///
     /// # Errors
     ///
@@ -204,8 +204,8 @@
         Ok(Some(Accepted { generation }))
     }
 
-    /// Writes the parts that the base does not have, then the root. The parts of
-    /// the base already exist, and the base is still the head if the
+    /// Writes the parts that the base does not have, then the root. The parts
+    /// of the base already exist, and the base is still the head if the
     /// transaction succeeds.
     async fn put_parts(
         &self,
@@ -232,8 +232,8 @@
 
     async fn commit(&self, change: &Change) -> Result<Accepted, SubmitError> {
         let deadline = Instant::now() + self.resolve_timeout;
-        // After a lost response, "not applied" holds for the last attempt only,
-        // not for the submission.
+        // After a lost response, "not applied" holds for the last attempt
+        // only, not for the submission.
         let mut is_ambiguous = false;
         loop {
             let writes = change.writes();
@@ -255,8 +255,8 @@
             if let Ok(Some(accepted)) = self.find_accepted(id, root).await {
                 return Ok(accepted);
             }
-            // The write may still be in transit. Because of the token, it can be
-            // repeated safely.
+            // The write may still be in transit. Because of the token, it can
+            // be repeated safely.
             if Instant::now() >= deadline {
                 let detail = error.to_string();
                 return Err(SubmitError::Unknown { detail });
@@ -265,8 +265,8 @@
         }
     }
 
-    /// Returns the result of a submission whose conditions failed: accepted by an
-    /// earlier attempt, or beaten by another submission.
+    /// Returns the result of a submission whose conditions failed: accepted by
+    /// an earlier attempt, or beaten by another submission.
     async fn resolve_conflict(
         &self,
         change: &Change,
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -3,8 +3,8 @@
 //!
 //! The client uses `GetItem`, `BatchGetItem` and `TransactWriteItems`. It does
 //! not use `PutItem`, which takes no request token: after a lost response, a
-//! `PutItem` could not be repeated safely. A row is one item with the key `pk`,
-//! the value `v`, the version `ver` and optionally the time-to-live
+//! `PutItem` could not be repeated safely. A row is one item with the key
+//! `pk`, the value `v`, the version `ver` and optionally the time-to-live
 //! `expires_at`.
 
 use std::collections::BTreeMap;
