--- a/crates/platform/tests/platform/claims.rs
+++ b/crates/platform/tests/platform/claims.rs
@@ -1,4 +1,4 @@
-//! Claims against the stand-in, with faults.
+//! Claims against the stand-in of the table service, with injected faults.
 
 use std::{
     sync::Arc,
@@ -17,8 +17,8 @@
     CALL_TIMEOUT, Platform, claim, closed_address, completed, run, until,
 };
 
-/// No claim in these tests may wait longer than this.
-const TIMEOUT: Duration = Duration::from_millis(400);
+/// Claim timeout of the tests in which claims are expected to time out.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(400);
 
 fn options() -> ClaimOptions {
     ClaimOptions::new().claim_timeout(CALL_TIMEOUT)
@@ -28,8 +28,8 @@
     ClaimKey::new("caisse", &number.to_string())
 }
 
-/// Claims the keys from 0 at once, with their number as claim id; answers
-/// in their order.
+/// Claims the keys from 0 to `count` concurrently, each with its number as
+/// claim id. Returns the results in the order of the keys.
 async fn claim_all(
     platform: &Platform,
     claims: &Arc<ClaimStore>,
@@ -38,7 +38,7 @@
     claim_all_as(platform, claims, 0, count).await
 }
 
-/// As [`claim_all`], with claim ids from `first_id`.
+/// As [`claim_all`], with claim ids starting at `first_id`.
 async fn claim_all_as(
     platform: &Platform,
     claims: &Arc<ClaimStore>,
@@ -54,19 +54,19 @@
             })
         })
         .collect();
-    let mut answers = Vec::new();
+    let mut results = Vec::new();
     for task in tasks {
-        answers.push(task.await);
+        results.push(task.await);
     }
-    answers
+    results
 }
 
 #[test]
-fn many_claims_share_few_writes() {
+fn concurrent_claims_are_written_in_batches() {
     run(|platform| async move {
         let claims = platform.claims(options().batch(50));
-        let answers = claim_all(&platform, &claims, 1000).await;
-        assert!(answers.iter().all(|a| *a == Ok(ClaimOutcome::Acquired)));
+        let results = claim_all(&platform, &claims, 1000).await;
+        assert!(results.iter().all(|a| *a == Ok(ClaimOutcome::Acquired)));
         let stats = platform.table_stats().await;
         assert_eq!(stats.rows_written, 1000);
         assert!(stats.writes <= 1000 / 50 + 2, "{stats:?}");
@@ -74,22 +74,23 @@
 }
 
 #[test]
-fn a_held_key_does_not_fail_its_batch() {
+fn a_held_key_does_not_fail_other_claims_in_its_batch() {
     run(|platform| async move {
         let other = platform.claims(options());
         let held = claim(9999);
         other.claim(&key(3), held.clone()).await.unwrap();
         let claims = platform.claims(options());
-        let answers = claim_all(&platform, &claims, 20).await;
-        for (number, answer) in answers.into_iter().enumerate() {
+        let results = claim_all(&platform, &claims, 20).await;
+        for (number, result) in results.into_iter().enumerate() {
             let expected = match number {
                 3 => ClaimOutcome::Held(held.clone()),
                 _ => ClaimOutcome::Acquired,
             };
-            assert_eq!(answer, Ok(expected), "key {number}");
+            assert_eq!(result, Ok(expected), "key {number}");
         }
-        // One for the other store, one that fails, one without the held key
-        // and at most one more for a claim that came first.
+        // One write by the other store, one that fails, one without the held
+        // key, and at most one more for a claim that was flushed alone before
+        // the others arrived.
         let stats = platform.table_stats().await;
         assert!(stats.writes <= 4, "{stats:?}");
     });
@@ -102,8 +103,8 @@
         other.claim(&key(3), claim(9999)).await.unwrap();
         let claims = platform.claims(options());
         claims.claim(&key(1), claim(1)).await.unwrap();
-        let done = completed(claim(1), b"whole");
-        // Right after a flush both wait for the next one.
+        let done = completed(claim(1), b"body");
+        // Directly after a flush, both writes wait for the next flush.
         let (held, updated) = future::zip(
             claims.claim(&key(3), claim(3)),
             claims.update(&key(1), done.clone()),
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn two_claims_of_one_key_in_a_flush_have_one_winner() {
+fn only_one_of_two_concurrent_claims_acquires_a_key() {
     run(|platform| async move {
         let claims = platform.claims(options());
         let key = key(1);
@@ -128,17 +129,17 @@
     });
 }
 
-struct LostCase {
+struct LossCase {
     lose_answers: u64,
     lose_requests: u64,
 }
 
 #[rstest]
-#[case::answer(LostCase { lose_answers: 1, lose_requests: 0 })]
-#[case::request(LostCase { lose_answers: 0, lose_requests: 1 })]
-#[case::both(LostCase { lose_answers: 2, lose_requests: 2 })]
-fn a_lost_answer_is_settled(#[case] case: LostCase) {
-    let LostCase { lose_answers, lose_requests } = case;
+#[case::response(LossCase { lose_answers: 1, lose_requests: 0 })]
+#[case::request(LossCase { lose_answers: 0, lose_requests: 1 })]
+#[case::both(LossCase { lose_answers: 2, lose_requests: 2 })]
+fn the_outcome_after_a_lost_response_is_determined(#[case] case: LossCase) {
+    let LossCase { lose_answers, lose_requests } = case;
     run(|platform| async move {
         let claims = platform.claims(options());
         let faults = FaultSettings {
@@ -147,18 +148,18 @@
             ..FaultSettings::default()
         };
         platform.set_faults(faults.clone());
-        let mine = claims.claim(&key(1), claim(1)).await;
-        assert_eq!(mine, Ok(ClaimOutcome::Acquired));
+        let claimed = claims.claim(&key(1), claim(1)).await;
+        assert_eq!(claimed, Ok(ClaimOutcome::Acquired));
 
         platform.set_faults(faults.clone());
-        let done = completed(claim(1), b"whole");
+        let done = completed(claim(1), b"body");
         let updated = claims.update(&key(1), done.clone()).await;
         assert_eq!(updated, Ok(()));
         assert_eq!(claims.read(&key(1)).await, Ok(Some(done.clone())));
 
         platform.set_faults(faults);
-        let answer = claims.claim(&key(1), claim(2)).await;
-        assert_eq!(answer, Ok(ClaimOutcome::Held(done)));
+        let repeated = claims.claim(&key(1), claim(2)).await;
+        assert_eq!(repeated, Ok(ClaimOutcome::Held(done)));
         assert!(claims.counts().lost_responses >= 2);
         let stats = platform.table_stats().await;
         assert_eq!(stats.rows_written, 2, "{stats:?}");
@@ -168,49 +169,49 @@
 #[rstest]
 #[case::unavailable(Down::Unavailable, ClaimError::StoreUnavailable, true)]
 #[case::closed(Down::Closed, ClaimError::Ambiguous, false)]
-fn a_store_that_is_down_does_not_hold_claims(
+fn claims_fail_while_the_store_is_unavailable(
     #[case] down: Down,
     #[case] expected: ClaimError,
-    #[case] is_at_once: bool,
+    #[case] is_immediate: bool,
 ) {
     run(|platform| async move {
-        let timeout = if is_at_once { CALL_TIMEOUT } else { TIMEOUT };
+        let timeout = if is_immediate { CALL_TIMEOUT } else { SHORT_TIMEOUT };
         let claims = platform.claims(options().claim_timeout(timeout));
         let settings = FaultSettings { down, ..FaultSettings::default() };
         platform.set_faults(settings);
-        // Half of the timeout tells "at once" from "at the timeout"; many
-        // claims one after another show that none waits for a pause.
-        let begin = Instant::now();
-        for _ in 0..if is_at_once { 20 } else { 1 } {
-            let answer = claims.claim(&key(1), claim(1)).await;
-            assert_eq!(answer, Err(expected.clone()));
+        // Half of the timeout separates an immediate failure from a timeout.
+        // Several sequential claims show that none waits for a backoff.
+        let started = Instant::now();
+        for _ in 0..if is_immediate { 20 } else { 1 } {
+            let result = claims.claim(&key(1), claim(1)).await;
+            assert_eq!(result, Err(expected.clone()));
         }
-        assert_eq!(begin.elapsed() < timeout / 2, is_at_once);
+        assert_eq!(started.elapsed() < timeout / 2, is_immediate);
 
         platform.set_faults(FaultSettings::default());
-        let answer = claims.claim(&key(2), claim(2)).await;
-        assert_eq!(answer, Ok(ClaimOutcome::Acquired));
+        let result = claims.claim(&key(2), claim(2)).await;
+        assert_eq!(result, Ok(ClaimOutcome::Acquired));
     });
 }
 
 #[test]
-fn a_refused_connection_is_told_at_once() {
+fn a_refused_connection_fails_a_claim_immediately() {
     run(|platform| async move {
         let address = closed_address();
         let table = Arc::new(TableClient::new(address, CALL_TIMEOUT));
         let executor = platform.executor.clone();
         let claims = ClaimStore::new(table, options(), executor);
-        let begin = Instant::now();
-        let answer = claims.claim(&key(1), claim(1)).await;
-        assert_eq!(answer, Err(ClaimError::StoreUnavailable));
-        assert!(begin.elapsed() < CALL_TIMEOUT / 2);
+        let started = Instant::now();
+        let result = claims.claim(&key(1), claim(1)).await;
+        assert_eq!(result, Err(ClaimError::StoreUnavailable));
+        assert!(started.elapsed() < CALL_TIMEOUT / 2);
     });
 }
 
 #[test]
-fn a_slow_store_holds_no_claim_beyond_its_timeout() {
+fn a_claim_times_out_while_the_store_is_slow() {
     run(|platform| async move {
-        let claims = platform.claims(options().claim_timeout(TIMEOUT));
+        let claims = platform.claims(options().claim_timeout(SHORT_TIMEOUT));
         let slow_ms = 60_000;
         let settings = FaultSettings { slow_ms, ..FaultSettings::default() };
         platform.set_faults(settings);
@@ -225,14 +226,14 @@
 }
 
 #[test]
-fn a_claim_written_too_late_is_withdrawn() {
+fn a_claim_written_after_its_timeout_is_withdrawn() {
     run(|platform| async move {
-        let claims = platform.claims(options().claim_timeout(TIMEOUT));
-        let slow_ms = 2 * TIMEOUT.as_millis() as u64;
+        let claims = platform.claims(options().claim_timeout(SHORT_TIMEOUT));
+        let slow_ms = 2 * SHORT_TIMEOUT.as_millis() as u64;
         let settings = FaultSettings { slow_ms, ..FaultSettings::default() };
         platform.set_faults(settings);
-        let answer = claims.claim(&key(1), claim(1)).await;
-        assert_eq!(answer, Err(ClaimError::Ambiguous));
+        let result = claims.claim(&key(1), claim(1)).await;
+        assert_eq!(result, Err(ClaimError::Ambiguous));
 
         platform.set_faults(FaultSettings::default());
         let held = until(async || {
@@ -246,20 +247,20 @@
 }
 
 #[test]
-fn over_the_rate_claims_wait() {
+fn throttled_claims_wait_and_succeed() {
     run(|platform| async move {
         let settings =
             FaultSettings { max_writes_per_s: 10, ..FaultSettings::default() };
         platform.set_faults(settings);
         let claims = platform.claims(options().batch(5).flush_ms(1));
-        let answers = claim_all(&platform, &claims, 100).await;
-        assert!(answers.iter().all(|a| *a == Ok(ClaimOutcome::Acquired)));
+        let results = claim_all(&platform, &claims, 100).await;
+        assert!(results.iter().all(|a| *a == Ok(ClaimOutcome::Acquired)));
         assert!(platform.table_stats().await.throttled > 0);
     });
 }
 
 #[test]
-fn only_the_owner_changes_a_claim() {
+fn only_the_owner_can_update_a_claim() {
     run(|platform| async move {
         let (owner, other) =
             (platform.claims(options()), platform.claims(options()));
@@ -273,8 +274,8 @@
         let late = other.replace(&key(1), &claim(1), claim(3)).await;
         assert_eq!(late, Ok(ClaimOutcome::Held(moved.clone())));
 
-        let taken = other.replace(&key(1), &moved, claim(3)).await;
-        assert_eq!(taken, Ok(ClaimOutcome::Acquired));
+        let replaced = other.replace(&key(1), &moved, claim(3)).await;
+        assert_eq!(replaced, Ok(ClaimOutcome::Acquired));
         let current = Some(Box::new(claim(3)));
         let refused = owner.update(&key(1), completed(moved, b"x")).await;
         assert_eq!(refused, Err(ClaimError::NotOwner { current }));
@@ -282,7 +283,7 @@
 }
 
 #[test]
-fn a_long_answer_goes_to_the_object_store() {
+fn a_long_response_body_is_stored_as_an_object() {
     run(|platform| async move {
         let claims = platform.claims(options());
         claims.claim(&key(1), claim(1)).await.unwrap();
@@ -297,20 +298,20 @@
 }
 
 #[test]
-fn an_expired_key_may_be_claimed_anew() {
+fn an_expired_key_can_be_claimed_again() {
     run(|platform| async move {
         let claims = platform.claims(options());
         let old = Claim { expires_at_unix_s: 1, ..claim(1) };
         claims.claim(&key(1), old).await.unwrap();
         assert_eq!(claims.read(&key(1)).await, Ok(None));
-        let anew = claims.claim(&key(1), claim(2)).await;
-        assert_eq!(anew, Ok(ClaimOutcome::Acquired));
+        let reclaimed = claims.claim(&key(1), claim(2)).await;
+        assert_eq!(reclaimed, Ok(ClaimOutcome::Acquired));
         assert_eq!(claims.read(&key(1)).await, Ok(Some(claim(2))));
     });
 }
 
-/// Two entries claim the same keys while the store fails at random; however
-/// answers are lost, no key may have two owners.
+/// Two entries claim the same keys while the store fails at random and loses
+/// requests and responses.
 #[test]
 fn no_key_has_two_owners_under_random_faults() {
     const KEYS: u128 = 200;
@@ -331,32 +332,36 @@
 
         platform.set_faults(FaultSettings::default());
         let reader = platform.claims(options());
-        let mine = Ok(ClaimOutcome::Acquired);
-        let owned = left.iter().chain(&right).filter(|a| **a == mine);
-        // Faults that pass cost time, and no key but a few its claim.
+        let acquired = Ok(ClaimOutcome::Acquired);
+        let owned = left.iter().chain(&right).filter(|a| **a == acquired);
+        // Transient faults delay claims but may only fail a few of them.
         assert!(owned.count() > KEYS as usize * 9 / 10);
-        for (number, answers) in left.into_iter().zip(right).enumerate() {
+        for (number, results) in left.into_iter().zip(right).enumerate() {
             let number = number as u128;
             let row = reader.read(&key(number)).await.unwrap();
-            let (left, right) = answers;
-            let is_mine = |a: &Result<_, _>| *a == Ok(ClaimOutcome::Acquired);
-            assert!(!(is_mine(&left) && is_mine(&right)), "key {number}");
-            if is_mine(&left) {
+            let (left, right) = results;
+            let is_acquired =
+                |a: &Result<_, _>| *a == Ok(ClaimOutcome::Acquired);
+            assert!(
+                !(is_acquired(&left) && is_acquired(&right)),
+                "key {number}"
+            );
+            if is_acquired(&left) {
                 assert_eq!(row, Some(claim(number)));
             }
-            if is_mine(&right) {
+            if is_acquired(&right) {
                 assert_eq!(row, Some(claim(10_000 + number)));
             }
             if let (Ok(_), Ok(_)) = (&left, &right) {
-                assert!(is_mine(&left) || is_mine(&right));
+                assert!(is_acquired(&left) || is_acquired(&right));
             }
         }
     });
 }
 
-/// Its waiter goes while the write is on its way.
+/// The caller's task is cancelled while the write is in transit.
 #[test]
-fn a_claim_whose_caller_hangs_up_is_withdrawn() {
+fn a_claim_whose_caller_disconnects_is_withdrawn() {
     run(|platform| async move {
         let claims = platform.claims(options());
         let slow_ms = 50;
--- a/crates/platform/tests/platform/decide.rs
+++ b/crates/platform/tests/platform/decide.rs
@@ -1,4 +1,4 @@
-//! What a repeated request gets.
+//! Decisions on repeated requests.
 
 use chestnutreach_platform::claims::{
     Claim, ClaimState, OwnerStatus, RepeatAction, SideDecision, SideResponse,
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-#[case::answer(DecideCase {
+#[case::completed(DecideCase {
     held: completed(claim(1), b"x"),
     expected: |r| matches!(r, RepeatAction::Replay(a) if a.body == b"x"),
     ..DecideCase::default()
@@ -46,14 +46,14 @@
     expected: |r| matches!(r, RepeatAction::InProgress),
     ..DecideCase::default()
 })]
-#[case::owner_gone(DecideCase {
+#[case::owner_unavailable(DecideCase {
     expected: |r| matches!(
         r,
         RepeatAction::QuerySide { boot_id: 12, request: 1001, .. }
     ),
     ..DecideCase::default()
 })]
-#[case::owner_does_not_run_it(DecideCase {
+#[case::owner_does_not_run_the_request(DecideCase {
     owner: OwnerStatus::NotRunning,
     expected: |r| matches!(r, RepeatAction::QuerySide { .. }),
     ..DecideCase::default()
@@ -73,9 +73,9 @@
     expected: |r| matches!(r, RepeatAction::Run),
     ..DecideCase::default()
 })]
-fn a_repeat_is_decided(#[case] case: DecideCase) {
-    let repeat = decide(&case.held, &case.digest, case.owner, case.now_unix_s);
-    assert!((case.expected)(&repeat), "{repeat:?}");
+fn a_repeat_is_handled_by_the_state_of_its_claim(#[case] case: DecideCase) {
+    let action = decide(&case.held, &case.digest, case.owner, case.now_unix_s);
+    assert!((case.expected)(&action), "{action:?}");
 }
 
 #[rstest]
@@ -87,9 +87,9 @@
 #[case(SideResponse::State(RunState::Failed), SideDecision::Failed)]
 #[case(SideResponse::OtherBoot, SideDecision::Unknown)]
 #[case(SideResponse::Unreachable, SideDecision::Unknown)]
-fn a_side_process_has_the_word(
-    #[case] answer: SideResponse,
+fn the_side_process_decides_whether_a_repeat_runs(
+    #[case] response: SideResponse,
     #[case] expected: SideDecision,
 ) {
-    assert_eq!(decide_by_side_response(answer), expected);
+    assert_eq!(decide_by_side_response(response), expected);
 }
--- a/crates/platform/tests/platform/main.rs
+++ b/crates/platform/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The clients against the stand-ins, in this process over loopback.
+//! The clients against in-process stand-ins, over loopback.
 
 mod claims;
 mod decide;
--- a/crates/platform/tests/platform/manifest.rs
+++ b/crates/platform/tests/platform/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest store against the stand-ins, with faults.
+//! The manifest store against the stand-ins, with injected faults.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn two_racing_submissions_have_one_winner() {
+fn one_of_two_concurrent_submissions_is_accepted() {
     run(|platform| async move {
         let manifests = platform.manifests();
         let (left, right) = (sections(3), sections(4));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_stale_base_is_refused() {
+fn a_submission_with_a_stale_base_is_refused() {
     run(|platform| async move {
         let manifests = platform.manifests();
         let early = manifests.submit(5, &sections(1), "early").await;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_repeated_submission_is_one() {
+fn a_repeated_submission_returns_the_first_result() {
     run(|platform| async move {
         let manifests = platform.manifests();
         let first = manifests.submit(0, &sections(1), "first").await;
@@ -82,10 +82,10 @@
 }
 
 #[rstest]
-#[case::answer(1, 0)]
+#[case::response(1, 0)]
 #[case::request(0, 1)]
 #[case::both(1, 2)]
-fn a_lost_answer_is_settled(
+fn the_outcome_after_a_lost_response_is_determined(
     #[case] lose_answers: u64,
     #[case] lose_requests: u64,
 ) {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_cannot_be_settled_is_unknown_until_submitted_again() {
+fn an_unknown_outcome_is_determined_by_submitting_again() {
     run(|platform| async move {
         let resolve_timeout = Duration::from_millis(100);
         let manifests = platform.manifests().resolve_timeout(resolve_timeout);
@@ -121,14 +121,14 @@
 }
 
 #[test]
-fn a_store_that_is_down_is_told() {
+fn an_unavailable_store_is_reported() {
     run(|platform| async move {
         let down = Down::Unavailable;
         platform
             .set_faults(FaultSettings { down, ..FaultSettings::default() });
         let manifests = platform.manifests();
-        let answer = manifests.submit(0, &sections(1), "first").await;
-        assert!(matches!(answer, Err(SubmitError::Unavailable { .. })));
+        let result = manifests.submit(0, &sections(1), "first").await;
+        assert!(matches!(result, Err(SubmitError::Unavailable { .. })));
         assert!(manifests.head().await.is_err());
     });
 }
@@ -143,16 +143,16 @@
         let head = manifests.head().await.unwrap().unwrap();
         let fetched = manifests.fetch(&head, &mut cache).await.unwrap();
         assert_eq!(fetched, sections);
-        let whole = platform.object_stats().await;
+        let initial = platform.object_stats().await;
 
         let name = "account caisse-7".to_owned();
         sections.insert(name, "weight = 1000\n".to_owned());
         manifests.submit(1, &sections, "second").await.unwrap();
         let submitted = platform.object_stats().await;
-        assert_eq!(submitted.writes - whole.writes, 2);
-        let put_bytes = submitted.written_bytes - whole.written_bytes;
+        assert_eq!(submitted.writes - initial.writes, 2);
+        let put_bytes = submitted.written_bytes - initial.written_bytes;
         let part_bytes = put_bytes - ROOT_BYTES;
-        assert!(part_bytes < whole.written_bytes / 64, "{part_bytes}");
+        assert!(part_bytes < initial.written_bytes / 64, "{part_bytes}");
 
         let head = manifests.head().await.unwrap().unwrap();
         let fetched = manifests.fetch(&head, &mut cache).await.unwrap();
@@ -164,9 +164,11 @@
     });
 }
 
-/// Of three reads in ten none brings a whole generation through at once.
+/// While 30% of the reads fail, no single fetch gets all parts of a
+/// generation: repeated fetches only succeed if the cache keeps the parts read
+/// so far.
 #[test]
-fn what_was_read_before_an_error_is_not_read_again() {
+fn parts_read_before_an_error_are_not_read_again() {
     run(|platform| async move {
         let manifests = platform.manifests();
         let sections = sections(1600);
@@ -178,8 +180,8 @@
         let mut cache = PartCache::new();
         let mut fetched = Err(());
         for _ in 0..60 {
-            let again = manifests.fetch(&head, &mut cache).await;
-            fetched = again.map_err(drop);
+            let result = manifests.fetch(&head, &mut cache).await;
+            fetched = result.map_err(drop);
             if fetched.is_ok() {
                 break;
             }
--- a/crates/platform/tests/platform/services.rs
+++ b/crates/platform/tests/platform/services.rs
@@ -1,4 +1,4 @@
-//! Table, objects and VM list against their stand-ins.
+//! The table, object and VM list clients against their stand-ins.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -24,58 +24,60 @@
     Row { version, value: value.as_bytes().to_vec() }
 }
 
-/// Failure of a write after the row "a" got version 2.
+/// A write to the row "a", which has version 2.
 struct WriteCase {
     write: Write,
     expected: Result<(), TableError>,
-    left: Option<Row>,
+    remaining: Option<Row>,
 }
 
 #[rstest]
 #[case::any(WriteCase {
     write: write("a", Some("3"), Condition::Any),
     expected: Ok(()),
-    left: Some(row(3, "3")),
+    remaining: Some(row(3, "3")),
 })]
 #[case::version(WriteCase {
     write: write("a", Some("3"), Condition::Version(2)),
     expected: Ok(()),
-    left: Some(row(3, "3")),
+    remaining: Some(row(3, "3")),
 })]
 #[case::old_version(WriteCase {
     write: write("a", Some("3"), Condition::Version(1)),
     expected: Err(TableError::Conflict { failed: vec![1] }),
-    left: Some(row(2, "2")),
+    remaining: Some(row(2, "2")),
 })]
 #[case::present(WriteCase {
     write: write("a", Some("3"), Condition::Absent),
     expected: Err(TableError::Conflict { failed: vec![1] }),
-    left: Some(row(2, "2")),
+    remaining: Some(row(2, "2")),
 })]
 #[case::delete(WriteCase {
     write: write("a", None, Condition::Version(2)),
     expected: Ok(()),
-    left: None,
+    remaining: None,
 })]
-fn a_condition_decides_for_all_writes(#[case] case: WriteCase) {
+fn a_failed_condition_fails_all_writes_of_a_transaction(
+    #[case] case: WriteCase,
+) {
     run(|platform| async move {
         let table = platform.table();
         let first = write("a", Some("1"), Condition::Absent);
         table.write(first, "t1").await.unwrap();
         let second = write("a", Some("2"), Condition::Version(1));
         table.write(second, "t2").await.unwrap();
-        let beside = write("b", Some("x"), Condition::Absent);
-        let both = vec![beside, case.write];
+        let other = write("b", Some("x"), Condition::Absent);
+        let both = vec![other, case.write];
         let result = table.transact(both, "t3").await;
         assert_eq!(result, case.expected);
-        assert_eq!(table.read("a").await, Ok(case.left));
-        let has_beside = table.read("b").await.unwrap().is_some();
-        assert_eq!(has_beside, result.is_ok());
+        assert_eq!(table.read("a").await, Ok(case.remaining));
+        let has_other = table.read("b").await.unwrap().is_some();
+        assert_eq!(has_other, result.is_ok());
     });
 }
 
 #[test]
-fn a_token_makes_a_repeat_harmless() {
+fn repeats_with_the_same_token_are_applied_once() {
     run(|platform| async move {
         let table = platform.table();
         let add = write("a", Some("1"), Condition::Any);
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn many_rows_are_read_though_the_service_gives_them_in_pieces() {
+fn all_rows_are_read_if_the_service_returns_them_in_several_responses() {
     run(|platform| async move {
         let table = platform.table();
         let keys: Vec<_> = (0..230).map(|n| format!("k{n}")).collect();
@@ -103,15 +105,15 @@
                 .collect();
             table.transact(writes, &format!("t{number}")).await.unwrap();
         }
-        let mut asked = keys;
-        asked.push("missing".to_owned());
-        assert_eq!(table.read_many(&asked).await, Ok(rows));
+        let mut requested = keys;
+        requested.push("missing".to_owned());
+        assert_eq!(table.read_many(&requested).await, Ok(rows));
     });
 }
 
 struct FaultCase {
     faults: FaultSettings,
-    has_answer: bool,
+    has_response: bool,
     is_ambiguous: bool,
     is_throttled: bool,
 }
@@ -122,19 +124,19 @@
         down: Down::Unavailable,
         ..FaultSettings::default()
     },
-    has_answer: true,
+    has_response: true,
     is_ambiguous: false,
     is_throttled: false,
 })]
 #[case::closed(FaultCase {
     faults: FaultSettings { down: Down::Closed, ..FaultSettings::default() },
-    has_answer: false,
+    has_response: false,
     is_ambiguous: true,
     is_throttled: false,
 })]
-#[case::lost_answer(FaultCase {
+#[case::lost_response(FaultCase {
     faults: FaultSettings { lose_answers: 1, ..FaultSettings::default() },
-    has_answer: false,
+    has_response: false,
     is_ambiguous: true,
     is_throttled: false,
 })]
@@ -143,17 +145,19 @@
         error_permille: 1000,
         ..FaultSettings::default()
     },
-    has_answer: true,
+    has_response: true,
     is_ambiguous: true,
     is_throttled: false,
 })]
-#[case::over_the_rate(FaultCase {
+#[case::throttled(FaultCase {
     faults: FaultSettings { max_writes_per_s: 1, ..FaultSettings::default() },
-    has_answer: true,
+    has_response: true,
     is_ambiguous: false,
     is_throttled: true,
 })]
-fn an_error_tells_whether_a_write_may_be_applied(#[case] case: FaultCase) {
+fn an_error_states_whether_the_write_may_have_been_applied(
+    #[case] case: FaultCase,
+) {
     run(|platform| async move {
         let table = platform.table();
         let first = write("a", Some("1"), Condition::Absent);
@@ -161,8 +165,8 @@
         platform.set_faults(case.faults);
         let second = write("b", Some("1"), Condition::Absent);
         let error = table.write(second, "t2").await.unwrap_err();
-        let has_answer = error.to_string().contains("status");
-        assert_eq!(has_answer, case.has_answer, "{error}");
+        let has_response = error.to_string().contains("status");
+        assert_eq!(has_response, case.has_response, "{error}");
         match error {
             TableError::Ambiguous { .. } => assert!(case.is_ambiguous),
             TableError::Unavailable { is_throttled, .. } => {
@@ -175,9 +179,9 @@
 }
 
 #[test]
-fn each_call_is_told_of_with_its_result() {
+fn the_callback_receives_the_result_of_each_call() {
     run(|platform| async move {
-        let (sender, told) = async_channel::unbounded();
+        let (sender, observed) = async_channel::unbounded();
         let address = platform.table_address();
         let table = TableClient::new(address, CALL_TIMEOUT).on_call(
             move |call, result| {
@@ -201,14 +205,14 @@
             (TableCall::Write, CallResult::Unknown),
         ];
         for call in expected {
-            assert_eq!(told.try_recv(), Ok(call));
+            assert_eq!(observed.try_recv(), Ok(call));
         }
-        assert!(told.is_empty());
+        assert!(observed.is_empty());
     });
 }
 
 #[test]
-fn a_refused_connection_surely_applied_nothing() {
+fn a_write_over_a_refused_connection_is_not_applied() {
     run(|_| async move {
         let table = TableClient::new(closed_address(), CALL_TIMEOUT);
         let add = write("a", Some("1"), Condition::Any);
@@ -217,9 +221,11 @@
     });
 }
 
-/// The stand-in shares the message types, so that their text is pinned here.
+/// The stand-in shares the message types with the client, so it cannot detect
+/// a wrong encoding. This test compares the JSON text with the documented
+/// format.
 #[test]
-fn requests_have_the_published_form() {
+fn requests_have_the_documented_format() {
     use chestnutreach_platform::wire::*;
     let text = r#"{"TransactItems":[{"Put":{"TableName":"t","Item":{"#
         .to_owned()
@@ -237,7 +243,7 @@
 }
 
 #[test]
-fn objects_are_kept_by_path() {
+fn an_object_is_stored_under_its_key() {
     run(|platform| async move {
         let objects = platform.objects();
         assert_eq!(objects.read("a/b").await, Ok(None));
@@ -250,7 +256,7 @@
 }
 
 #[test]
-fn the_vm_list_lags_and_faults_can_be_set_over_http() {
+fn the_vm_list_client_reports_states_delays_and_outages() {
     run(|platform| async move {
         let (listener, address) = listen();
         let faults = Arc::new(Faults::new());
--- a/crates/platform/tests/platform/support.rs
+++ b/crates/platform/tests/platform/support.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform in this process, and clients of them.
+//! In-process stand-ins of the platform's services, and their clients.
 
 use std::{
     collections::BTreeMap,
@@ -22,7 +22,7 @@
 use http_types::{Method, Request};
 use serde::de::DeserializeOwned;
 
-/// Longest time of any call in a test that is to succeed.
+/// Timeout of calls that are expected to succeed.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub struct Platform {
@@ -32,7 +32,7 @@
     objects_address: SocketAddr,
 }
 
-/// Runs a test on its stand-ins.
+/// Runs a test with its own stand-ins.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Platform) -> F) {
     let executor = Arc::new(Executor::new());
     let table_faults = Arc::new(Faults::new());
@@ -88,14 +88,17 @@
     }
 }
 
-/// Asks again until there is an answer; fails the test when none comes.
-pub async fn until<T>(ask: impl AsyncFn() -> Option<T>) -> T {
-    let end = Instant::now() + CALL_TIMEOUT;
+/// Polls until the condition returns a value; fails the test after a timeout.
+pub async fn until<T>(condition: impl AsyncFn() -> Option<T>) -> T {
+    let deadline = Instant::now() + CALL_TIMEOUT;
     loop {
-        if let Some(answer) = ask().await {
-            return answer;
+        if let Some(value) = condition().await {
+            return value;
         }
-        assert!(Instant::now() < end, "nothing came in {CALL_TIMEOUT:?}");
+        assert!(
+            Instant::now() < deadline,
+            "the condition was not met within {CALL_TIMEOUT:?}"
+        );
         future::yield_now().await;
     }
 }
@@ -106,7 +109,7 @@
     (listener, address)
 }
 
-/// An address where nothing listens.
+/// Returns an address on which nothing listens.
 pub fn closed_address() -> SocketAddr {
     listen().1
 }
@@ -146,8 +149,8 @@
 }
 
 pub fn completed(claim: Claim, body: &[u8]) -> Claim {
-    let kind = ("content-type".to_owned(), "text/plain".to_owned());
-    let headers = BTreeMap::from([kind]);
+    let content_type = ("content-type".to_owned(), "text/plain".to_owned());
+    let headers = BTreeMap::from([content_type]);
     let answer = StoredResponse { status: 200, headers, body: body.to_vec() };
     Claim { state: ClaimState::Completed { answer }, ..claim }
 }
