--- a/crates/control/examples/call_rate.rs
+++ b/crates/control/examples/call_rate.rs
@@ -1,4 +1,4 @@
-//! Prints how many control calls a second go over one connection on loopback.
+//! Measures control calls per second over one loopback connection.
 
 use std::{
     error::Error, net::TcpListener, sync::Arc, thread, time::Duration,
@@ -59,8 +59,8 @@
         async_io::block_on(executor.run(serving))
     });
     async_io::block_on(async {
-        let limit = Duration::from_secs(5);
-        let client = ControlClient::connect(address, limit).await?;
+        let timeout = Duration::from_secs(5);
+        let client = ControlClient::connect(address, timeout).await?;
         let start = Instant::now();
         for _ in 0..CALLS {
             client.generation().await?;
--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,10 +1,10 @@
-//! Making calls.
+//! Client of a daemon's control port.
 //!
-//! A client is one connection. Its calls run one after another, and the
-//! connection is driven only while one does: no task is left behind, and no
-//! executor is needed. A call that fails for another reason than a refusal
-//! closes the client, since a connection that has gone silent may stay so for
-//! good; the caller dials again.
+//! A client has a single connection and runs its calls sequentially. The
+//! connection is only driven during a call, so the client needs neither a
+//! background task nor an executor. A call that fails for any reason other
+//! than a refusal closes the client, since a connection that has stopped
+//! responding may never recover; the caller has to connect again.
 
 use std::{
     error::Error,
@@ -29,18 +29,18 @@
     message::{Blob, ExplainQuery, GenerationInfo, NodeInfo, NodeStatus},
     refusal::ControlRefusal,
     service::ControlClient as Stub,
-    transport::transport,
+    transport::json_transport,
 };
 
 mod error;
 
 pub use error::ControlError;
 
-/// Time for a call that reads the memory of the other process.
+/// Timeout of a call that reads the state of the process.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a call that changes what the other process does.
+/// Timeout of a call that changes the state of the process.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for a call with a long answer.
+/// Timeout of a call with a large response.
 const BULK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A connection to a daemon.
@@ -52,11 +52,12 @@
 }
 
 impl ControlClient {
-    /// Dials a daemon and agrees on the protocol, both within the timeout.
+    /// Connects to a daemon and checks the protocol version, both within the
+    /// timeout.
     ///
     /// # Errors
     ///
-    /// The daemon is not reached or speaks another version.
+    /// The daemon cannot be reached or does not support the version.
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
@@ -65,23 +66,23 @@
             .await
     }
 
-    /// As [`ControlClient::connect`], with another version of the protocol:
-    /// to see what a daemon answers to it.
+    /// As [`ControlClient::connect`], with a given protocol version, to check
+    /// how a daemon responds to it.
     ///
     /// # Errors
     ///
-    /// As there.
+    /// As for [`ControlClient::connect`].
     pub async fn connect_with_version(
         address: SocketAddr,
         timeout: Duration,
         protocol_version: u32,
     ) -> Result<ControlClient, ControlError> {
         let deadline = Instant::now() + timeout;
-        let mut connection = Connection::dial(address, timeout).await?;
-        let left = deadline.saturating_duration_since(Instant::now());
-        let hello = Call { address, name: "hello", timeout: left };
+        let mut connection = Connection::open(address, timeout).await?;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let hello = Call { address, name: "hello", timeout: remaining };
         let info = hello
-            .make(&mut connection, |stub, context| async move {
+            .run(&mut connection, |stub, context| async move {
                 stub.hello(context, protocol_version).await
             })
             .await?;
@@ -93,18 +94,18 @@
         })
     }
 
-    /// Gives each call this time in place of its own.
+    /// Sets one timeout for all calls, instead of the default of each call.
     pub fn call_timeout(mut self, timeout: Duration) -> ControlClient {
         self.call_timeout = Some(timeout);
         self
     }
 
-    /// Who answers.
+    /// Identity of the process, as stated when the client connected.
     pub fn info(&self) -> &NodeInfo {
         &self.info
     }
 
-    /// What the process knows of itself.
+    /// Returns the status of the process.
     ///
     /// # Errors
     ///
@@ -116,7 +117,7 @@
         .await
     }
 
-    /// Refuses new work for a backend server, or with none for all.
+    /// Drains a backend server, or all if none is given: new work is refused.
     ///
     /// # Errors
     ///
@@ -132,7 +133,7 @@
         .await
     }
 
-    /// Takes new work again.
+    /// Ends a drain: new work is accepted again.
     ///
     /// # Errors
     ///
@@ -148,7 +149,7 @@
         .await
     }
 
-    /// The generation in force.
+    /// Returns the active manifest generation.
     ///
     /// # Errors
     ///
@@ -160,7 +161,7 @@
         .await
     }
 
-    /// A part of a manifest by its digest, if the process has it.
+    /// Returns a part of a manifest by its digest, if the process has it.
     ///
     /// # Errors
     ///
@@ -178,7 +179,7 @@
         Ok(part.map(|blob| blob.0))
     }
 
-    /// Why a chain is chosen, as JSON.
+    /// Explains the choice of a chain, as JSON.
     ///
     /// # Errors
     ///
@@ -198,33 +199,33 @@
         &self,
         name: &'static str,
         timeout: Duration,
-        run: impl FnOnce(Stub, Context) -> F,
+        send: impl FnOnce(Stub, Context) -> F,
     ) -> Result<T, ControlError>
     where
-        F: Future<Output = Answer<T>>,
+        F: Future<Output = CallResult<T>>,
     {
         let address = self.address;
         let mut slot = self.connection.lock().await;
-        // Out of its slot while the call runs: a call that is dropped in the
-        // middle closes the client too.
+        // The connection is out of its slot during the call, so that a call
+        // whose future is dropped closes the client too.
         let Some(mut connection) = slot.take() else {
             return Err(ControlError::Closed { address });
         };
         let timeout = self.call_timeout.unwrap_or(timeout);
         let call = Call { address, name, timeout };
-        let answer = call.make(&mut connection, run).await;
-        if matches!(answer, Ok(_) | Err(ControlError::Refused(_))) {
+        let result = call.run(&mut connection, send).await;
+        if matches!(result, Ok(_) | Err(ControlError::Refused(_))) {
             *slot = Some(connection);
         }
-        answer
+        result
     }
 }
 
-/// What `tarpc` gives for a call.
-type Answer<T> = Result<Result<T, ControlRefusal>, RpcError>;
+/// Result of a call from `tarpc`.
+type CallResult<T> = Result<Result<T, ControlRefusal>, RpcError>;
 
-/// Sends and receives for the stub; ends when the connection does, with the
-/// reason.
+/// Future that sends and receives for the stub. The output is the reason for
+/// which the connection closed.
 type Dispatch = Pin<Box<dyn Future<Output = String> + Send>>;
 
 struct Connection {
@@ -233,24 +234,24 @@
 }
 
 impl Connection {
-    async fn dial(
+    async fn open(
         address: SocketAddr,
         timeout: Duration,
     ) -> Result<Connection, ControlError> {
-        let dialling = Async::<TcpStream>::connect(address);
-        let limit = async {
+        let connecting = Async::<TcpStream>::connect(address);
+        let expiry = async {
             Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let opened = dialling.or(limit).await.and_then(transport);
+        let opened = connecting.or(expiry).await.and_then(json_transport);
         let transport = opened
             .map_err(|source| ControlError::Unreachable { address, source })?;
-        // Made inside the adapter: it sets up a timer.
-        let made = async { Stub::new(Config::default(), transport) };
-        let NewClient { client, dispatch } = Compat::new(made).await;
+        // `Stub::new` sets up a timer, so it must run inside `Compat`.
+        let created = async { Stub::new(Config::default(), transport) };
+        let NewClient { client, dispatch } = Compat::new(created).await;
         let dispatch = async move {
             match dispatch.await {
-                Ok(()) => "the other end closed the connection".to_owned(),
+                Ok(()) => "the peer closed the connection".to_owned(),
                 Err(e) => error_chain(&e),
             }
         };
@@ -258,7 +259,7 @@
     }
 }
 
-/// One call and its bound.
+/// A call and its timeout.
 struct Call {
     address: SocketAddr,
     name: &'static str,
@@ -266,35 +267,36 @@
 }
 
 impl Call {
-    async fn make<T, F>(
+    async fn run<T, F>(
         &self,
         connection: &mut Connection,
-        run: impl FnOnce(Stub, Context) -> F,
+        send: impl FnOnce(Stub, Context) -> F,
     ) -> Result<T, ControlError>
     where
-        F: Future<Output = Answer<T>>,
+        F: Future<Output = CallResult<T>>,
     {
         let mut context = context::current();
         context.deadline = Instant::now() + self.timeout;
-        let calling = run(connection.stub.clone(), context);
-        let answered = async { self.settle(calling.await) };
-        let broken =
-            async { Err(self.lost((&mut connection.dispatch).await)) };
-        let limit = async {
+        let response = send(connection.stub.clone(), context);
+        let completed = async { self.map_result(response.await) };
+        let disconnected = async {
+            Err(self.connection_lost((&mut connection.dispatch).await))
+        };
+        let expiry = async {
             Timer::after(self.timeout).await;
             Err(self.timed_out())
         };
-        // The answer is looked for before the connection's end: an end that
-        // comes with the answer does not lose it.
-        Compat::new(answered.or(broken).or(limit)).await
+        // The response is polled first, so that it is not lost if the
+        // connection closes directly after it.
+        Compat::new(completed.or(disconnected).or(expiry)).await
     }
 
-    fn settle<T>(&self, answer: Answer<T>) -> Result<T, ControlError> {
-        match answer {
+    fn map_result<T>(&self, result: CallResult<T>) -> Result<T, ControlError> {
+        match result {
             Ok(Ok(value)) => Ok(value),
             Ok(Err(refusal)) => Err(ControlError::Refused(refusal)),
             Err(RpcError::DeadlineExceeded) => Err(self.timed_out()),
-            Err(e) => Err(self.lost(error_chain(&e))),
+            Err(e) => Err(self.connection_lost(error_chain(&e))),
         }
     }
 
@@ -306,7 +308,7 @@
         }
     }
 
-    fn lost(&self, detail: String) -> ControlError {
+    fn connection_lost(&self, detail: String) -> ControlError {
         ControlError::ConnectionLost {
             address: self.address,
             call: self.name,
@@ -315,7 +317,8 @@
     }
 }
 
-/// An error with what caused it: `tarpc` names only the step that failed.
+/// Formats an error with its causes: the text of a `tarpc` error names only
+/// the step that failed.
 fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/control/src/client/error.rs
+++ b/crates/control/src/client/error.rs
@@ -1,44 +1,44 @@
-//! Why a call has no answer.
+//! Errors of control calls.
 
 use std::{error, fmt, io, net::SocketAddr};
 
 use crate::refusal::ControlRefusal;
 
-/// Why a call has no answer.
+/// Why a control call failed.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum ControlError {
-    /// The process was not reached.
+    /// The process could not be reached.
     Unreachable {
-        /// Its address.
+        /// Address of the process.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// No answer came in time; the call may have been done.
+    /// No response within the timeout; the call may have been carried out.
     Timeout {
         /// Address of the process.
         address: SocketAddr,
-        /// The call.
+        /// Name of the call.
         call: &'static str,
-        /// Time given.
+        /// Timeout of the call, in milliseconds.
         limit_ms: u64,
     },
-    /// The connection broke; the call may have been done.
+    /// The connection was lost; the call may have been carried out.
     ConnectionLost {
         /// Address of the process.
         address: SocketAddr,
-        /// The call.
+        /// Name of the call.
         call: &'static str,
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
-    /// An earlier call closed this client; the call was not made.
+    /// An earlier call closed this client; the call was not sent.
     Closed {
         /// Address of the process.
         address: SocketAddr,
     },
-    /// The process does not do what it was asked.
+    /// The process refused the call.
     Refused(ControlRefusal),
 }
 
@@ -46,17 +46,23 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ControlError::Unreachable { address, source } => {
-                write!(f, "{address} was not reached: {source}")
+                write!(f, "could not reach {address}: {source}")
             }
             ControlError::Timeout { address, call, limit_ms } => write!(
                 f,
-                "{address} gave no answer to {call} within {limit_ms} ms"
+                "no response from {address} to {call} within {limit_ms} ms"
             ),
             ControlError::ConnectionLost { address, call, detail } => {
-                write!(f, "{address} was lost during {call}: {detail}")
+                write!(
+                    f,
+                    "connection to {address} lost during {call}: {detail}"
+                )
             }
             ControlError::Closed { address } => {
-                write!(f, "the connection to {address} was given up before")
+                write!(
+                    f,
+                    "connection to {address} was closed by an earlier failure"
+                )
             }
             ControlError::Refused(refusal) => refusal.fmt(f),
         }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,23 +1,24 @@
-//! Control calls between the system's own processes, over `tarpc`.
+//! Control calls between the system's processes, over `tarpc`.
 //!
-//! The operators' tool calls daemons, and daemons call their peers. Requests
-//! of callers never go this way.
+//! The operators' command-line tool calls daemons, and daemons call their
+//! peers. Requests of callers do not use this protocol.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`message`] | what the calls carry |
-//! | [`refusal`] | why a process does not do what it is asked |
-//! | [`client`] | making calls |
-//! | [`server`] | answering them |
+//! | [`message`] | arguments and results of the calls |
+//! | [`refusal`] | reasons for which a process refuses a call |
+//! | [`client`] | the client of a daemon's control port |
+//! | [`server`] | the server of the control port |
 //!
 //! # Protocol
 //!
-//! Frames have a length of four bytes before them, big-endian, and hold the
-//! messages of `tarpc` as JSON. JSON is larger and slower than `bincode`,
-//! which nobody maintains any more, but calls are rare, and a frame can be
-//! read in a capture. The bytes of a manifest travel as base64. The first
-//! call on a connection states the version of the protocol; a process refuses
-//! one that it does not speak by name, and all calls until then.
+//! Each frame starts with its length as a four-byte big-endian integer and
+//! contains a `tarpc` message as JSON. JSON is larger and slower than
+//! `bincode`, which is no longer maintained, but calls are rare, and frames
+//! are readable in a packet capture. Parts of a manifest are encoded as
+//! base64. The first call on a connection, `hello`, states the protocol
+//! version. A process refuses an unsupported version with a specific error,
+//! and all other calls before a successful `hello`.
 //!
 //! # Example
 //!
@@ -62,9 +63,9 @@
 //! let serving = serve_control(listener, executor.clone(), Arc::new(Node));
 //! executor.spawn(serving).detach();
 //!
-//! let limit = Duration::from_secs(5);
+//! let timeout = Duration::from_secs(5);
 //! async_io::block_on(executor.run(async {
-//!     let client = ControlClient::connect(address, limit).await?;
+//!     let client = ControlClient::connect(address, timeout).await?;
 //!     assert_eq!(client.info().vm, "vm-1");
 //!     assert!(client.status().await?.is_ready);
 //!     Ok::<_, Box<dyn std::error::Error>>(())
@@ -90,5 +91,5 @@
 };
 pub use transport::MAX_FRAME_BYTES;
 
-/// Version of the protocol; any change of a message is a new one.
+/// Version of the protocol; any change of a message requires a new version.
 pub const PROTOCOL_VERSION: u32 = 1;
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,32 +1,32 @@
-//! What the calls carry.
+//! Arguments and results of the calls.
 
 use std::fmt;
 
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// Who answers.
+/// Identity of the process that answers calls.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NodeInfo {
-    /// Version of the control protocol that it speaks.
+    /// Version of the control protocol that the process uses.
     pub protocol_version: u32,
-    /// Name of its VM.
+    /// Name of the process's VM.
     pub vm: String,
-    /// What it does.
+    /// Role of the process.
     pub role: NodeRole,
-    /// New at each start of the process.
+    /// Boot id, which is different after each start of the process.
     pub boot_id: u64,
 }
 
-/// What a daemon does.
+/// Role of a daemon.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub enum NodeRole {
-    /// Speaks HTTP to callers.
+    /// Serves HTTP requests of callers.
     #[default]
     Entry,
-    /// Stands beside backend servers.
+    /// Runs next to backend servers and gives them their work.
     Side,
 }
 
@@ -39,103 +39,104 @@
     }
 }
 
-/// What a daemon knows of itself.
+/// Status of a daemon.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NodeStatus {
-    /// Name of its VM.
+    /// Name of the daemon's VM.
     pub vm: String,
-    /// What it does.
+    /// Role of the daemon.
     pub role: NodeRole,
-    /// Data centre of its VM.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// New at each start of the process.
+    /// Boot id, which is different after each start of the process.
     pub boot_id: u64,
-    /// Generation of the manifest in force; 0 for none.
+    /// Active manifest generation; 0 for none.
     pub generation: u64,
-    /// It should get work.
+    /// Whether the daemon is ready for work.
     pub is_ready: bool,
-    /// It refuses new work while the work in progress ends.
+    /// Whether the daemon is draining: it refuses new work while running work
+    /// completes.
     pub is_draining: bool,
-    /// Requests taken and not ended.
+    /// Requests that were accepted and have not ended.
     pub requests_in_flight: u64,
-    /// The backend servers beside it.
+    /// Backend servers next to the daemon.
     pub backends: Vec<BackendStatus>,
-    /// Its links to other processes.
+    /// Links to other processes.
     pub links: Vec<PeerStatus>,
 }
 
 /// A backend server, as its side process sees it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BackendStatus {
-    /// Its name in the manifest.
+    /// Name of the backend server in the manifest.
     pub name: String,
     /// Requests that hold a reservation.
     pub running: u64,
     /// Requests that wait for admission.
     pub queued: u64,
-    /// It answers its calls.
+    /// Whether the backend server responds to calls.
     pub is_healthy: bool,
-    /// It gets no new work.
+    /// Whether the backend server is draining and gets no new work.
     pub is_leaving: bool,
 }
 
-/// Another process, as this one sees it.
+/// A peer, as seen by the process that reports its status.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerStatus {
-    /// Name of its VM.
+    /// Name of the peer's VM.
     pub vm: String,
-    /// Where it listens, as `ip:port`.
+    /// Address on which the peer listens, as `ip:port`.
     pub address: String,
-    /// Its data centre.
+    /// Data centre of the peer.
     pub data_centre: String,
-    /// The link is open.
+    /// Whether the link to the peer is open.
     pub is_connected: bool,
-    /// It said that it is leaving.
+    /// Whether the peer reported that it is draining.
     pub is_leaving: bool,
-    /// Generation that it has in force.
+    /// Active manifest generation of the peer.
     pub generation: u64,
-    /// Time since something was heard of it.
+    /// Time since the last message from the peer, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// A generation of the manifest.
+/// A manifest generation.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GenerationInfo {
-    /// Its number; 0 for none.
+    /// Generation number; 0 for none.
     pub generation: u64,
-    /// Identity of the submission that made it.
+    /// Id of the submission that created the generation.
     pub submission: String,
-    /// Digest of its root part.
+    /// Digest of the root part.
     #[serde(with = "base64_bytes")]
     pub root_digest: Vec<u8>,
 }
 
-/// Which routing choice to explain.
+/// The routing choice to explain.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ExplainQuery {
-    /// The choice that was made for a request.
+    /// The choice made for an earlier request.
     Request {
-        /// Identity of the request.
+        /// Id of the request.
         request_id: String,
     },
-    /// The choice that would be made now.
+    /// The choice that would be made now for a described request.
     Described(DescribedRequest),
 }
 
-/// A request that might come.
+/// Description of a hypothetical request.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DescribedRequest {
-    /// Service that it asks.
+    /// Requested service.
     pub service: String,
-    /// Client account that sends it.
+    /// Client account that sends the request.
     pub account: String,
-    /// Length of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that it wants.
+    /// Maximum output tokens.
     pub output_tokens: u32,
-    /// What its caller waits.
+    /// Time that the caller waits, in milliseconds.
     pub deadline_ms: u32,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: RequestPriority,
 }
 
@@ -144,16 +145,16 @@
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub enum RequestPriority {
-    /// After the others.
+    /// Served after requests of other priorities.
     Low,
-    /// The ordinary one.
+    /// Default priority.
     #[default]
     Normal,
-    /// Before the others.
+    /// Served before requests of other priorities.
     High,
 }
 
-/// Bytes that travel as base64.
+/// Bytes that are encoded as base64.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Blob(#[serde(with = "base64_bytes")] pub(crate) Vec<u8>);
 
--- a/crates/control/src/refusal.rs
+++ b/crates/control/src/refusal.rs
@@ -1,54 +1,54 @@
-//! Why a process does not do what it is asked.
+//! Reasons for which a process refuses a call.
 
 use std::{error, fmt};
 
 use serde::{Deserialize, Serialize};
 
-/// An answer that is no error of the connection.
+/// Why a process refused a call. The connection stays usable.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[non_exhaustive]
 pub enum ControlRefusal {
-    /// The caller speaks another version of the protocol.
+    /// The client uses an unsupported version of the protocol.
     UnknownVersion {
-        /// Version of the caller.
+        /// Version of the client.
         offered: u32,
         /// Version of this process.
         supported: u32,
     },
     /// The first call on the connection was not `hello`.
     NoHello,
-    /// No such backend server is beside this process.
+    /// This process is not attached to such a backend server.
     UnknownBackend {
-        /// Name that was asked for.
+        /// Requested name.
         backend: String,
     },
-    /// No such request is remembered.
+    /// The process has no record of such a request.
     UnknownRequest {
-        /// Identity that was asked for.
+        /// Requested id.
         request_id: String,
     },
-    /// The manifest in force has no such service.
+    /// The active manifest has no such service.
     UnknownService {
-        /// Name that was asked for.
+        /// Requested name.
         service: String,
     },
-    /// A process of this role has no such thing to do.
+    /// Processes of this role do not support the call.
     NotForRole {
-        /// What it would have to do.
+        /// Name of the call.
         call: String,
     },
-    /// The process stops.
+    /// The process is shutting down.
     Stopping,
-    /// The answer does not fit into a frame.
+    /// The response does not fit into a frame.
     TooLong {
-        /// Length of the answer.
+        /// Length of the response.
         length_bytes: u64,
-        /// Longest answer.
+        /// Maximum length.
         limit_bytes: u64,
     },
-    /// Anything else.
+    /// Any other reason.
     Other {
-        /// Why.
+        /// Description of the reason.
         reason: String,
     },
 }
@@ -58,29 +58,37 @@
         match self {
             ControlRefusal::UnknownVersion { offered, supported } => write!(
                 f,
-                "control protocol {offered} is not known; this process \
-                 speaks {supported}"
+                "control protocol version {offered} is not supported; \
+                 this process supports {supported}"
             ),
             ControlRefusal::NoHello => {
-                f.write_str("the first call must be hello")
+                f.write_str("the first call on a connection must be hello")
             }
             ControlRefusal::UnknownBackend { backend } => write!(
                 f,
                 "no backend server {backend:?} is beside this process"
             ),
             ControlRefusal::UnknownRequest { request_id } => {
-                write!(f, "no request {request_id:?} is remembered here")
+                write!(
+                    f,
+                    "this process has no record of request {request_id:?}"
+                )
             }
             ControlRefusal::UnknownService { service } => {
-                write!(f, "the manifest in force has no service {service:?}")
+                write!(f, "the active manifest has no service {service:?}")
             }
             ControlRefusal::NotForRole { call } => {
-                write!(f, "a process of this role does not answer {call}")
+                write!(
+                    f,
+                    "a process of this role does not support the call {call}"
+                )
+            }
+            ControlRefusal::Stopping => {
+                f.write_str("the process is shutting down")
             }
-            ControlRefusal::Stopping => f.write_str("the process stops"),
             ControlRefusal::TooLong { length_bytes, limit_bytes } => write!(
                 f,
-                "the answer has {length_bytes} bytes, of at most \
+                "the response has {length_bytes} bytes, but the limit is \
                  {limit_bytes}"
             ),
             ControlRefusal::Other { reason } => f.write_str(reason),
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,8 +1,8 @@
-//! Answering calls.
+//! Server of a daemon's control port.
 //!
-//! Each connection is one task that answers its calls one after another. A
-//! connection that does not agree on the protocol in time, or sends nothing
-//! for long, or does not take its answers, is dropped.
+//! Each connection is one task that handles its calls sequentially. The server
+//! closes a connection that does not complete `hello` in time, is idle for too
+//! long, or does not read its responses.
 
 use std::{
     io,
@@ -23,49 +23,49 @@
     message::{ExplainQuery, GenerationInfo, NodeInfo, NodeStatus},
     refusal::ControlRefusal,
     service::Control as _,
-    transport::transport,
+    transport::json_transport,
 };
-use calls::Calls;
+use calls::CallService;
 
 mod calls;
 
 /// Name of the port in events.
-const PORT: &str = "control";
+const PORT_NAME: &str = "control";
 
-/// What a daemon does for its operators and peers.
+/// Implementation of the control calls by a daemon.
 ///
-/// The methods answer from memory: they must not block, and an order such as
-/// a drain is begun, not waited for.
+/// The methods must not block: they read in-memory state, and an order such as
+/// a drain is only started.
 pub trait ControlHandler: Send + Sync + 'static {
-    /// Who this process is; the version of the protocol is filled in.
+    /// Identity of this process; the server sets the protocol version.
     fn info(&self) -> NodeInfo;
-    /// What it knows of itself.
+    /// Status of this process.
     fn status(&self) -> NodeStatus;
-    /// Refuses new work for a backend server, or with none for all.
+    /// Drains a backend server, or all if none is given: new work is refused.
     ///
     /// # Errors
     ///
-    /// The backend server is not known, or the process stops.
+    /// The backend server is unknown, or the process is shutting down.
     fn drain(&self, backend: Option<&str>) -> Result<(), ControlRefusal>;
-    /// Takes new work again.
+    /// Ends a drain: new work is accepted again.
     ///
     /// # Errors
     ///
     /// As for `drain`.
     fn undrain(&self, backend: Option<&str>) -> Result<(), ControlRefusal>;
-    /// The generation in force.
+    /// Active manifest generation.
     fn generation(&self) -> GenerationInfo;
-    /// A part of a manifest by its digest.
+    /// Returns a part of a manifest by its digest.
     fn manifest_part(&self, digest: &[u8]) -> Option<Vec<u8>>;
-    /// Why a chain is chosen, as JSON.
+    /// Explains the choice of a chain, as JSON.
     ///
     /// # Errors
     ///
-    /// What was asked for is not known.
+    /// The request or the service of the query is unknown.
     fn explain(&self, query: &ExplainQuery) -> Result<String, ControlRefusal>;
 }
 
-/// Bounds of a port, set by chained methods.
+/// Limits of a control port.
 #[derive(Clone, Debug)]
 pub struct ServeOptions {
     hello_timeout: Duration,
@@ -84,32 +84,33 @@
 }
 
 impl ServeOptions {
-    /// The shipped bounds.
+    /// Returns the default limits.
     pub fn new() -> ServeOptions {
         ServeOptions::default()
     }
 
-    /// Time given to a connection to agree on the protocol.
+    /// Sets the time within which a connection must complete `hello`.
     pub fn hello_timeout(mut self, timeout: Duration) -> ServeOptions {
         self.hello_timeout = timeout;
         self
     }
 
-    /// How long a connection may stay open without a call, and how long an
-    /// answer may wait to be taken.
+    /// Sets how long a connection may stay open without a call, and how long
+    /// it may take to handle a call and to send its response.
     pub fn idle_timeout(mut self, timeout: Duration) -> ServeOptions {
         self.idle_timeout = timeout;
         self
     }
 
-    /// Connections at once; further ones are closed.
+    /// Sets the maximum number of concurrent connections; additional
+    /// connections are closed.
     pub fn max_connections(mut self, limit: usize) -> ServeOptions {
         self.max_connections = limit;
         self
     }
 }
 
-/// Serves the port with the shipped bounds until the future is dropped.
+/// Serves the port with the default limits until the future is dropped.
 pub async fn serve_control(
     listener: Async<TcpListener>,
     executor: Arc<Executor<'static>>,
@@ -126,11 +127,11 @@
     handler: Arc<dyn ControlHandler>,
     options: ServeOptions,
 ) {
-    let port = Port::new(listener, PORT, options.max_connections);
+    let port = Port::new(listener, PORT_NAME, options.max_connections);
     loop {
         let accepted = port.accept().await;
         let connection = Connection {
-            calls: Calls::new(handler.clone(), accepted.peer),
+            calls: CallService::new(handler.clone(), accepted.peer),
             options: options.clone(),
             peer: accepted.peer,
             _slot: accepted.slot,
@@ -140,16 +141,16 @@
 }
 
 struct Connection {
-    calls: Calls,
+    calls: CallService,
     options: ServeOptions,
     peer: SocketAddr,
     _slot: Slot,
 }
 
 impl Connection {
-    /// Serves the connection. A panic ends the connection and not the thread:
-    /// `tarpc` panics on a deadline that is out of range, and a peer chooses
-    /// the deadline.
+    /// Serves the connection. A panic closes the connection but does not reach
+    /// the thread: `tarpc` panics on a deadline that is out of range, and the
+    /// client chooses the deadline.
     async fn run(self, socket: Async<TcpStream>) {
         let peer = self.peer;
         let serving = Compat::new(self.serve(socket));
@@ -166,36 +167,36 @@
     }
 
     async fn serve(self, socket: Async<TcpStream>) -> io::Result<()> {
-        let opened = Instant::now();
-        let channel = BaseChannel::with_defaults(transport(socket)?);
+        let opened_at = Instant::now();
+        let channel = BaseChannel::with_defaults(json_transport(socket)?);
         let mut requests = Box::pin(channel.requests());
         loop {
-            let limit = self.time_left(opened);
+            let timeout = self.remaining_time(opened_at);
             let next = async { Ok(requests.next().await) };
-            let request = match next.or(after(limit)).await? {
+            let request = match next.or(time_out_after(timeout)).await? {
                 Some(Ok(request)) => request,
                 Some(Err(e)) => return Err(io::Error::other(e)),
                 None => return Ok(()),
             };
-            let answering = async {
+            let handling = async {
                 request.execute(self.calls.clone().serve()).await;
                 Ok(())
             };
-            answering.or(after(self.options.idle_timeout)).await?;
+            handling.or(time_out_after(self.options.idle_timeout)).await?;
         }
     }
 
-    /// Time given to the next call. Until the protocol is agreed on, it is
-    /// what the whole connection has.
-    fn time_left(&self, opened: Instant) -> Duration {
-        if self.calls.is_greeted() {
+    /// Timeout of the wait for the next call. Before `hello` succeeds, the
+    /// timeout counts from the start of the connection.
+    fn remaining_time(&self, opened_at: Instant) -> Duration {
+        if self.calls.is_hello_done() {
             return self.options.idle_timeout;
         }
-        self.options.hello_timeout.saturating_sub(opened.elapsed())
+        self.options.hello_timeout.saturating_sub(opened_at.elapsed())
     }
 }
 
-async fn after<T>(limit: Duration) -> io::Result<T> {
-    Timer::after(limit).await;
+async fn time_out_after<T>(timeout: Duration) -> io::Result<T> {
+    Timer::after(timeout).await;
     Err(io::ErrorKind::TimedOut.into())
 }
--- a/crates/control/src/server/calls.rs
+++ b/crates/control/src/server/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of one connection, checked before the handler gets them.
+//! The calls of one connection, checked before they reach the handler.
 
 use std::{
     net::SocketAddr,
@@ -21,58 +21,58 @@
 };
 
 #[derive(Clone)]
-pub(super) struct Calls {
+pub(super) struct CallService {
     handler: Arc<dyn ControlHandler>,
     peer: SocketAddr,
-    /// The protocol was agreed on.
-    is_greeted: Arc<AtomicBool>,
+    /// Whether `hello` has succeeded on this connection.
+    is_hello_done: Arc<AtomicBool>,
 }
 
-impl Calls {
+impl CallService {
     pub(super) fn new(
         handler: Arc<dyn ControlHandler>,
         peer: SocketAddr,
-    ) -> Calls {
-        Calls { handler, peer, is_greeted: Arc::default() }
+    ) -> CallService {
+        CallService { handler, peer, is_hello_done: Arc::default() }
     }
 
-    pub(super) fn is_greeted(&self) -> bool {
-        self.is_greeted.load(Ordering::Relaxed)
+    pub(super) fn is_hello_done(&self) -> bool {
+        self.is_hello_done.load(Ordering::Relaxed)
     }
 
-    fn greet(&self, version: u32) -> Result<NodeInfo, ControlRefusal> {
+    fn check_version(&self, version: u32) -> Result<NodeInfo, ControlRefusal> {
         if version != PROTOCOL_VERSION {
             return Err(ControlRefusal::UnknownVersion {
                 offered: version,
                 supported: PROTOCOL_VERSION,
             });
         }
-        self.is_greeted.store(true, Ordering::Relaxed);
+        self.is_hello_done.store(true, Ordering::Relaxed);
         let mut info = self.handler.info();
         info.protocol_version = PROTOCOL_VERSION;
         Ok(info)
     }
 
-    /// Answers a call once the protocol is agreed on.
-    fn answer<T>(
+    /// Handles a call, or refuses the call if `hello` has not succeeded.
+    fn handle<T>(
         &self,
         call: &'static str,
         run: impl FnOnce(&dyn ControlHandler) -> Result<T, ControlRefusal>,
     ) -> Result<T, ControlRefusal> {
-        let answer = if self.is_greeted() {
+        let result = if self.is_hello_done() {
             run(&*self.handler)
         } else {
             Err(ControlRefusal::NoHello)
         };
-        self.note(call, answer)
+        self.log_refusal(call, result)
     }
 
-    fn note<T>(
+    fn log_refusal<T>(
         &self,
         call: &'static str,
-        answer: Result<T, ControlRefusal>,
+        result: Result<T, ControlRefusal>,
     ) -> Result<T, ControlRefusal> {
-        if let Err(refusal) = &answer {
+        if let Err(refusal) = &result {
             emit(
                 Event::ControlCallRefused,
                 &[
@@ -82,21 +82,21 @@
                 ],
             );
         }
-        answer
+        result
     }
 }
 
-impl Control for Calls {
+impl Control for CallService {
     async fn hello(
         self,
         _: Context,
         protocol_version: u32,
     ) -> Result<NodeInfo, ControlRefusal> {
-        self.note("hello", self.greet(protocol_version))
+        self.log_refusal("hello", self.check_version(protocol_version))
     }
 
     async fn status(self, _: Context) -> Result<NodeStatus, ControlRefusal> {
-        self.answer("status", |h| Ok(h.status()))
+        self.handle("status", |h| Ok(h.status()))
     }
 
     async fn drain(
@@ -104,7 +104,7 @@
         _: Context,
         backend: Option<String>,
     ) -> Result<(), ControlRefusal> {
-        self.answer("drain", |h| h.drain(backend.as_deref()))
+        self.handle("drain", |h| h.drain(backend.as_deref()))
     }
 
     async fn undrain(
@@ -112,14 +112,14 @@
         _: Context,
         backend: Option<String>,
     ) -> Result<(), ControlRefusal> {
-        self.answer("undrain", |h| h.undrain(backend.as_deref()))
+        self.handle("undrain", |h| h.undrain(backend.as_deref()))
     }
 
     async fn generation(
         self,
         _: Context,
     ) -> Result<GenerationInfo, ControlRefusal> {
-        self.answer("generation", |h| Ok(h.generation()))
+        self.handle("generation", |h| Ok(h.generation()))
     }
 
     async fn manifest_part(
@@ -127,7 +127,7 @@
         _: Context,
         digest: Blob,
     ) -> Result<Option<Blob>, ControlRefusal> {
-        self.answer("manifest_part", |h| {
+        self.handle("manifest_part", |h| {
             let part = h.manifest_part(&digest.0);
             let length = part.as_ref().map_or(0, Vec::len);
             check_length(length, MAX_PART_BYTES)?;
@@ -140,7 +140,7 @@
         _: Context,
         query: ExplainQuery,
     ) -> Result<String, ControlRefusal> {
-        self.answer("explain", |h| {
+        self.handle("explain", |h| {
             let text = h.explain(&query)?;
             check_length(text.len(), MAX_TEXT_BYTES)?;
             Ok(text)
@@ -148,7 +148,7 @@
     }
 }
 
-/// Refuses an answer that would end the connection by its length.
+/// Refuses a response whose length would close the connection.
 fn check_length(length: usize, limit: usize) -> Result<(), ControlRefusal> {
     if length <= limit {
         return Ok(());
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,29 +1,30 @@
-//! The calls, as `tarpc` makes its types from them.
+//! The service definition, from which `tarpc` generates client and server.
 //!
-//! All give a result, so that a call before `hello` can be refused.
+//! Every call returns a `Result`, so that a call before `hello` can be
+//! refused.
 
 use crate::{
     message::{Blob, ExplainQuery, GenerationInfo, NodeInfo, NodeStatus},
     refusal::ControlRefusal,
 };
 
-/// Calls to a daemon.
+/// Control calls of a daemon.
 #[tarpc::service]
 pub(crate) trait Control {
-    /// Agrees on the version of the protocol. This call never changes.
+    /// Checks the protocol version. The format of this call must never change.
     async fn hello(protocol_version: u32) -> Result<NodeInfo, ControlRefusal>;
-    /// What the process knows of itself.
+    /// Returns the status of the process.
     async fn status() -> Result<NodeStatus, ControlRefusal>;
-    /// Refuses new work for a backend server, or for all.
+    /// Drains one backend server, or all: new work is refused.
     async fn drain(backend: Option<String>) -> Result<(), ControlRefusal>;
-    /// Takes new work again.
+    /// Ends a drain: new work is accepted again.
     async fn undrain(backend: Option<String>) -> Result<(), ControlRefusal>;
-    /// The generation in force.
+    /// Returns the active manifest generation.
     async fn generation() -> Result<GenerationInfo, ControlRefusal>;
-    /// A part of a manifest, by its digest.
+    /// Returns a part of a manifest by its digest.
     async fn manifest_part(
         digest: Blob,
     ) -> Result<Option<Blob>, ControlRefusal>;
-    /// Why a chain is chosen, as JSON.
+    /// Explains the choice of a chain, as JSON.
     async fn explain(query: ExplainQuery) -> Result<String, ControlRefusal>;
 }
--- a/crates/control/src/transport.rs
+++ b/crates/control/src/transport.rs
@@ -1,9 +1,8 @@
-//! A connection as `tarpc` sees it.
+//! The transport of a connection, for `tarpc`.
 //!
-//! `tarpc` wants the I/O traits and the timer of `tokio`; `async-compat`
-//! gives both on top of `async-io`. Whatever polls a transport or one of
-//! `tarpc`'s futures must itself run inside `Compat`, or it panics for want
-//! of a timer.
+//! `tarpc` requires the I/O traits and the timer of `tokio`; `async-compat`
+//! provides both on top of `async-io`. Transports and futures of `tarpc` must
+//! be polled inside `Compat`, otherwise they panic because there is no timer.
 
 use std::{io, net::TcpStream, pin::Pin};
 
@@ -19,19 +18,21 @@
     },
 };
 
-/// Longest frame; a longer one ends its connection.
+/// Maximum length of a frame; a longer frame closes its connection.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
-/// Longest part of a manifest; base64 adds a third.
+/// Maximum length of a manifest part; base64 adds a third.
 pub(crate) const MAX_PART_BYTES: usize = MAX_FRAME_BYTES / 2;
-/// Longest text; JSON writes a character with at most six bytes.
+/// Maximum length of a text; JSON encodes a byte of it in at most six bytes.
 pub(crate) const MAX_TEXT_BYTES: usize = MAX_FRAME_BYTES / 8;
 
 type Stream = Compat<Async<TcpStream>>;
 
-/// Takes messages of one type and sends those of another.
+/// Transport that receives messages of type `In` and sends messages of type
+/// `Out`.
 pub(crate) type JsonTransport<In, Out> = Transport<Stream, In, Out, JsonCodec>;
 
-pub(crate) fn transport<In, Out>(
+/// Sets up the transport over a connected socket.
+pub(crate) fn json_transport<In, Out>(
     socket: Async<TcpStream>,
 ) -> io::Result<JsonTransport<In, Out>>
 where
@@ -45,8 +46,8 @@
     Ok(serde_transport::new(framed, JsonCodec))
 }
 
-/// Messages as JSON. The codec of `tokio-serde` reads a frame byte by byte
-/// through a reader; this one reads the slice it has.
+/// JSON codec. The codec of `tokio-serde` parses a frame byte by byte through
+/// a reader; this codec parses the frame as a slice.
 pub(crate) struct JsonCodec;
 
 impl<T: DeserializeOwned> Deserializer<T> for JsonCodec {
--- a/crates/control/tests/calls.rs
+++ b/crates/control/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Each call over loopback, and what each bound does.
+//! The control calls over loopback, and the limits of the port.
 
 use std::{
     io::{Read as _, Write as _},
@@ -17,10 +17,10 @@
     PeerStatus, RequestPriority, ServeOptions, serve_control_with,
 };
 
-const LIMIT: Duration = Duration::from_secs(10);
-const SHORT: Duration = Duration::from_millis(100);
+const TIMEOUT: Duration = Duration::from_secs(10);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Answers with fixed values and notes the orders it got.
+/// Handler that returns fixed values and records the orders.
 #[derive(Default)]
 struct Node {
     orders: Mutex<Vec<String>>,
@@ -87,7 +87,7 @@
                 Ok(())
             }
             Some("slow") => {
-                thread::sleep(SHORT * 5);
+                thread::sleep(SHORT_TIMEOUT * 5);
                 Ok(())
             }
             Some("panic") => panic!("a handler that panics"),
@@ -148,18 +148,18 @@
 }
 
 fn connect(address: SocketAddr) -> ControlClient {
-    block_on(ControlClient::connect(address, LIMIT)).unwrap()
+    block_on(ControlClient::connect(address, TIMEOUT)).unwrap()
 }
 
-/// A connection whose other end is written by hand.
-fn dial(address: SocketAddr) -> TcpStream {
+/// Opens a raw connection, to send hand-written frames.
+fn connect_raw(address: SocketAddr) -> TcpStream {
     let socket = TcpStream::connect(address).unwrap();
-    socket.set_read_timeout(Some(LIMIT)).unwrap();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     socket
 }
 
-/// Whether the other end closes, whatever it sends before.
-fn is_closed(mut socket: TcpStream) -> bool {
+/// Returns whether the server closes the connection, whatever it sends before.
+fn is_closed_by_server(mut socket: TcpStream) -> bool {
     match socket.read_to_end(&mut Vec::new()) {
         Ok(_) => true,
         Err(e) => e.kind() == std::io::ErrorKind::ConnectionReset,
@@ -172,8 +172,8 @@
     bytes
 }
 
-/// A call as it travels.
-fn request(id: u64, deadline_s: u64, message: &str) -> Vec<u8> {
+/// Encodes a call as a frame.
+fn request_frame(id: u64, deadline_s: u64, message: &str) -> Vec<u8> {
     let zeros = ["0"; 16].join(",");
     frame(&format!(
         "{{\"Request\":{{\"context\":{{\"deadline\":{{\"secs\":{deadline_s},\
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn each_call_makes_its_round_trip() {
+fn each_call_reaches_the_handler_and_returns_its_result() {
     let (address, node) = start();
     let client = connect(address);
     assert_eq!(client.info().vm, "vm-7");
@@ -207,23 +207,23 @@
     assert_eq!(*orders, expected);
 }
 
-struct Refused {
+struct RefusalCase {
     call: fn(&ControlClient) -> Result<(), ControlError>,
     refusal: ControlRefusal,
     text: &'static str,
 }
 
 #[test]
-fn refusals_of_the_handler_pass_through() {
+fn refusals_of_the_handler_reach_the_client() {
     let cases = [
-        Refused {
+        RefusalCase {
             call: |c| block_on(c.drain(Some("other"))),
             refusal: ControlRefusal::UnknownBackend {
                 backend: "other".to_owned(),
             },
             text: "no backend server \"other\" is beside this process",
         },
-        Refused {
+        RefusalCase {
             call: |c| {
                 let request_id = "a1".to_owned();
                 let query = ExplainQuery::Request { request_id };
@@ -232,15 +232,15 @@
             refusal: ControlRefusal::UnknownRequest {
                 request_id: "a1".to_owned(),
             },
-            text: "no request \"a1\" is remembered here",
+            text: "this process has no record of request \"a1\"",
         },
-        Refused {
+        RefusalCase {
             call: |c| block_on(c.manifest_part(b"long")).map(drop),
             refusal: ControlRefusal::TooLong {
                 length_bytes: MAX_FRAME_BYTES as u64,
                 limit_bytes: MAX_FRAME_BYTES as u64 / 2,
             },
-            text: "the answer has 4194304 bytes, of at most 2097152",
+            text: "the response has 4194304 bytes, but the limit is 2097152",
         },
     ];
     let (address, _) = start();
@@ -254,17 +254,17 @@
             }
             other => panic!("{other:?}"),
         }
-        // A refusal does not cost the connection.
+        // A refusal does not close the connection.
         assert!(block_on(client.status()).is_ok());
     }
 }
 
 #[test]
-fn an_unknown_version_is_refused_by_name() {
+fn an_unsupported_version_is_refused_with_a_specific_error() {
     let (address, _) = start();
     let connecting = ControlClient::connect_with_version(
         address,
-        LIMIT,
+        TIMEOUT,
         PROTOCOL_VERSION + 6,
     );
     let error = block_on(connecting).err().unwrap();
@@ -278,28 +278,29 @@
     );
     assert_eq!(
         error.to_string(),
-        "control protocol 7 is not known; this process speaks 1"
+        "control protocol version 7 is not supported; \
+         this process supports 1"
     );
 }
 
 #[test]
 fn a_call_before_hello_is_refused() {
     let (address, node) = start();
-    let mut socket = dial(address);
-    let call = request(0, 5, r#"{"Drain":{"backend":null}}"#);
+    let mut socket = connect_raw(address);
+    let call = request_frame(0, 5, r#"{"Drain":{"backend":null}}"#);
     socket.write_all(&call).unwrap();
-    let mut answer = [0; 64];
-    let count = socket.read(&mut answer).unwrap();
-    let text = String::from_utf8_lossy(&answer[4..count]);
+    let mut response = [0; 64];
+    let count = socket.read(&mut response).unwrap();
+    let text = String::from_utf8_lossy(&response[4..count]);
     assert!(text.contains("NoHello"), "{text}");
     assert!(node.orders.lock().unwrap().is_empty());
 }
 
 #[test]
-fn a_silent_server_times_out() {
+fn connecting_to_an_unresponsive_server_times_out() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
-    let error = block_on(ControlClient::connect(address, SHORT));
+    let error = block_on(ControlClient::connect(address, SHORT_TIMEOUT));
     match error.err().unwrap() {
         ControlError::Timeout { call, .. } => assert_eq!(call, "hello"),
         other => panic!("{other:?}"),
@@ -309,9 +310,9 @@
 #[test]
 fn a_slow_call_times_out_and_closes_its_client() {
     let (address, _) = start();
-    let client = connect(address).call_timeout(SHORT);
+    let client = connect(address).call_timeout(SHORT_TIMEOUT);
     let error = block_on(client.drain(Some("slow"))).unwrap_err();
-    let text = format!("{address} gave no answer to drain within 100 ms");
+    let text = format!("no response from {address} to drain within 100 ms");
     assert_eq!(error.to_string(), text);
     let error = block_on(client.status()).unwrap_err();
     assert!(matches!(error, ControlError::Closed { .. }), "{error:?}");
@@ -319,27 +320,27 @@
 }
 
 #[test]
-fn a_refused_connection_is_not_reached() {
+fn a_refused_connection_is_reported_as_unreachable() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let error = block_on(ControlClient::connect(address, LIMIT));
+    let error = block_on(ControlClient::connect(address, TIMEOUT));
     let error = error.err().unwrap();
     assert!(matches!(error, ControlError::Unreachable { .. }), "{error:?}");
 }
 
 #[test]
-fn an_oversized_frame_ends_its_connection() {
+fn an_oversized_frame_closes_its_connection() {
     let (address, _) = start();
-    let mut socket = dial(address);
+    let mut socket = connect_raw(address);
     let length = MAX_FRAME_BYTES as u32 + 1;
     socket.write_all(&length.to_be_bytes()).unwrap();
-    assert!(is_closed(socket));
+    assert!(is_closed_by_server(socket));
     assert!(block_on(connect(address).status()).is_ok());
 }
 
 #[test]
-fn an_oversized_answer_is_an_error() {
+fn an_oversized_response_is_an_error() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -348,63 +349,68 @@
         socket.write_all(&length.to_be_bytes()).unwrap();
         socket.read_to_end(&mut Vec::new()).ok();
     });
-    let error = block_on(ControlClient::connect(address, LIMIT));
+    let error = block_on(ControlClient::connect(address, TIMEOUT));
     let error = error.err().unwrap();
     assert!(matches!(error, ControlError::ConnectionLost { .. }), "{error:?}");
 }
 
-struct Hostile {
+struct InvalidCall {
     name: &'static str,
     bytes: Vec<u8>,
 }
 
 #[test]
-fn hostile_frames_end_only_their_connection() {
+fn invalid_calls_close_only_their_connection() {
     let hello = r#"{"Hello":{"protocol_version":1}}"#;
     let drain = r#"{"Drain":{"backend":"panic"}}"#;
     let cases = [
-        Hostile {
+        InvalidCall {
             name: "deadline out of range",
-            bytes: request(0, u64::MAX, hello),
+            bytes: request_frame(0, u64::MAX, hello),
         },
-        Hostile {
-            name: "deadline beyond the timer's wheel",
-            bytes: request(0, 1 << 40, hello),
+        InvalidCall {
+            name: "deadline beyond the range of the timer wheel",
+            bytes: request_frame(0, 1 << 40, hello),
         },
-        Hostile { name: "not JSON", bytes: frame("hello?") },
-        Hostile { name: "unknown call", bytes: request(0, 5, r#""Erase""#) },
-        Hostile {
+        InvalidCall { name: "not JSON", bytes: frame("hello?") },
+        InvalidCall {
+            name: "unknown call",
+            bytes: request_frame(0, 5, r#""Erase""#),
+        },
+        InvalidCall {
             name: "handler that panics",
-            bytes: [request(0, 5, hello), request(1, 5, drain)].concat(),
+            bytes: [request_frame(0, 5, hello), request_frame(1, 5, drain)]
+                .concat(),
         },
     ];
     let (address, _) = start();
     for case in cases {
-        let mut socket = dial(address);
+        let mut socket = connect_raw(address);
         socket.write_all(&case.bytes).unwrap();
-        assert!(is_closed(socket), "{}", case.name);
+        assert!(is_closed_by_server(socket), "{}", case.name);
         let status = block_on(connect(address).status());
         assert!(status.is_ok(), "after {}", case.name);
     }
 }
 
 #[test]
-fn dead_connections_are_dropped() {
-    let options =
-        ServeOptions::new().hello_timeout(SHORT).idle_timeout(SHORT * 2);
+fn idle_connections_are_closed() {
+    let options = ServeOptions::new()
+        .hello_timeout(SHORT_TIMEOUT)
+        .idle_timeout(SHORT_TIMEOUT * 2);
     let (address, _) = start_with(options);
-    // One that never speaks, and one that stops after a call.
-    assert!(is_closed(dial(address)));
+    // One connection never sends `hello`; the other is idle after `hello`.
+    assert!(is_closed_by_server(connect_raw(address)));
     let client = connect(address);
-    thread::sleep(SHORT * 4);
+    thread::sleep(SHORT_TIMEOUT * 4);
     let error = block_on(client.status()).unwrap_err();
     assert!(matches!(error, ControlError::ConnectionLost { .. }), "{error:?}");
 }
 
 #[test]
-fn connections_are_bounded() {
+fn connections_above_the_limit_are_closed() {
     let (address, _) = start_with(ServeOptions::new().max_connections(1));
     let client = connect(address);
-    assert!(is_closed(dial(address)));
+    assert!(is_closed_by_server(connect_raw(address)));
     assert!(block_on(client.status()).is_ok());
 }
