--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -5,7 +5,7 @@
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// Identity of the process that answers calls.
+/// Identity of the process that handles calls.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NodeInfo {
     /// Version of the control protocol that the process uses.
@@ -26,7 +26,7 @@
     /// Serves HTTP requests of callers.
     #[default]
     Entry,
-    /// Runs next to backend servers and gives them their work.
+    /// Runs next to backend servers and passes work to them.
     Side,
 }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! All durable state is kept in these services. Every call has a timeout, and
 //! an error states whether a write was certainly not applied or may have been.
-//! Requests are not signed: access is restricted by the platform's network
-//! rules.
+//! Requests are not signed yet: access control is left to the platform's
+//! network rules.
 //!
 //! | module | contents |
 //! |---|---|
