--- a/crates/direct/src/cluster/backend_rows.rs
+++ b/crates/direct/src/cluster/backend_rows.rs
@@ -73,12 +73,12 @@
 }
 
 fn apply_row(core: &Arc<Core>, row: &Row, is_full_read: bool) {
-    if row.is_dropped {
+    if row.is_deleted {
         core.unusable_rows.remove(&row.key);
         remove(core, &row.key, row.version);
         return;
     }
-    let backend = match backends::try_backend(row) {
+    let backend = match backends::parse_backend(row) {
         Ok(backend) => backend,
         Err(error) => return handle_unusable(core, row, &error),
     };
--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -203,7 +203,7 @@
 pub(crate) fn into_rows(answer: FeedAnswer) -> Rows {
     let convert = |row: FeedRow| Row {
         key: row.key,
-        is_dropped: row.value.is_none(),
+        is_deleted: row.value.is_none(),
         value: row.value.unwrap_or_default(),
         version: row.version,
     };
@@ -214,7 +214,7 @@
 fn row_change(row: &Row) -> RowChange {
     RowChange {
         key: row.key.clone(),
-        value: (!row.is_dropped).then(|| row.value.clone()),
+        value: (!row.is_deleted).then(|| row.value.clone()),
         version: row.version,
     }
 }
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -12,7 +12,7 @@
 use std::{io, sync::Arc, sync::atomic::Ordering::Relaxed, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_adapter::engine::{Report, try_report};
+use chestnutreach_adapter::engine::{Report, parse_report};
 use chestnutreach_http::relay::Outbound;
 use chestnutreach_protocol::peers::EngineUse;
 use chestnutreach_routing::{
@@ -311,7 +311,7 @@
     else {
         return;
     };
-    match try_report(&body) {
+    match parse_report(&body) {
         Ok(report) => apply_report(&core, &engine, &report),
         Err(error) => emit(
             Event::RelayAnswered,
@@ -343,7 +343,10 @@
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
-        let Some(target) = core.fleet.by_address(stalled.at) else { continue };
+        let Some(target) = core.fleet.by_address(stalled.engine_address)
+        else {
+            continue;
+        };
         // The engine may have recovered since the report was made.
         let has_progress = target.quiet_ms(now_ms()) < RECENT_PROGRESS_MS;
         if !has_progress && target.incarnation != engine.incarnation {
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use chestnutreach_platform::claims::{
-    Claim, ClaimError, ClaimKey, ClaimState, Claimed,
+    Claim, ClaimError, ClaimKey, ClaimOutcome, ClaimState,
 };
 use chestnutreach_protocol::{RequestId, wire};
 use chestnutreach_state::NotRunReason;
@@ -127,13 +127,13 @@
             None => claims.claim(&self.key, claim.clone()).await,
         };
         match written {
-            Ok(Claimed::Mine) => {
+            Ok(ClaimOutcome::Acquired) => {
                 self.record_result(ClaimResult::Taken);
                 self.claim = Some(claim);
                 self.replaced_claim = None;
                 AcquireResult::Available
             }
-            Ok(Claimed::Held(held)) => {
+            Ok(ClaimOutcome::Held(held)) => {
                 AcquireResult::HeldByOther(Box::new(held))
             }
             Err(error) => AcquireResult::Failed(self.store_failed(&error)),
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use chestnutreach_platform::claims::{
-    Claim, ClaimState, Owner, Repeat, decide,
+    Claim, ClaimState, OwnerStatus, RepeatAction, decide,
 };
 use chestnutreach_protocol::RequestId;
 use chestnutreach_state::{NotRunReason, Outcome};
@@ -118,28 +118,28 @@
         held.entry_vm == identity.vm && held.entry_boot_id == identity.boot_id;
     let request = RequestId::from_u128(held.request);
     let owner = match (is_own, entry.is_registered(request)) {
-        (_, true) => Owner::Running,
-        (true, false) => Owner::NotRunning,
+        (_, true) => OwnerStatus::Running,
+        (true, false) => OwnerStatus::NotRunning,
         // Only the side process knows whether the other entry still
         // receives the output.
-        (false, false) => Owner::Gone,
+        (false, false) => OwnerStatus::Unavailable,
     };
     let not_run = |reason, retry_after_ms, detail: &str| {
         let failure = RequestFailure::not_run(reason, retry_after_ms, detail);
         Resolution::Respond(vec![Progress::Failed(failure)])
     };
     match decide(held, digest, owner, unix_s()) {
-        Repeat::Answer(answer) => {
+        RepeatAction::Replay(answer) => {
             entry.metrics.claim(ClaimResult::Repeated);
             Resolution::Respond(replay(answer))
         }
-        Repeat::KeyReused => {
+        RepeatAction::KeyReused => {
             entry.metrics.claim(ClaimResult::KeyReused);
             let detail =
                 "the idempotency key was used for a different request";
             not_run(NotRunReason::KeyReused, None, detail)
         }
-        Repeat::InProgress => {
+        RepeatAction::InProgress => {
             let detail = "a request with this idempotency key is in progress";
             not_run(
                 NotRunReason::InProgress,
@@ -147,13 +147,13 @@
                 detail,
             )
         }
-        Repeat::Failed => {
+        RepeatAction::Failed => {
             let detail = "the request with this idempotency key failed \
                           after it started";
             let failure = RequestFailure::failed(detail);
             Resolution::Respond(vec![Progress::Failed(failure)])
         }
-        Repeat::Run => Resolution::Run,
-        Repeat::AskSide { .. } => Resolution::QuerySide,
+        RepeatAction::Run => Resolution::Run,
+        RepeatAction::QuerySide { .. } => Resolution::QuerySide,
     }
 }
--- a/crates/entry/src/stored_response.rs
+++ b/crates/entry/src/stored_response.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use chestnutreach_platform::claims::StoredAnswer;
+use chestnutreach_platform::claims::StoredResponse;
 use chestnutreach_protocol::wire::{self, FinishReason};
 use serde::{Deserialize, Serialize};
 
@@ -42,10 +42,10 @@
     pub(crate) fn into_stored_response(
         self,
         finished: &wire::Finished,
-    ) -> StoredAnswer {
+    ) -> StoredResponse {
         if let Some(head) = self.head {
             let headers = head.headers.into_iter().map(|h| (h.name, h.value));
-            return StoredAnswer {
+            return StoredResponse {
                 status: head.status as u16,
                 headers: headers.collect(),
                 body: self.data,
@@ -59,7 +59,7 @@
             cached_tokens: finished.cached_tokens,
         };
         let marker = (STORED_TEXT_HEADER.to_owned(), "1".to_owned());
-        StoredAnswer {
+        StoredResponse {
             status: 200,
             headers: BTreeMap::from([marker]),
             body: serde_json::to_vec(&stored).unwrap_or_default(),
@@ -69,7 +69,7 @@
 
 /// Turns a stored response back into the progress of a request. The text of
 /// a model becomes a single token.
-pub(crate) fn replay(response: &StoredAnswer) -> Vec<Progress> {
+pub(crate) fn replay(response: &StoredResponse) -> Vec<Progress> {
     let stored = response
         .headers
         .contains_key(STORED_TEXT_HEADER)
--- a/crates/platform/src/claims/counts.rs
+++ b/crates/platform/src/claims/counts.rs
@@ -1,16 +1,16 @@
-//! Counts of a claim store.
+//! Counters of a claim store.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts since the store was made.
+/// Counts since the store was created.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ClaimCounts {
-    /// Transactions sent, repeats included.
+    /// Transactions sent, including repeats.
     pub transactions: u64,
-    /// Claims and updates found written.
+    /// Claims and updates known to be written.
     pub written: u64,
-    /// Transactions whose answer was lost.
-    pub lost_answers: u64,
+    /// Transactions whose response was lost.
+    pub lost_responses: u64,
     /// Claims withdrawn.
     pub withdrawn: u64,
 }
@@ -19,7 +19,7 @@
 pub(super) struct Counters {
     pub(super) transactions: AtomicU64,
     pub(super) written: AtomicU64,
-    pub(super) lost_answers: AtomicU64,
+    pub(super) lost_responses: AtomicU64,
     pub(super) withdrawn: AtomicU64,
 }
 
@@ -29,13 +29,13 @@
         ClaimCounts {
             transactions: load(&self.transactions),
             written: load(&self.written),
-            lost_answers: load(&self.lost_answers),
+            lost_responses: load(&self.lost_responses),
             withdrawn: load(&self.withdrawn),
         }
     }
 }
 
-/// Adds one.
-pub(super) fn count(counter: &AtomicU64) {
+/// Adds one to a counter.
+pub(super) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
