--- a/crates/cli/tests/cli/burn.rs
+++ b/crates/cli/tests/cli/burn.rs
@@ -221,7 +221,7 @@
         metrics: metrics.clone(),
         readiness: Arc::new(Readiness::new(&[])),
         status: Box::new(|| json!({"vm": "vm-1", "boot_id": u64::MAX})),
-        order: ops::no_orders(),
+        command: ops::no_commands(),
     };
     let (listener, address) = listen();
     let executor = executor();
@@ -238,7 +238,11 @@
     let samples = path("samples.json");
     let line = format!("burn --manifest {manifest} --samples {samples}");
     let ended = |outcome, reason| {
-        service.request_ended(outcome, reason, Duration::from_millis(5));
+        service.record_request_ended(
+            outcome,
+            reason,
+            Duration::from_millis(5),
+        );
     };
     ended("completed", "");
     service.requests_within_target.inc();
--- a/crates/cli/tests/cli/needs.rs
+++ b/crates/cli/tests/cli/needs.rs
@@ -15,7 +15,7 @@
         metrics: Arc::new(Metrics::new("entry", "vm-1")),
         readiness: Arc::new(Readiness::new(&[])),
         status: Box::new(move || status.clone()),
-        order: Box::new(|_| None),
+        command: Box::new(|_| None),
     };
     let (listener, address) = listen();
     let executor = start_executor().unwrap();
--- a/crates/cli/tests/cli/quarantine.rs
+++ b/crates/cli/tests/cli/quarantine.rs
@@ -37,7 +37,7 @@
         metrics: Arc::new(Metrics::new("entry", "vm-1")),
         readiness: Arc::new(Readiness::new(&[])),
         status: Box::new(move || json!({"suspects": suspects})),
-        order: Box::new(move |path| {
+        command: Box::new(move |path| {
             taken.lock().unwrap().push(path.to_owned());
             Some(json!({"is_freed": knows}))
         }),
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -6,20 +6,20 @@
 
 /// A section that a file may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct SectionTable {
+pub struct SectionSchema {
     /// First word of the heading.
-    pub word: &'static str,
+    pub keyword: &'static str,
     /// Names that follow the word, as the pages write them.
-    pub names: &'static [&'static str],
+    pub name_placeholders: &'static [&'static str],
     /// Its keys; more than one table where keys depend on another key.
-    pub tables: &'static [&'static [Field]],
+    pub field_groups: &'static [&'static [Field]],
 }
 
-impl SectionTable {
+impl SectionSchema {
     /// The heading as the pages write it, without brackets.
     pub fn heading(&self) -> String {
-        let mut heading = self.word.to_owned();
-        for name in self.names {
+        let mut heading = self.keyword.to_owned();
+        for name in self.name_placeholders {
             heading.push(' ');
             heading.push_str(name);
         }
@@ -28,7 +28,7 @@
 
     /// All keys.
     pub fn fields(&self) -> impl Iterator<Item = &'static Field> {
-        self.tables.iter().flat_map(|table| table.iter())
+        self.field_groups.iter().flat_map(|group| group.iter())
     }
 }
 
@@ -74,7 +74,7 @@
     pub fn range(&self) -> String {
         match self {
             Field::Integer(field) => field.range(),
-            Field::Choice(field) => field.words.join(", "),
+            Field::Choice(field) => field.values.join(", "),
             Field::Address(_) => "ip:port".to_owned(),
             Field::Text(field) => field.form.describe().to_owned(),
             Field::List(field) => {
@@ -125,7 +125,7 @@
     }
 
     /// The same with a default.
-    pub(crate) const fn or(mut self, default: u64) -> IntegerField {
+    pub(crate) const fn with_default(mut self, default: u64) -> IntegerField {
         self.default = Some(default);
         self
     }
@@ -142,7 +142,7 @@
     /// The key.
     pub key: &'static str,
     /// The words.
-    pub words: &'static [&'static str],
+    pub values: &'static [&'static str],
     /// Word where the key is missing.
     pub default: Option<&'static str>,
 }
@@ -151,13 +151,16 @@
     /// A required choice.
     pub(crate) const fn new(
         key: &'static str,
-        words: &'static [&'static str],
+        values: &'static [&'static str],
     ) -> ChoiceField {
-        ChoiceField { key, words, default: None }
+        ChoiceField { key, values, default: None }
     }
 
     /// The same with a default.
-    pub(crate) const fn or(mut self, default: &'static str) -> ChoiceField {
+    pub(crate) const fn with_default(
+        mut self,
+        default: &'static str,
+    ) -> ChoiceField {
         self.default = Some(default);
         self
     }
@@ -195,7 +198,7 @@
 
 /// Form of a short text.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TextForm {
+pub enum TextFormat {
     /// Name of a VM, a service and the like.
     Name,
     /// Name of a model, as its publisher writes it.
@@ -207,23 +210,23 @@
 }
 
 /// Most characters of a name, a model or a path.
-pub const TEXT_LIMIT_CHARS: usize = 128;
+pub const MAX_TEXT_CHARS: usize = 128;
 
-impl TextForm {
+impl TextFormat {
     /// The form in words.
     pub fn describe(self) -> &'static str {
         match self {
-            TextForm::Name => "name (letters, digits, `-`, `_`, `.`)",
-            TextForm::Model => "model (printable ASCII, no space or comma)",
-            TextForm::Path => "path (`/`, then names parted by `/`)",
-            TextForm::KeyDigest => "key digest (64 hexadecimal digits)",
+            TextFormat::Name => "name (letters, digits, `-`, `_`, `.`)",
+            TextFormat::Model => "model (printable ASCII, no space or comma)",
+            TextFormat::Path => "path (`/`, then names parted by `/`)",
+            TextFormat::KeyDigest => "key digest (64 hexadecimal digits)",
         }
     }
 
     /// `text` as it is held.
     pub(crate) fn normalised(self, text: &str) -> String {
         match self {
-            TextForm::KeyDigest => text.to_ascii_lowercase(),
+            TextFormat::KeyDigest => text.to_ascii_lowercase(),
             _ => text.to_owned(),
         }
     }
@@ -231,10 +234,10 @@
     /// Whether `text` has the form.
     pub fn matches(self, text: &str) -> bool {
         match self {
-            TextForm::Name => is_name(text),
-            TextForm::Model => is_model(text),
-            TextForm::Path => is_path(text),
-            TextForm::KeyDigest => crate::keys::is_key_digest(text),
+            TextFormat::Name => is_name(text),
+            TextFormat::Model => is_model(text),
+            TextFormat::Path => is_path(text),
+            TextFormat::KeyDigest => crate::keys::is_key_digest(text),
         }
     }
 }
@@ -245,19 +248,22 @@
     /// The key.
     pub key: &'static str,
     /// Its form.
-    pub form: TextForm,
+    pub form: TextFormat,
     /// Text where the key is missing.
     pub default: Option<&'static str>,
 }
 
 impl TextField {
     /// A required text.
-    pub(crate) const fn new(key: &'static str, form: TextForm) -> TextField {
+    pub(crate) const fn new(key: &'static str, form: TextFormat) -> TextField {
         TextField { key, form, default: None }
     }
 
     /// The same with a default.
-    pub(crate) const fn or(mut self, default: &'static str) -> TextField {
+    pub(crate) const fn with_default(
+        mut self,
+        default: &'static str,
+    ) -> TextField {
         self.default = Some(default);
         self
     }
@@ -269,12 +275,12 @@
     /// The key.
     pub key: &'static str,
     /// Form of each item.
-    pub form: TextForm,
+    pub form: TextFormat,
 }
 
 impl ListField {
     /// A list of items of a form.
-    pub(crate) const fn new(key: &'static str, form: TextForm) -> ListField {
+    pub(crate) const fn new(key: &'static str, form: TextFormat) -> ListField {
         ListField { key, form }
     }
 }
@@ -321,5 +327,5 @@
 }
 
 fn has_allowed_length(text: &str) -> bool {
-    (1..=TEXT_LIMIT_CHARS).contains(&text.len())
+    (1..=MAX_TEXT_CHARS).contains(&text.len())
 }
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// The findings, if there are any.
-    pub fn or_ok<T>(self, value: T) -> Result<T, Findings> {
+    pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         if self.is_empty() { Ok(value) } else { Err(self) }
     }
 }
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -5,7 +5,7 @@
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`tables`] | the keys of each section |
+//! | [`schema`] | the keys of each section |
 //! | `read` | text to sections to a manifest |
 //! | `checks` | what must hold across sections |
 //! | `layers` | whether layer ranges can tile a model |
@@ -23,8 +23,8 @@
 mod difference;
 mod layers;
 mod read;
+pub mod schema;
 mod sections;
-pub mod tables;
 
 pub use difference::{Difference, SectionChange, diff};
 pub use sections::sections_to_ini;
--- a/crates/config/src/manifest/checks.rs
+++ b/crates/config/src/manifest/checks.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Manifest, tables::*};
+use super::{Manifest, schema::*};
 use crate::{findings::Findings, sheet::Sheet};
 
 mod accounts;
@@ -63,8 +63,8 @@
 
     fn check_paths(&mut self) {
         for (a, b) in self.manifest.paths.keys() {
-            let written = format!("{PATH_WORD} {a} {b}");
-            let reversed = format!("{PATH_WORD} {b} {a}");
+            let written = format!("{PATH_KEYWORD} {a} {b}");
+            let reversed = format!("{PATH_KEYWORD} {b} {a}");
             let is_written = self.sheet.has(&written);
             let heading = if is_written { written } else { reversed };
             if a == b {
@@ -72,7 +72,7 @@
                 self.report(&heading, "", message);
             }
             for name in BTreeSet::from([a, b]) {
-                self.check_reference(&heading, "", DATA_CENTRE_WORD, name);
+                self.check_reference(&heading, "", DATA_CENTRE_KEYWORD, name);
             }
         }
     }
@@ -82,10 +82,10 @@
         let accounts = &manifest.accounts;
         let classes: BTreeSet<&str> =
             accounts.values().map(|account| account.class.as_str()).collect();
-        let knows_classes = self.is_complete(ACCOUNT_WORD, accounts.len());
+        let knows_classes = self.is_complete(ACCOUNT_KEYWORD, accounts.len());
         for (service, class) in manifest.objectives.keys() {
-            let heading = format!("{OBJECTIVE_WORD} {service} {class}");
-            self.check_reference(&heading, "", SERVICE_WORD, service);
+            let heading = format!("{OBJECTIVE_KEYWORD} {service} {class}");
+            self.check_reference(&heading, "", SERVICE_KEYWORD, service);
             if knows_classes && !classes.contains(class.as_str()) {
                 let message = format!("no account has the class {class}");
                 self.report(&heading, "", message);
--- a/crates/config/src/manifest/checks/accounts.rs
+++ b/crates/config/src/manifest/checks/accounts.rs
@@ -5,7 +5,7 @@
 //! of the manifest alone.
 
 use super::{Checker, Users};
-use crate::manifest::{Account, tables::*};
+use crate::manifest::{Account, schema::*};
 
 /// All of a service's capacity.
 const WHOLE_PERCENT: u64 = 100;
@@ -21,10 +21,10 @@
 
     fn check_account_services(&mut self) {
         for (name, account) in &self.manifest.accounts {
-            let heading = format!("{ACCOUNT_WORD} {name}");
+            let heading = format!("{ACCOUNT_KEYWORD} {name}");
             for service in &account.services {
                 let key = SERVICES.key;
-                self.check_reference(&heading, key, SERVICE_WORD, service);
+                self.check_reference(&heading, key, SERVICE_KEYWORD, service);
             }
         }
     }
@@ -34,7 +34,7 @@
         for (name, account) in &self.manifest.accounts {
             for digest in &account.key_digests {
                 if let Some(other) = users.add(digest, name) {
-                    let heading = format!("{ACCOUNT_WORD} {name}");
+                    let heading = format!("{ACCOUNT_KEYWORD} {name}");
                     let message =
                         format!("{digest} is also a key of [account {other}]");
                     self.report(&heading, KEY_DIGESTS.key, message);
@@ -73,7 +73,7 @@
                 "guaranteed-percent of its accounts adds up to {sum} %; \
                  it must be at most {WHOLE_PERCENT} %",
             );
-            self.report(&format!("{SERVICE_WORD} {service}"), "", message);
+            self.report(&format!("{SERVICE_KEYWORD} {service}"), "", message);
         }
         sum <= WHOLE_PERCENT
     }
@@ -95,7 +95,7 @@
             "{guaranteed_percent} % is more than the {given_percent} % of \
              {service} that weight {weight} of {total_weight} gives",
         );
-        let heading = format!("{ACCOUNT_WORD} {name}");
+        let heading = format!("{ACCOUNT_KEYWORD} {name}");
         self.report(&heading, GUARANTEED_PERCENT.key, message);
     }
 }
--- a/crates/config/src/manifest/checks/servers.rs
+++ b/crates/config/src/manifest/checks/servers.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{Checker, Users};
-use crate::manifest::{BackendServer, ServiceKind, layers, tables::*};
+use crate::manifest::{BackendServer, ServiceKind, layers, schema::*};
 
 impl Checker<'_> {
     pub(super) fn check_servers(&mut self) {
@@ -25,13 +25,18 @@
         server: &BackendServer,
     ) {
         let key = BACKEND_SERVICE.key;
-        self.check_reference(heading, key, SERVICE_WORD, &server.service);
+        self.check_reference(heading, key, SERVICE_KEYWORD, &server.service);
         let key = BACKEND_DATA_CENTRE.key;
-        let word = DATA_CENTRE_WORD;
+        let word = DATA_CENTRE_KEYWORD;
         self.check_reference(heading, key, word, &server.data_centre);
         if let Some(accelerator) = &server.accelerator {
             let key = BACKEND_ACCELERATOR.key;
-            self.check_reference(heading, key, ACCELERATOR_WORD, accelerator);
+            self.check_reference(
+                heading,
+                key,
+                ACCELERATOR_KEYWORD,
+                accelerator,
+            );
         }
     }
 
@@ -102,7 +107,7 @@
 
     pub(super) fn check_coverage(&mut self) {
         let servers = &self.manifest.backend_servers;
-        if !self.is_complete(BACKEND_SERVER_WORD, servers.len()) {
+        if !self.is_complete(BACKEND_SERVER_KEYWORD, servers.len()) {
             return;
         }
         for (name, service) in &self.manifest.services {
@@ -123,7 +128,7 @@
             .filter(|(first, end)| first < end && *end <= layer_count)
             .collect();
         for fault in layers::faults(&ranges, layer_count) {
-            let heading = format!("{SERVICE_WORD} {service}");
+            let heading = format!("{SERVICE_KEYWORD} {service}");
             self.report(&heading, "", fault.to_string());
         }
     }
@@ -132,11 +137,11 @@
         let mut servers = self.manifest.backend_servers.values();
         if !servers.any(|server| server.service == service) {
             let message = "no backend server answers it".to_owned();
-            self.report(&format!("{SERVICE_WORD} {service}"), "", message);
+            self.report(&format!("{SERVICE_KEYWORD} {service}"), "", message);
         }
     }
 }
 
 fn heading(name: &str) -> String {
-    format!("{BACKEND_SERVER_WORD} {name}")
+    format!("{BACKEND_SERVER_KEYWORD} {name}")
 }
--- a/crates/config/src/manifest/checks/services.rs
+++ b/crates/config/src/manifest/checks/services.rs
@@ -1,7 +1,7 @@
 //! Checks of services.
 
 use super::{Checker, Users};
-use crate::manifest::{Service, ServiceKind, tables::*};
+use crate::manifest::{Service, ServiceKind, schema::*};
 
 /// Paths that entries answer themselves.
 const RESERVED_PATHS: &[&str] = &["/v1"];
@@ -9,7 +9,7 @@
 impl Checker<'_> {
     pub(super) fn check_services(&mut self) {
         for (name, service) in &self.manifest.services {
-            let heading = format!("{SERVICE_WORD} {name}");
+            let heading = format!("{SERVICE_KEYWORD} {name}");
             self.check_deadlines(&heading, service);
         }
         self.check_models();
@@ -40,7 +40,7 @@
                 continue;
             };
             if let Some(other) = users.add(model, name) {
-                let heading = format!("{SERVICE_WORD} {name}");
+                let heading = format!("{SERVICE_KEYWORD} {name}");
                 let message =
                     format!("{model} is also the model of [service {other}]");
                 self.report(&heading, MODEL.key, message);
@@ -65,7 +65,7 @@
         path: &str,
         seen: &[(&str, &str)],
     ) {
-        let heading = format!("{SERVICE_WORD} {name}");
+        let heading = format!("{SERVICE_KEYWORD} {name}");
         for reserved in RESERVED_PATHS {
             if overlaps(path, reserved) {
                 let message =
--- a/crates/config/src/manifest/read.rs
+++ b/crates/config/src/manifest/read.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Accelerator, Account, BackendServer, DataCentre, Deployment, Manifest,
-    NetworkPath, Objective, Service, ServiceKind, checks, path_key, tables::*,
+    NetworkPath, Objective, Service, ServiceKind, checks, path_key, schema::*,
 };
 use crate::{
     document::Document,
@@ -22,7 +22,7 @@
     let manifest = reader.read();
     checks::check(&manifest, &sheet, &mut findings);
     findings.sort();
-    findings.or_ok(manifest)
+    findings.into_result(manifest)
 }
 
 struct ManifestReader<'a> {
@@ -34,21 +34,21 @@
     /// What could be read. Whatever couldn't has left a finding, so that a
     /// manifest with something left out is never given to a caller.
     fn read(&mut self) -> Manifest {
-        let services = self.all(SERVICE_WORD, SERVICE_TABLES, service);
+        let services = self.all(SERVICE_KEYWORD, SERVICE_TABLES, service);
         Manifest {
             deployment: self.deployment(),
             data_centres: self.all(
-                DATA_CENTRE_WORD,
+                DATA_CENTRE_KEYWORD,
                 &[DATA_CENTRE],
                 data_centre,
             ),
             paths: self.paths(),
             accelerators: self.all(
-                ACCELERATOR_WORD,
+                ACCELERATOR_KEYWORD,
                 &[ACCELERATOR],
                 accelerator,
             ),
-            accounts: self.all(ACCOUNT_WORD, &[ACCOUNT], account),
+            accounts: self.all(ACCOUNT_KEYWORD, &[ACCOUNT], account),
             objectives: self.objectives(),
             backend_servers: self.backend_servers(&services),
             services,
@@ -80,7 +80,7 @@
     }
 
     fn deployment(&mut self) -> Deployment {
-        let mut reader = self.section(DEPLOYMENT_WORD, &[DEPLOYMENT]);
+        let mut reader = self.section(DEPLOYMENT_KEYWORD, &[DEPLOYMENT]);
         let name = reader.text(&NAME);
         let recovery_weight_percent = reader.integer(&RECOVERY_WEIGHT_PERCENT);
         Deployment {
@@ -92,7 +92,7 @@
 
     fn paths(&mut self) -> BTreeMap<(String, String), NetworkPath> {
         let mut paths = BTreeMap::new();
-        for (names, path) in self.all(PATH_WORD, &[PATH], network_path) {
+        for (names, path) in self.all(PATH_KEYWORD, &[PATH], network_path) {
             let (a, b) = two_names(&names);
             if paths.insert(path_key(a, b), path).is_some() {
                 self.report_doubled_path(a, b);
@@ -102,14 +102,14 @@
     }
 
     fn report_doubled_path(&mut self, a: &str, b: &str) {
-        let heading = format!("{PATH_WORD} {a} {b}");
-        let message = format!("the same path as [{PATH_WORD} {b} {a}]");
+        let heading = format!("{PATH_KEYWORD} {a} {b}");
+        let message = format!("the same path as [{PATH_KEYWORD} {b} {a}]");
         let finding = self.sheet.place(&heading).finding("", message);
         self.findings.push(finding);
     }
 
     fn objectives(&mut self) -> BTreeMap<(String, String), Objective> {
-        let objectives = self.all(OBJECTIVE_WORD, &[OBJECTIVE], objective);
+        let objectives = self.all(OBJECTIVE_KEYWORD, &[OBJECTIVE], objective);
         let by_names = |(names, objective): (String, Objective)| {
             let (service, class) = two_names(&names);
             ((service.to_owned(), class.to_owned()), objective)
@@ -122,8 +122,8 @@
         services: &BTreeMap<String, Service>,
     ) -> BTreeMap<String, BackendServer> {
         let mut servers = BTreeMap::new();
-        for name in self.sheet.names(BACKEND_SERVER_WORD) {
-            let heading = format!("{BACKEND_SERVER_WORD} {name}");
+        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
+            let heading = format!("{BACKEND_SERVER_KEYWORD} {name}");
             let place = self.sheet.place(&heading);
             let service = place.value(BACKEND_SERVICE.key);
             let service = service.and_then(|name| services.get(name));
--- a/crates/config/src/manifest/tables.rs
+++ b/crates/config/src/manifest/schema.rs
@@ -1,72 +1,85 @@
 //! The keys of a manifest.
 
 use crate::fields::{
-    AddressField, ChoiceField, Field, IntegerField, ListField, SectionTable,
-    TextField, TextForm,
+    AddressField, ChoiceField, Field, IntegerField, ListField, SectionSchema,
+    TextField, TextFormat,
 };
 
 /// First word of `[deployment]`.
-pub(super) const DEPLOYMENT_WORD: &str = "deployment";
+pub(super) const DEPLOYMENT_KEYWORD: &str = "deployment";
 /// First word of `[data-centre NAME]`.
-pub(super) const DATA_CENTRE_WORD: &str = "data-centre";
+pub(super) const DATA_CENTRE_KEYWORD: &str = "data-centre";
 /// First word of `[path A B]`.
-pub(super) const PATH_WORD: &str = "path";
+pub(super) const PATH_KEYWORD: &str = "path";
 /// First word of `[accelerator NAME]`.
-pub(super) const ACCELERATOR_WORD: &str = "accelerator";
+pub(super) const ACCELERATOR_KEYWORD: &str = "accelerator";
 /// First word of `[service NAME]`.
-pub(super) const SERVICE_WORD: &str = "service";
+pub(super) const SERVICE_KEYWORD: &str = "service";
 /// First word of `[account NAME]`.
-pub(super) const ACCOUNT_WORD: &str = "account";
+pub(super) const ACCOUNT_KEYWORD: &str = "account";
 /// First word of `[objective SERVICE CLASS]`.
-pub(super) const OBJECTIVE_WORD: &str = "objective";
+pub(super) const OBJECTIVE_KEYWORD: &str = "objective";
 /// First word of `[backend-server NAME]`.
-pub(super) const BACKEND_SERVER_WORD: &str = "backend-server";
+pub(super) const BACKEND_SERVER_KEYWORD: &str = "backend-server";
 
 const ONE_NAME: &[&str] = &["NAME"];
 
 /// Every section of a manifest.
-pub const SECTIONS: &[SectionTable] = &[
-    SectionTable { word: DEPLOYMENT_WORD, names: &[], tables: &[DEPLOYMENT] },
-    SectionTable {
-        word: DATA_CENTRE_WORD,
-        names: ONE_NAME,
-        tables: &[DATA_CENTRE],
+pub const SECTIONS: &[SectionSchema] = &[
+    SectionSchema {
+        keyword: DEPLOYMENT_KEYWORD,
+        name_placeholders: &[],
+        field_groups: &[DEPLOYMENT],
     },
-    SectionTable { word: PATH_WORD, names: &["A", "B"], tables: &[PATH] },
-    SectionTable {
-        word: ACCELERATOR_WORD,
-        names: ONE_NAME,
-        tables: &[ACCELERATOR],
+    SectionSchema {
+        keyword: DATA_CENTRE_KEYWORD,
+        name_placeholders: ONE_NAME,
+        field_groups: &[DATA_CENTRE],
     },
-    SectionTable {
-        word: SERVICE_WORD,
-        names: ONE_NAME,
-        tables: &[SERVICE, LANGUAGE_SERVICE, PLAIN_SERVICE],
+    SectionSchema {
+        keyword: PATH_KEYWORD,
+        name_placeholders: &["A", "B"],
+        field_groups: &[PATH],
     },
-    SectionTable { word: ACCOUNT_WORD, names: ONE_NAME, tables: &[ACCOUNT] },
-    SectionTable {
-        word: OBJECTIVE_WORD,
-        names: &["SERVICE", "CLASS"],
-        tables: &[OBJECTIVE],
+    SectionSchema {
+        keyword: ACCELERATOR_KEYWORD,
+        name_placeholders: ONE_NAME,
+        field_groups: &[ACCELERATOR],
     },
-    SectionTable {
-        word: BACKEND_SERVER_WORD,
-        names: ONE_NAME,
-        tables: &[BACKEND_SERVER, LANGUAGE_BACKEND_SERVER],
+    SectionSchema {
+        keyword: SERVICE_KEYWORD,
+        name_placeholders: ONE_NAME,
+        field_groups: &[SERVICE, LANGUAGE_SERVICE, PLAIN_SERVICE],
+    },
+    SectionSchema {
+        keyword: ACCOUNT_KEYWORD,
+        name_placeholders: ONE_NAME,
+        field_groups: &[ACCOUNT],
+    },
+    SectionSchema {
+        keyword: OBJECTIVE_KEYWORD,
+        name_placeholders: &["SERVICE", "CLASS"],
+        field_groups: &[OBJECTIVE],
+    },
+    SectionSchema {
+        keyword: BACKEND_SERVER_KEYWORD,
+        name_placeholders: ONE_NAME,
+        field_groups: &[BACKEND_SERVER, LANGUAGE_BACKEND_SERVER],
     },
 ];
 
 /// Greatest layer count, and so the greatest end of a range.
 const MAX_LAYERS: u64 = 10_000;
 
-pub(super) const NAME: TextField = TextField::new("name", TextForm::Name);
+pub(super) const NAME: TextField = TextField::new("name", TextFormat::Name);
 pub(super) const RECOVERY_WEIGHT_PERCENT: IntegerField =
-    IntegerField::new("recovery-weight-percent", 0, 100, "%").or(50);
+    IntegerField::new("recovery-weight-percent", 0, 100, "%").with_default(50);
 
 pub(super) const DEPLOYMENT: &[Field] =
     &[Field::Text(NAME), Field::Integer(RECOVERY_WEIGHT_PERCENT)];
 
-pub(super) const REGION: TextField = TextField::new("region", TextForm::Name);
+pub(super) const REGION: TextField =
+    TextField::new("region", TextFormat::Name);
 
 pub(super) const DATA_CENTRE: &[Field] = &[Field::Text(REGION)];
 
@@ -94,15 +107,17 @@
 pub(super) const KIND: ChoiceField =
     ChoiceField::new("kind", &["language", "plain"]);
 pub(super) const DEFAULT_DEADLINE_MS: IntegerField =
-    IntegerField::new("default-deadline-ms", 1, 3_600_000, "ms").or(60_000);
+    IntegerField::new("default-deadline-ms", 1, 3_600_000, "ms")
+        .with_default(60_000);
 pub(super) const MAX_DEADLINE_MS: IntegerField =
-    IntegerField::new("max-deadline-ms", 1, 3_600_000, "ms").or(300_000);
+    IntegerField::new("max-deadline-ms", 1, 3_600_000, "ms")
+        .with_default(300_000);
 pub(super) const OBJECTIVE_PER_10000: IntegerField =
     IntegerField::new("objective-per-10000", 0, 10_000, "parts of 10,000")
-        .or(9_900);
+        .with_default(9_900);
 pub(super) const FIRST_TOKEN_OBJECTIVE_MS: IntegerField =
     IntegerField::new("first-token-objective-ms", 1, 3_600_000, "ms")
-        .or(2_000);
+        .with_default(2_000);
 
 pub(super) const SERVICE: &[Field] = &[
     Field::Choice(KIND),
@@ -112,7 +127,7 @@
     Field::Integer(FIRST_TOKEN_OBJECTIVE_MS),
 ];
 
-pub(super) const MODEL: TextField = TextField::new("model", TextForm::Model);
+pub(super) const MODEL: TextField = TextField::new("model", TextFormat::Model);
 pub(super) const LAYER_COUNT: IntegerField =
     IntegerField::new("layer-count", 1, MAX_LAYERS, "layers");
 pub(super) const MAX_CONTEXT_TOKENS: IntegerField =
@@ -125,20 +140,20 @@
 ];
 
 pub(super) const PATH_PREFIX: TextField =
-    TextField::new("path", TextForm::Path);
+    TextField::new("path", TextFormat::Path);
 
 pub(super) const PLAIN_SERVICE: &[Field] = &[Field::Text(PATH_PREFIX)];
 
 pub(super) const KEY_DIGESTS: ListField =
-    ListField::new("key-digests", TextForm::KeyDigest);
+    ListField::new("key-digests", TextFormat::KeyDigest);
 pub(super) const WEIGHT: IntegerField =
-    IntegerField::new("weight", 1, 10_000, "shares").or(100);
+    IntegerField::new("weight", 1, 10_000, "shares").with_default(100);
 pub(super) const SERVICES: ListField =
-    ListField::new("services", TextForm::Name);
+    ListField::new("services", TextFormat::Name);
 pub(super) const CLASS: TextField =
-    TextField::new("class", TextForm::Name).or("standard");
+    TextField::new("class", TextFormat::Name).with_default("standard");
 pub(super) const GUARANTEED_PERCENT: IntegerField =
-    IntegerField::new("guaranteed-percent", 0, 100, "%").or(0);
+    IntegerField::new("guaranteed-percent", 0, 100, "%").with_default(0);
 
 pub(super) const ACCOUNT: &[Field] = &[
     Field::List(KEY_DIGESTS),
@@ -161,10 +176,10 @@
 ];
 
 pub(super) const BACKEND_SERVICE: TextField =
-    TextField::new("service", TextForm::Name);
+    TextField::new("service", TextFormat::Name);
 pub(super) const BACKEND_DATA_CENTRE: TextField =
-    TextField::new("data-centre", TextForm::Name);
-pub(super) const VM: TextField = TextField::new("vm", TextForm::Name);
+    TextField::new("data-centre", TextFormat::Name);
+pub(super) const VM: TextField = TextField::new("vm", TextFormat::Name);
 pub(super) const SIDE_ADDRESS: AddressField =
     AddressField::connect("side-address");
 pub(super) const MAX_RUNNING: IntegerField =
@@ -179,7 +194,7 @@
 ];
 
 pub(super) const BACKEND_ACCELERATOR: TextField =
-    TextField::new("accelerator", TextForm::Name);
+    TextField::new("accelerator", TextFormat::Name);
 pub(super) const FIRST_LAYER: IntegerField =
     IntegerField::new("first-layer", 0, MAX_LAYERS, "layers");
 pub(super) const END_LAYER: IntegerField =
--- a/crates/config/src/manifest/sections.rs
+++ b/crates/config/src/manifest/sections.rs
@@ -7,7 +7,7 @@
 
 use super::{
     Accelerator, Account, BackendServer, DataCentre, Deployment, Manifest,
-    NetworkPath, Objective, Service, ServiceKind, tables::*,
+    NetworkPath, Objective, Service, ServiceKind, schema::*,
 };
 
 /// Sections as one text.
@@ -27,30 +27,34 @@
 pub(super) fn from_manifest(manifest: &Manifest) -> BTreeMap<String, String> {
     let mut sections = BTreeMap::new();
     let deployment = deployment(&manifest.deployment);
-    sections.insert(DEPLOYMENT_WORD.to_owned(), deployment.text());
+    sections.insert(DEPLOYMENT_KEYWORD.to_owned(), deployment.text());
     let mut add = |word: &str, names: &str, body: Body| {
         sections.insert(format!("{word} {names}"), body.text());
     };
     for (name, value) in &manifest.data_centres {
-        add(DATA_CENTRE_WORD, name, data_centre(value));
+        add(DATA_CENTRE_KEYWORD, name, data_centre(value));
     }
     for ((a, b), value) in &manifest.paths {
-        add(PATH_WORD, &format!("{a} {b}"), network_path(value));
+        add(PATH_KEYWORD, &format!("{a} {b}"), network_path(value));
     }
     for (name, value) in &manifest.accelerators {
-        add(ACCELERATOR_WORD, name, accelerator(value));
+        add(ACCELERATOR_KEYWORD, name, accelerator(value));
     }
     for (name, value) in &manifest.services {
-        add(SERVICE_WORD, name, service(value));
+        add(SERVICE_KEYWORD, name, service(value));
     }
     for (name, value) in &manifest.accounts {
-        add(ACCOUNT_WORD, name, account(value));
+        add(ACCOUNT_KEYWORD, name, account(value));
     }
     for ((service, class), value) in &manifest.objectives {
-        add(OBJECTIVE_WORD, &format!("{service} {class}"), objective(value));
+        add(
+            OBJECTIVE_KEYWORD,
+            &format!("{service} {class}"),
+            objective(value),
+        );
     }
     for (name, value) in &manifest.backend_servers {
-        add(BACKEND_SERVER_WORD, name, backend_server(value));
+        add(BACKEND_SERVER_KEYWORD, name, backend_server(value));
     }
     sections
 }
--- a/crates/config/src/parts.rs
+++ b/crates/config/src/parts.rs
@@ -15,7 +15,7 @@
 pub const PART_DIGEST_BYTES: usize = 16;
 
 /// Body of a bucket without sections.
-pub const EMPTY_BODY: &[u8] = b"{}";
+pub const EMPTY_BUCKET: &[u8] = b"{}";
 
 /// Bytes of an encoded root.
 pub const ROOT_BYTES: usize = BUCKET_COUNT * PART_DIGEST_BYTES;
@@ -35,8 +35,8 @@
     }
 
     /// Digest of a bucket without sections, which needs no storing.
-    pub fn of_empty() -> PartDigest {
-        PartDigest::of(EMPTY_BODY)
+    pub fn of_empty_bucket() -> PartDigest {
+        PartDigest::of(EMPTY_BUCKET)
     }
 
     /// A digest that was encoded before.
@@ -120,7 +120,7 @@
         digest: PartDigest,
     },
     /// A body has another digest than the root says.
-    Digest {
+    DigestMismatch {
         /// Digest in the root.
         expected: PartDigest,
         /// Digest of the body.
@@ -132,7 +132,7 @@
         digest: PartDigest,
     },
     /// A section stands in a bucket that isn't its own.
-    Misplaced {
+    WrongBucket {
         /// Heading of the section, without brackets.
         name: String,
     },
@@ -153,13 +153,13 @@
             PartsError::Missing { digest } => {
                 write!(f, "part {digest} is missing")
             }
-            PartsError::Digest { expected, actual } => {
+            PartsError::DigestMismatch { expected, actual } => {
                 write!(f, "part {expected} has the digest {actual}")
             }
             PartsError::Unreadable { digest } => {
                 write!(f, "part {digest} can't be read")
             }
-            PartsError::Misplaced { name } => {
+            PartsError::WrongBucket { name } => {
                 write!(f, "section [{name}] is in the wrong bucket")
             }
         }
@@ -203,7 +203,7 @@
         let bucket = decode_bucket(*digest, bodies)?;
         if let Some(name) = bucket.keys().find(|name| bucket_of(name) != index)
         {
-            return Err(PartsError::Misplaced { name: name.clone() });
+            return Err(PartsError::WrongBucket { name: name.clone() });
         }
         sections.extend(bucket);
     }
@@ -231,7 +231,7 @@
     let body = body.as_ref();
     let actual = PartDigest::of(body);
     if actual != digest {
-        return Err(PartsError::Digest { expected: digest, actual });
+        return Err(PartsError::DigestMismatch { expected: digest, actual });
     }
     serde_json::from_slice(body).map_err(|_| PartsError::Unreadable { digest })
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -8,8 +8,8 @@
 use crate::findings::{Finding, Findings};
 
 mod read;
+pub mod schema;
 mod sections;
-pub mod tables;
 
 /// Settings of a daemon in one of its roles.
 #[derive(Clone, Debug, Eq, PartialEq)]
--- a/crates/config/src/settings/read.rs
+++ b/crates/config/src/settings/read.rs
@@ -4,8 +4,8 @@
 
 use super::{
     BackendSettings, DaemonSettings, NodeSettings,
+    schema::*,
     sections::{entry, links, log, node, platform, side},
-    tables::*,
 };
 use crate::{
     document::Document,
@@ -33,7 +33,7 @@
     let settings = reader.read();
     findings.sort();
     match settings {
-        Some(settings) => findings.or_ok(settings),
+        Some(settings) => findings.into_result(settings),
         None => Err(findings),
     }
 }
@@ -45,10 +45,10 @@
 
 impl DaemonReader<'_> {
     fn read(&mut self) -> Option<DaemonSettings> {
-        let log = log(&mut self.section(LOG_WORD, LOG));
-        let links = links(&mut self.section(LINKS_WORD, LINKS));
-        let platform = platform(&mut self.section(PLATFORM_WORD, PLATFORM));
-        let mut reader = self.section(NODE_WORD, NODE);
+        let log = log(&mut self.section(LOG_KEYWORD, LOG));
+        let links = links(&mut self.section(LINKS_KEYWORD, LINKS));
+        let platform = platform(&mut self.section(PLATFORM_KEYWORD, PLATFORM));
+        let mut reader = self.section(NODE_KEYWORD, NODE);
         let role = reader.choice(&ROLE, role_from_word);
         let node = node(&mut reader, log, links, platform);
         let settings = match role {
@@ -69,30 +69,30 @@
     }
 
     fn entry(&mut self, node: Option<NodeSettings>) -> Option<DaemonSettings> {
-        self.refuse(SIDE_WORD, "entry");
-        for name in self.sheet.names(BACKEND_SERVER_WORD) {
+        self.refuse(SIDE_KEYWORD, "entry");
+        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
             self.refuse(&backend_heading(name), "entry");
         }
-        let entry = entry(&mut self.section(ENTRY_WORD, ENTRY), node);
+        let entry = entry(&mut self.section(ENTRY_KEYWORD, ENTRY), node);
         entry.map(DaemonSettings::Entry)
     }
 
     fn side(&mut self, node: Option<NodeSettings>) -> Option<DaemonSettings> {
-        self.refuse(ENTRY_WORD, "side");
+        self.refuse(ENTRY_KEYWORD, "side");
         let backends = self.backends();
-        let side = side(&mut self.section(SIDE_WORD, SIDE), node, backends);
+        let side = side(&mut self.section(SIDE_KEYWORD, SIDE), node, backends);
         side.map(DaemonSettings::Side)
     }
 
     /// Reads what is there when the role isn't known, for the findings.
     fn any(&mut self) -> Option<DaemonSettings> {
-        if self.sheet.has(ENTRY_WORD) {
-            entry(&mut self.section(ENTRY_WORD, ENTRY), None);
+        if self.sheet.has(ENTRY_KEYWORD) {
+            entry(&mut self.section(ENTRY_KEYWORD, ENTRY), None);
         }
-        if self.sheet.has(SIDE_WORD) {
-            side(&mut self.section(SIDE_WORD, SIDE), None, None);
+        if self.sheet.has(SIDE_KEYWORD) {
+            side(&mut self.section(SIDE_KEYWORD, SIDE), None, None);
         }
-        for name in self.sheet.names(BACKEND_SERVER_WORD) {
+        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
             self.backend(name);
         }
         None
@@ -107,7 +107,7 @@
     }
 
     fn backends(&mut self) -> Option<Vec<BackendSettings>> {
-        let names = self.sheet.names(BACKEND_SERVER_WORD);
+        let names = self.sheet.names(BACKEND_SERVER_KEYWORD);
         if names.is_empty() {
             let message = "missing section; the role side needs one or more";
             let place = self.sheet.place("backend-server NAME");
@@ -131,10 +131,10 @@
         let mut uses = BTreeMap::new();
         let node = [&INNER_ADDRESS, &OPS_ADDRESS, &CONTROL_ADDRESS];
         for field in node {
-            self.check_address(&mut uses, NODE_WORD, field.key);
+            self.check_address(&mut uses, NODE_KEYWORD, field.key);
         }
-        self.check_address(&mut uses, ENTRY_WORD, HTTP_ADDRESS.key);
-        for name in self.sheet.names(BACKEND_SERVER_WORD) {
+        self.check_address(&mut uses, ENTRY_KEYWORD, HTTP_ADDRESS.key);
+        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
             let heading = backend_heading(name);
             self.check_address(&mut uses, &heading, BACKEND_ADDRESS.key);
         }
@@ -161,7 +161,7 @@
 }
 
 fn backend_heading(name: &str) -> String {
-    format!("{BACKEND_SERVER_WORD} {name}")
+    format!("{BACKEND_SERVER_KEYWORD} {name}")
 }
 
 fn role_from_word(word: &str) -> Option<Role> {
--- a/crates/config/src/settings/sections.rs
+++ b/crates/config/src/settings/sections.rs
@@ -2,7 +2,7 @@
 
 use super::{
     BackendSettings, EntrySettings, LinkSettings, LogFormat, LogLevel,
-    LogSettings, NodeSettings, PlatformSettings, SideSettings, tables::*,
+    LogSettings, NodeSettings, PlatformSettings, SideSettings, schema::*,
 };
 use crate::{fields::IntegerField, sheet::SectionReader};
 
--- a/crates/config/src/sheet.rs
+++ b/crates/config/src/sheet.rs
@@ -10,7 +10,7 @@
     document::{Document, Entry, Section, shortened},
     fields::{
         AddressField, AddressListField, ChoiceField, Field, IntegerField,
-        ListField, SectionTable, TextField, TextForm,
+        ListField, SectionSchema, TextField, TextFormat,
     },
     findings::{Finding, Findings},
     values::{
@@ -23,7 +23,7 @@
 pub(crate) struct Sheet<'a> {
     file: &'a str,
     document: &'a Document,
-    tables: &'static [SectionTable],
+    tables: &'static [SectionSchema],
     sections: BTreeMap<&'a str, &'a Section>,
 }
 
@@ -32,7 +32,7 @@
     pub(crate) fn new(
         file: &'a str,
         document: &'a Document,
-        tables: &'static [SectionTable],
+        tables: &'static [SectionSchema],
         findings: &mut Findings,
     ) -> Sheet<'a> {
         let sections = BTreeMap::new();
@@ -97,8 +97,8 @@
     /// The keys of all kinds of the section.
     fn known_fields(&self, heading: &str) -> &'static [&'static [Field]] {
         let word = heading.split(' ').next().unwrap_or_default();
-        let table = self.tables.iter().find(|table| table.word == word);
-        table.map_or(&[], |table| table.tables)
+        let table = self.tables.iter().find(|table| table.keyword == word);
+        table.map_or(&[], |table| table.field_groups)
     }
 
     /// Where findings of a section are placed.
@@ -208,7 +208,7 @@
     ) -> Option<T> {
         let default = field.default.and_then(from_word);
         let read = |text: &str| {
-            let words = field.words.join(", ");
+            let words = field.values.join(", ");
             from_word(text).ok_or_else(|| {
                 format!("{} is not one of {words}", shortened(text))
             })
@@ -286,19 +286,19 @@
 
 fn check_heading(
     heading: &str,
-    tables: &[SectionTable],
+    tables: &[SectionSchema],
 ) -> Result<(), String> {
     let mut words = heading.split(' ');
     let word = words.next().unwrap_or_default();
-    let Some(table) = tables.iter().find(|table| table.word == word) else {
+    let Some(table) = tables.iter().find(|table| table.keyword == word) else {
         return Err("unknown section".to_owned());
     };
     let names: Vec<&str> = words.collect();
-    if names.len() != table.names.len() {
+    if names.len() != table.name_placeholders.len() {
         return Err(format!("must be written [{}]", table.heading()));
     }
-    match names.iter().find(|name| !TextForm::Name.matches(name)) {
-        Some(name) => Err(not_of_form(TextForm::Name, name)),
+    match names.iter().find(|name| !TextFormat::Name.matches(name)) {
+        Some(name) => Err(not_of_form(TextFormat::Name, name)),
         None => Ok(()),
     }
 }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -6,7 +6,7 @@
     document::shortened,
     fields::{
         AddressField, AddressListField, AddressUse, IntegerField, ListField,
-        TextForm,
+        TextFormat,
     },
 };
 
@@ -53,7 +53,7 @@
 
 /// A text of the form.
 pub(crate) fn parse_text(
-    form: TextForm,
+    form: TextFormat,
     text: &str,
 ) -> Result<String, String> {
     if form.matches(text) {
@@ -104,7 +104,7 @@
 }
 
 /// Message for a text that hasn't the form.
-pub(crate) fn not_of_form(form: TextForm, text: &str) -> String {
+pub(crate) fn not_of_form(form: TextFormat, text: &str) -> String {
     format!("{} is not a {}", quoted(text), form.describe())
 }
 
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -1,7 +1,7 @@
 //! The operators' pages say what the tables of keys say.
 
 use chestnutreach_config::{
-    fields::{Field, SectionTable},
+    fields::{Field, SectionSchema},
     manifest, settings,
 };
 
@@ -10,18 +10,18 @@
     struct Case {
         page: &'static str,
         text: &'static str,
-        sections: &'static [SectionTable],
+        sections: &'static [SectionSchema],
     }
     let cases = [
         Case {
             page: "SETTINGS.md",
             text: include_str!("../../../docs/SETTINGS.md"),
-            sections: settings::tables::SECTIONS,
+            sections: settings::schema::SECTIONS,
         },
         Case {
             page: "MANIFEST.md",
             text: include_str!("../../../docs/MANIFEST.md"),
-            sections: manifest::tables::SECTIONS,
+            sections: manifest::schema::SECTIONS,
         },
     ];
     for case in cases {
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -6,7 +6,7 @@
     Manifest, Parts,
     manifest::{Difference, diff},
     parts::{
-        BUCKET_COUNT, EMPTY_BODY, PartDigest, PartsError, ROOT_BYTES,
+        BUCKET_COUNT, EMPTY_BUCKET, PartDigest, PartsError, ROOT_BYTES,
         assemble, decode_root, encode_root,
     },
 };
@@ -39,9 +39,9 @@
 #[test]
 fn a_manifest_without_sections_is_256_empty_buckets() {
     let parts = Parts::from_sections(&Sections::new());
-    let empty = PartDigest::of_empty();
+    let empty = PartDigest::of_empty_bucket();
     assert_eq!(parts.root, [empty; BUCKET_COUNT]);
-    let body = EMPTY_BODY.to_vec();
+    let body = EMPTY_BUCKET.to_vec();
     assert_eq!(parts.bodies, BTreeMap::from([(empty, body)]));
 }
 
@@ -85,7 +85,7 @@
     );
     assert_eq!(
         error(&changed.root, &changed.bodies),
-        Some(PartsError::Digest { expected: first, actual: garbage }),
+        Some(PartsError::DigestMismatch { expected: first, actual: garbage }),
     );
     assert_eq!(
         error(&unreadable.root, &unreadable.bodies),
@@ -93,7 +93,7 @@
     );
     assert!(matches!(
         error(&swapped, &parts.bodies),
-        Some(PartsError::Misplaced { .. }),
+        Some(PartsError::WrongBucket { .. }),
     ));
     assert_eq!(
         error(&parts.root[1..], &parts.bodies),
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -15,7 +15,7 @@
 use async_compat::Compat;
 use async_executor::Executor;
 use async_io::{Async, Timer};
-use chestnutreach_telemetry::{Event, Port, emit, port::Slot};
+use chestnutreach_telemetry::{Event, Port, emit, port::ConnectionSlot};
 use futures_lite::{FutureExt as _, StreamExt as _};
 use tarpc::server::{BaseChannel, Channel as _};
 
@@ -143,7 +143,7 @@
     calls: Calls,
     options: ServeOptions,
     peer: SocketAddr,
-    _slot: Slot,
+    _slot: ConnectionSlot,
 }
 
 impl Connection {
--- a/crates/daemon/src/direct.rs
+++ b/crates/daemon/src/direct.rs
@@ -91,7 +91,7 @@
     // signals.
     let stop = executor.spawn(stop);
     let cut = async_io::block_on(executor.run(stop))?;
-    lines.write_out();
+    lines.flush();
     Ok(cut)
 }
 
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -106,7 +106,7 @@
             metrics: self.metrics.clone(),
             readiness: self.readiness.clone(),
             status: Box::new(status),
-            order: ops::no_orders(),
+            command: ops::no_commands(),
         });
         let task = serve_ops(listener, self.executor.clone(), state);
         self.executor.spawn(task).detach();
@@ -159,7 +159,7 @@
         let readiness = self.readiness.clone();
         let metrics = self.metrics.clone();
         move |generation| {
-            metrics.generation.set(generation as i64);
+            metrics.manifest_generation.set(generation as i64);
             readiness.clear(NEEDS_MANIFEST);
         }
     }
@@ -180,7 +180,7 @@
             CallResult::Failed => TableResult::Failed,
             CallResult::Unknown => TableResult::Unknown,
         };
-        metrics.table_operation(operation, result);
+        metrics.record_table_operation(operation, result);
     }
 }
 
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -77,7 +77,9 @@
     let head = answered.head;
     let rest = match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
         RestNotice::None => return,
-        RestNotice::Malformed => return core.metrics.malformed_rests.inc(),
+        RestNotice::Malformed => {
+            return core.metrics.malformed_cooldowns.inc();
+        }
         RestNotice::For(rest) => rest,
     };
     let now_ms = now_ms();
@@ -88,7 +90,7 @@
         state.cooldown_until_ms
     };
     core.fleet.record_cooldown(until_ms);
-    core.metrics.rests_asked.inc();
+    core.metrics.cooldowns_requested.inc();
     emit(
         Event::RestAsked,
         &[
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -172,7 +172,7 @@
             return false;
         }
         note_configuration(&new, row_version);
-        self.metrics.generation.set(new.version as i64);
+        self.metrics.manifest_generation.set(new.version as i64);
         self.configuration.store(Some(Arc::new(new)));
         self.readiness.clear(NEEDS_CONFIGURATION);
         self.configuration_subscribers.notify_all();
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -265,7 +265,7 @@
         metrics: core.metrics.clone(),
         readiness: core.readiness.clone(),
         status: Box::new(status),
-        order: Box::new(order),
+        command: Box::new(order),
     })
 }
 
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -203,5 +203,5 @@
     let Some(admitted) = admitted else { return };
     let service = core.metrics.service(&admitted.service.name);
     let elapsed = Duration::from_millis(elapsed_ms);
-    service.request_ended(ended.outcome, "", elapsed);
+    service.record_request_ended(ended.outcome, "", elapsed);
 }
--- a/crates/entry/src/key_hold.rs
+++ b/crates/entry/src/key_hold.rs
@@ -124,7 +124,7 @@
         };
         match taken {
             Ok(Claimed::Mine) => {
-                self.note(ClaimResult::Taken);
+                self.note(ClaimResult::Acquired);
                 self.claim = Some(claim);
                 self.replaces = None;
                 Hold::Mine
@@ -177,10 +177,10 @@
     }
 
     fn note(&self, result: ClaimResult) {
-        if result == ClaimResult::Taken {
+        if result == ClaimResult::Acquired {
             self.entry.store_outage.worked();
         }
-        self.entry.metrics.claim(result);
+        self.entry.metrics.record_claim(result);
     }
 
     /// Notes how the request ended, for repeats.
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -122,11 +122,11 @@
     };
     match decide(held, digest, owner, unix_s()) {
         Repeat::Answer(answer) => {
-            entry.metrics.claim(ClaimResult::Repeated);
+            entry.metrics.record_claim(ClaimResult::Repeated);
             Resolved::Told(replay(answer))
         }
         Repeat::KeyReused => {
-            entry.metrics.claim(ClaimResult::KeyReused);
+            entry.metrics.record_claim(ClaimResult::KeyReused);
             let detail = "the idempotency key was used for another request";
             end(NotRunReason::KeyReused, None, detail)
         }
--- a/crates/entry/src/tally.rs
+++ b/crates/entry/src/tally.rs
@@ -136,7 +136,7 @@
         }
         let elapsed = self.arrived.elapsed();
         self.service_metrics.requests_in_flight.dec();
-        self.service_metrics.request_ended(outcome, reason, elapsed);
+        self.service_metrics.record_request_ended(outcome, reason, elapsed);
         let why = if reason.is_empty() { detail } else { reason };
         emit(
             Event::RequestEnded,
--- a/crates/platform/src/manifest_store/cache.rs
+++ b/crates/platform/src/manifest_store/cache.rs
@@ -10,7 +10,7 @@
 };
 
 use chestnutreach_config::parts::{
-    EMPTY_BODY, PartDigest, assemble, decode_root, encode_root,
+    EMPTY_BUCKET, PartDigest, assemble, decode_root, encode_root,
 };
 
 use super::{FetchError, ObjectDigest};
@@ -50,7 +50,7 @@
         let Some(digests) = self.root(root) else {
             return BTreeSet::from([ObjectDigest::Root(*root)]);
         };
-        let empty = PartDigest::of_empty();
+        let empty = PartDigest::of_empty_bucket();
         let is_missing = |digest: &PartDigest| {
             *digest != empty && !self.parts.contains_key(digest)
         };
@@ -110,8 +110,8 @@
             let root = ObjectDigest::Root(*root);
             return Err(FetchError::missing(&root.key()));
         };
-        let empty = PartDigest::of_empty();
-        self.parts.entry(empty).or_insert_with(|| EMPTY_BODY.into());
+        let empty = PartDigest::of_empty_bucket();
+        self.parts.entry(empty).or_insert_with(|| EMPTY_BUCKET.into());
         let sections = assemble(&held.parts, &self.parts)?;
         let named: BTreeSet<&PartDigest> = held.parts.iter().collect();
         self.parts.retain(|digest, _| named.contains(digest));
--- a/crates/platform/src/manifest_store/mod.rs
+++ b/crates/platform/src/manifest_store/mod.rs
@@ -213,7 +213,7 @@
             None => None,
         };
         let mut new = parts.new_bodies(known.as_deref().unwrap_or_default());
-        new.remove(&PartDigest::of_empty());
+        new.remove(&PartDigest::of_empty_bucket());
         let puts = new.into_iter().map(|(digest, body)| async move {
             let key = ObjectDigest::Part(digest).key();
             self.objects.put(&key, body).await
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -57,7 +57,7 @@
 
     /// Counts a step that was not taken.
     pub(crate) fn note_refused_step(&self, reason: &'static str) {
-        self.metrics.step_refused(reason);
+        self.metrics.record_step_refused(reason);
         emit(Event::StepRefused, &[("reason", &reason)]);
     }
 
--- a/crates/side/src/run/end.rs
+++ b/crates/side/src/run/end.rs
@@ -127,7 +127,7 @@
         }));
         drop(state);
         let metrics = self.metrics.service(&run.service);
-        metrics.attempt_refused(reason.as_str_name());
+        metrics.record_attempt_refused(reason.as_str_name());
         if was_queued {
             run.backend.gate.remove_run(run);
             run.is_ended.store(true, Ordering::Release);
--- a/crates/side/src/seat/reserve.rs
+++ b/crates/side/src/seat/reserve.rs
@@ -33,7 +33,7 @@
             Ok(seat) => self.offer_seat(&seat),
             Err(refusal) => {
                 let reason = refusal.reason;
-                metrics.attempt_refused(reason.as_str_name());
+                metrics.record_attempt_refused(reason.as_str_name());
                 let _ = link.send(Body::Refused(wire::Refused {
                     request,
                     attempt,
--- a/crates/telemetry/src/family.rs
+++ b/crates/telemetry/src/family.rs
@@ -12,7 +12,7 @@
 
 /// How a metric moves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FamilyKind {
+pub enum MetricKind {
     /// Only grows while the process lives.
     Counter,
     /// Goes up and down.
@@ -21,30 +21,30 @@
     Histogram,
 }
 
-impl fmt::Display for FamilyKind {
+impl fmt::Display for MetricKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            FamilyKind::Counter => "counter",
-            FamilyKind::Gauge => "gauge",
-            FamilyKind::Histogram => "histogram",
+            MetricKind::Counter => "counter",
+            MetricKind::Gauge => "gauge",
+            MetricKind::Histogram => "histogram",
         })
     }
 }
 
 /// One metric, as in the catalogue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Family {
+pub struct MetricFamily {
     /// Name without the prefix.
     pub name: &'static str,
     /// How it moves.
-    pub kind: FamilyKind,
+    pub kind: MetricKind,
     /// Names of its labels, besides the role and VM that all have.
     pub labels: &'static [&'static str],
     /// What it tells.
     pub help: &'static str,
 }
 
-impl Family {
+impl MetricFamily {
     /// The name that is exposed.
     pub fn full_name(&self) -> String {
         format!("{PREFIX}_{}", self.name)
@@ -57,7 +57,7 @@
 /// panics there and not at run time.
 pub(crate) struct Registrar {
     registry: Registry,
-    families: Vec<Family>,
+    families: Vec<MetricFamily>,
 }
 
 impl Registrar {
@@ -72,7 +72,7 @@
         Registrar { registry, families: Vec::new() }
     }
 
-    pub(crate) fn finish(self) -> (Registry, Vec<Family>) {
+    pub(crate) fn finish(self) -> (Registry, Vec<MetricFamily>) {
         (self.registry, self.families)
     }
 
@@ -82,7 +82,7 @@
         help: &'static str,
     ) -> IntCounter {
         let made = IntCounter::with_opts(Opts::new(name, help));
-        self.keep(made, (name, FamilyKind::Counter, &[], help))
+        self.keep(made, (name, MetricKind::Counter, &[], help))
     }
 
     pub(crate) fn counters(
@@ -92,7 +92,7 @@
         help: &'static str,
     ) -> IntCounterVec {
         let made = IntCounterVec::new(Opts::new(name, help), labels);
-        self.keep(made, (name, FamilyKind::Counter, labels, help))
+        self.keep(made, (name, MetricKind::Counter, labels, help))
     }
 
     pub(crate) fn gauge(
@@ -101,7 +101,7 @@
         help: &'static str,
     ) -> IntGauge {
         let made = IntGauge::with_opts(Opts::new(name, help));
-        self.keep(made, (name, FamilyKind::Gauge, &[], help))
+        self.keep(made, (name, MetricKind::Gauge, &[], help))
     }
 
     pub(crate) fn gauges(
@@ -111,7 +111,7 @@
         help: &'static str,
     ) -> IntGaugeVec {
         let made = IntGaugeVec::new(Opts::new(name, help), labels);
-        self.keep(made, (name, FamilyKind::Gauge, labels, help))
+        self.keep(made, (name, MetricKind::Gauge, labels, help))
     }
 
     pub(crate) fn histogram(
@@ -122,7 +122,7 @@
     ) -> Histogram {
         let options = HistogramOpts::new(name, help).buckets(buckets.into());
         let made = Histogram::with_opts(options);
-        self.keep(made, (name, FamilyKind::Histogram, &[], help))
+        self.keep(made, (name, MetricKind::Histogram, &[], help))
     }
 
     pub(crate) fn histograms(
@@ -134,7 +134,7 @@
     ) -> HistogramVec {
         let options = HistogramOpts::new(name, help).buckets(buckets.into());
         let made = HistogramVec::new(options, labels);
-        self.keep(made, (name, FamilyKind::Histogram, labels, help))
+        self.keep(made, (name, MetricKind::Histogram, labels, help))
     }
 
     fn keep<C: Collector + Clone + 'static>(
@@ -142,7 +142,7 @@
         made: Result<C, prometheus::Error>,
         (name, kind, labels, help): (
             &'static str,
-            FamilyKind,
+            MetricKind,
             &'static [&'static str],
             &'static str,
         ),
@@ -150,7 +150,7 @@
         let collector = made.expect("fixed names are valid");
         let registered = self.registry.register(Box::new(collector.clone()));
         registered.expect("fixed names are unique");
-        self.families.push(Family { name, kind, labels, help });
+        self.families.push(MetricFamily { name, kind, labels, help });
         collector
     }
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -36,9 +36,9 @@
 pub mod readiness;
 
 pub use event::{Event, emit};
-pub use family::{Family, FamilyKind};
+pub use family::{MetricFamily, MetricKind};
 pub use line_buffer::LineBuffer;
 pub use metrics::{AccountMetrics, BackendMetrics, Metrics, ServiceMetrics};
 pub use ops::{OpsState, serve_ops};
-pub use port::{Accepted, Port};
+pub use port::{AcceptedConnection, Port};
 pub use readiness::Readiness;
--- a/crates/telemetry/src/line_buffer.rs
+++ b/crates/telemetry/src/line_buffer.rs
@@ -23,7 +23,7 @@
 };
 
 /// Bytes of lines that may wait.
-pub const MAX_BYTES: usize = 512 << 10;
+pub const MAX_BUFFERED_BYTES: usize = 512 << 10;
 /// Bytes that only lines from `warn` on may fill.
 const RESERVED_BYTES: usize = 128 << 10;
 /// Time from a line to its writing; each writing wakes a thread.
@@ -51,7 +51,7 @@
     }
 
     /// Lines dropped since the start.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.shared.dropped.load(Relaxed)
     }
 
@@ -67,7 +67,7 @@
             loop {
                 thread::sleep(WRITE_EVERY);
                 told = buffer.tell_dropped(told);
-                buffer.write_out();
+                buffer.flush();
             }
         };
         thread::Builder::new().name("logs".to_owned()).spawn(write)?;
@@ -75,7 +75,7 @@
     }
 
     /// Writes what waits now; for the end of the process.
-    pub fn write_out(&self) {
+    pub fn flush(&self) {
         let lines = std::mem::take(&mut *self.lock());
         let mut left = lines.as_slice();
         let mut output = std::io::stdout().lock();
@@ -100,7 +100,7 @@
     pub fn push(&self, line: &[u8], is_severe: bool) -> bool {
         let mut waiting = self.lock();
         let reserved = if is_severe { 0 } else { RESERVED_BYTES };
-        if waiting.len() + line.len() + 1 > MAX_BYTES - reserved {
+        if waiting.len() + line.len() + 1 > MAX_BUFFERED_BYTES - reserved {
             self.shared.dropped.fetch_add(1, Relaxed);
             return false;
         }
@@ -110,7 +110,7 @@
     }
 
     fn tell_dropped(&self, told: u64) -> u64 {
-        let dropped = self.dropped();
+        let dropped = self.dropped_lines();
         if dropped > told {
             let count = dropped - told;
             crate::emit(crate::Event::LinesDropped, &[("count", &count)]);
@@ -148,7 +148,7 @@
     }
 
     fn flush(&self) -> Result<(), Error> {
-        self.buffer.write_out();
+        self.buffer.flush();
         Ok(())
     }
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -5,7 +5,7 @@
 //! one atomic addition, with no lookup of a label. Handles are the same
 //! however often they are asked for, and their number is bounded, so that
 //! names from outside cannot grow the memory: past the bound, names share the
-//! series [`OTHER`].
+//! series [`OTHER_LABEL`].
 
 mod children;
 mod labels;
@@ -22,17 +22,17 @@
 pub use children::{AccountMetrics, BackendMetrics, ServiceMetrics};
 pub use labels::{ClaimResult, TableOperation, TableResult};
 
-use crate::family::{Family, Registrar};
+use crate::family::{MetricFamily, Registrar};
 use children::{AccountFamilies, BackendFamilies, ServiceFamilies};
 
 /// Label of the names past a bound.
-pub const OTHER: &str = "other";
+pub const OTHER_LABEL: &str = "other";
 /// Services with series of their own.
-pub const MAX_SERVICES: usize = 100;
+pub const MAX_SERVICE_SERIES: usize = 100;
 /// Client accounts with series of their own.
-pub const MAX_ACCOUNTS: usize = 2_000;
+pub const MAX_ACCOUNT_SERIES: usize = 2_000;
 /// Backend servers with series of their own.
-pub const MAX_BACKENDS: usize = 100;
+pub const MAX_BACKEND_SERIES: usize = 100;
 
 /// Sizes of a group commit, in claims.
 const COMMIT_SIZES: [f64; 8] = [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
@@ -51,7 +51,7 @@
     /// Records in the run-once table.
     pub run_once_records: IntGauge,
     /// Generation of the manifest in force; 0 for none.
-    pub generation: IntGauge,
+    pub manifest_generation: IntGauge,
     /// 1 while the process drains.
     pub is_draining: IntGauge,
     /// Open links to other processes.
@@ -69,9 +69,9 @@
     /// Answers that name a limit which is no number.
     pub malformed_limits: IntCounter,
     /// Requests that backend servers turned away, asking for rest.
-    pub rests_asked: IntCounter,
+    pub cooldowns_requested: IntCounter,
     /// Answers that ask for a rest which is no number.
-    pub malformed_rests: IntCounter,
+    pub malformed_cooldowns: IntCounter,
     /// Claims in one group commit.
     pub claim_commit_size: Histogram,
     step_refusals: IntCounterVec,
@@ -80,7 +80,7 @@
     services: Handles<ServiceFamilies>,
     accounts: Handles<AccountFamilies>,
     backends: Handles<BackendFamilies>,
-    families: Vec<Family>,
+    families: Vec<MetricFamily>,
 }
 
 impl Metrics {
@@ -97,7 +97,7 @@
         );
         let run_once_records =
             r.gauge("run_once_records", "Records in the run-once table.");
-        let generation = r.gauge(
+        let manifest_generation = r.gauge(
             "manifest_generation",
             "Generation of the manifest in force, 0 for none.",
         );
@@ -129,11 +129,11 @@
             "malformed_limits_total",
             "Answers of backend servers with a limit that is no number.",
         );
-        let rests_asked = r.counter(
+        let cooldowns_requested = r.counter(
             "rests_asked_total",
             "Requests that backend servers turned away, asking for rest.",
         );
-        let malformed_rests = r.counter(
+        let malformed_cooldowns = r.counter(
             "malformed_rests_total",
             "Answers of backend servers with a rest that is no number.",
         );
@@ -157,16 +157,19 @@
             &["result"],
             "Claims of idempotency keys by their result.",
         );
-        let services = Handles::new(ServiceFamilies::new(r), MAX_SERVICES);
-        let accounts = Handles::new(AccountFamilies::new(r), MAX_ACCOUNTS);
-        let backends = Handles::new(BackendFamilies::new(r), MAX_BACKENDS);
+        let services =
+            Handles::new(ServiceFamilies::new(r), MAX_SERVICE_SERIES);
+        let accounts =
+            Handles::new(AccountFamilies::new(r), MAX_ACCOUNT_SERIES);
+        let backends =
+            Handles::new(BackendFamilies::new(r), MAX_BACKEND_SERIES);
         let (registry, families) = registrar.finish();
         Metrics {
             registry,
             caller_connections,
             decision_time,
             run_once_records,
-            generation,
+            manifest_generation,
             is_draining,
             links_open,
             links_lost,
@@ -175,8 +178,8 @@
             requests_quarantined,
             quarantine_refusals,
             malformed_limits,
-            rests_asked,
-            malformed_rests,
+            cooldowns_requested,
+            malformed_cooldowns,
             claim_commit_size,
             step_refusals,
             table_operations,
@@ -204,12 +207,12 @@
     }
 
     /// A step was not the next of its attempt.
-    pub fn step_refused(&self, reason: &'static str) {
+    pub fn record_step_refused(&self, reason: &'static str) {
         self.step_refusals.with_label_values(&[reason]).inc();
     }
 
     /// A call to the table service ended.
-    pub fn table_operation(
+    pub fn record_table_operation(
         &self,
         operation: TableOperation,
         result: TableResult,
@@ -219,12 +222,12 @@
     }
 
     /// A claim of an idempotency key ended.
-    pub fn claim(&self, result: ClaimResult) {
+    pub fn record_claim(&self, result: ClaimResult) {
         self.claims.with_label_values(&[result.as_str()]).inc();
     }
 
     /// Every metric, as in the catalogue.
-    pub fn families(&self) -> &[Family] {
+    pub fn families(&self) -> &[MetricFamily] {
         &self.families
     }
 
@@ -263,7 +266,7 @@
     ) -> Arc<F::Child> {
         let mut made = self.made.lock().expect("no holder panics");
         let is_room = made.len() < self.limit || made.contains_key(name);
-        let name = if is_room { name } else { OTHER };
+        let name = if is_room { name } else { OTHER_LABEL };
         if let Some(child) = made.get(name) {
             return child.clone();
         }
--- a/crates/telemetry/src/metrics/children.rs
+++ b/crates/telemetry/src/metrics/children.rs
@@ -57,7 +57,7 @@
 
 impl ServiceMetrics {
     /// A request has its outcome; both words come from closed sets.
-    pub fn request_ended(
+    pub fn record_request_ended(
         &self,
         outcome: &'static str,
         reason: &'static str,
@@ -70,7 +70,7 @@
 
     /// This process refused an attempt before it ran; the word comes from a
     /// closed set.
-    pub fn attempt_refused(&self, reason: &'static str) {
+    pub fn record_attempt_refused(&self, reason: &'static str) {
         let labels = [self.name.as_str(), reason];
         self.refusals.with_label_values(&labels).inc();
     }
--- a/crates/telemetry/src/metrics/labels.rs
+++ b/crates/telemetry/src/metrics/labels.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimResult {
     /// The request may run.
-    Taken,
+    Acquired,
     /// The same request was claimed before.
     Repeated,
     /// The key belongs to another request.
@@ -63,7 +63,7 @@
     /// Word for the label.
     pub fn as_str(self) -> &'static str {
         match self {
-            ClaimResult::Taken => "taken",
+            ClaimResult::Acquired => "taken",
             ClaimResult::Repeated => "repeated",
             ClaimResult::KeyReused => "key_reused",
             ClaimResult::Unsettled => "unsettled",
--- a/crates/telemetry/src/ops.rs
+++ b/crates/telemetry/src/ops.rs
@@ -24,14 +24,14 @@
 use crate::{
     event::{Event, emit},
     metrics::Metrics,
-    port::{Accepted, Port},
+    port::{AcceptedConnection, Port},
     readiness::Readiness,
 };
 
 /// Connections at once; further ones are closed.
 pub const MAX_CONNECTIONS: usize = 64;
 /// Longest life of a connection.
-pub const CONNECTION_LIMIT: Duration = Duration::from_secs(30);
+pub const MAX_CONNECTION_LIFETIME: Duration = Duration::from_secs(30);
 
 /// Longest body; requests to this port have none that matters.
 const MAX_BODY_BYTES: usize = 1024;
@@ -49,11 +49,11 @@
 
 /// Carries out an order, named by its path; none for a path that is no order
 /// of this process.
-pub type OrderFn =
+pub type CommandFn =
     Box<dyn Fn(&str) -> Option<serde_json::Value> + Send + Sync>;
 
 /// Takes no orders.
-pub fn no_orders() -> OrderFn {
+pub fn no_commands() -> CommandFn {
     Box::new(|_| None)
 }
 
@@ -66,7 +66,7 @@
     /// Answer of `/status`.
     pub status: StatusFn,
     /// Answer of a `POST`.
-    pub order: OrderFn,
+    pub command: CommandFn,
 }
 
 /// Serves the port until the future is dropped.
@@ -82,8 +82,8 @@
     }
 }
 
-async fn serve(accepted: Accepted, ops: Arc<OpsState>) {
-    let Accepted { socket, peer, slot: _slot } = accepted;
+async fn serve(accepted: AcceptedConnection, ops: Arc<OpsState>) {
+    let AcceptedConnection { socket, peer, slot: _slot } = accepted;
     let options = ServerOptions::new()
         .max_body_bytes(MAX_BODY_BYTES)
         .idle_timeout(READ_TIMEOUT)
@@ -102,7 +102,7 @@
     serving: impl Future<Output = io::Result<()>>,
 ) -> io::Result<()> {
     let limit = async {
-        Timer::after(CONNECTION_LIMIT).await;
+        Timer::after(MAX_CONNECTION_LIFETIME).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     serving.or(limit).await
@@ -112,7 +112,7 @@
     let path = received.request.url().path();
     let mut response = match received.request.method() {
         Method::Get | Method::Head => answer_path(path, ops),
-        Method::Post => match (ops.order)(path) {
+        Method::Post => match (ops.command)(path) {
             Some(answer) => json_response(StatusCode::Ok, &answer),
             None => not_allowed(),
         },
--- a/crates/telemetry/src/port.rs
+++ b/crates/telemetry/src/port.rs
@@ -39,12 +39,12 @@
     }
 
     /// The next connection within the bound; those past it are closed.
-    pub async fn accept(&self) -> Accepted {
+    pub async fn accept(&self) -> AcceptedConnection {
         loop {
             match self.listener.accept().await {
                 Ok((socket, peer)) => {
                     if let Some(slot) = self.take_slot() {
-                        return Accepted { socket, peer, slot };
+                        return AcceptedConnection { socket, peer, slot };
                     }
                 }
                 Err(e) => {
@@ -64,8 +64,8 @@
         self.open.load(Ordering::Relaxed)
     }
 
-    fn take_slot(&self) -> Option<Slot> {
-        let slot = Slot(self.open.clone());
+    fn take_slot(&self) -> Option<ConnectionSlot> {
+        let slot = ConnectionSlot(self.open.clone());
         let others = self.open.fetch_add(1, Ordering::Relaxed);
         if others < self.max_connections {
             return Some(slot);
@@ -80,20 +80,20 @@
 
 /// A connection that was taken.
 #[derive(Debug)]
-pub struct Accepted {
+pub struct AcceptedConnection {
     /// The connection.
     pub socket: Async<TcpStream>,
     /// Its other end.
     pub peer: SocketAddr,
     /// Counts it until dropped.
-    pub slot: Slot,
+    pub slot: ConnectionSlot,
 }
 
 /// One of the connections that a port may have.
 #[derive(Debug)]
-pub struct Slot(Arc<AtomicUsize>);
+pub struct ConnectionSlot(Arc<AtomicUsize>);
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/telemetry/tests/line_buffer.rs
+++ b/crates/telemetry/tests/line_buffer.rs
@@ -1,6 +1,6 @@
 //! Log lines wait in bounded space and never block.
 
-use chestnutreach_telemetry::{LineBuffer, line_buffer::MAX_BYTES};
+use chestnutreach_telemetry::{LineBuffer, line_buffer::MAX_BUFFERED_BYTES};
 
 const LINE: [u8; 1_000] = [b'x'; 1_000];
 
@@ -11,8 +11,8 @@
     while buffer.push(&LINE, false) {
         taken += 1;
     }
-    assert!(taken * LINE.len() < MAX_BYTES);
-    assert_eq!(buffer.dropped(), 1);
+    assert!(taken * LINE.len() < MAX_BUFFERED_BYTES);
+    assert_eq!(buffer.dropped_lines(), 1);
 }
 
 #[test]
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -4,7 +4,10 @@
 
 use chestnutreach_telemetry::{
     Metrics,
-    metrics::{ClaimResult, MAX_ACCOUNTS, OTHER, TableOperation, TableResult},
+    metrics::{
+        ClaimResult, MAX_ACCOUNT_SERIES, OTHER_LABEL, TableOperation,
+        TableResult,
+    },
 };
 use rstest::rstest;
 
@@ -19,7 +22,8 @@
         name: "request",
         act: |m| {
             let elapsed = Duration::from_millis(20);
-            m.service("letters").request_ended("not-run", "full", elapsed);
+            m.service("letters")
+                .record_request_ended("not-run", "full", elapsed);
         },
         line: "chestnutreach_requests_total{outcome=\"not-run\",\
                reason=\"full\",role=\"side\",service=\"letters\",\
@@ -29,14 +33,18 @@
         name: "time of a request",
         act: |m| {
             let elapsed = Duration::from_millis(20);
-            m.service("letters").request_ended("completed", "", elapsed);
+            m.service("letters").record_request_ended(
+                "completed",
+                "",
+                elapsed,
+            );
         },
         line: "chestnutreach_request_seconds_bucket{role=\"side\",\
                service=\"letters\",vm=\"vm-1\",le=\"0.03\"} 1",
     },
     Case {
         name: "refused attempt",
-        act: |m| m.service("letters").attempt_refused("share"),
+        act: |m| m.service("letters").record_attempt_refused("share"),
         line: "chestnutreach_attempt_refusals_total{reason=\"share\",\
                role=\"side\",service=\"letters\",vm=\"vm-1\"} 1",
     },
@@ -57,27 +65,30 @@
     },
     Case {
         name: "refused step",
-        act: |m| m.step_refused("fenced"),
+        act: |m| m.record_step_refused("fenced"),
         line: "chestnutreach_step_refusals_total{reason=\"fenced\",\
                role=\"side\",vm=\"vm-1\"} 1",
     },
     Case {
         name: "table service",
         act: |m| {
-            m.table_operation(TableOperation::Write, TableResult::Unknown);
+            m.record_table_operation(
+                TableOperation::Write,
+                TableResult::Unknown,
+            );
         },
         line: "chestnutreach_table_operations_total{operation=\"write\",\
                result=\"unknown\",role=\"side\",vm=\"vm-1\"} 1",
     },
     Case {
         name: "claim",
-        act: |m| m.claim(ClaimResult::KeyReused),
+        act: |m| m.record_claim(ClaimResult::KeyReused),
         line: "chestnutreach_claims_total{result=\"key_reused\",\
                role=\"side\",vm=\"vm-1\"} 1",
     },
     Case {
         name: "generation",
-        act: |m| m.generation.set(12),
+        act: |m| m.manifest_generation.set(12),
         line: "chestnutreach_manifest_generation{role=\"side\",\
                vm=\"vm-1\"} 12",
     },
@@ -108,8 +119,8 @@
 }
 
 #[rstest]
-#[case::before_the_bound(MAX_ACCOUNTS - 1, false)]
-#[case::past_the_bound(MAX_ACCOUNTS, true)]
+#[case::before_the_bound(MAX_ACCOUNT_SERIES - 1, false)]
+#[case::past_the_bound(MAX_ACCOUNT_SERIES, true)]
 fn accounts_are_bounded(#[case] others: usize, #[case] is_shared: bool) {
     let metrics = Metrics::new("entry", "vm-1");
     for number in 0..others {
@@ -118,7 +129,7 @@
     metrics.account("last").requests.inc();
     let text = metrics.to_text().unwrap();
     let has = |name: &str| text.contains(&format!("account=\"{name}\""));
-    assert_eq!(has(OTHER), is_shared);
+    assert_eq!(has(OTHER_LABEL), is_shared);
     assert_eq!(has("last"), !is_shared);
     assert!(has("account-0"));
 }
--- a/crates/telemetry/tests/ops.rs
+++ b/crates/telemetry/tests/ops.rs
@@ -23,7 +23,7 @@
         metrics: Arc::new(Metrics::new("entry", "vm-1")),
         readiness: Arc::new(Readiness::new(&["manifest"])),
         status: Box::new(|| json!({"vm": "vm-1"})),
-        order: Box::new(|path| {
+        command: Box::new(|path| {
             (path == "/order").then(|| json!({"is_done": true}))
         }),
     });
