--- a/crates/telemetry/examples/token_cost.rs
+++ b/crates/telemetry/examples/token_cost.rs
@@ -1,4 +1,4 @@
-//! Prints what counting one token costs, on one thread and on several.
+//! Benchmarks counting one token, on one thread and on several.
 
 use std::{
     thread,
@@ -12,20 +12,20 @@
 fn main() {
     for threads in [1, 4] {
         let metrics = Metrics::new("entry", "vm-1");
-        let longest = thread::scope(|scope| {
+        let max_elapsed = thread::scope(|scope| {
             let runs: Vec<_> = (0..threads)
                 .map(|_| scope.spawn(|| count(&metrics)))
                 .collect();
             let times = runs.into_iter().map(|r| r.join().unwrap());
             times.max().unwrap_or_default()
         });
-        let per_token_ns = longest.as_nanos() as f64 / f64::from(TOKENS);
+        let per_token_ns = max_elapsed.as_nanos() as f64 / f64::from(TOKENS);
         println!("{threads} threads: {per_token_ns:.0} ns a token");
     }
 }
 
-/// Counts tokens as an entry does: for the service, for the account, and the
-/// time since the token before.
+/// Updates the metrics that an entry updates for each token: the counters of
+/// the service and the account, and the time since the previous token.
 fn count(metrics: &Metrics) -> Duration {
     let service = metrics.service("letters");
     let account = metrics.account("halls");
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -1,11 +1,11 @@
-//! The numbered events of the logs.
+//! Catalogue of the logged events.
 //!
-//! The number of an event never changes and is never used again, so that an
-//! alert or a search may rely on it. The first digit tells the area: 1 the
-//! process, 2 the manifest and the platform, 3 links between processes, 4
-//! requests at an entry, 5 work at a side process, 6 backend servers, 7
-//! drains, 8 the ports of the process, 9 requests that an entry passes to
-//! engines itself, and what it believes of them.
+//! The number of an event never changes and is never reused, so that alerts
+//! and searches can rely on it. The first digit is the area: 1 the process, 2
+//! the manifest and the platform, 3 links between processes, 4 requests at an
+//! entry, 5 work at a side process, 6 backend servers, 7 drains, 8 the ports
+//! of the process, 9 requests that an entry sends to engines directly and the
+//! state that it holds of these engines.
 
 use std::{fmt::Display, panic::Location};
 
@@ -15,11 +15,11 @@
     kv::Value,
 };
 
-/// Target of every event in the logs.
+/// Log target of all events.
 pub const TARGET: &str = "chestnutreach";
 
-/// What the catalogue holds of one event.
-struct Entry {
+/// Catalogue entry of an event.
+struct CatalogueEntry {
     number: u32,
     name: &'static str,
     level: log::Level,
@@ -27,12 +27,12 @@
     description: &'static str,
 }
 
-/// One row an event; the enum, its list and its lookup are made from it, so
-/// that none can be forgotten.
+/// Generates the enum, the list of all events and their catalogue entries from
+/// one row per event, so that they cannot diverge.
 macro_rules! events {
     ($($variant:ident = $number:literal, $name:literal, $level:ident,
         [$($field:literal),*], $description:literal;)*) => {
-        /// Something that an operator may want to know.
+        /// Event that is logged for operators.
         #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
         #[non_exhaustive]
         pub enum Event {
@@ -40,12 +40,12 @@
         }
 
         impl Event {
-            /// Every event, in the order of the catalogue.
+            /// All events, in the order of the catalogue.
             pub const ALL: &[Event] = &[$(Event::$variant),*];
 
-            fn entry(self) -> Entry {
+            fn catalogue_entry(self) -> CatalogueEntry {
                 match self {
-                    $(Event::$variant => Entry {
+                    $(Event::$variant => CatalogueEntry {
                         number: $number,
                         name: $name,
                         level: $level,
@@ -337,37 +337,38 @@
 }
 
 impl Event {
-    /// The fixed number.
+    /// Number in the catalogue; never changes.
     pub fn number(self) -> u32 {
-        self.entry().number
+        self.catalogue_entry().number
     }
 
-    /// The fixed name.
+    /// Name in the catalogue; never changes.
     pub fn name(self) -> &'static str {
-        self.entry().name
+        self.catalogue_entry().name
     }
 
-    /// How important it is.
+    /// Severity.
     pub fn level(self) -> log::Level {
-        self.entry().level
+        self.catalogue_entry().level
     }
 
-    /// Names of the fields that come with it, where they are known.
+    /// Names of the fields that the event may carry; a field is left out where
+    /// its value is not known.
     pub fn fields(self) -> &'static [&'static str] {
-        self.entry().fields
+        self.catalogue_entry().fields
     }
 
-    /// What has happened.
+    /// Message of the log line.
     pub fn description(self) -> &'static str {
-        self.entry().description
+        self.catalogue_entry().description
     }
 }
 
-/// Writes an event to the logs. Both forms of the logs escape control
-/// characters in values, so that one event is always one line.
+/// Logs an event. Both log formats escape control characters in values, so
+/// that an event is always a single line.
 #[track_caller]
 pub fn emit(event: Event, fields: &[(&'static str, &dyn Display)]) {
-    let entry = event.entry();
+    let entry = event.catalogue_entry();
     if entry.level > log::max_level() {
         return;
     }
@@ -377,15 +378,15 @@
     for (key, value) in fields {
         pairs.push((*key, Value::from_dyn_display(*value)));
     }
-    let place = Location::caller();
+    let location = Location::caller();
     let logger = log::logger();
     logger.log(
         &Record::builder()
             .args(format_args!("{}", entry.description))
             .level(entry.level)
             .target(TARGET)
-            .file_static(Some(place.file()))
-            .line(Some(place.line()))
+            .file_static(Some(location.file()))
+            .line(Some(location.line()))
             .key_values(&pairs)
             .build(),
     );
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,14 +1,14 @@
-//! What a daemon tells its operators: events, metrics, readiness.
+//! Observability of a daemon: logged events, metrics and readiness.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`event`] | the numbered events of the logs |
-//! | [`log`] | setting up the logs |
-//! | [`line_buffer`] | log lines that wait to be written |
-//! | [`metrics`] | what is counted and measured |
-//! | [`port`] | a listening port with a bound on its connections |
-//! | [`readiness`] | whether the process should get work |
-//! | [`ops`] | the operators' HTTP port |
+//! | [`event`] | catalogue of the logged events |
+//! | [`log`] | logger initialisation |
+//! | [`line_buffer`] | bounded, non-blocking buffer of log lines |
+//! | [`metrics`] | Prometheus metrics |
+//! | [`port`] | listener with a limit on open connections |
+//! | [`readiness`] | conditions that keep the process from being ready |
+//! | [`ops`] | HTTP port for operators and scrapers |
 //!
 //! The catalogues for operators are `docs/EVENTS.md` and `docs/METRICS.md`;
 //! tests keep them equal to the code.
@@ -27,17 +27,17 @@
 //! ```
 
 pub mod event;
-mod family;
 pub mod line_buffer;
 pub mod log;
+mod metric_family;
 pub mod metrics;
 pub mod ops;
 pub mod port;
 pub mod readiness;
 
 pub use event::{Event, emit};
-pub use family::{MetricFamily, MetricKind};
 pub use line_buffer::LineBuffer;
+pub use metric_family::{MetricFamily, MetricKind};
 pub use metrics::{AccountMetrics, BackendMetrics, Metrics, ServiceMetrics};
 pub use ops::{OpsState, serve_ops};
 pub use port::{AcceptedConnection, Port};
--- a/crates/telemetry/src/line_buffer.rs
+++ b/crates/telemetry/src/line_buffer.rs
@@ -1,10 +1,10 @@
-//! Log lines that wait to be written.
+//! Bounded buffer of log lines.
 //!
-//! Who logs only appends to a buffer of bounded size; a thread of its own
-//! writes it out a few times a second. So a reader of the output that is
-//! slow, or gone, never holds up a request. When the buffer is full, lines
-//! below `warn` are dropped first, since a part is kept for the others; the
-//! count of dropped lines follows as a line of its own.
+//! Logging only appends to the buffer; a separate thread writes the buffer
+//! out a few times a second. A slow or disconnected reader of the output
+//! therefore never blocks a request. When the buffer is full, lines below
+//! `warn` are dropped first, since part of the buffer is reserved for the
+//! more severe lines. The number of dropped lines is logged as an event.
 
 use std::{
     io::{self, Write as _},
@@ -22,17 +22,18 @@
     record::{Level, Record},
 };
 
-/// Bytes of lines that may wait.
+/// Capacity of the buffer.
 pub const MAX_BUFFERED_BYTES: usize = 512 << 10;
-/// Bytes that only lines from `warn` on may fill.
+/// Part of the capacity that is reserved for lines of level `warn` or above.
 const RESERVED_BYTES: usize = 128 << 10;
-/// Time from a line to its writing; each writing wakes a thread.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
+/// Interval between writes; bounds the delay of a line. Each write wakes a
+/// thread, so a shorter interval costs more CPU.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause while the output takes nothing.
-const FULL_OUTPUT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before a write to a full non-blocking output is retried.
+const OUTPUT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Lines that wait, shared by who logs and the thread that writes.
+/// Buffer that the logging threads share with the writer thread.
 #[derive(Clone, Debug, Default)]
 pub struct LineBuffer {
     shared: Arc<Shared>,
@@ -40,7 +41,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    waiting: Mutex<Vec<u8>>,
+    pending: Mutex<Vec<u8>>,
     dropped: AtomicU64,
 }
 
@@ -50,7 +51,7 @@
         LineBuffer::default()
     }
 
-    /// Lines dropped since the start.
+    /// Number of lines dropped since the buffer was created.
     pub fn dropped_lines(&self) -> u64 {
         self.shared.dropped.load(Relaxed)
     }
@@ -59,14 +60,14 @@
     ///
     /// # Errors
     ///
-    /// The system gives no more threads.
+    /// The thread could not be spawned.
     pub fn start_writer(&self) -> std::io::Result<()> {
         let buffer = self.clone();
         let write = move || {
-            let mut told = 0;
+            let mut logged_drops = 0;
             loop {
-                thread::sleep(WRITE_EVERY);
-                told = buffer.tell_dropped(told);
+                thread::sleep(WRITE_INTERVAL);
+                logged_drops = buffer.log_dropped(logged_drops);
                 buffer.flush();
             }
         };
@@ -74,69 +75,71 @@
         Ok(())
     }
 
-    /// Writes what waits now; for the end of the process.
+    /// Writes the buffered lines to standard output. Called by the writer
+    /// thread, and before the process exits.
     pub fn flush(&self) {
         let lines = std::mem::take(&mut *self.lock());
-        let mut left = lines.as_slice();
+        let mut remaining = lines.as_slice();
         let mut output = std::io::stdout().lock();
-        while !left.is_empty() {
-            match output.write(&left[..left.len().min(4_000)]) {
+        while !remaining.is_empty() {
+            match output.write(&remaining[..remaining.len().min(4_000)]) {
                 Ok(0) => return,
-                Ok(count) => left = &left[count..],
-                // The output may be a pipe that does not block; what is left
-                // waits here, and what comes meanwhile in the buffer.
+                Ok(count) => remaining = &remaining[count..],
+                // The output may be a non-blocking pipe. The remaining lines
+                // stay here meanwhile, and new lines go to the buffer.
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    thread::sleep(FULL_OUTPUT_PAUSE);
+                    thread::sleep(OUTPUT_RETRY_DELAY);
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                // Nothing is left to tell a failure to.
+                // There is no other place to report the failure to.
                 Err(_) => return,
             }
         }
         let _ = output.flush();
     }
 
-    /// Takes a line; false when it was dropped.
+    /// Appends a line; returns false if the buffer had no space and the line
+    /// was dropped.
     pub fn push(&self, line: &[u8], is_severe: bool) -> bool {
-        let mut waiting = self.lock();
+        let mut pending = self.lock();
         let reserved = if is_severe { 0 } else { RESERVED_BYTES };
-        if waiting.len() + line.len() + 1 > MAX_BUFFERED_BYTES - reserved {
+        if pending.len() + line.len() + 1 > MAX_BUFFERED_BYTES - reserved {
             self.shared.dropped.fetch_add(1, Relaxed);
             return false;
         }
-        waiting.extend_from_slice(line);
-        waiting.push(b'\n');
+        pending.extend_from_slice(line);
+        pending.push(b'\n');
         true
     }
 
-    fn tell_dropped(&self, told: u64) -> u64 {
+    fn log_dropped(&self, logged_drops: u64) -> u64 {
         let dropped = self.dropped_lines();
-        if dropped > told {
-            let count = dropped - told;
+        if dropped > logged_drops {
+            let count = dropped - logged_drops;
             crate::emit(crate::Event::LinesDropped, &[("count", &count)]);
         }
         dropped
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<u8>> {
-        self.shared.waiting.lock().expect("no holder panics")
+        self.shared.pending.lock().expect("no holder panics")
     }
 }
 
 /// Formats records as JSON lines into a [`LineBuffer`].
 #[derive(Debug)]
-pub(crate) struct BufferAppend {
+pub(crate) struct BufferAppender {
     buffer: LineBuffer,
     layout: JsonLayout,
 }
 
-impl BufferAppend {
-    pub(crate) fn new(buffer: LineBuffer) -> BufferAppend {
-        BufferAppend { buffer, layout: JsonLayout::default() }
+impl BufferAppender {
+    pub(crate) fn new(buffer: LineBuffer) -> BufferAppender {
+        BufferAppender { buffer, layout: JsonLayout::default() }
     }
 }
 
-impl Append for BufferAppend {
+impl Append for BufferAppender {
     fn append(
         &self,
         record: &Record,
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,8 +1,8 @@
-//! Setting up the logs of a process.
+//! Logger initialisation.
 //!
-//! Lines go to a standard stream: the VMs have no disks, and the platform
-//! collects those streams. Libraries are written only from warnings
-//! on, since `tarpc` tells of each call at a lower level.
+//! Lines go to a standard stream, since the VMs have no disks and the platform
+//! collects these streams. Libraries log at level `warn` and above only, since
+//! `tarpc` logs each call at a lower level.
 
 use anyhow::anyhow;
 use chestnutreach_config::settings::{LogFormat, LogLevel};
@@ -14,14 +14,14 @@
 
 use crate::{
     event::TARGET,
-    line_buffer::{BufferAppend, LineBuffer},
+    line_buffer::{BufferAppender, LineBuffer},
 };
 
-/// Sends what is logged from now on to the standard error stream.
+/// Initialises the logger to write to standard error.
 ///
 /// # Errors
 ///
-/// The logs of this process were set up before.
+/// The logger of this process is already initialised.
 pub fn init(format: LogFormat, level: LogLevel) -> Result<(), anyhow::Error> {
     let starter = logforth::starter_log::stderr().filter(filter(level));
     let starter = match format {
@@ -30,26 +30,27 @@
     };
     starter
         .try_apply()
-        .map_err(|e| anyhow!("the logs could not be set up: {e}"))?;
-    // Below this level nothing is even formatted.
-    log::set_max_level(facade_level(level));
+        .map_err(|e| anyhow!("could not initialise the logger: {e}"))?;
+    // The `log` macros skip less severe records before they are formatted.
+    log::set_max_level(max_level_filter(level));
     Ok(())
 }
 
-/// Sends what is logged from now on to the standard output stream as JSON
-/// lines, through a bounded buffer that never blocks.
+/// Initialises the logger to write JSON lines to standard output through a
+/// bounded buffer, so that logging never blocks.
 ///
 /// # Errors
 ///
-/// The logs of this process were set up before, or there is no thread left.
+/// The logger of this process is already initialised, or the writer thread
+/// could not be spawned.
 pub fn init_buffered(level: LogLevel) -> Result<LineBuffer, anyhow::Error> {
     let buffer = LineBuffer::new();
-    let append = BufferAppend::new(buffer.clone());
+    let append = BufferAppender::new(buffer.clone());
     logforth::starter_log::builder()
         .dispatch(|d| d.filter(filter(level)).append(append))
         .try_apply()
-        .map_err(|e| anyhow!("the logs could not be set up: {e}"))?;
-    log::set_max_level(facade_level(level));
+        .map_err(|e| anyhow!("could not initialise the logger: {e}"))?;
+    log::set_max_level(max_level_filter(level));
     buffer.start_writer()?;
     Ok(buffer)
 }
@@ -57,11 +58,14 @@
 fn filter(level: LogLevel) -> EnvFilter {
     EnvFilterBuilder::default()
         .filter_level(LevelFilter::MoreSevereEqual(library_level(level)))
-        .filter_module(TARGET, LevelFilter::MoreSevereEqual(own_level(level)))
+        .filter_module(
+            TARGET,
+            LevelFilter::MoreSevereEqual(event_level(level)),
+        )
         .build()
 }
 
-fn own_level(level: LogLevel) -> Level {
+fn event_level(level: LogLevel) -> Level {
     match level {
         LogLevel::Error => Level::Error,
         LogLevel::Warn => Level::Warn,
@@ -77,7 +81,7 @@
     }
 }
 
-fn facade_level(level: LogLevel) -> log::LevelFilter {
+fn max_level_filter(level: LogLevel) -> log::LevelFilter {
     match level {
         LogLevel::Error => log::LevelFilter::Error,
         LogLevel::Warn => log::LevelFilter::Warn,
--- a/crates/telemetry/src/family.rs
+++ b/crates/telemetry/src/metric_family.rs
@@ -1,4 +1,4 @@
-//! What one metric is, and registering it.
+//! Description and registration of metric families.
 
 use std::fmt;
 
@@ -7,17 +7,17 @@
     IntGauge, IntGaugeVec, Opts, Registry, core::Collector,
 };
 
-/// Name that every metric begins with.
+/// Prefix of every metric name.
 const PREFIX: &str = "chestnutreach";
 
-/// How a metric moves.
+/// Type of a metric family.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MetricKind {
-    /// Only grows while the process lives.
+    /// Only increases during the process lifetime.
     Counter,
-    /// Goes up and down.
+    /// Increases and decreases.
     Gauge,
-    /// Counts values by size.
+    /// Counts observed values by bucket.
     Histogram,
 }
 
@@ -31,30 +31,31 @@
     }
 }
 
-/// One metric, as in the catalogue.
+/// Catalogue entry of a metric family.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MetricFamily {
     /// Name without the prefix.
     pub name: &'static str,
-    /// How it moves.
+    /// Type of the family.
     pub kind: MetricKind,
-    /// Names of its labels, besides the role and VM that all have.
+    /// Label names, in addition to `role` and `vm`, which all metrics have.
     pub labels: &'static [&'static str],
-    /// What it tells.
+    /// Help text.
     pub help: &'static str,
 }
 
 impl MetricFamily {
-    /// The name that is exposed.
+    /// Name in the exposition format, including the prefix.
     pub fn full_name(&self) -> String {
         format!("{PREFIX}_{}", self.name)
     }
 }
 
-/// Registers metrics and remembers which.
+/// Registers metric families and records their catalogue entries.
 ///
-/// Names are fixed in the code and a test makes them all, so that a clash
-/// panics there and not at run time.
+/// Registration panics on an invalid or duplicate name. All names are fixed
+/// in the code and a test registers every family, so a clash fails the test
+/// and cannot first appear in production.
 pub(crate) struct Registrar {
     registry: Registry,
     families: Vec<MetricFamily>,
@@ -72,7 +73,7 @@
         Registrar { registry, families: Vec::new() }
     }
 
-    pub(crate) fn finish(self) -> (Registry, Vec<MetricFamily>) {
+    pub(crate) fn into_parts(self) -> (Registry, Vec<MetricFamily>) {
         (self.registry, self.families)
     }
 
@@ -81,8 +82,8 @@
         name: &'static str,
         help: &'static str,
     ) -> IntCounter {
-        let made = IntCounter::with_opts(Opts::new(name, help));
-        self.keep(made, (name, MetricKind::Counter, &[], help))
+        let created = IntCounter::with_opts(Opts::new(name, help));
+        self.register(created, (name, MetricKind::Counter, &[], help))
     }
 
     pub(crate) fn counters(
@@ -91,8 +92,8 @@
         labels: &'static [&'static str],
         help: &'static str,
     ) -> IntCounterVec {
-        let made = IntCounterVec::new(Opts::new(name, help), labels);
-        self.keep(made, (name, MetricKind::Counter, labels, help))
+        let created = IntCounterVec::new(Opts::new(name, help), labels);
+        self.register(created, (name, MetricKind::Counter, labels, help))
     }
 
     pub(crate) fn gauge(
@@ -100,8 +101,8 @@
         name: &'static str,
         help: &'static str,
     ) -> IntGauge {
-        let made = IntGauge::with_opts(Opts::new(name, help));
-        self.keep(made, (name, MetricKind::Gauge, &[], help))
+        let created = IntGauge::with_opts(Opts::new(name, help));
+        self.register(created, (name, MetricKind::Gauge, &[], help))
     }
 
     pub(crate) fn gauges(
@@ -110,8 +111,8 @@
         labels: &'static [&'static str],
         help: &'static str,
     ) -> IntGaugeVec {
-        let made = IntGaugeVec::new(Opts::new(name, help), labels);
-        self.keep(made, (name, MetricKind::Gauge, labels, help))
+        let created = IntGaugeVec::new(Opts::new(name, help), labels);
+        self.register(created, (name, MetricKind::Gauge, labels, help))
     }
 
     pub(crate) fn histogram(
@@ -121,8 +122,8 @@
         help: &'static str,
     ) -> Histogram {
         let options = HistogramOpts::new(name, help).buckets(buckets.into());
-        let made = Histogram::with_opts(options);
-        self.keep(made, (name, MetricKind::Histogram, &[], help))
+        let created = Histogram::with_opts(options);
+        self.register(created, (name, MetricKind::Histogram, &[], help))
     }
 
     pub(crate) fn histograms(
@@ -133,13 +134,13 @@
         help: &'static str,
     ) -> HistogramVec {
         let options = HistogramOpts::new(name, help).buckets(buckets.into());
-        let made = HistogramVec::new(options, labels);
-        self.keep(made, (name, MetricKind::Histogram, labels, help))
+        let created = HistogramVec::new(options, labels);
+        self.register(created, (name, MetricKind::Histogram, labels, help))
     }
 
-    fn keep<C: Collector + Clone + 'static>(
+    fn register<C: Collector + Clone + 'static>(
         &mut self,
-        made: Result<C, prometheus::Error>,
+        created: Result<C, prometheus::Error>,
         (name, kind, labels, help): (
             &'static str,
             MetricKind,
@@ -147,7 +148,7 @@
             &'static str,
         ),
     ) -> C {
-        let collector = made.expect("fixed names are valid");
+        let collector = created.expect("fixed names are valid");
         let registered = self.registry.register(Box::new(collector.clone()));
         registered.expect("fixed names are unique");
         self.families.push(MetricFamily { name, kind, labels, help });
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,11 +1,11 @@
-//! What is counted and measured.
+//! Prometheus metrics of a process.
 //!
-//! What belongs to a service, an account or a backend server is reached
-//! through a handle that is looked up once and kept: counting a token is then
-//! one atomic addition, with no lookup of a label. Handles are the same
-//! however often they are asked for, and their number is bounded, so that
-//! names from outside cannot grow the memory: past the bound, names share the
-//! series [`OTHER_LABEL`].
+//! Metrics of a service, an account or a backend server are accessed through
+//! a handle. Callers look the handle up once and keep it, so that counting a
+//! token is one atomic addition without a label lookup. Repeated lookups of a
+//! name return the same handle. The number of handles is limited, so that
+//! names from outside cannot grow memory without bound: names above the limit
+//! share the series [`OTHER_LABEL`].
 
 mod children;
 mod labels;
@@ -22,69 +22,71 @@
 pub use children::{AccountMetrics, BackendMetrics, ServiceMetrics};
 pub use labels::{ClaimResult, TableOperation, TableResult};
 
-use crate::family::{MetricFamily, Registrar};
+use crate::metric_family::{MetricFamily, Registrar};
 use children::{AccountFamilies, BackendFamilies, ServiceFamilies};
 
-/// Label of the names past a bound.
+/// Label value shared by the names above a series limit.
 pub const OTHER_LABEL: &str = "other";
-/// Services with series of their own.
+/// Maximum number of services with their own series.
 pub const MAX_SERVICE_SERIES: usize = 100;
-/// Client accounts with series of their own.
+/// Maximum number of client accounts with their own series.
 pub const MAX_ACCOUNT_SERIES: usize = 2_000;
-/// Backend servers with series of their own.
+/// Maximum number of backend servers with their own series.
 pub const MAX_BACKEND_SERIES: usize = 100;
 
-/// Sizes of a group commit, in claims.
-const COMMIT_SIZES: [f64; 8] = [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
-/// Times of a routing decision, in seconds.
-const DECISION_TIMES: [f64; 9] =
+/// Buckets for the size of a group commit, in claims.
+const COMMIT_SIZE_BUCKETS: [f64; 8] =
+    [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
+/// Buckets for the time of a routing decision, in seconds.
+const DECISION_BUCKETS_S: [f64; 9] =
     [1e-6, 3e-6, 1e-5, 3e-5, 1e-4, 3e-4, 1e-3, 3e-3, 1e-2];
 
-/// The metrics of a process.
+/// Metrics of a process.
 pub struct Metrics {
-    /// Holds all of them.
+    /// Registry of all metrics of the process.
     pub registry: Registry,
-    /// Open connections of callers.
+    /// Open caller connections.
     pub caller_connections: IntGauge,
-    /// Seconds to choose a chain.
+    /// Seconds to choose a chain of backend servers.
     pub decision_time: Histogram,
     /// Records in the run-once table.
     pub run_once_records: IntGauge,
-    /// Generation of the manifest in force; 0 for none.
+    /// Generation of the active manifest; 0 if none is active.
     pub manifest_generation: IntGauge,
-    /// 1 while the process drains.
+    /// 1 while the process drains, else 0.
     pub is_draining: IntGauge,
     /// Open links to other processes.
     pub links_open: IntGauge,
-    /// Links that ended or went silent.
+    /// Links that closed or timed out.
     pub links_lost: IntCounter,
     /// Bytes sent that are not part of a request.
     pub control_bytes_sent: IntCounter,
     /// Bytes received that are not part of a request.
     pub control_bytes_received: IntCounter,
-    /// Requests that were quarantined, as this process heard.
+    /// Quarantined requests that this process has learned of.
     pub requests_quarantined: IntCounter,
-    /// Requests refused by a quarantine.
+    /// Requests refused because they are quarantined.
     pub quarantine_refusals: IntCounter,
-    /// Answers that name a limit which is no number.
+    /// Responses of backend servers with a non-numeric rate limit.
     pub malformed_limits: IntCounter,
-    /// Requests that backend servers turned away, asking for rest.
+    /// Requests that backend servers refused while requesting a cooldown.
     pub cooldowns_requested: IntCounter,
-    /// Answers that ask for a rest which is no number.
+    /// Responses of backend servers with a non-numeric cooldown.
     pub malformed_cooldowns: IntCounter,
-    /// Claims in one group commit.
+    /// Claims written in one group commit.
     pub claim_commit_size: Histogram,
     step_refusals: IntCounterVec,
     table_operations: IntCounterVec,
     claims: IntCounterVec,
-    services: Handles<ServiceFamilies>,
-    accounts: Handles<AccountFamilies>,
-    backends: Handles<BackendFamilies>,
+    services: HandleMap<ServiceFamilies>,
+    accounts: HandleMap<AccountFamilies>,
+    backends: HandleMap<BackendFamilies>,
     families: Vec<MetricFamily>,
 }
 
 impl Metrics {
-    /// Metrics of a process with this role on this VM.
+    /// Registers the metrics of a process; `role` and `vm` become labels of
+    /// every metric.
     pub fn new(role: &str, vm: &str) -> Metrics {
         let mut registrar = Registrar::new(role, vm);
         let r = &mut registrar;
@@ -92,7 +94,7 @@
             r.gauge("caller_connections", "Open connections of callers.");
         let decision_time = r.histogram(
             "decision_seconds",
-            &DECISION_TIMES,
+            &DECISION_BUCKETS_S,
             "Time to choose a chain of backend servers.",
         );
         let run_once_records =
@@ -139,7 +141,7 @@
         );
         let claim_commit_size = r.histogram(
             "claim_commit_size",
-            &COMMIT_SIZES,
+            &COMMIT_SIZE_BUCKETS,
             "Claims written in one group commit.",
         );
         let step_refusals = r.counters(
@@ -158,12 +160,12 @@
             "Claims of idempotency keys by their result.",
         );
         let services =
-            Handles::new(ServiceFamilies::new(r), MAX_SERVICE_SERIES);
+            HandleMap::new(ServiceFamilies::new(r), MAX_SERVICE_SERIES);
         let accounts =
-            Handles::new(AccountFamilies::new(r), MAX_ACCOUNT_SERIES);
+            HandleMap::new(AccountFamilies::new(r), MAX_ACCOUNT_SERIES);
         let backends =
-            Handles::new(BackendFamilies::new(r), MAX_BACKEND_SERIES);
-        let (registry, families) = registrar.finish();
+            HandleMap::new(BackendFamilies::new(r), MAX_BACKEND_SERIES);
+        let (registry, families) = registrar.into_parts();
         Metrics {
             registry,
             caller_connections,
@@ -191,27 +193,28 @@
         }
     }
 
-    /// The metrics of a service; keep the handle.
+    /// Handle of the metrics of a service; callers keep it.
     pub fn service(&self, name: &str) -> Arc<ServiceMetrics> {
-        self.services.handle(name, ServiceFamilies::child)
+        self.services.get_or_create(name, ServiceFamilies::child)
     }
 
-    /// The metrics of a client account; keep the handle.
+    /// Handle of the metrics of a client account; callers keep it.
     pub fn account(&self, name: &str) -> Arc<AccountMetrics> {
-        self.accounts.handle(name, AccountFamilies::child)
+        self.accounts.get_or_create(name, AccountFamilies::child)
     }
 
-    /// The metrics of a backend server; keep the handle.
+    /// Handle of the metrics of a backend server; callers keep it.
     pub fn backend(&self, name: &str) -> Arc<BackendMetrics> {
-        self.backends.handle(name, BackendFamilies::child)
+        self.backends.get_or_create(name, BackendFamilies::child)
     }
 
-    /// A step was not the next of its attempt.
+    /// Counts a step that was refused because it was not the next step of its
+    /// attempt.
     pub fn record_step_refused(&self, reason: &'static str) {
         self.step_refusals.with_label_values(&[reason]).inc();
     }
 
-    /// A call to the table service ended.
+    /// Counts a finished call to the table service.
     pub fn record_table_operation(
         &self,
         operation: TableOperation,
@@ -221,57 +224,58 @@
         self.table_operations.with_label_values(&labels).inc();
     }
 
-    /// A claim of an idempotency key ended.
+    /// Counts a finished claim of an idempotency key.
     pub fn record_claim(&self, result: ClaimResult) {
         self.claims.with_label_values(&[result.as_str()]).inc();
     }
 
-    /// Every metric, as in the catalogue.
+    /// Catalogue entries of all metric families.
     pub fn families(&self) -> &[MetricFamily] {
         &self.families
     }
 
-    /// All values in the text format of Prometheus.
+    /// All values in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// A label or value cannot be written.
+    /// When a metric cannot be encoded.
     pub fn to_text(&self) -> Result<String, prometheus::Error> {
         TextEncoder::new().encode_to_string(&self.registry.gather())
     }
 }
 
-/// Families with a label for a name, and the handles made of them.
-struct Handles<F: Families> {
+/// Metric families that share a label, with one handle per label value.
+struct HandleMap<F: FamilyGroup> {
     families: F,
-    limit: usize,
-    made: Mutex<BTreeMap<String, Arc<F::Child>>>,
+    max_handles: usize,
+    handles: Mutex<BTreeMap<String, Arc<F::Child>>>,
 }
 
-/// Families that share a label.
-trait Families {
-    /// One metric of each family.
+/// Metric families that share a label.
+trait FamilyGroup {
+    /// One series of each family, for one label value.
     type Child;
 }
 
-impl<F: Families> Handles<F> {
-    fn new(families: F, limit: usize) -> Handles<F> {
-        Handles { families, limit, made: Mutex::default() }
+impl<F: FamilyGroup> HandleMap<F> {
+    fn new(families: F, max_handles: usize) -> HandleMap<F> {
+        HandleMap { families, max_handles, handles: Mutex::default() }
     }
 
-    fn handle(
+    fn get_or_create(
         &self,
         name: &str,
-        make: impl FnOnce(&F, &str) -> F::Child,
+        create: impl FnOnce(&F, &str) -> F::Child,
     ) -> Arc<F::Child> {
-        let mut made = self.made.lock().expect("no holder panics");
-        let is_room = made.len() < self.limit || made.contains_key(name);
-        let name = if is_room { name } else { OTHER_LABEL };
-        if let Some(child) = made.get(name) {
+        let mut handles = self.handles.lock().expect("no holder panics");
+        let has_capacity =
+            handles.len() < self.max_handles || handles.contains_key(name);
+        let name = if has_capacity { name } else { OTHER_LABEL };
+        if let Some(child) = handles.get(name) {
             return child.clone();
         }
-        let child = Arc::new(make(&self.families, name));
-        made.insert(name.to_owned(), child.clone());
+        let child = Arc::new(create(&self.families, name));
+        handles.insert(name.to_owned(), child.clone());
         child
     }
 }
--- a/crates/telemetry/src/metrics/children.rs
+++ b/crates/telemetry/src/metrics/children.rs
@@ -1,4 +1,4 @@
-//! The metrics of one service, client account or backend server.
+//! Metrics that are labelled by service, client account or backend server.
 
 use std::time::Duration;
 
@@ -6,39 +6,40 @@
     Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec,
 };
 
-use super::Families;
-use crate::family::Registrar;
+use super::FamilyGroup;
+use crate::metric_family::Registrar;
 
-/// Times of a whole request, in seconds.
-const REQUEST_TIMES: [f64; 13] =
+/// Buckets for the duration of a request, in seconds.
+const REQUEST_BUCKETS_S: [f64; 13] =
     [0.01, 0.03, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0, 60.0, 180.0];
-/// Times to a first token or after a failure, in seconds.
-const WAIT_TIMES: [f64; 13] =
+/// Buckets for the time to the first token and the time from a failure to the
+/// next token, in seconds.
+const WAIT_BUCKETS_S: [f64; 13] =
     [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0];
-/// Times of one token or step, in seconds.
-const TOKEN_TIMES: [f64; 11] =
+/// Buckets for the time of one token or step, in seconds.
+const TOKEN_BUCKETS_S: [f64; 11] =
     [0.001, 0.003, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.5, 1.0, 5.0];
-/// Sizes of a batch, in requests.
-const BATCH_SIZES: [f64; 9] =
+/// Buckets for the size of a batch, in requests.
+const BATCH_SIZE_BUCKETS: [f64; 9] =
     [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0, 256.0];
 
-const SERVICE: &[&str] = &["service"];
-const ACCOUNT: &[&str] = &["account"];
-const BACKEND: &[&str] = &["backend"];
+const SERVICE_LABEL: &[&str] = &["service"];
+const ACCOUNT_LABEL: &[&str] = &["account"];
+const BACKEND_LABEL: &[&str] = &["backend"];
 
-/// The metrics of one service.
+/// Metrics of one service.
 pub struct ServiceMetrics {
-    /// Requests taken and not ended.
+    /// Requests that were accepted and have not ended.
     pub requests_in_flight: IntGauge,
-    /// Requests that wait for a path.
+    /// Requests that are queued for a path.
     pub requests_waiting: IntGauge,
-    /// Requests that ended whole and within the service's target.
+    /// Requests that completed within the target of the service.
     pub requests_within_target: IntCounter,
-    /// Attempts sent to a chain.
+    /// Attempts sent to a chain of backend servers.
     pub attempts: IntCounter,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the retry budget.
     pub retries_denied: IntCounter,
-    /// Requests that went on after a failure.
+    /// Requests resumed after a failure.
     pub requests_resumed: IntCounter,
     /// Tokens delivered to callers.
     pub tokens_delivered: IntCounter,
@@ -46,7 +47,7 @@
     pub time_to_first_token: Histogram,
     /// Seconds from one token to the next.
     pub time_between_tokens: Histogram,
-    /// Seconds of a whole request.
+    /// Seconds from the start of a request to its end.
     pub request_time: Histogram,
     /// Seconds from a failure to the next token.
     pub recovery_time: Histogram,
@@ -56,7 +57,8 @@
 }
 
 impl ServiceMetrics {
-    /// A request has its outcome; both words come from closed sets.
+    /// Counts a finished request and its duration. `outcome` and `reason` come
+    /// from fixed sets, which bounds the number of series.
     pub fn record_request_ended(
         &self,
         outcome: &'static str,
@@ -68,37 +70,37 @@
         self.request_time.observe(elapsed.as_secs_f64());
     }
 
-    /// This process refused an attempt before it ran; the word comes from a
-    /// closed set.
+    /// Counts an attempt that this process refused before the attempt ran.
+    /// `reason` comes from a fixed set, which bounds the number of series.
     pub fn record_attempt_refused(&self, reason: &'static str) {
         let labels = [self.name.as_str(), reason];
         self.refusals.with_label_values(&labels).inc();
     }
 }
 
-/// The metrics of one client account.
+/// Metrics of one client account.
 pub struct AccountMetrics {
-    /// Requests taken.
+    /// Accepted requests.
     pub requests: IntCounter,
-    /// Tokens delivered to its callers.
+    /// Tokens delivered to callers of the account.
     pub tokens_delivered: IntCounter,
 }
 
-/// The metrics of one backend server.
+/// Metrics of one backend server.
 pub struct BackendMetrics {
-    /// 1 while it answers its calls.
+    /// 1 while the backend server responds to calls, else 0.
     pub is_healthy: IntGauge,
     /// Requests that hold a reservation.
     pub running: IntGauge,
-    /// Requests that wait for admission.
+    /// Requests that are queued for admission.
     pub queued: IntGauge,
-    /// Work that waits for admission, in tokens.
+    /// Tokens of work that is queued for admission.
     pub queue_tokens: IntGauge,
-    /// Steps run.
+    /// Steps that the backend server has run.
     pub steps: IntCounter,
-    /// Requests in one call.
+    /// Requests batched into one call.
     pub batch_size: Histogram,
-    /// Seconds of one call.
+    /// Seconds that one call takes.
     pub step_time: Histogram,
 }
 
@@ -118,7 +120,7 @@
     refusals: IntCounterVec,
 }
 
-impl Families for ServiceFamilies {
+impl FamilyGroup for ServiceFamilies {
     type Child = ServiceMetrics;
 }
 
@@ -127,61 +129,61 @@
         ServiceFamilies {
             requests_in_flight: r.gauges(
                 "requests_in_flight",
-                SERVICE,
+                SERVICE_LABEL,
                 "Requests taken and not ended.",
             ),
             requests_waiting: r.gauges(
                 "requests_waiting",
-                SERVICE,
+                SERVICE_LABEL,
                 "Requests that wait for a path.",
             ),
             requests_within_target: r.counters(
                 "requests_within_target_total",
-                SERVICE,
+                SERVICE_LABEL,
                 "Requests that ended whole within the target of the service.",
             ),
             attempts: r.counters(
                 "attempts_total",
-                SERVICE,
+                SERVICE_LABEL,
                 "Attempts sent to a chain of backend servers.",
             ),
             retries_denied: r.counters(
                 "retries_denied_total",
-                SERVICE,
+                SERVICE_LABEL,
                 "Retries that the budget of the service did not allow.",
             ),
             requests_resumed: r.counters(
                 "requests_resumed_total",
-                SERVICE,
+                SERVICE_LABEL,
                 "Requests that went on after a failure.",
             ),
             tokens_delivered: r.counters(
                 "tokens_delivered_total",
-                SERVICE,
+                SERVICE_LABEL,
                 "Tokens delivered to callers.",
             ),
             time_to_first_token: r.histograms(
                 "time_to_first_token_seconds",
-                SERVICE,
-                &WAIT_TIMES,
+                SERVICE_LABEL,
+                &WAIT_BUCKETS_S,
                 "Time from a request to its first token.",
             ),
             time_between_tokens: r.histograms(
                 "time_between_tokens_seconds",
-                SERVICE,
-                &TOKEN_TIMES,
+                SERVICE_LABEL,
+                &TOKEN_BUCKETS_S,
                 "Time from one token to the next.",
             ),
             request_time: r.histograms(
                 "request_seconds",
-                SERVICE,
-                &REQUEST_TIMES,
+                SERVICE_LABEL,
+                &REQUEST_BUCKETS_S,
                 "Time of a whole request.",
             ),
             recovery_time: r.histograms(
                 "recovery_seconds",
-                SERVICE,
-                &WAIT_TIMES,
+                SERVICE_LABEL,
+                &WAIT_BUCKETS_S,
                 "Time from a failure to the next token.",
             ),
             requests: r.counters(
@@ -198,21 +200,27 @@
     }
 
     pub(super) fn child(&self, name: &str) -> ServiceMetrics {
-        let n = &[name];
+        let labels = &[name];
         ServiceMetrics {
-            requests_in_flight: self.requests_in_flight.with_label_values(n),
-            requests_waiting: self.requests_waiting.with_label_values(n),
+            requests_in_flight: self
+                .requests_in_flight
+                .with_label_values(labels),
+            requests_waiting: self.requests_waiting.with_label_values(labels),
             requests_within_target: self
                 .requests_within_target
-                .with_label_values(n),
-            attempts: self.attempts.with_label_values(n),
-            retries_denied: self.retries_denied.with_label_values(n),
-            requests_resumed: self.requests_resumed.with_label_values(n),
-            tokens_delivered: self.tokens_delivered.with_label_values(n),
-            time_to_first_token: self.time_to_first_token.with_label_values(n),
-            time_between_tokens: self.time_between_tokens.with_label_values(n),
-            request_time: self.request_time.with_label_values(n),
-            recovery_time: self.recovery_time.with_label_values(n),
+                .with_label_values(labels),
+            attempts: self.attempts.with_label_values(labels),
+            retries_denied: self.retries_denied.with_label_values(labels),
+            requests_resumed: self.requests_resumed.with_label_values(labels),
+            tokens_delivered: self.tokens_delivered.with_label_values(labels),
+            time_to_first_token: self
+                .time_to_first_token
+                .with_label_values(labels),
+            time_between_tokens: self
+                .time_between_tokens
+                .with_label_values(labels),
+            request_time: self.request_time.with_label_values(labels),
+            recovery_time: self.recovery_time.with_label_values(labels),
             name: name.to_owned(),
             requests: self.requests.clone(),
             refusals: self.refusals.clone(),
@@ -225,7 +233,7 @@
     tokens_delivered: IntCounterVec,
 }
 
-impl Families for AccountFamilies {
+impl FamilyGroup for AccountFamilies {
     type Child = AccountMetrics;
 }
 
@@ -234,22 +242,22 @@
         AccountFamilies {
             requests: r.counters(
                 "account_requests_total",
-                ACCOUNT,
+                ACCOUNT_LABEL,
                 "Requests taken from a client account.",
             ),
             tokens_delivered: r.counters(
                 "account_tokens_delivered_total",
-                ACCOUNT,
+                ACCOUNT_LABEL,
                 "Tokens delivered to the callers of a client account.",
             ),
         }
     }
 
     pub(super) fn child(&self, name: &str) -> AccountMetrics {
-        let n = &[name];
+        let labels = &[name];
         AccountMetrics {
-            requests: self.requests.with_label_values(n),
-            tokens_delivered: self.tokens_delivered.with_label_values(n),
+            requests: self.requests.with_label_values(labels),
+            tokens_delivered: self.tokens_delivered.with_label_values(labels),
         }
     }
 }
@@ -264,7 +272,7 @@
     step_time: HistogramVec,
 }
 
-impl Families for BackendFamilies {
+impl FamilyGroup for BackendFamilies {
     type Child = BackendMetrics;
 }
 
@@ -273,54 +281,54 @@
         BackendFamilies {
             is_healthy: r.gauges(
                 "backend_is_healthy",
-                BACKEND,
+                BACKEND_LABEL,
                 "1 while a backend server answers its calls, else 0.",
             ),
             running: r.gauges(
                 "backend_running_requests",
-                BACKEND,
+                BACKEND_LABEL,
                 "Requests that hold a reservation.",
             ),
             queued: r.gauges(
                 "backend_queued_requests",
-                BACKEND,
+                BACKEND_LABEL,
                 "Requests that wait for admission.",
             ),
             queue_tokens: r.gauges(
                 "backend_queue_tokens",
-                BACKEND,
+                BACKEND_LABEL,
                 "Work that waits for admission, in tokens.",
             ),
             steps: r.counters(
                 "backend_steps_total",
-                BACKEND,
+                BACKEND_LABEL,
                 "Steps run by a backend server.",
             ),
             batch_size: r.histograms(
                 "backend_batch_size",
-                BACKEND,
-                &BATCH_SIZES,
+                BACKEND_LABEL,
+                &BATCH_SIZE_BUCKETS,
                 "Requests in one call to a backend server.",
             ),
             step_time: r.histograms(
                 "backend_step_seconds",
-                BACKEND,
-                &TOKEN_TIMES,
+                BACKEND_LABEL,
+                &TOKEN_BUCKETS_S,
                 "Time of one call to a backend server.",
             ),
         }
     }
 
     pub(super) fn child(&self, name: &str) -> BackendMetrics {
-        let n = &[name];
+        let labels = &[name];
         BackendMetrics {
-            is_healthy: self.is_healthy.with_label_values(n),
-            running: self.running.with_label_values(n),
-            queued: self.queued.with_label_values(n),
-            queue_tokens: self.queue_tokens.with_label_values(n),
-            steps: self.steps.with_label_values(n),
-            batch_size: self.batch_size.with_label_values(n),
-            step_time: self.step_time.with_label_values(n),
+            is_healthy: self.is_healthy.with_label_values(labels),
+            running: self.running.with_label_values(labels),
+            queued: self.queued.with_label_values(labels),
+            queue_tokens: self.queue_tokens.with_label_values(labels),
+            steps: self.steps.with_label_values(labels),
+            batch_size: self.batch_size.with_label_values(labels),
+            step_time: self.step_time.with_label_values(labels),
         }
     }
 }
--- a/crates/telemetry/src/metrics/labels.rs
+++ b/crates/telemetry/src/metrics/labels.rs
@@ -1,6 +1,6 @@
-//! Closed sets of label values.
+//! Label values that come from fixed sets.
 
-/// A call to the table service.
+/// Kind of call to the table service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TableOperation {
     /// Reads rows.
@@ -10,7 +10,7 @@
 }
 
 impl TableOperation {
-    /// Word for the label.
+    /// Label value.
     pub fn as_str(self) -> &'static str {
         match self {
             TableOperation::Read => "read",
@@ -19,21 +19,21 @@
     }
 }
 
-/// What became of a call to the table service.
+/// Result of a call to the table service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TableResult {
-    /// It was done.
+    /// The call succeeded.
     Done,
-    /// Its condition did not hold.
+    /// The condition of the call did not hold.
     Conflict,
-    /// It was not done.
+    /// The call had no effect.
     Failed,
-    /// It may or may not have been done.
+    /// The call may or may not have taken effect.
     Unknown,
 }
 
 impl TableResult {
-    /// Word for the label.
+    /// Label value.
     pub fn as_str(self) -> &'static str {
         match self {
             TableResult::Done => "done",
@@ -44,23 +44,23 @@
     }
 }
 
-/// What became of a claim of an idempotency key.
+/// Result of claiming an idempotency key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimResult {
-    /// The request may run.
+    /// The claim was written and the request may run.
     Acquired,
-    /// The same request was claimed before.
+    /// The same request claimed the key before.
     Repeated,
-    /// The key belongs to another request.
+    /// A different request holds the key.
     KeyReused,
-    /// Whether it was written is not known.
+    /// The claim may or may not have been written.
     Unsettled,
-    /// The store did not take it.
+    /// The claim was not written.
     Refused,
 }
 
 impl ClaimResult {
-    /// Word for the label.
+    /// Label value.
     pub fn as_str(self) -> &'static str {
         match self {
             ClaimResult::Acquired => "taken",
--- a/crates/telemetry/src/ops.rs
+++ b/crates/telemetry/src/ops.rs
@@ -1,16 +1,17 @@
-//! The operators' HTTP port.
+//! HTTP port for operators and scrapers.
 //!
-//! | path | answer |
+//! | path | response |
 //! |---|---|
-//! | `/metrics` | all metrics in the text format of Prometheus |
-//! | `/ready` | 200, or 503 with what the process waits for |
-//! | `/live` | 200 while the process answers |
-//! | `/status` | what the process knows of itself, as JSON |
-//! | others, by `POST` | orders of an operator that this process takes |
+//! | `/metrics` | all metrics in the Prometheus text format |
+//! | `/ready` | 200, or 503 with the conditions that block the process |
+//! | `/live` | 200 while the process responds |
+//! | `/status` | state of the process, as JSON |
+//! | others, by `POST` | operator commands that the process supports |
 //!
-//! A connection carries one request and lives for a bounded time: a scraper
-//! that went silent then holds nothing for long. Dialling for each scrape
-//! costs little at the rate of scrapes.
+//! A connection carries one request and is closed after
+//! [`MAX_CONNECTION_LIFETIME`], so that an unresponsive scraper cannot hold a
+//! connection for long. Scrapes are infrequent, so a new connection for each
+//! scrape costs little.
 
 use std::{future::Future, io, net::TcpListener, sync::Arc, time::Duration};
 
@@ -28,77 +29,77 @@
     readiness::Readiness,
 };
 
-/// Connections at once; further ones are closed.
+/// Maximum number of open connections; additional ones are closed.
 pub const MAX_CONNECTIONS: usize = 64;
-/// Longest life of a connection.
+/// Time after which an open connection is closed.
 pub const MAX_CONNECTION_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Longest body; requests to this port have none that matters.
+/// Maximum request body size; no request to this port needs a body.
 const MAX_BODY_BYTES: usize = 1024;
-/// Time given to a request to arrive.
+/// Maximum time to receive a request.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Name of the port in events.
-const PORT: &str = "ops";
-/// Type of the text format of Prometheus.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
-/// Type of JSON answers.
-const JSON_TYPE: &str = "application/json";
+const PORT_NAME: &str = "ops";
+/// Content type of the Prometheus text format.
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
+/// Content type of JSON responses.
+const JSON_CONTENT_TYPE: &str = "application/json";
 
-/// Makes the answer of `/status`.
+/// Produces the response of `/status`.
 pub type StatusFn = Box<dyn Fn() -> serde_json::Value + Send + Sync>;
 
-/// Carries out an order, named by its path; none for a path that is no order
-/// of this process.
+/// Executes the operator command with the given path; `None` if this process
+/// has no such command.
 pub type CommandFn =
     Box<dyn Fn(&str) -> Option<serde_json::Value> + Send + Sync>;
 
-/// Takes no orders.
+/// Supports no commands.
 pub fn no_commands() -> CommandFn {
     Box::new(|_| None)
 }
 
-/// What the port shows.
+/// Data and callbacks that the port serves.
 pub struct OpsState {
-    /// Answer of `/metrics`.
+    /// Source of `/metrics`.
     pub metrics: Arc<Metrics>,
-    /// Answer of `/ready`.
+    /// Source of `/ready`.
     pub readiness: Arc<Readiness>,
-    /// Answer of `/status`.
+    /// Source of `/status`.
     pub status: StatusFn,
-    /// Answer of a `POST`.
+    /// Handler of `POST` requests.
     pub command: CommandFn,
 }
 
-/// Serves the port until the future is dropped.
+/// Accepts and serves connections until the future is dropped.
 pub async fn serve_ops(
     listener: Async<TcpListener>,
     executor: Arc<Executor<'static>>,
     ops: Arc<OpsState>,
 ) {
-    let port = Port::new(listener, PORT, MAX_CONNECTIONS);
+    let port = Port::new(listener, PORT_NAME, MAX_CONNECTIONS);
     loop {
         let accepted = port.accept().await;
-        executor.spawn(serve(accepted, ops.clone())).detach();
+        executor.spawn(serve_accepted(accepted, ops.clone())).detach();
     }
 }
 
-async fn serve(accepted: AcceptedConnection, ops: Arc<OpsState>) {
+async fn serve_accepted(accepted: AcceptedConnection, ops: Arc<OpsState>) {
     let AcceptedConnection { socket, peer, slot: _slot } = accepted;
     let options = ServerOptions::new()
         .max_body_bytes(MAX_BODY_BYTES)
         .idle_timeout(READ_TIMEOUT)
         .read_timeout(READ_TIMEOUT);
     let serving =
-        serve_connection(socket, &options, |received| answer(received, &ops));
-    if let Err(e) = within_limit(serving).await {
+        serve_connection(socket, &options, |received| respond(received, &ops));
+    if let Err(e) = with_connection_timeout(serving).await {
         emit(
             Event::HttpConnectionFailed,
-            &[("port", &PORT), ("peer_address", &peer), ("error", &e)],
+            &[("port", &PORT_NAME), ("peer_address", &peer), ("error", &e)],
         );
     }
 }
 
-async fn within_limit(
+async fn with_connection_timeout(
     serving: impl Future<Output = io::Result<()>>,
 ) -> io::Result<()> {
     let limit = async {
@@ -108,27 +109,27 @@
     serving.or(limit).await
 }
 
-async fn answer(received: Received, ops: &OpsState) -> Response {
+async fn respond(received: Received, ops: &OpsState) -> Response {
     let path = received.request.url().path();
     let mut response = match received.request.method() {
-        Method::Get | Method::Head => answer_path(path, ops),
+        Method::Get | Method::Head => respond_to_get(path, ops),
         Method::Post => match (ops.command)(path) {
-            Some(answer) => json_response(StatusCode::Ok, &answer),
-            None => not_allowed(),
+            Some(result) => json_response(StatusCode::Ok, &result),
+            None => method_not_allowed(),
         },
-        _ => not_allowed(),
+        _ => method_not_allowed(),
     };
     response.insert_header("connection", "close");
     response
 }
 
-fn not_allowed() -> Response {
+fn method_not_allowed() -> Response {
     let mut response = Response::new(StatusCode::MethodNotAllowed);
     response.insert_header("allow", "GET, HEAD");
     response
 }
 
-fn answer_path(path: &str, ops: &OpsState) -> Response {
+fn respond_to_get(path: &str, ops: &OpsState) -> Response {
     match path {
         "/metrics" => metrics(ops),
         "/ready" => ready(ops),
@@ -140,7 +141,7 @@
 
 fn metrics(ops: &OpsState) -> Response {
     match ops.metrics.to_text() {
-        Ok(text) => response_with(StatusCode::Ok, text, METRICS_TYPE),
+        Ok(text) => response_with(StatusCode::Ok, text, METRICS_CONTENT_TYPE),
         Err(e) => {
             let error = json!({"error": e.to_string()});
             json_response(StatusCode::InternalServerError, &error)
@@ -158,12 +159,16 @@
 }
 
 fn json_response(status: StatusCode, body: &serde_json::Value) -> Response {
-    response_with(status, body.to_string(), JSON_TYPE)
+    response_with(status, body.to_string(), JSON_CONTENT_TYPE)
 }
 
-fn response_with(status: StatusCode, body: String, kind: &str) -> Response {
+fn response_with(
+    status: StatusCode,
+    body: String,
+    content_type: &str,
+) -> Response {
     let mut response = Response::new(status);
     response.set_body(body);
-    response.insert_header("content-type", kind);
+    response.insert_header("content-type", content_type);
     response
 }
--- a/crates/telemetry/src/port.rs
+++ b/crates/telemetry/src/port.rs
@@ -1,6 +1,7 @@
-//! A listening port with a bound on its connections.
+//! Listener with a limit on open connections.
 //!
-//! It stands here because what goes wrong with a port is only told by events.
+//! The module is part of this crate because failures of a port are only
+//! reported as events.
 
 use std::{
     net::{SocketAddr, TcpListener, TcpStream},
@@ -15,11 +16,11 @@
 
 use crate::event::{Event, emit};
 
-/// Wait after a connection could not be taken, for example because the
-/// process has no file descriptor left.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, for example when the process has run out of
+/// file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A listening port.
+/// Listener that accepts a limited number of connections.
 #[derive(Debug)]
 pub struct Port {
     listener: Async<TcpListener>,
@@ -29,7 +30,7 @@
 }
 
 impl Port {
-    /// Bounds a port; the name is for events.
+    /// Wraps `listener`; `name` identifies the port in events.
     pub fn new(
         listener: Async<TcpListener>,
         name: &'static str,
@@ -38,12 +39,12 @@
         Port { listener, name, max_connections, open: Arc::default() }
     }
 
-    /// The next connection within the bound; those past it are closed.
+    /// Waits for the next connection. Connections above the limit are closed.
     pub async fn accept(&self) -> AcceptedConnection {
         loop {
             match self.listener.accept().await {
                 Ok((socket, peer)) => {
-                    if let Some(slot) = self.take_slot() {
+                    if let Some(slot) = self.acquire_slot() {
                         return AcceptedConnection { socket, peer, slot };
                     }
                 }
@@ -53,21 +54,21 @@
                         Event::AcceptFailed,
                         &[("port", port), ("error", &e)],
                     );
-                    Timer::after(ACCEPT_RETRY).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Connections that hold a slot.
+    /// Number of connections that hold a slot.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    fn take_slot(&self) -> Option<ConnectionSlot> {
+    fn acquire_slot(&self) -> Option<ConnectionSlot> {
         let slot = ConnectionSlot(self.open.clone());
-        let others = self.open.fetch_add(1, Ordering::Relaxed);
-        if others < self.max_connections {
+        let previously_open = self.open.fetch_add(1, Ordering::Relaxed);
+        if previously_open < self.max_connections {
             return Some(slot);
         }
         emit(
@@ -78,18 +79,18 @@
     }
 }
 
-/// A connection that was taken.
+/// An accepted connection.
 #[derive(Debug)]
 pub struct AcceptedConnection {
     /// The connection.
     pub socket: Async<TcpStream>,
-    /// Its other end.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// Counts it until dropped.
+    /// Counts the connection against the limit until dropped.
     pub slot: ConnectionSlot,
 }
 
-/// One of the connections that a port may have.
+/// Share of a port's connection limit, released on drop.
 #[derive(Debug)]
 pub struct ConnectionSlot(Arc<AtomicUsize>);
 
--- a/crates/telemetry/src/readiness.rs
+++ b/crates/telemetry/src/readiness.rs
@@ -1,14 +1,15 @@
-//! Whether a process should get work, and what it waits for if not.
+//! Whether a process is ready for work, and what blocks it if not.
 
 use std::{
     collections::BTreeMap,
     sync::{Mutex, MutexGuard},
 };
 
-/// Reason of a condition that was never met.
+/// Reason of a condition that has not been met since startup.
 const NOT_YET: &str = "not yet";
 
-/// Named conditions that hold a process back; ready when there is none.
+/// Named conditions that block a process; the process is ready when none is
+/// left.
 ///
 /// # Example
 ///
@@ -28,28 +29,28 @@
 }
 
 impl Readiness {
-    /// Held back until each of these conditions is cleared.
+    /// Blocked until each of these conditions is cleared.
     pub fn new(conditions: &[&'static str]) -> Readiness {
         let blocked = conditions.iter().map(|c| (*c, NOT_YET.to_owned()));
         Readiness { blocked: Mutex::new(blocked.collect()) }
     }
 
-    /// Holds the process back.
+    /// Blocks the process on `condition`, or updates the reason.
     pub fn block(&self, condition: &'static str, reason: impl Into<String>) {
         self.lock().insert(condition, reason.into());
     }
 
-    /// A condition no longer holds the process back.
+    /// Removes a condition.
     pub fn clear(&self, condition: &str) {
         self.lock().remove(condition);
     }
 
-    /// Whether nothing holds the process back.
+    /// Whether no condition blocks the process.
     pub fn is_ready(&self) -> bool {
         self.lock().is_empty()
     }
 
-    /// What holds the process back, and why.
+    /// Blocking conditions with their reasons.
     pub fn reasons(&self) -> BTreeMap<&'static str, String> {
         self.lock().clone()
     }
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogues of the docs and the code are equal.
+//! The operators' catalogue pages match the code.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 const EVENTS: &str = include_str!("../../../docs/EVENTS.md");
 const METRICS: &str = include_str!("../../../docs/METRICS.md");
 
-/// Cells of the table rows whose first cell passes the test.
+/// Cells of the table rows whose first cell satisfies `is_row`.
 fn rows(page: &str, is_row: fn(&str) -> bool) -> Vec<Vec<String>> {
     let cells = |line: &str| -> Vec<String> {
         let inner = line.trim().trim_matches('|');
@@ -17,13 +17,14 @@
     lines.filter(|row| is_row(&row[0])).collect()
 }
 
-fn code_list(words: &[&str]) -> String {
-    let quoted: Vec<_> = words.iter().map(|w| format!("`{w}`")).collect();
+fn format_code_list(names: &[&str]) -> String {
+    let quoted: Vec<_> =
+        names.iter().map(|name| format!("`{name}`")).collect();
     quoted.join(", ")
 }
 
 #[test]
-fn events_equal_their_page() {
+fn events_match_the_catalogue_page() {
     let rows = rows(EVENTS, |c| c.parse::<u32>().is_ok());
     let on_page: Vec<_> = rows.iter().map(|r| r[..5].to_vec()).collect();
     let in_code: Vec<_> = Event::ALL
@@ -33,7 +34,7 @@
                 e.number().to_string(),
                 format!("`{}`", e.name()),
                 e.level().to_string().to_lowercase(),
-                code_list(e.fields()),
+                format_code_list(e.fields()),
                 e.description().to_owned(),
             ]
         })
@@ -41,7 +42,7 @@
     assert_eq!(on_page, in_code);
     for row in &rows {
         assert_eq!(row.len(), 6, "{row:?}");
-        assert!(!row[5].is_empty(), "{row:?} does not say what to do");
+        assert!(!row[5].is_empty(), "{row:?} has no recommended action");
     }
 }
 
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn metrics_equal_their_page() {
+fn metrics_match_the_catalogue_page() {
     let rows = rows(METRICS, |c| c.starts_with("`chestnutreach_"));
     let on_page: BTreeSet<_> = rows.into_iter().collect();
     let metrics = Metrics::new("entry", "vm-1");
@@ -65,7 +66,7 @@
             vec![
                 format!("`{}`", f.full_name()),
                 f.kind.to_string(),
-                code_list(f.labels),
+                format_code_list(f.labels),
                 f.help.to_owned(),
             ]
         })
--- a/crates/telemetry/tests/log_lines.rs
+++ b/crates/telemetry/tests/log_lines.rs
@@ -1,14 +1,14 @@
-//! Lines of the logs, as a process writes them to its standard error stream.
+//! Log lines that a process writes to standard error.
 //!
-//! The logs are set up once for each process, so each case runs this test
-//! program again with [`CASE`] set.
+//! A process can initialise its logger only once, so the test runs its own
+//! executable again for each case, with [`CASE`] set.
 
 use std::{env, process::Command};
 
 use chestnutreach_config::settings::{LogFormat, LogLevel};
 use chestnutreach_telemetry::{Event, emit, log};
 
-/// Names the case to the program that runs again.
+/// Environment variable that passes the name of the case to the child process.
 const CASE: &str = "CHESTNUTREACH_LOG_CASE";
 
 struct Case {
@@ -32,7 +32,7 @@
             r#""event":101"#,
             "a warning of a library",
         ],
-        absent: &["request_ended", "a note of a library"],
+        absent: &["request_ended", "an info line of a library"],
     },
     Case {
         name: "text",
@@ -42,14 +42,14 @@
             r#"event=302 name="link_lost" peer_vm="vm-2\nforged" in_flight="3""#,
             "log_lines.rs",
         ],
-        absent: &["request_ended", "a note of a library"],
+        absent: &["request_ended", "an info line of a library"],
     },
     Case {
         name: "debug",
         format: LogFormat::Text,
         level: LogLevel::Debug,
         present: &[r#"name="request_ended""#, "a warning of a library"],
-        absent: &["a note of a library"],
+        absent: &["an info line of a library"],
     },
     Case {
         name: "error",
@@ -60,8 +60,8 @@
     },
 ];
 
-/// Writes one event of each level, and what a library might write.
-fn write_lines(case: &Case) {
+/// Logs one event of each level and two lines of a library.
+fn log_lines(case: &Case) {
     log::init(case.format, case.level).unwrap();
     assert!(log::init(case.format, case.level).is_err());
     emit(Event::BackendDown, &[("backend", &"b-1")]);
@@ -69,28 +69,40 @@
     emit(Event::DaemonStarted, &[]);
     emit(Event::RequestEnded, &[]);
     ::log::warn!(target: "tarpc", "a warning of a library");
-    ::log::info!(target: "tarpc", "a note of a library");
+    ::log::info!(target: "tarpc", "an info line of a library");
 }
 
 #[test]
-fn lines_follow_the_settings() {
+fn lines_match_the_configured_format_and_level() {
     if let Ok(name) = env::var(CASE) {
         let case = CASES.iter().find(|c| c.name == name).unwrap();
-        return write_lines(case);
+        return log_lines(case);
     }
     for case in CASES {
         let output = Command::new(env::current_exe().unwrap())
-            .args(["--exact", "lines_follow_the_settings", "--nocapture"])
+            .args([
+                "--exact",
+                "lines_match_the_configured_format_and_level",
+                "--nocapture",
+            ])
             .env(CASE, case.name)
             .output()
             .unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(output.status.success(), "{}: {text}", case.name);
-        for part in case.present {
-            assert!(text.contains(part), "{}: {part} in {text}", case.name);
+        for fragment in case.present {
+            assert!(
+                text.contains(fragment),
+                "{}: {fragment} in {text}",
+                case.name
+            );
         }
-        for part in case.absent {
-            assert!(!text.contains(part), "{}: {part} in {text}", case.name);
+        for fragment in case.absent {
+            assert!(
+                !text.contains(fragment),
+                "{}: {fragment} in {text}",
+                case.name
+            );
         }
     }
 }
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted shows under its name and labels.
+//! Recorded values appear in the text format under their name and labels.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 
 struct Case {
     name: &'static str,
-    act: fn(&Metrics),
+    record: fn(&Metrics),
     line: &'static str,
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "request",
-        act: |m| {
+        record: |m| {
             let elapsed = Duration::from_millis(20);
             m.service("letters")
                 .record_request_ended("not-run", "full", elapsed);
@@ -30,8 +30,8 @@
                vm=\"vm-1\"} 1",
     },
     Case {
-        name: "time of a request",
-        act: |m| {
+        name: "request duration",
+        record: |m| {
             let elapsed = Duration::from_millis(20);
             m.service("letters").record_request_ended(
                 "completed",
@@ -44,19 +44,19 @@
     },
     Case {
         name: "refused attempt",
-        act: |m| m.service("letters").record_attempt_refused("share"),
+        record: |m| m.service("letters").record_attempt_refused("share"),
         line: "chestnutreach_attempt_refusals_total{reason=\"share\",\
                role=\"side\",service=\"letters\",vm=\"vm-1\"} 1",
     },
     Case {
-        name: "tokens of an account",
-        act: |m| m.account("halls").tokens_delivered.inc_by(7),
+        name: "account tokens",
+        record: |m| m.account("halls").tokens_delivered.inc_by(7),
         line: "chestnutreach_account_tokens_delivered_total{\
                account=\"halls\",role=\"side\",vm=\"vm-1\"} 7",
     },
     Case {
-        name: "same handle twice",
-        act: |m| {
+        name: "handle looked up twice",
+        record: |m| {
             m.backend("b-1").steps.inc();
             m.backend("b-1").steps.inc();
         },
@@ -65,13 +65,13 @@
     },
     Case {
         name: "refused step",
-        act: |m| m.record_step_refused("fenced"),
+        record: |m| m.record_step_refused("fenced"),
         line: "chestnutreach_step_refusals_total{reason=\"fenced\",\
                role=\"side\",vm=\"vm-1\"} 1",
     },
     Case {
-        name: "table service",
-        act: |m| {
+        name: "table operation",
+        record: |m| {
             m.record_table_operation(
                 TableOperation::Write,
                 TableResult::Unknown,
@@ -82,21 +82,21 @@
     },
     Case {
         name: "claim",
-        act: |m| m.record_claim(ClaimResult::KeyReused),
+        record: |m| m.record_claim(ClaimResult::KeyReused),
         line: "chestnutreach_claims_total{result=\"key_reused\",\
                role=\"side\",vm=\"vm-1\"} 1",
     },
     Case {
-        name: "generation",
-        act: |m| m.manifest_generation.set(12),
+        name: "manifest generation",
+        record: |m| m.manifest_generation.set(12),
         line: "chestnutreach_manifest_generation{role=\"side\",\
                vm=\"vm-1\"} 12",
     },
 ];
 
-/// A line with its labels sorted: the registry keeps the labels that all
-/// metrics have in no fixed order.
-fn sorted(line: &str) -> String {
+/// Sorts the labels of a line. The registry writes the labels that all metrics
+/// share in no fixed order.
+fn sort_labels(line: &str) -> String {
     let Some((name, rest)) = line.split_once('{') else {
         return line.to_owned();
     };
@@ -107,21 +107,24 @@
 }
 
 #[test]
-fn counts_show_in_the_text() {
+fn recorded_values_appear_in_the_text() {
     for case in CASES {
         let metrics = Metrics::new("side", "vm-1");
-        (case.act)(&metrics);
+        (case.record)(&metrics);
         let text = metrics.to_text().unwrap();
-        let line = sorted(case.line);
-        let found = text.lines().any(|l| sorted(l) == line);
+        let line = sort_labels(case.line);
+        let found = text.lines().any(|l| sort_labels(l) == line);
         assert!(found, "{}: no {:?} in\n{text}", case.name, case.line);
     }
 }
 
 #[rstest]
-#[case::before_the_bound(MAX_ACCOUNT_SERIES - 1, false)]
-#[case::past_the_bound(MAX_ACCOUNT_SERIES, true)]
-fn accounts_are_bounded(#[case] others: usize, #[case] is_shared: bool) {
+#[case::below_the_limit(MAX_ACCOUNT_SERIES - 1, false)]
+#[case::above_the_limit(MAX_ACCOUNT_SERIES, true)]
+fn accounts_above_the_limit_share_one_series(
+    #[case] others: usize,
+    #[case] is_shared: bool,
+) {
     let metrics = Metrics::new("entry", "vm-1");
     for number in 0..others {
         metrics.account(&format!("account-{number}"));
--- a/crates/telemetry/tests/ops.rs
+++ b/crates/telemetry/tests/ops.rs
@@ -1,4 +1,4 @@
-//! Each path of the operators' port over loopback.
+//! Requests to the operators' port over loopback.
 
 use std::{
     io::{Read as _, Write as _},
@@ -15,7 +15,7 @@
 };
 use serde_json::json;
 
-/// A port with one unmet condition, and its state.
+/// Starts a port that is not ready because of one unmet condition.
 fn start() -> (SocketAddr, Arc<OpsState>) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
@@ -27,29 +27,30 @@
             (path == "/order").then(|| json!({"is_done": true}))
         }),
     });
-    let served = state.clone();
+    let shared_state = state.clone();
     thread::spawn(move || {
         let executor = Arc::new(Executor::new());
-        let serving = serve_ops(listener, executor.clone(), served);
+        let serving = serve_ops(listener, executor.clone(), shared_state);
         async_io::block_on(executor.run(serving))
     });
     (address, state)
 }
 
-fn dial(address: SocketAddr) -> TcpStream {
+fn connect(address: SocketAddr) -> TcpStream {
     let socket = TcpStream::connect(address).unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(3))).unwrap();
     socket
 }
 
-/// Head and body of the answer; the server must close after it.
+/// Returns head and body of the response, and checks that the server closes
+/// the connection after it.
 fn call(address: SocketAddr, method: &str, path: &str) -> (String, String) {
-    let mut socket = dial(address);
+    let mut socket = connect(address);
     let head = format!("{method} {path} HTTP/1.1\r\nhost: x\r\n\r\n");
     socket.write_all(head.as_bytes()).unwrap();
-    let mut answer = String::new();
-    socket.read_to_string(&mut answer).unwrap();
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap();
+    let mut response = String::new();
+    socket.read_to_string(&mut response).unwrap();
+    let (head, body) = response.split_once("\r\n\r\n").unwrap();
     (head.to_lowercase(), body.to_owned())
 }
 
@@ -112,7 +113,7 @@
 ];
 
 #[test]
-fn each_path_is_answered() {
+fn each_path_returns_the_documented_status_and_body() {
     let (address, _) = start();
     for case in CASES {
         let (method, path) = case.request;
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn readiness_follows_its_conditions() {
+fn ready_reports_the_blocking_conditions() {
     let (address, state) = start();
     state.readiness.clear("manifest");
     let (head, body) = call(address, "GET", "/ready");
@@ -139,22 +140,23 @@
 }
 
 #[test]
-fn connections_are_bounded() {
+fn connections_above_the_limit_are_closed_until_a_slot_is_free() {
     let (address, _) = start();
-    let idle: Vec<_> = (0..MAX_CONNECTIONS).map(|_| dial(address)).collect();
-    let mut refused = dial(address);
-    let mut answer = [0];
-    assert_eq!(refused.read(&mut answer).unwrap_or(0), 0);
+    let idle: Vec<_> =
+        (0..MAX_CONNECTIONS).map(|_| connect(address)).collect();
+    let mut refused = connect(address);
+    let mut response = [0];
+    assert_eq!(refused.read(&mut response).unwrap_or(0), 0);
     drop(idle);
-    // The server takes the ends of the idle ones in its own time.
-    let is_free = (0..100).any(|_| {
+    // The server frees the slots of the closed connections asynchronously.
+    let accepts_again = (0..100).any(|_| {
         thread::sleep(Duration::from_millis(20));
-        let mut socket = dial(address);
+        let mut socket = connect(address);
         let head = b"GET /live HTTP/1.1\r\nhost: x\r\n\r\n";
-        let mut answer = String::new();
+        let mut response = String::new();
         socket.write_all(head).is_ok()
-            && socket.read_to_string(&mut answer).is_ok()
-            && answer.contains("is_live")
+            && socket.read_to_string(&mut response).is_ok()
+            && response.contains("is_live")
     });
-    assert!(is_free);
+    assert!(accepts_again);
 }
