--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -11,23 +11,23 @@
 use crate::findings::{Finding, Findings};
 
 /// A file as sections.
-pub(crate) struct Document {
+pub(crate) struct IniDocument {
     /// In the order of the file; a doubled section stands twice.
-    pub(crate) sections: Vec<Section>,
+    pub(crate) sections: Vec<IniSection>,
 }
 
 /// A section with its line.
-pub(crate) struct Section {
+pub(crate) struct IniSection {
     /// Heading without brackets, its words parted by single spaces.
     pub(crate) heading: String,
     /// Line of the heading, counted from 1.
     pub(crate) line: usize,
     /// In the order of the file; a doubled key stands twice.
-    pub(crate) entries: Vec<Entry>,
+    pub(crate) entries: Vec<IniEntry>,
 }
 
 /// An entry with its line.
-pub(crate) struct Entry {
+pub(crate) struct IniEntry {
     /// The key.
     pub(crate) key: String,
     /// The value without the space around it.
@@ -36,49 +36,49 @@
     pub(crate) line: usize,
 }
 
-impl Document {
+impl IniDocument {
     /// Reads `text`; what can't be read becomes findings.
     pub(crate) fn parse(
         file: &str,
         text: &str,
         findings: &mut Findings,
-    ) -> Document {
-        let mut index = LineIndex::new(file, findings);
+    ) -> IniDocument {
+        let mut parser = LineParser::new(file, findings);
         let text = text.strip_prefix(BYTE_ORDER_MARK).unwrap_or(text);
         for (number, line) in text.lines().enumerate() {
-            index.add(number + 1, line);
+            parser.add_line(number + 1, line);
         }
-        let LineIndex { sections, clean, .. } = index;
-        let mut document = Document { sections };
-        if let Err(message) = document.fill_values(&clean) {
-            findings.push(unreadable(file, message));
+        let LineParser { sections, valid_lines, .. } = parser;
+        let mut document = IniDocument { sections };
+        if let Err(message) = document.set_values(&valid_lines) {
+            findings.push(unreadable_file(file, message));
         }
         document
     }
 
     /// Copies the values that the library reads from the cleaned text.
-    fn fill_values(&mut self, clean: &str) -> Result<(), String> {
-        let ini = Ini::load_from_str_opt(clean, parse_option())
+    fn set_values(&mut self, valid_lines: &str) -> Result<(), String> {
+        let ini = Ini::load_from_str_opt(valid_lines, parse_option())
             .map_err(|error| error.to_string())?;
-        let mut read = ini.iter().filter(|(heading, _)| heading.is_some());
+        let mut parsed = ini.iter().filter(|(heading, _)| heading.is_some());
         for section in &mut self.sections {
-            let Some((_, properties)) = read.next() else {
+            let Some((_, properties)) = parsed.next() else {
                 return Err(format!("[{}] is not read", section.heading));
             };
-            section.fill_values(properties)?;
+            section.set_values(properties)?;
         }
         Ok(())
     }
 }
 
-impl Section {
-    fn fill_values(
+impl IniSection {
+    fn set_values(
         &mut self,
         properties: &ini::Properties,
     ) -> Result<(), String> {
-        let mut read = properties.iter();
+        let mut parsed = properties.iter();
         for entry in &mut self.entries {
-            match read.next() {
+            match parsed.next() {
                 Some((key, value)) if key == entry.key => {
                     value.clone_into(&mut entry.value);
                 }
@@ -102,7 +102,7 @@
     }
 }
 
-fn unreadable(file: &str, message: String) -> Finding {
+fn unreadable_file(file: &str, message: String) -> Finding {
     Finding {
         file: file.to_owned(),
         line: None,
@@ -113,34 +113,34 @@
 }
 
 /// Finds the line of each section and entry.
-struct LineIndex<'a> {
+struct LineParser<'a> {
     file: &'a str,
     findings: &'a mut Findings,
-    sections: Vec<Section>,
+    sections: Vec<IniSection>,
     /// Whether entries are passed over until the next heading, because the
     /// last one couldn't be read.
-    is_skipping: bool,
+    skips_entries: bool,
     /// The lines that can be read, for the library.
-    clean: String,
+    valid_lines: String,
 }
 
-impl<'a> LineIndex<'a> {
-    fn new(file: &'a str, findings: &'a mut Findings) -> LineIndex<'a> {
-        LineIndex {
+impl<'a> LineParser<'a> {
+    fn new(file: &'a str, findings: &'a mut Findings) -> LineParser<'a> {
+        LineParser {
             file,
             findings,
             sections: Vec::new(),
-            is_skipping: false,
-            clean: String::new(),
+            skips_entries: false,
+            valid_lines: String::new(),
         }
     }
 
-    fn add(&mut self, line: usize, text: &str) {
+    fn add_line(&mut self, line: usize, text: &str) {
         let text = text.trim();
         if text.is_empty() || text.starts_with(['#', ';']) {
             return;
         }
-        if let Some(message) = line_fault(text) {
+        if let Some(message) = line_error(text) {
             self.report(line, "", message);
         } else if let Some(rest) = text.strip_prefix('[') {
             self.add_heading(line, rest);
@@ -150,16 +150,16 @@
     }
 
     fn add_heading(&mut self, line: usize, rest: &str) {
-        let heading = rest.strip_suffix(']').map(normalised_heading);
+        let heading = rest.strip_suffix(']').map(normalise_heading);
         let Some(heading) = heading.filter(|heading| is_heading(heading))
         else {
-            self.is_skipping = true;
+            self.skips_entries = true;
             self.report(line, "", "not a heading such as [service NAME]");
             return;
         };
-        self.is_skipping = false;
-        self.clean.push_str(&format!("[{heading}]\n"));
-        self.sections.push(Section { heading, line, entries: Vec::new() });
+        self.skips_entries = false;
+        self.valid_lines.push_str(&format!("[{heading}]\n"));
+        self.sections.push(IniSection { heading, line, entries: Vec::new() });
     }
 
     fn add_entry(&mut self, line: usize, text: &str) {
@@ -172,7 +172,7 @@
             self.report(line, &key, "not a key: a-z, 0-9 and - only");
             return;
         }
-        if self.is_skipping {
+        if self.skips_entries {
             return;
         }
         let Some(section) = self.sections.last_mut() else {
@@ -180,28 +180,28 @@
             return;
         };
         let value = String::new();
-        section.entries.push(Entry { key, value, line });
-        self.clean.push_str(text);
-        self.clean.push('\n');
+        section.entries.push(IniEntry { key, value, line });
+        self.valid_lines.push_str(text);
+        self.valid_lines.push('\n');
     }
 
     fn report(&mut self, line: usize, key: &str, message: &str) {
         let section = match self.sections.last() {
-            Some(section) if !self.is_skipping => section.heading.clone(),
+            Some(section) if !self.skips_entries => section.heading.clone(),
             _ => String::new(),
         };
         self.findings.push(Finding {
             file: self.file.to_owned(),
             line: Some(line),
             section,
-            key: shortened(key),
+            key: truncated(key),
             message: message.to_owned(),
         });
     }
 }
 
 /// What the library would not read as one line.
-fn line_fault(text: &str) -> Option<&'static str> {
+fn line_error(text: &str) -> Option<&'static str> {
     if text.chars().any(|c| c.is_control() && c != '\t') {
         Some("holds a control character")
     } else if text.contains('\\') {
@@ -211,7 +211,7 @@
     }
 }
 
-fn normalised_heading(heading: &str) -> String {
+fn normalise_heading(heading: &str) -> String {
     heading.split_whitespace().collect::<Vec<&str>>().join(" ")
 }
 
@@ -227,14 +227,14 @@
 }
 
 /// Most characters of a value that a message repeats.
-const SHOWN_LIMIT_CHARS: usize = 80;
+const MAX_SHOWN_CHARS: usize = 80;
 
 /// `text`, cut where a message would grow too long.
-pub(crate) fn shortened(text: &str) -> String {
-    if text.chars().count() <= SHOWN_LIMIT_CHARS {
+pub(crate) fn truncated(text: &str) -> String {
+    if text.chars().count() <= MAX_SHOWN_CHARS {
         return text.to_owned();
     }
-    let mut cut: String = text.chars().take(SHOWN_LIMIT_CHARS).collect();
+    let mut cut: String = text.chars().take(MAX_SHOWN_CHARS).collect();
     cut.push_str("...");
     cut
 }
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -31,11 +31,11 @@
             "" => String::new(),
             section => format!("[{section}]"),
         };
-        let place = [section.as_str(), &self.key];
-        let place: Vec<&str> =
-            place.into_iter().filter(|part| !part.is_empty()).collect();
-        if !place.is_empty() {
-            write!(f, "{}: ", place.join(" "))?;
+        let location = [section.as_str(), &self.key];
+        let location: Vec<&str> =
+            location.into_iter().filter(|part| !part.is_empty()).collect();
+        if !location.is_empty() {
+            write!(f, "{}: ", location.join(" "))?;
         }
         f.write_str(&self.message)
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -44,7 +44,7 @@
 pub mod settings;
 
 mod document;
-mod sheet;
+mod section_index;
 mod values;
 
 pub use findings::{Finding, Findings};
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -21,7 +21,7 @@
 
 mod checks;
 mod difference;
-mod layers;
+mod layer_coverage;
 mod read;
 pub mod schema;
 mod sections;
@@ -58,7 +58,7 @@
     ///
     /// Everything found wrong.
     pub fn try_parse(file: &str, text: &str) -> Result<Manifest, Findings> {
-        read::manifest(file, text)
+        read::parse_manifest(file, text)
     }
 
     /// Reads and checks what [`Manifest::to_sections`] gave.
--- a/crates/config/src/manifest/checks.rs
+++ b/crates/config/src/manifest/checks.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Manifest, schema::*};
-use crate::{findings::Findings, sheet::Sheet};
+use crate::{findings::Findings, section_index::SectionIndex};
 
 mod accounts;
 mod servers;
@@ -16,10 +16,10 @@
 /// Runs every check.
 pub(super) fn check(
     manifest: &Manifest,
-    sheet: &Sheet<'_>,
+    index: &SectionIndex<'_>,
     findings: &mut Findings,
 ) {
-    let mut checker = Checker { manifest, sheet, findings };
+    let mut checker = Checker { manifest, index, findings };
     checker.check_paths();
     checker.check_services();
     checker.check_accounts();
@@ -30,13 +30,13 @@
 
 struct Checker<'a> {
     manifest: &'a Manifest,
-    sheet: &'a Sheet<'a>,
+    index: &'a SectionIndex<'a>,
     findings: &'a mut Findings,
 }
 
 impl Checker<'_> {
     fn report(&mut self, heading: &str, key: &str, message: String) {
-        let finding = self.sheet.place(heading).finding(key, message);
+        let finding = self.index.location(heading).finding(key, message);
         self.findings.push(finding);
     }
 
@@ -46,26 +46,26 @@
         &mut self,
         heading: &str,
         key: &str,
-        word: &str,
+        keyword: &str,
         name: &str,
     ) {
-        if !self.sheet.has(&format!("{word} {name}")) {
+        if !self.index.contains(&format!("{keyword} {name}")) {
             let message =
-                format!("unknown {}: {name}", word.replace('-', " "));
+                format!("unknown {}: {name}", keyword.replace('-', " "));
             self.report(heading, key, message);
         }
     }
 
     /// Whether every section with `word` was read.
-    fn is_complete(&self, word: &str, read: usize) -> bool {
-        self.sheet.names(word).len() == read
+    fn all_were_read(&self, keyword: &str, read_count: usize) -> bool {
+        self.index.names(keyword).len() == read_count
     }
 
     fn check_paths(&mut self) {
         for (a, b) in self.manifest.paths.keys() {
             let written = format!("{PATH_KEYWORD} {a} {b}");
             let reversed = format!("{PATH_KEYWORD} {b} {a}");
-            let is_written = self.sheet.has(&written);
+            let is_written = self.index.contains(&written);
             let heading = if is_written { written } else { reversed };
             if a == b {
                 let message = "a path needs two data centres".to_owned();
@@ -82,11 +82,12 @@
         let accounts = &manifest.accounts;
         let classes: BTreeSet<&str> =
             accounts.values().map(|account| account.class.as_str()).collect();
-        let knows_classes = self.is_complete(ACCOUNT_KEYWORD, accounts.len());
+        let all_accounts_were_read =
+            self.all_were_read(ACCOUNT_KEYWORD, accounts.len());
         for (service, class) in manifest.objectives.keys() {
             let heading = format!("{OBJECTIVE_KEYWORD} {service} {class}");
             self.check_reference(&heading, "", SERVICE_KEYWORD, service);
-            if knows_classes && !classes.contains(class.as_str()) {
+            if all_accounts_were_read && !classes.contains(class.as_str()) {
                 let message = format!("no account has the class {class}");
                 self.report(&heading, "", message);
             }
@@ -96,12 +97,12 @@
 
 /// The first user of each value; a later one is told who that is.
 #[derive(Default)]
-struct Users<'a> {
+struct FirstUsers<'a> {
     first: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Users<'a> {
-    fn add(&mut self, value: &'a str, user: &'a str) -> Option<&'a str> {
+impl<'a> FirstUsers<'a> {
+    fn insert(&mut self, value: &'a str, user: &'a str) -> Option<&'a str> {
         let first = self.first.entry(value).or_insert(user);
         (*first != user).then_some(*first)
     }
--- a/crates/config/src/manifest/checks/accounts.rs
+++ b/crates/config/src/manifest/checks/accounts.rs
@@ -4,11 +4,11 @@
 //! its own: it is a promise that the weights must keep, and that is a matter
 //! of the manifest alone.
 
-use super::{Checker, Users};
+use super::{Checker, FirstUsers};
 use crate::manifest::{Account, schema::*};
 
 /// All of a service's capacity.
-const WHOLE_PERCENT: u64 = 100;
+const FULL_CAPACITY_PERCENT: u64 = 100;
 
 impl Checker<'_> {
     pub(super) fn check_accounts(&mut self) {
@@ -30,10 +30,10 @@
     }
 
     fn check_key_digests(&mut self) {
-        let mut users = Users::default();
+        let mut users = FirstUsers::default();
         for (name, account) in &self.manifest.accounts {
             for digest in &account.key_digests {
-                if let Some(other) = users.add(digest, name) {
+                if let Some(other) = users.insert(digest, name) {
                     let heading = format!("{ACCOUNT_KEYWORD} {name}");
                     let message =
                         format!("{digest} is also a key of [account {other}]");
@@ -68,14 +68,14 @@
         let shares =
             users.iter().map(|(_, user)| u64::from(user.guaranteed_percent));
         let sum: u64 = shares.sum();
-        if sum > WHOLE_PERCENT {
+        if sum > FULL_CAPACITY_PERCENT {
             let message = format!(
                 "guaranteed-percent of its accounts adds up to {sum} %; \
-                 it must be at most {WHOLE_PERCENT} %",
+                 it must be at most {FULL_CAPACITY_PERCENT} %",
             );
             self.report(&format!("{SERVICE_KEYWORD} {service}"), "", message);
         }
-        sum <= WHOLE_PERCENT
+        sum <= FULL_CAPACITY_PERCENT
     }
 
     fn check_share(
@@ -87,10 +87,11 @@
     ) {
         let weight = u64::from(account.weight);
         let guaranteed_percent = u64::from(account.guaranteed_percent);
-        if weight * WHOLE_PERCENT >= guaranteed_percent * total_weight {
+        if weight * FULL_CAPACITY_PERCENT >= guaranteed_percent * total_weight
+        {
             return;
         }
-        let given_percent = weight * WHOLE_PERCENT / total_weight;
+        let given_percent = weight * FULL_CAPACITY_PERCENT / total_weight;
         let message = format!(
             "{guaranteed_percent} % is more than the {given_percent} % of \
              {service} that weight {weight} of {total_weight} gives",
--- a/crates/config/src/manifest/checks/servers.rs
+++ b/crates/config/src/manifest/checks/servers.rs
@@ -5,8 +5,8 @@
     net::SocketAddr,
 };
 
-use super::{Checker, Users};
-use crate::manifest::{BackendServer, ServiceKind, layers, schema::*};
+use super::{Checker, FirstUsers};
+use crate::manifest::{BackendServer, ServiceKind, layer_coverage, schema::*};
 
 impl Checker<'_> {
     pub(super) fn check_servers(&mut self) {
@@ -27,8 +27,8 @@
         let key = BACKEND_SERVICE.key;
         self.check_reference(heading, key, SERVICE_KEYWORD, &server.service);
         let key = BACKEND_DATA_CENTRE.key;
-        let word = DATA_CENTRE_KEYWORD;
-        self.check_reference(heading, key, word, &server.data_centre);
+        let keyword = DATA_CENTRE_KEYWORD;
+        self.check_reference(heading, key, keyword, &server.data_centre);
         if let Some(accelerator) = &server.accelerator {
             let key = BACKEND_ACCELERATOR.key;
             self.check_reference(
@@ -92,9 +92,9 @@
     }
 
     fn check_vms(&mut self) {
-        let mut places = Users::default();
+        let mut data_centres = FirstUsers::default();
         for (name, server) in &self.manifest.backend_servers {
-            let other = places.add(&server.vm, &server.data_centre);
+            let other = data_centres.insert(&server.vm, &server.data_centre);
             if let Some(other) = other {
                 let message = format!(
                     "the VM {} is in {} here and elsewhere in {other}",
@@ -107,7 +107,7 @@
 
     pub(super) fn check_coverage(&mut self) {
         let servers = &self.manifest.backend_servers;
-        if !self.is_complete(BACKEND_SERVER_KEYWORD, servers.len()) {
+        if !self.all_were_read(BACKEND_SERVER_KEYWORD, servers.len()) {
             return;
         }
         for (name, service) in &self.manifest.services {
@@ -127,9 +127,9 @@
             .map(|server| (server.first_layer, server.end_layer))
             .filter(|(first, end)| first < end && *end <= layer_count)
             .collect();
-        for fault in layers::faults(&ranges, layer_count) {
+        for error in layer_coverage::coverage_errors(&ranges, layer_count) {
             let heading = format!("{SERVICE_KEYWORD} {service}");
-            self.report(&heading, "", fault.to_string());
+            self.report(&heading, "", error.to_string());
         }
     }
 
--- a/crates/config/src/manifest/checks/services.rs
+++ b/crates/config/src/manifest/checks/services.rs
@@ -1,6 +1,6 @@
 //! Checks of services.
 
-use super::{Checker, Users};
+use super::{Checker, FirstUsers};
 use crate::manifest::{Service, ServiceKind, schema::*};
 
 /// Paths that entries answer themselves.
@@ -34,12 +34,12 @@
     }
 
     fn check_models(&mut self) {
-        let mut users = Users::default();
+        let mut users = FirstUsers::default();
         for (name, service) in &self.manifest.services {
             let ServiceKind::Language { model, .. } = &service.kind else {
                 continue;
             };
-            if let Some(other) = users.add(model, name) {
+            if let Some(other) = users.insert(model, name) {
                 let heading = format!("{SERVICE_KEYWORD} {name}");
                 let message =
                     format!("{model} is also the model of [service {other}]");
--- a/crates/config/src/manifest/layers.rs
+++ b/crates/config/src/manifest/layer_coverage.rs
@@ -7,9 +7,9 @@
 
 /// Why no chain can be built.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum LayerFault {
+pub(super) enum CoverageError {
     /// Layers `first..end` that no range holds.
-    Uncovered {
+    Gap {
         /// First such layer.
         first: u32,
         /// End of them.
@@ -22,13 +22,13 @@
     },
 }
 
-impl fmt::Display for LayerFault {
+impl fmt::Display for CoverageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LayerFault::Uncovered { first, end } => {
+            CoverageError::Gap { first, end } => {
                 write!(f, "no backend server holds the layers {first}..{end}")
             }
-            LayerFault::NoContinuation { boundary } => write!(
+            CoverageError::NoContinuation { boundary } => write!(
                 f,
                 "no chain can go on after layer boundary {boundary}: \
                  backend servers end there and none starts there",
@@ -39,52 +39,49 @@
 
 /// Everything that keeps `ranges` from tiling `0..layer_count`. Empty and
 /// overlong ranges must be left out before.
-pub(super) fn faults(
+pub(super) fn coverage_errors(
     ranges: &BTreeSet<(u32, u32)>,
     layer_count: u32,
-) -> Vec<LayerFault> {
-    let uncovered = uncovered(ranges, layer_count);
-    if !uncovered.is_empty() {
-        return uncovered;
+) -> Vec<CoverageError> {
+    let gaps = find_gaps(ranges, layer_count);
+    if !gaps.is_empty() {
+        return gaps;
     }
-    let reached = reached(ranges);
-    if reached.contains(&layer_count) {
+    let reachable = reachable_boundaries(ranges);
+    if reachable.contains(&layer_count) {
         return Vec::new();
     }
     let starts: BTreeSet<u32> = ranges.iter().map(|range| range.0).collect();
-    let dead_ends = reached.difference(&starts);
+    let dead_ends = reachable.difference(&starts);
     dead_ends
-        .map(|&boundary| LayerFault::NoContinuation { boundary })
+        .map(|&boundary| CoverageError::NoContinuation { boundary })
         .collect()
 }
 
-fn uncovered(
+fn find_gaps(
     ranges: &BTreeSet<(u32, u32)>,
     layer_count: u32,
-) -> Vec<LayerFault> {
-    let mut faults = Vec::new();
+) -> Vec<CoverageError> {
+    let mut gaps = Vec::new();
     let mut covered_end = 0;
     let last = (layer_count, layer_count);
     for &(first, end) in ranges.iter().chain([&last]) {
         if first > covered_end {
-            faults.push(LayerFault::Uncovered {
-                first: covered_end,
-                end: first,
-            });
+            gaps.push(CoverageError::Gap { first: covered_end, end: first });
         }
         covered_end = covered_end.max(end);
     }
-    faults
+    gaps
 }
 
 /// Boundaries that chains from layer 0 reach. Ranges are in the order of
 /// their starts, so one pass is enough.
-fn reached(ranges: &BTreeSet<(u32, u32)>) -> BTreeSet<u32> {
-    let mut reached = BTreeSet::from([0]);
+fn reachable_boundaries(ranges: &BTreeSet<(u32, u32)>) -> BTreeSet<u32> {
+    let mut boundaries = BTreeSet::from([0]);
     for &(first, end) in ranges {
-        if reached.contains(&first) {
-            reached.insert(end);
+        if boundaries.contains(&first) {
+            boundaries.insert(end);
         }
     }
-    reached
+    boundaries
 }
--- a/crates/config/src/manifest/read.rs
+++ b/crates/config/src/manifest/read.rs
@@ -7,26 +7,29 @@
     NetworkPath, Objective, Service, ServiceKind, checks, path_key, schema::*,
 };
 use crate::{
-    document::Document,
+    document::IniDocument,
     fields::Field,
     findings::Findings,
-    sheet::{SectionReader, Sheet},
+    section_index::{SectionIndex, SectionReader},
 };
 
 /// Reads and checks `text`.
-pub(super) fn manifest(file: &str, text: &str) -> Result<Manifest, Findings> {
+pub(super) fn parse_manifest(
+    file: &str,
+    text: &str,
+) -> Result<Manifest, Findings> {
     let mut findings = Findings::new();
-    let document = Document::parse(file, text, &mut findings);
-    let sheet = Sheet::new(file, &document, SECTIONS, &mut findings);
-    let mut reader = ManifestReader { sheet: &sheet, findings: &mut findings };
+    let document = IniDocument::parse(file, text, &mut findings);
+    let index = SectionIndex::new(file, &document, SECTIONS, &mut findings);
+    let mut reader = ManifestReader { index: &index, findings: &mut findings };
     let manifest = reader.read();
-    checks::check(&manifest, &sheet, &mut findings);
+    checks::check(&manifest, &index, &mut findings);
     findings.sort();
     findings.into_result(manifest)
 }
 
 struct ManifestReader<'a> {
-    sheet: &'a Sheet<'a>,
+    index: &'a SectionIndex<'a>,
     findings: &'a mut Findings,
 }
 
@@ -34,21 +37,22 @@
     /// What could be read. Whatever couldn't has left a finding, so that a
     /// manifest with something left out is never given to a caller.
     fn read(&mut self) -> Manifest {
-        let services = self.all(SERVICE_KEYWORD, SERVICE_TABLES, service);
+        let services =
+            self.read_sections(SERVICE_KEYWORD, SERVICE_FIELD_GROUPS, service);
         Manifest {
             deployment: self.deployment(),
-            data_centres: self.all(
+            data_centres: self.read_sections(
                 DATA_CENTRE_KEYWORD,
                 &[DATA_CENTRE],
                 data_centre,
             ),
             paths: self.paths(),
-            accelerators: self.all(
+            accelerators: self.read_sections(
                 ACCELERATOR_KEYWORD,
                 &[ACCELERATOR],
                 accelerator,
             ),
-            accounts: self.all(ACCOUNT_KEYWORD, &[ACCOUNT], account),
+            accounts: self.read_sections(ACCOUNT_KEYWORD, &[ACCOUNT], account),
             objectives: self.objectives(),
             backend_servers: self.backend_servers(&services),
             services,
@@ -58,21 +62,23 @@
     fn section<'b>(
         &'b mut self,
         heading: &'b str,
-        tables: &[&[Field]],
+        field_groups: &[&[Field]],
     ) -> SectionReader<'b> {
-        self.sheet.read(heading, tables, self.findings)
+        self.index.reader(heading, field_groups, self.findings)
     }
 
-    fn all<T>(
+    fn read_sections<T>(
         &mut self,
-        word: &str,
-        tables: &[&[Field]],
+        keyword: &str,
+        field_groups: &[&[Field]],
         read: fn(&mut SectionReader<'_>) -> Option<T>,
     ) -> BTreeMap<String, T> {
         let mut values = BTreeMap::new();
-        for name in self.sheet.names(word) {
-            let heading = format!("{word} {name}");
-            if let Some(value) = read(&mut self.section(&heading, tables)) {
+        for name in self.index.names(keyword) {
+            let heading = format!("{keyword} {name}");
+            if let Some(value) =
+                read(&mut self.section(&heading, field_groups))
+            {
                 values.insert(name.to_owned(), value);
             }
         }
@@ -92,26 +98,29 @@
 
     fn paths(&mut self) -> BTreeMap<(String, String), NetworkPath> {
         let mut paths = BTreeMap::new();
-        for (names, path) in self.all(PATH_KEYWORD, &[PATH], network_path) {
-            let (a, b) = two_names(&names);
+        for (names, path) in
+            self.read_sections(PATH_KEYWORD, &[PATH], network_path)
+        {
+            let (a, b) = split_names(&names);
             if paths.insert(path_key(a, b), path).is_some() {
-                self.report_doubled_path(a, b);
+                self.report_duplicate_path(a, b);
             }
         }
         paths
     }
 
-    fn report_doubled_path(&mut self, a: &str, b: &str) {
+    fn report_duplicate_path(&mut self, a: &str, b: &str) {
         let heading = format!("{PATH_KEYWORD} {a} {b}");
         let message = format!("the same path as [{PATH_KEYWORD} {b} {a}]");
-        let finding = self.sheet.place(&heading).finding("", message);
+        let finding = self.index.location(&heading).finding("", message);
         self.findings.push(finding);
     }
 
     fn objectives(&mut self) -> BTreeMap<(String, String), Objective> {
-        let objectives = self.all(OBJECTIVE_KEYWORD, &[OBJECTIVE], objective);
+        let objectives =
+            self.read_sections(OBJECTIVE_KEYWORD, &[OBJECTIVE], objective);
         let by_names = |(names, objective): (String, Objective)| {
-            let (service, class) = two_names(&names);
+            let (service, class) = split_names(&names);
             ((service.to_owned(), class.to_owned()), objective)
         };
         objectives.into_iter().map(by_names).collect()
@@ -122,13 +131,13 @@
         services: &BTreeMap<String, Service>,
     ) -> BTreeMap<String, BackendServer> {
         let mut servers = BTreeMap::new();
-        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
+        for name in self.index.names(BACKEND_SERVER_KEYWORD) {
             let heading = format!("{BACKEND_SERVER_KEYWORD} {name}");
-            let place = self.sheet.place(&heading);
-            let service = place.value(BACKEND_SERVICE.key);
+            let location = self.index.location(&heading);
+            let service = location.value(BACKEND_SERVICE.key);
             let service = service.and_then(|name| services.get(name));
             let kind = BackendKind::of(service);
-            let mut reader = self.section(&heading, kind.tables());
+            let mut reader = self.section(&heading, kind.field_groups());
             if let Some(server) = backend_server(&mut reader, kind) {
                 servers.insert(name.to_owned(), server);
             }
@@ -138,7 +147,7 @@
 }
 
 /// The tables of a service whose kind isn't known yet.
-const SERVICE_TABLES: &[&[Field]] =
+const SERVICE_FIELD_GROUPS: &[&[Field]] =
     &[SERVICE, LANGUAGE_SERVICE, PLAIN_SERVICE];
 
 /// Which keys a backend server has.
@@ -160,7 +169,7 @@
         }
     }
 
-    fn tables(self) -> &'static [&'static [Field]] {
+    fn field_groups(self) -> &'static [&'static [Field]] {
         match self {
             BackendKind::Plain => &[BACKEND_SERVER],
             BackendKind::Language | BackendKind::Unknown => {
@@ -171,7 +180,7 @@
 }
 
 /// The two names of a heading; headings were checked to have two.
-fn two_names(names: &str) -> (&str, &str) {
+fn split_names(names: &str) -> (&str, &str) {
     names.split_once(' ').unwrap_or((names, ""))
 }
 
@@ -221,8 +230,8 @@
     Plain,
 }
 
-fn kind_from_word(word: &str) -> Option<Kind> {
-    match word {
+fn parse_kind(value: &str) -> Option<Kind> {
+    match value {
         "language" => Some(Kind::Language),
         "plain" => Some(Kind::Plain),
         _ => None,
@@ -230,14 +239,14 @@
 }
 
 fn service_kind(reader: &mut SectionReader<'_>) -> Option<ServiceKind> {
-    match reader.choice(&KIND, kind_from_word)? {
+    match reader.choice(&KIND, parse_kind)? {
         Kind::Language => language_kind(reader),
         Kind::Plain => plain_kind(reader),
     }
 }
 
 fn language_kind(reader: &mut SectionReader<'_>) -> Option<ServiceKind> {
-    reader.refuse(PLAIN_SERVICE);
+    reader.reject_keys(PLAIN_SERVICE);
     let model = reader.text(&MODEL);
     let layer_count = reader.integer(&LAYER_COUNT);
     let max_context_tokens = reader.integer(&MAX_CONTEXT_TOKENS);
@@ -249,7 +258,7 @@
 }
 
 fn plain_kind(reader: &mut SectionReader<'_>) -> Option<ServiceKind> {
-    reader.refuse(LANGUAGE_SERVICE);
+    reader.reject_keys(LANGUAGE_SERVICE);
     let path = reader.text(&PATH_PREFIX)?;
     Some(ServiceKind::Plain { path })
 }
@@ -281,7 +290,7 @@
 
 /// What only the backend servers of a language service have.
 #[derive(Default)]
-struct Engine {
+struct LanguageBackend {
     accelerator: Option<String>,
     first_layer: u32,
     end_layer: u32,
@@ -289,13 +298,15 @@
     checks_fencing: bool,
 }
 
-fn engine(reader: &mut SectionReader<'_>) -> Option<Engine> {
+fn language_backend(
+    reader: &mut SectionReader<'_>,
+) -> Option<LanguageBackend> {
     let accelerator = reader.text(&BACKEND_ACCELERATOR);
     let first_layer = reader.integer(&FIRST_LAYER);
     let end_layer = reader.integer(&END_LAYER);
     let cache_tokens = reader.integer(&CACHE_TOKENS);
-    let checks_fencing = reader.choice(&CHECKS_FENCING, bool_from_word);
-    Some(Engine {
+    let checks_fencing = reader.choice(&CHECKS_FENCING, parse_bool);
+    Some(LanguageBackend {
         accelerator: Some(accelerator?),
         first_layer: first_layer?,
         end_layer: end_layer?,
@@ -304,8 +315,8 @@
     })
 }
 
-fn bool_from_word(word: &str) -> Option<bool> {
-    match word {
+fn parse_bool(value: &str) -> Option<bool> {
+    match value {
         "yes" => Some(true),
         "no" => Some(false),
         _ => None,
@@ -321,21 +332,23 @@
     let vm = reader.text(&VM);
     let side_address = reader.address(&SIDE_ADDRESS);
     let max_running = reader.integer(&MAX_RUNNING);
-    let engine = match kind {
-        BackendKind::Language => engine(reader),
-        BackendKind::Plain | BackendKind::Unknown => Some(Engine::default()),
+    let language = match kind {
+        BackendKind::Language => language_backend(reader),
+        BackendKind::Plain | BackendKind::Unknown => {
+            Some(LanguageBackend::default())
+        }
     };
-    let engine = engine?;
+    let language = language?;
     Some(BackendServer {
         service: service?,
         data_centre: data_centre?,
         vm: vm?,
         side_address: side_address?,
-        accelerator: engine.accelerator,
-        first_layer: engine.first_layer,
-        end_layer: engine.end_layer,
+        accelerator: language.accelerator,
+        first_layer: language.first_layer,
+        end_layer: language.end_layer,
         max_running: max_running?,
-        cache_tokens: engine.cache_tokens,
-        checks_fencing: engine.checks_fencing,
+        cache_tokens: language.cache_tokens,
+        checks_fencing: language.checks_fencing,
     })
 }
--- a/crates/config/src/manifest/sections.rs
+++ b/crates/config/src/manifest/sections.rs
@@ -28,8 +28,8 @@
     let mut sections = BTreeMap::new();
     let deployment = deployment(&manifest.deployment);
     sections.insert(DEPLOYMENT_KEYWORD.to_owned(), deployment.text());
-    let mut add = |word: &str, names: &str, body: Body| {
-        sections.insert(format!("{word} {names}"), body.text());
+    let mut add = |keyword: &str, names: &str, body: Body| {
+        sections.insert(format!("{keyword} {names}"), body.text());
     };
     for (name, value) in &manifest.data_centres {
         add(DATA_CENTRE_KEYWORD, name, data_centre(value));
--- a/crates/config/src/sheet.rs
+++ b/crates/config/src/section_index.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use crate::{
-    document::{Document, Entry, Section, shortened},
+    document::{IniDocument, IniEntry, IniSection, truncated},
     fields::{
         AddressField, AddressListField, ChoiceField, Field, IntegerField,
         ListField, SectionSchema, TextField, TextFormat,
@@ -20,41 +20,41 @@
 };
 
 /// A file whose headings are checked.
-pub(crate) struct Sheet<'a> {
+pub(crate) struct SectionIndex<'a> {
     file: &'a str,
-    document: &'a Document,
-    tables: &'static [SectionSchema],
-    sections: BTreeMap<&'a str, &'a Section>,
+    document: &'a IniDocument,
+    schemas: &'static [SectionSchema],
+    sections: BTreeMap<&'a str, &'a IniSection>,
 }
 
-impl<'a> Sheet<'a> {
+impl<'a> SectionIndex<'a> {
     /// Checks the headings against `tables`.
     pub(crate) fn new(
         file: &'a str,
-        document: &'a Document,
-        tables: &'static [SectionSchema],
+        document: &'a IniDocument,
+        schemas: &'static [SectionSchema],
         findings: &mut Findings,
-    ) -> Sheet<'a> {
+    ) -> SectionIndex<'a> {
         let sections = BTreeMap::new();
-        let mut sheet = Sheet { file, document, tables, sections };
+        let mut index = SectionIndex { file, document, schemas, sections };
         for section in &document.sections {
-            if let Err(message) = sheet.add(section) {
+            if let Err(message) = index.add(section) {
                 findings.push(Finding {
                     file: file.to_owned(),
                     line: Some(section.line),
-                    section: shortened(&section.heading),
+                    section: truncated(&section.heading),
                     key: String::new(),
                     message,
                 });
             }
         }
-        sheet
+        index
     }
 
-    fn add(&mut self, section: &'a Section) -> Result<(), String> {
-        check_heading(&section.heading, self.tables)?;
+    fn add(&mut self, section: &'a IniSection) -> Result<(), String> {
+        check_heading(&section.heading, self.schemas)?;
         match self.sections.get(section.heading.as_str()) {
-            Some(first) => Err(doubled("section", first.line)),
+            Some(first) => Err(duplicate_message("section", first.line)),
             None => {
                 self.sections.insert(&section.heading, section);
                 Ok(())
@@ -63,9 +63,9 @@
     }
 
     /// The names of the sections with `word`, in the order of the file.
-    pub(crate) fn names(&self, word: &str) -> Vec<&'a str> {
-        let named = |section: &'a Section| {
-            let names = names_after(&section.heading, word)?;
+    pub(crate) fn names(&self, keyword: &str) -> Vec<&'a str> {
+        let named = |section: &'a IniSection| {
+            let names = names_of_heading(&section.heading, keyword)?;
             let kept = self.sections.get(section.heading.as_str())?;
             (kept.line == section.line).then_some(names)
         };
@@ -73,49 +73,57 @@
     }
 
     /// Whether there is a section.
-    pub(crate) fn has(&self, heading: &str) -> bool {
+    pub(crate) fn contains(&self, heading: &str) -> bool {
         self.sections.contains_key(heading)
     }
 
     /// Reads the section, whose keys are those of `tables`; a section that
     /// isn't there is read as an empty one.
-    pub(crate) fn read<'b>(
+    pub(crate) fn reader<'b>(
         &'b self,
         heading: &'b str,
-        tables: &[&[Field]],
+        field_groups: &[&[Field]],
         findings: &'b mut Findings,
     ) -> SectionReader<'b> {
-        let place = self.place(heading);
+        let location = self.location(heading);
         let entries = BTreeMap::new();
-        let mut reader = SectionReader { place, entries, findings };
+        let mut reader = SectionReader { location, entries, findings };
         if let Some(section) = self.sections.get(heading) {
-            reader.index(section, tables, self.known_fields(heading));
+            reader.index_entries(
+                section,
+                field_groups,
+                self.known_fields(heading),
+            );
         }
         reader
     }
 
     /// The keys of all kinds of the section.
     fn known_fields(&self, heading: &str) -> &'static [&'static [Field]] {
-        let word = heading.split(' ').next().unwrap_or_default();
-        let table = self.tables.iter().find(|table| table.keyword == word);
-        table.map_or(&[], |table| table.field_groups)
+        let keyword = heading.split(' ').next().unwrap_or_default();
+        let schema =
+            self.schemas.iter().find(|schema| schema.keyword == keyword);
+        schema.map_or(&[], |schema| schema.field_groups)
     }
 
     /// Where findings of a section are placed.
-    pub(crate) fn place<'b>(&'b self, heading: &'b str) -> Place<'b> {
+    pub(crate) fn location<'b>(
+        &'b self,
+        heading: &'b str,
+    ) -> SectionLocation<'b> {
         let section = self.sections.get(heading).copied();
-        Place { file: self.file, heading, section }
+        SectionLocation { file: self.file, heading, section }
     }
 }
 
 /// A section as the place of findings.
-pub(crate) struct Place<'a> {
+pub(crate) struct SectionLocation<'a> {
     file: &'a str,
     heading: &'a str,
-    section: Option<&'a Section>,
+    section: Option<&'a IniSection>,
 }
 
-impl Place<'_> {
+impl SectionLocation<'_> {
     /// A finding at the first entry with `key`, else at the heading.
     pub(crate) fn finding(&self, key: &str, message: String) -> Finding {
         self.at(self.line(key), key, message)
@@ -141,7 +149,7 @@
         Some(self.entry(key).map_or(section.line, |entry| entry.line))
     }
 
-    fn entry(&self, key: &str) -> Option<&Entry> {
+    fn entry(&self, key: &str) -> Option<&IniEntry> {
         let entries = &self.section?.entries;
         entries.iter().find(|entry| entry.key == key)
     }
@@ -149,22 +157,23 @@
 
 /// Reads the values of a section.
 pub(crate) struct SectionReader<'a> {
-    place: Place<'a>,
-    entries: BTreeMap<&'a str, &'a Entry>,
+    location: SectionLocation<'a>,
+    entries: BTreeMap<&'a str, &'a IniEntry>,
     findings: &'a mut Findings,
 }
 
 impl<'a> SectionReader<'a> {
-    fn index(
+    fn index_entries(
         &mut self,
-        section: &'a Section,
-        tables: &[&[Field]],
+        section: &'a IniSection,
+        field_groups: &[&[Field]],
         known: &[&[Field]],
     ) {
         for entry in &section.entries {
-            if let Err(message) = self.index_entry(entry, tables, known) {
+            if let Err(message) = self.index_entry(entry, field_groups, known)
+            {
                 let line = Some(entry.line);
-                let finding = self.place.at(line, &entry.key, message);
+                let finding = self.location.at(line, &entry.key, message);
                 self.findings.push(finding);
             }
         }
@@ -172,17 +181,18 @@
 
     fn index_entry(
         &mut self,
-        entry: &'a Entry,
-        tables: &[&[Field]],
+        entry: &'a IniEntry,
+        field_groups: &[&[Field]],
         known: &[&[Field]],
     ) -> Result<(), String> {
-        if !has_key(tables, &entry.key) {
+        if !has_key(field_groups, &entry.key) {
             let is_known = has_key(known, &entry.key);
-            let message = if is_known { MISPLACED } else { "unknown key" };
+            let message =
+                if is_known { INAPPLICABLE_KEY } else { "unknown key" };
             return Err(message.to_owned());
         }
         match self.entries.get(entry.key.as_str()) {
-            Some(first) => Err(doubled("key", first.line)),
+            Some(first) => Err(duplicate_message("key", first.line)),
             None => {
                 self.entries.insert(&entry.key, entry);
                 Ok(())
@@ -195,8 +205,8 @@
         &mut self,
         field: &IntegerField,
     ) -> Option<T> {
-        let read = |text: &str| parse_integer(field, text);
-        let value = self.value(field.key, field.default, read)?;
+        let parse = |text: &str| parse_integer(field, text);
+        let value = self.parse_value(field.key, field.default, parse)?;
         T::try_from(value).ok()
     }
 
@@ -204,16 +214,16 @@
     pub(crate) fn choice<T>(
         &mut self,
         field: &ChoiceField,
-        from_word: fn(&str) -> Option<T>,
+        parse_choice: fn(&str) -> Option<T>,
     ) -> Option<T> {
-        let default = field.default.and_then(from_word);
-        let read = |text: &str| {
-            let words = field.values.join(", ");
-            from_word(text).ok_or_else(|| {
-                format!("{} is not one of {words}", shortened(text))
+        let default = field.default.and_then(parse_choice);
+        let parse = |text: &str| {
+            let values = field.values.join(", ");
+            parse_choice(text).ok_or_else(|| {
+                format!("{} is not one of {values}", truncated(text))
             })
         };
-        self.value(field.key, default, read)
+        self.parse_value(field.key, default, parse)
     }
 
     /// An address.
@@ -221,21 +231,21 @@
         &mut self,
         field: &AddressField,
     ) -> Option<SocketAddr> {
-        let read = |text: &str| parse_address(field, text);
-        self.value(field.key, None, read)
+        let parse = |text: &str| parse_address(field, text);
+        self.parse_value(field.key, None, parse)
     }
 
     /// A short text.
     pub(crate) fn text(&mut self, field: &TextField) -> Option<String> {
         let default = field.default.map(str::to_owned);
-        let read = |text: &str| parse_text(field.form, text);
-        self.value(field.key, default, read)
+        let parse = |text: &str| parse_text(field.form, text);
+        self.parse_value(field.key, default, parse)
     }
 
     /// A list in the order of the file.
     pub(crate) fn list(&mut self, field: &ListField) -> Option<Vec<String>> {
-        let read = |text: &str| parse_list(field, text);
-        self.value(field.key, None, read)
+        let parse = |text: &str| parse_list(field, text);
+        self.parse_value(field.key, None, parse)
     }
 
     /// Addresses in the order of the file; none where the key is missing.
@@ -243,30 +253,30 @@
         &mut self,
         field: &AddressListField,
     ) -> Option<Vec<SocketAddr>> {
-        let read = |text: &str| parse_addresses(field, text);
-        self.value(field.key, Some(Vec::new()), read)
+        let parse = |text: &str| parse_addresses(field, text);
+        self.parse_value(field.key, Some(Vec::new()), parse)
     }
 
     /// Reports the keys of `table`, which belong to another kind of service.
-    pub(crate) fn refuse(&mut self, table: &[Field]) {
-        for field in table {
+    pub(crate) fn reject_keys(&mut self, fields: &[Field]) {
+        for field in fields {
             if self.entries.contains_key(field.key()) {
-                self.report(field.key(), MISPLACED.to_owned());
+                self.report(field.key(), INAPPLICABLE_KEY.to_owned());
             }
         }
     }
 
     /// Reports something about a key that was read.
     pub(crate) fn report(&mut self, key: &str, message: String) {
-        let finding = self.place.finding(key, message);
+        let finding = self.location.finding(key, message);
         self.findings.push(finding);
     }
 
-    fn value<T>(
+    fn parse_value<T>(
         &mut self,
         key: &str,
         default: Option<T>,
-        read: impl FnOnce(&str) -> Result<T, String>,
+        parse: impl FnOnce(&str) -> Result<T, String>,
     ) -> Option<T> {
         let Some(entry) = self.entries.get(key) else {
             if default.is_none() {
@@ -274,7 +284,7 @@
             }
             return default;
         };
-        match read(&entry.value) {
+        match parse(&entry.value) {
             Ok(value) => Some(value),
             Err(message) => {
                 self.report(key, message);
@@ -286,16 +296,17 @@
 
 fn check_heading(
     heading: &str,
-    tables: &[SectionSchema],
+    schemas: &[SectionSchema],
 ) -> Result<(), String> {
     let mut words = heading.split(' ');
-    let word = words.next().unwrap_or_default();
-    let Some(table) = tables.iter().find(|table| table.keyword == word) else {
+    let keyword = words.next().unwrap_or_default();
+    let Some(schema) = schemas.iter().find(|schema| schema.keyword == keyword)
+    else {
         return Err("unknown section".to_owned());
     };
     let names: Vec<&str> = words.collect();
-    if names.len() != table.name_placeholders.len() {
-        return Err(format!("must be written [{}]", table.heading()));
+    if names.len() != schema.name_placeholders.len() {
+        return Err(format!("must be written [{}]", schema.heading()));
     }
     match names.iter().find(|name| !TextFormat::Name.matches(name)) {
         Some(name) => Err(not_of_form(TextFormat::Name, name)),
@@ -304,17 +315,17 @@
 }
 
 /// A key that belongs to another kind of the section.
-const MISPLACED: &str = "key is not for this kind of service";
+const INAPPLICABLE_KEY: &str = "key is not for this kind of service";
 
-fn has_key(tables: &[&[Field]], key: &str) -> bool {
-    let mut fields = tables.iter().flat_map(|table| table.iter());
+fn has_key(field_groups: &[&[Field]], key: &str) -> bool {
+    let mut fields = field_groups.iter().flat_map(|group| group.iter());
     fields.any(|field| field.key() == key)
 }
 
-fn names_after<'a>(heading: &'a str, word: &str) -> Option<&'a str> {
-    heading.strip_prefix(word)?.strip_prefix(' ')
+fn names_of_heading<'a>(heading: &'a str, keyword: &str) -> Option<&'a str> {
+    heading.strip_prefix(keyword)?.strip_prefix(' ')
 }
 
-fn doubled(what: &str, first_line: usize) -> String {
+fn duplicate_message(what: &str, first_line: usize) -> String {
     format!("doubled {what}; the first is on line {first_line}")
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -30,7 +30,7 @@
         file: &str,
         text: &str,
     ) -> Result<DaemonSettings, Findings> {
-        read::daemon(file, text)
+        read::parse_daemon(file, text)
     }
 
     /// Reads the settings from the file at `path`.
--- a/crates/config/src/settings/read.rs
+++ b/crates/config/src/settings/read.rs
@@ -8,10 +8,10 @@
     sections::{entry, links, log, node, platform, side},
 };
 use crate::{
-    document::Document,
+    document::IniDocument,
     fields::Field,
     findings::Findings,
-    sheet::{SectionReader, Sheet},
+    section_index::{SectionIndex, SectionReader},
 };
 
 /// Which role a daemon has.
@@ -22,14 +22,14 @@
 }
 
 /// Reads `text`.
-pub(super) fn daemon(
+pub(super) fn parse_daemon(
     file: &str,
     text: &str,
 ) -> Result<DaemonSettings, Findings> {
     let mut findings = Findings::new();
-    let document = Document::parse(file, text, &mut findings);
-    let sheet = Sheet::new(file, &document, SECTIONS, &mut findings);
-    let mut reader = DaemonReader { sheet: &sheet, findings: &mut findings };
+    let document = IniDocument::parse(file, text, &mut findings);
+    let index = SectionIndex::new(file, &document, SECTIONS, &mut findings);
+    let mut reader = DaemonReader { index: &index, findings: &mut findings };
     let settings = reader.read();
     findings.sort();
     match settings {
@@ -39,7 +39,7 @@
 }
 
 struct DaemonReader<'a> {
-    sheet: &'a Sheet<'a>,
+    index: &'a SectionIndex<'a>,
     findings: &'a mut Findings,
 }
 
@@ -49,12 +49,12 @@
         let links = links(&mut self.section(LINKS_KEYWORD, LINKS));
         let platform = platform(&mut self.section(PLATFORM_KEYWORD, PLATFORM));
         let mut reader = self.section(NODE_KEYWORD, NODE);
-        let role = reader.choice(&ROLE, role_from_word);
+        let role = reader.choice(&ROLE, parse_role);
         let node = node(&mut reader, log, links, platform);
         let settings = match role {
             Some(Role::Entry) => self.entry(node),
             Some(Role::Side) => self.side(node),
-            None => self.any(),
+            None => self.check_without_role(),
         };
         self.check_addresses();
         settings
@@ -63,55 +63,55 @@
     fn section<'b>(
         &'b mut self,
         heading: &'b str,
-        table: &'static [Field],
+        fields: &'static [Field],
     ) -> SectionReader<'b> {
-        self.sheet.read(heading, &[table], self.findings)
+        self.index.reader(heading, &[fields], self.findings)
     }
 
     fn entry(&mut self, node: Option<NodeSettings>) -> Option<DaemonSettings> {
-        self.refuse(SIDE_KEYWORD, "entry");
-        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
-            self.refuse(&backend_heading(name), "entry");
+        self.reject_section(SIDE_KEYWORD, "entry");
+        for name in self.index.names(BACKEND_SERVER_KEYWORD) {
+            self.reject_section(&backend_heading(name), "entry");
         }
         let entry = entry(&mut self.section(ENTRY_KEYWORD, ENTRY), node);
         entry.map(DaemonSettings::Entry)
     }
 
     fn side(&mut self, node: Option<NodeSettings>) -> Option<DaemonSettings> {
-        self.refuse(ENTRY_KEYWORD, "side");
+        self.reject_section(ENTRY_KEYWORD, "side");
         let backends = self.backends();
         let side = side(&mut self.section(SIDE_KEYWORD, SIDE), node, backends);
         side.map(DaemonSettings::Side)
     }
 
     /// Reads what is there when the role isn't known, for the findings.
-    fn any(&mut self) -> Option<DaemonSettings> {
-        if self.sheet.has(ENTRY_KEYWORD) {
+    fn check_without_role(&mut self) -> Option<DaemonSettings> {
+        if self.index.contains(ENTRY_KEYWORD) {
             entry(&mut self.section(ENTRY_KEYWORD, ENTRY), None);
         }
-        if self.sheet.has(SIDE_KEYWORD) {
+        if self.index.contains(SIDE_KEYWORD) {
             side(&mut self.section(SIDE_KEYWORD, SIDE), None, None);
         }
-        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
+        for name in self.index.names(BACKEND_SERVER_KEYWORD) {
             self.backend(name);
         }
         None
     }
 
-    fn refuse(&mut self, heading: &str, role: &str) {
-        if self.sheet.has(heading) {
+    fn reject_section(&mut self, heading: &str, role: &str) {
+        if self.index.contains(heading) {
             let message = format!("section is not for the role {role}");
-            let finding = self.sheet.place(heading).finding("", message);
+            let finding = self.index.location(heading).finding("", message);
             self.findings.push(finding);
         }
     }
 
     fn backends(&mut self) -> Option<Vec<BackendSettings>> {
-        let names = self.sheet.names(BACKEND_SERVER_KEYWORD);
+        let names = self.index.names(BACKEND_SERVER_KEYWORD);
         if names.is_empty() {
             let message = "missing section; the role side needs one or more";
-            let place = self.sheet.place("backend-server NAME");
-            self.findings.push(place.finding("", message.to_owned()));
+            let location = self.index.location("backend-server NAME");
+            self.findings.push(location.finding("", message.to_owned()));
         }
         let backends: Vec<Option<BackendSettings>> =
             names.into_iter().map(|name| self.backend(name)).collect();
@@ -126,15 +126,15 @@
     }
 
     /// Reports a local address that two things are to use. Read again from
-    /// the sheet, so that one wrong address doesn't hide a doubled one.
+    /// the index, so that one wrong address doesn't hide a doubled one.
     fn check_addresses(&mut self) {
         let mut uses = BTreeMap::new();
-        let node = [&INNER_ADDRESS, &OPS_ADDRESS, &CONTROL_ADDRESS];
-        for field in node {
+        let node_fields = [&INNER_ADDRESS, &OPS_ADDRESS, &CONTROL_ADDRESS];
+        for field in node_fields {
             self.check_address(&mut uses, NODE_KEYWORD, field.key);
         }
         self.check_address(&mut uses, ENTRY_KEYWORD, HTTP_ADDRESS.key);
-        for name in self.sheet.names(BACKEND_SERVER_KEYWORD) {
+        for name in self.index.names(BACKEND_SERVER_KEYWORD) {
             let heading = backend_heading(name);
             self.check_address(&mut uses, &heading, BACKEND_ADDRESS.key);
         }
@@ -146,14 +146,14 @@
         heading: &str,
         key: &str,
     ) {
-        let place = self.sheet.place(heading);
-        let value = place.value(key).and_then(|value| value.parse().ok());
+        let location = self.index.location(heading);
+        let value = location.value(key).and_then(|value| value.parse().ok());
         let Some(address) = value else {
             return;
         };
         if let Some(user) = uses.get(&address) {
             let message = format!("{address} is also {user}");
-            self.findings.push(place.finding(key, message));
+            self.findings.push(location.finding(key, message));
             return;
         }
         uses.insert(address, format!("[{heading}] {key}"));
@@ -164,8 +164,8 @@
     format!("{BACKEND_SERVER_KEYWORD} {name}")
 }
 
-fn role_from_word(word: &str) -> Option<Role> {
-    match word {
+fn parse_role(value: &str) -> Option<Role> {
+    match value {
         "entry" => Some(Role::Entry),
         "side" => Some(Role::Side),
         _ => None,
--- a/crates/config/src/settings/sections.rs
+++ b/crates/config/src/settings/sections.rs
@@ -4,22 +4,22 @@
     BackendSettings, EntrySettings, LinkSettings, LogFormat, LogLevel,
     LogSettings, NodeSettings, PlatformSettings, SideSettings, schema::*,
 };
-use crate::{fields::IntegerField, sheet::SectionReader};
+use crate::{fields::IntegerField, section_index::SectionReader};
 
 /// Busy intervals that must fit in the silence limit: one to ask, one for
 /// the answer.
-const SILENCE_INTERVALS: u64 = 2;
+const MIN_SILENCE_INTERVALS: u64 = 2;
 
-fn format_from_word(word: &str) -> Option<LogFormat> {
-    match word {
+fn parse_format(value: &str) -> Option<LogFormat> {
+    match value {
         "text" => Some(LogFormat::Text),
         "json" => Some(LogFormat::Json),
         _ => None,
     }
 }
 
-fn level_from_word(word: &str) -> Option<LogLevel> {
-    match word {
+fn parse_level(value: &str) -> Option<LogLevel> {
+    match value {
         "error" => Some(LogLevel::Error),
         "warn" => Some(LogLevel::Warn),
         "info" => Some(LogLevel::Info),
@@ -67,8 +67,8 @@
 
 /// Reads `[log]`.
 pub(super) fn log(reader: &mut SectionReader<'_>) -> Option<LogSettings> {
-    let format = reader.choice(&LOG_FORMAT, format_from_word);
-    let level = reader.choice(&LOG_LEVEL, level_from_word);
+    let format = reader.choice(&LOG_FORMAT, parse_format);
+    let level = reader.choice(&LOG_LEVEL, parse_level);
     Some(LogSettings { format: format?, level: level? })
 }
 
@@ -80,13 +80,13 @@
     let silence_limit_ms = reader.integer(&SILENCE_LIMIT_MS);
     let busy = busy_interval_ms.zip(silence_limit_ms);
     if let Some((busy_ms, silence_ms)) = busy {
-        let least_ms = SILENCE_INTERVALS * busy_ms;
-        let why = "twice busy-interval-ms";
-        check_least(reader, &SILENCE_LIMIT_MS, silence_ms, least_ms, why);
+        let min_ms = MIN_SILENCE_INTERVALS * busy_ms;
+        let limit_name = "twice busy-interval-ms";
+        check_min(reader, &SILENCE_LIMIT_MS, silence_ms, min_ms, limit_name);
     }
     if let Some((busy_ms, idle_ms)) = busy_interval_ms.zip(idle_interval_ms) {
-        let why = "busy-interval-ms";
-        check_least(reader, &IDLE_INTERVAL_MS, idle_ms, busy_ms, why);
+        let limit_name = "busy-interval-ms";
+        check_min(reader, &IDLE_INTERVAL_MS, idle_ms, busy_ms, limit_name);
     }
     Some(LinkSettings {
         connect_timeout_ms: connect_timeout_ms?,
@@ -169,8 +169,8 @@
     let queue_limit_tokens = reader.integer(&QUEUE_LIMIT_TOKENS);
     let orphan_limit_ms = reader.integer(&ORPHAN_LIMIT_MS);
     if let Some((step, prefill)) = step_timeout_ms.zip(prefill_timeout_ms) {
-        let why = "step-timeout-ms";
-        check_least(reader, &PREFILL_TIMEOUT_MS, prefill, step, why);
+        let limit_name = "step-timeout-ms";
+        check_min(reader, &PREFILL_TIMEOUT_MS, prefill, step, limit_name);
     }
     Some(SideSettings {
         node: node?,
@@ -186,18 +186,18 @@
     })
 }
 
-fn check_least(
+fn check_min(
     reader: &mut SectionReader<'_>,
     field: &IntegerField,
     value: u64,
-    least: u64,
-    why: &str,
+    min: u64,
+    limit_name: &str,
 ) {
-    if value < least {
+    if value < min {
         let unit = field.unit;
         let message = format!(
             "{value} {unit} is too short; it must be at least \
-             {least} {unit}, {why}",
+             {min} {unit}, {limit_name}",
         );
         reader.report(field.key, message);
     }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Display, net::SocketAddr, num::IntErrorKind};
 
 use crate::{
-    document::shortened,
+    document::truncated,
     fields::{
         AddressField, AddressListField, AddressUse, IntegerField, ListField,
         TextFormat,
@@ -30,7 +30,7 @@
 }
 
 fn out_of_range(text: &str, range: &str) -> String {
-    format!("{} is out of range; it must be {range}", shortened(text))
+    format!("{} is out of range; it must be {range}", truncated(text))
 }
 
 /// An address with a port.
@@ -109,5 +109,5 @@
 }
 
 fn quoted(text: &str) -> String {
-    format!("{:?}", shortened(text))
+    format!("{:?}", truncated(text))
 }
