--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,43 +1,44 @@
-//! The sections and entries of a file, each with its line.
+//! Sections and entries of an INI file with their line numbers.
 //!
-//! `rust-ini` reads the values but tells no lines, takes a line without `=`
-//! for the beginning of the next key, and stops at its first error. So each
-//! line is classified here first; what is no heading, entry or comment
-//! becomes a finding and is left out of what the library reads. Entries then
-//! match the library's, one by one, in the order of the file.
+//! `rust-ini` parses the values, but does not report line numbers, treats a
+//! line without `=` as the start of the next key, and stops at the first
+//! error. Each line is therefore classified first. A line that is not a
+//! heading, an entry or a comment becomes a finding and is not passed to the
+//! library. The entries found here then correspond one to one, in file order,
+//! to those that the library returns.
 
 use ini::{Ini, ParseOption};
 
 use crate::findings::{Finding, Findings};
 
-/// A file as sections.
+/// A parsed INI file.
 pub(crate) struct IniDocument {
-    /// In the order of the file; a doubled section stands twice.
+    /// Sections in file order, including duplicates.
     pub(crate) sections: Vec<IniSection>,
 }
 
-/// A section with its line.
+/// A section and its line.
 pub(crate) struct IniSection {
-    /// Heading without brackets, its words parted by single spaces.
+    /// Heading without brackets; its words are separated by single spaces.
     pub(crate) heading: String,
     /// Line of the heading, counted from 1.
     pub(crate) line: usize,
-    /// In the order of the file; a doubled key stands twice.
+    /// Entries in file order, including duplicate keys.
     pub(crate) entries: Vec<IniEntry>,
 }
 
-/// An entry with its line.
+/// A key-value pair and its line.
 pub(crate) struct IniEntry {
-    /// The key.
+    /// Key.
     pub(crate) key: String,
-    /// The value without the space around it.
+    /// Value without surrounding whitespace.
     pub(crate) value: String,
-    /// Its line, counted from 1.
+    /// Line of the entry, counted from 1.
     pub(crate) line: usize,
 }
 
 impl IniDocument {
-    /// Reads `text`; what can't be read becomes findings.
+    /// Parses `text` and reports invalid lines as findings.
     pub(crate) fn parse(
         file: &str,
         text: &str,
@@ -56,14 +57,17 @@
         document
     }
 
-    /// Copies the values that the library reads from the cleaned text.
+    /// Copies the values that the library parses from the valid lines.
     fn set_values(&mut self, valid_lines: &str) -> Result<(), String> {
         let ini = Ini::load_from_str_opt(valid_lines, parse_option())
             .map_err(|error| error.to_string())?;
         let mut parsed = ini.iter().filter(|(heading, _)| heading.is_some());
         for section in &mut self.sections {
             let Some((_, properties)) = parsed.next() else {
-                return Err(format!("[{}] is not read", section.heading));
+                return Err(format!(
+                    "[{}] is not returned by the INI library",
+                    section.heading
+                ));
             };
             section.set_values(properties)?;
         }
@@ -82,7 +86,12 @@
                 Some((key, value)) if key == entry.key => {
                     value.clone_into(&mut entry.value);
                 }
-                _ => return Err(format!("{} is not read", entry.key)),
+                _ => {
+                    return Err(format!(
+                        "{} is not returned by the INI library",
+                        entry.key
+                    ));
+                }
             }
         }
         Ok(())
@@ -91,8 +100,8 @@
 
 const BYTE_ORDER_MARK: char = '\u{feff}';
 
-/// Quotes and escapes are off: no value needs them, and a stray quote would
-/// swallow the lines after it.
+/// Disables quotes and escapes: no value needs them, and an unmatched quote
+/// would consume the lines that follow.
 fn parse_option() -> ParseOption {
     ParseOption {
         enabled_quote: false,
@@ -112,15 +121,15 @@
     }
 }
 
-/// Finds the line of each section and entry.
+/// Classifies lines and records the line number of each section and entry.
 struct LineParser<'a> {
     file: &'a str,
     findings: &'a mut Findings,
     sections: Vec<IniSection>,
-    /// Whether entries are passed over until the next heading, because the
-    /// last one couldn't be read.
+    /// Whether entries are skipped until the next heading, because the last
+    /// heading is invalid.
     skips_entries: bool,
-    /// The lines that can be read, for the library.
+    /// Valid lines, as input for the library.
     valid_lines: String,
 }
 
@@ -176,7 +185,7 @@
             return;
         }
         let Some(section) = self.sections.last_mut() else {
-            self.report(line, &key, "stands before the first section");
+            self.report(line, &key, "entry is before the first section");
             return;
         };
         let value = String::new();
@@ -200,12 +209,16 @@
     }
 }
 
-/// What the library would not read as one line.
+/// Checks for characters that would keep the library from parsing the text as
+/// a single line.
 fn line_error(text: &str) -> Option<&'static str> {
     if text.chars().any(|c| c.is_control() && c != '\t') {
-        Some("holds a control character")
+        Some("contains a control character")
     } else if text.contains('\\') {
-        Some("holds a backslash; values can't be escaped or continued")
+        Some(
+            "contains a backslash; escapes and line continuations are not \
+             supported",
+        )
     } else {
         None
     }
@@ -226,10 +239,10 @@
     !key.is_empty() && key.bytes().all(is_allowed)
 }
 
-/// Most characters of a value that a message repeats.
+/// Maximum length of a value quoted in a message.
 const MAX_SHOWN_CHARS: usize = 80;
 
-/// `text`, cut where a message would grow too long.
+/// Truncates `text` for use in a message.
 pub(crate) fn truncated(text: &str) -> String {
     if text.chars().count() <= MAX_SHOWN_CHARS {
         return text.to_owned();
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,22 +1,24 @@
-//! The keys of a section, their ranges and defaults.
+//! Schema of the sections and keys of a file.
 //!
-//! One constant describes a key: the reader checks against it, the operators'
-//! pages are tested against it, and the default stands in it. So there is
-//! one place where a range or a default changes.
+//! A constant describes each key. The reader validates values against the
+//! constant and takes defaults from it, and a test compares the operators'
+//! pages with it, so that a range or default is defined once.
 
-/// A section that a file may hold.
+/// Schema of a section.
 #[derive(Clone, Copy, Debug)]
 pub struct SectionSchema {
-    /// First word of the heading.
+    /// First word of the heading, which identifies the kind of section.
     pub keyword: &'static str,
-    /// Names that follow the word, as the pages write them.
+    /// Placeholders of the names that follow the keyword, as in the
+    /// operators' pages.
     pub name_placeholders: &'static [&'static str],
-    /// Its keys; more than one table where keys depend on another key.
+    /// Keys of the section, in several groups where the valid keys depend on
+    /// the value of another key.
     pub field_groups: &'static [&'static [Field]],
 }
 
 impl SectionSchema {
-    /// The heading as the pages write it, without brackets.
+    /// Heading with placeholders, without brackets.
     pub fn heading(&self) -> String {
         let mut heading = self.keyword.to_owned();
         for name in self.name_placeholders {
@@ -26,31 +28,31 @@
         heading
     }
 
-    /// All keys.
+    /// Keys of all groups.
     pub fn fields(&self) -> impl Iterator<Item = &'static Field> {
         self.field_groups.iter().flat_map(|group| group.iter())
     }
 }
 
-/// A key of a section.
+/// Schema of a key.
 #[derive(Clone, Copy, Debug)]
 pub enum Field {
-    /// A whole number with a unit.
+    /// An integer with a unit.
     Integer(IntegerField),
-    /// One of a few words.
+    /// One of a fixed set of values.
     Choice(ChoiceField),
-    /// An address.
+    /// A socket address.
     Address(AddressField),
-    /// A name, or another short text of a given form.
+    /// A short text of a given format.
     Text(TextField),
-    /// A list with commas.
+    /// A comma-separated list of texts.
     List(ListField),
-    /// A list of addresses with commas.
+    /// A comma-separated list of socket addresses.
     Addresses(AddressListField),
 }
 
 impl Field {
-    /// The key as it is written.
+    /// Name of the key.
     pub fn key(&self) -> &'static str {
         match self {
             Field::Integer(field) => field.key,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The unit; none for what isn't a number.
+    /// Unit; `None` if the value is not a number.
     pub fn unit(&self) -> Option<&'static str> {
         match self {
             Field::Integer(field) => Some(field.unit),
@@ -70,21 +72,21 @@
         }
     }
 
-    /// What a value may be.
+    /// Description of the valid values.
     pub fn range(&self) -> String {
         match self {
             Field::Integer(field) => field.range(),
             Field::Choice(field) => field.values.join(", "),
             Field::Address(_) => "ip:port".to_owned(),
-            Field::Text(field) => field.form.describe().to_owned(),
+            Field::Text(field) => field.format.describe().to_owned(),
             Field::List(field) => {
-                format!("list of {}", field.form.describe())
+                format!("list of {}", field.format.describe())
             }
             Field::Addresses(_) => "list of ip:port".to_owned(),
         }
     }
 
-    /// What holds where the key is missing; none where it's required.
+    /// Value if the key is missing; `None` if the key is required.
     pub fn default(&self) -> Option<String> {
         match self {
             Field::Integer(field) => {
@@ -98,23 +100,23 @@
     }
 }
 
-/// A whole number.
+/// Schema of an integer.
 #[derive(Clone, Copy, Debug)]
 pub struct IntegerField {
     /// The key.
     pub key: &'static str,
-    /// Least value.
+    /// Minimum value.
     pub min: u64,
-    /// Greatest value.
+    /// Maximum value.
     pub max: u64,
     /// Unit of the value.
     pub unit: &'static str,
-    /// Value where the key is missing.
+    /// Value if the key is missing.
     pub default: Option<u64>,
 }
 
 impl IntegerField {
-    /// A required number.
+    /// A required integer.
     pub(crate) const fn new(
         key: &'static str,
         min: u64,
@@ -124,26 +126,26 @@
         IntegerField { key, min, max, unit, default: None }
     }
 
-    /// The same with a default.
+    /// Makes the key optional.
     pub(crate) const fn with_default(mut self, default: u64) -> IntegerField {
         self.default = Some(default);
         self
     }
 
-    /// The range as the pages write it.
+    /// Range in the notation of the operators' pages.
     pub(crate) fn range(&self) -> String {
         format!("{}..={}", self.min, self.max)
     }
 }
 
-/// One of a few words.
+/// Schema of one of a fixed set of values.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceField {
     /// The key.
     pub key: &'static str,
-    /// The words.
+    /// Valid values.
     pub values: &'static [&'static str],
-    /// Word where the key is missing.
+    /// Value if the key is missing.
     pub default: Option<&'static str>,
 }
 
@@ -156,7 +158,7 @@
         ChoiceField { key, values, default: None }
     }
 
-    /// The same with a default.
+    /// Makes the key optional.
     pub(crate) const fn with_default(
         mut self,
         default: &'static str,
@@ -166,26 +168,26 @@
     }
 }
 
-/// Who uses an address.
+/// How an address is used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AddressUse {
-    /// This process listens there; every local address is allowed.
+    /// This process listens on the address; unspecified addresses are valid.
     Listen,
-    /// Others connect there, so it must be a definite one.
+    /// Processes connect to the address, so it must not be unspecified.
     Connect,
 }
 
-/// An address, always required.
+/// Schema of a required socket address.
 #[derive(Clone, Copy, Debug)]
 pub struct AddressField {
     /// The key.
     pub key: &'static str,
-    /// Who uses it.
+    /// Use of the address.
     pub address_use: AddressUse,
 }
 
 impl AddressField {
-    /// An address to listen at.
+    /// An address to listen on.
     pub(crate) const fn listen(key: &'static str) -> AddressField {
         AddressField { key, address_use: AddressUse::Listen }
     }
@@ -196,24 +198,24 @@
     }
 }
 
-/// Form of a short text.
+/// Format of a short text.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TextFormat {
-    /// Name of a VM, a service and the like.
+    /// Name of an object such as a VM or a service.
     Name,
-    /// Name of a model, as its publisher writes it.
+    /// Name of a model as used by its publisher.
     Model,
-    /// Path prefix of a URL.
+    /// URL path prefix.
     Path,
-    /// Digest of a key.
+    /// Digest of an API key.
     KeyDigest,
 }
 
-/// Most characters of a name, a model or a path.
+/// Maximum length of a name, a model or a path.
 pub const MAX_TEXT_CHARS: usize = 128;
 
 impl TextFormat {
-    /// The form in words.
+    /// Description of the format.
     pub fn describe(self) -> &'static str {
         match self {
             TextFormat::Name => "name (letters, digits, `-`, `_`, `.`)",
@@ -223,15 +225,15 @@
         }
     }
 
-    /// `text` as it is held.
-    pub(crate) fn normalised(self, text: &str) -> String {
+    /// Converts a valid `text` to its canonical format.
+    pub(crate) fn to_canonical(self, text: &str) -> String {
         match self {
             TextFormat::KeyDigest => text.to_ascii_lowercase(),
             _ => text.to_owned(),
         }
     }
 
-    /// Whether `text` has the form.
+    /// Whether `text` has the format.
     pub fn matches(self, text: &str) -> bool {
         match self {
             TextFormat::Name => is_name(text),
@@ -242,24 +244,27 @@
     }
 }
 
-/// A short text.
+/// Schema of a short text.
 #[derive(Clone, Copy, Debug)]
 pub struct TextField {
     /// The key.
     pub key: &'static str,
-    /// Its form.
-    pub form: TextFormat,
-    /// Text where the key is missing.
+    /// Format of the text.
+    pub format: TextFormat,
+    /// Text if the key is missing.
     pub default: Option<&'static str>,
 }
 
 impl TextField {
     /// A required text.
-    pub(crate) const fn new(key: &'static str, form: TextFormat) -> TextField {
-        TextField { key, form, default: None }
+    pub(crate) const fn new(
+        key: &'static str,
+        format: TextFormat,
+    ) -> TextField {
+        TextField { key, format, default: None }
     }
 
-    /// The same with a default.
+    /// Makes the key optional.
     pub(crate) const fn with_default(
         mut self,
         default: &'static str,
@@ -269,29 +274,32 @@
     }
 }
 
-/// A list with commas, always required, never empty.
+/// Schema of a required, non-empty, comma-separated list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListField {
     /// The key.
     pub key: &'static str,
-    /// Form of each item.
-    pub form: TextFormat,
+    /// Format of each item.
+    pub format: TextFormat,
 }
 
 impl ListField {
-    /// A list of items of a form.
-    pub(crate) const fn new(key: &'static str, form: TextFormat) -> ListField {
-        ListField { key, form }
+    /// A list of items of a format.
+    pub(crate) const fn new(
+        key: &'static str,
+        format: TextFormat,
+    ) -> ListField {
+        ListField { key, format }
     }
 }
 
-/// A list of addresses to connect to, with commas; none where the key is
-/// missing.
+/// Schema of a comma-separated list of addresses to connect to; empty if the
+/// key is missing.
 #[derive(Clone, Copy, Debug)]
 pub struct AddressListField {
     /// The key.
     pub key: &'static str,
-    /// Most addresses.
+    /// Maximum number of addresses.
     pub max_count: usize,
 }
 
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -1,22 +1,24 @@
-//! What was found wrong in a file, and where.
+//! Errors of a file and their locations.
 //!
-//! A check goes on after its first finding, so that an operator mends a file
-//! in one round.
+//! Checks continue after the first finding, so that an operator can fix all
+//! errors of a file at once.
 
 use std::{error, fmt};
 
-/// One thing wrong, with its place.
+/// An error with its location in a file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
     /// Name of the file as the operator gave it.
     pub file: String,
-    /// Line counted from 1; none where the thing is missing.
+    /// Line, counted from 1; `None` if the section is missing or the
+    /// finding is about the whole file.
     pub line: Option<usize>,
-    /// Section, without brackets; empty where no section is meant.
+    /// Section heading without brackets; empty if the finding is not about a
+    /// section.
     pub section: String,
-    /// Key; empty where the whole section is meant.
+    /// Key; empty if the finding is about the whole section.
     pub key: String,
-    /// What is wrong, with the value, the range and the unit.
+    /// Description of the error, with value, range and unit.
     pub message: String,
 }
 
@@ -41,44 +43,44 @@
     }
 }
 
-/// Everything found wrong; never empty when returned as an error.
+/// All errors of a file; never empty when returned as an error.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Findings {
     findings: Vec<Finding>,
 }
 
 impl Findings {
-    /// No findings yet.
+    /// An empty list.
     pub fn new() -> Findings {
         Findings::default()
     }
 
-    /// Adds one.
+    /// Appends a finding.
     pub fn push(&mut self, finding: Finding) {
         self.findings.push(finding);
     }
 
-    /// Whether nothing was found wrong.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The findings; those of a parsed file in the order of its lines.
+    /// Iterates over the findings; those of a parsed file are in line order.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.findings.iter()
     }
 
-    /// Puts them in the order of the lines; what is missing comes last.
+    /// Sorts by line; findings without a line come last.
     pub(crate) fn sort(&mut self) {
         self.findings
             .sort_by_key(|finding| (finding.line.is_none(), finding.line));
     }
 
-    /// `value` when nothing was found wrong.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
     ///
-    /// The findings, if there are any.
+    /// `self` if there are findings.
     pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         if self.is_empty() { Ok(value) } else { Err(self) }
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,16 +1,16 @@
 //! Settings of a daemon and the manifest of a deployment.
 //!
-//! Both are INI. Everything found wrong is reported together, with file,
-//! line, section and key.
+//! Both are INI files. A parser reports all errors of a file together, each
+//! with file, line, section and key.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`findings`] | what was found wrong, and where |
-//! | [`fields`] | the keys of a section, their ranges and defaults |
-//! | [`settings`] | the settings of one daemon |
-//! | [`manifest`] | what the fleet serves, checked as a whole |
-//! | [`parts`] | a manifest split for storing and sending |
-//! | [`keys`] | digests of the keys of client accounts |
+//! | [`findings`] | errors of a file and their locations |
+//! | [`fields`] | schema of the keys of a section: formats, ranges, defaults |
+//! | [`settings`] | settings of one daemon |
+//! | [`manifest`] | manifest of a deployment and its validation |
+//! | [`parts`] | content-addressed parts of a manifest |
+//! | [`keys`] | digests of API keys of client accounts |
 //!
 //! # Example
 //!
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -1,16 +1,16 @@
-//! What the fleet serves.
+//! Manifest of a deployment: its services, accounts and backend servers.
 //!
-//! An accepted manifest is the whole truth, so it is checked as a whole
-//! before it is accepted; what is held here is always consistent.
+//! An accepted manifest is authoritative, so it is validated as a whole before
+//! it is accepted. A [`Manifest`] value is therefore always consistent.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`schema`] | the keys of each section |
-//! | `read` | text to sections to a manifest |
-//! | `checks` | what must hold across sections |
-//! | `layers` | whether layer ranges can tile a model |
-//! | `sections` | a manifest as canonical sections |
-//! | `difference` | two manifests side by side |
+//! | [`schema`] | schema of each section |
+//! | `read` | parser |
+//! | `checks` | validation across sections |
+//! | `layer_coverage` | whether layer ranges form a complete chain |
+//! | `sections` | conversion to canonical sections |
+//! | `difference` | comparison of two manifests |
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -29,14 +29,15 @@
 pub use difference::{Difference, SectionChange, diff};
 pub use sections::sections_to_ini;
 
-/// A checked manifest.
+/// A validated manifest.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Manifest {
-    /// The deployment as a whole.
+    /// Deployment-wide settings.
     pub deployment: Deployment,
     /// Data centres by name.
     pub data_centres: BTreeMap<String, DataCentre>,
-    /// Paths between data centres, both ways, by the two names in order.
+    /// Network paths by the names of their two data centres in alphabetical
+    /// order; each path applies to both directions.
     pub paths: BTreeMap<(String, String), NetworkPath>,
     /// Kinds of accelerators by name.
     pub accelerators: BTreeMap<String, Accelerator>,
@@ -46,26 +47,26 @@
     pub accounts: BTreeMap<String, Account>,
     /// Backend servers by name.
     pub backend_servers: BTreeMap<String, BackendServer>,
-    /// Objectives that differ from the service's own, by service and class
-    /// of account.
+    /// Objectives that override those of the service, by service and account
+    /// class.
     pub objectives: BTreeMap<(String, String), Objective>,
 }
 
 impl Manifest {
-    /// Reads and checks `text`; `file` names it in findings.
+    /// Parses and validates `text`; findings refer to it as `file`.
     ///
     /// # Errors
     ///
-    /// Everything found wrong.
+    /// All errors of the manifest.
     pub fn try_parse(file: &str, text: &str) -> Result<Manifest, Findings> {
         read::parse_manifest(file, text)
     }
 
-    /// Reads and checks what [`Manifest::to_sections`] gave.
+    /// Parses and validates the output of [`Manifest::to_sections`].
     ///
     /// # Errors
     ///
-    /// Everything found wrong.
+    /// All errors of the manifest.
     pub fn try_from_sections(
         file: &str,
         sections: &BTreeMap<String, String>,
@@ -73,24 +74,24 @@
         Manifest::try_parse(file, &sections_to_ini(sections))
     }
 
-    /// The canonical sections: heading without brackets to body. Two equal
-    /// manifests give equal texts, whatever was written in their files.
+    /// Canonical sections: heading without brackets to body. Equal manifests
+    /// have equal sections, regardless of the formatting of their files.
     pub fn to_sections(&self) -> BTreeMap<String, String> {
         sections::from_manifest(self)
     }
 
-    /// The canonical text.
+    /// Canonical text.
     pub fn to_ini(&self) -> String {
         sections_to_ini(&self.to_sections())
     }
 
-    /// The network between two data centres, in either order; none within
-    /// one and where the manifest says nothing.
+    /// Network path between two data centres, in either order; `None` within a
+    /// data centre and if the manifest does not define the path.
     pub fn path(&self, a: &str, b: &str) -> Option<&NetworkPath> {
         self.paths.get(&path_key(a, b))
     }
 
-    /// The objective for a service and a class of account.
+    /// Objective of a service for an account class.
     pub fn objective(&self, service: &str, class: &str) -> Option<Objective> {
         let key = (service.to_owned(), class.to_owned());
         let own = || self.services.get(service).map(Service::objective);
@@ -98,68 +99,69 @@
     }
 }
 
-/// The two names in order, as paths are held by them.
+/// Key of a network path: the two names in alphabetical order.
 fn path_key(a: &str, b: &str) -> (String, String) {
     let (first, second) = if a <= b { (a, b) } else { (b, a) };
     (first.to_owned(), second.to_owned())
 }
 
-/// The deployment as a whole.
+/// Deployment-wide settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Deployment {
-    /// Its name.
+    /// Name of the deployment.
     pub name: String,
-    /// How much recovery time counts against throughput: 0 looks only at
-    /// throughput and cost, 100 only at recovery.
+    /// Weight of recovery time against throughput: 0 considers only throughput
+    /// and cost, 100 only recovery.
     pub recovery_weight_percent: u32,
 }
 
 /// A data centre.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DataCentre {
-    /// Region it lies in.
+    /// Region of the data centre.
     pub region: String,
 }
 
-/// The network between two data centres.
+/// Network path between two data centres.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NetworkPath {
-    /// One way.
+    /// One-way latency.
     pub latency_us: u64,
-    /// Each way.
+    /// Bandwidth in each direction.
     pub bandwidth_mbit_per_s: u64,
 }
 
 /// A kind of accelerator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Accelerator {
-    /// Price of one backend server of the kind, in millionths of the
-    /// deployment's currency an hour.
+    /// Price of a backend server with this accelerator per hour, in millionths
+    /// of the currency of the deployment.
     pub price_micros_per_hour: u64,
-    /// Prompt tokens a second through all layers of a model, as first guess
-    /// until the speed is learned.
+    /// Prefill tokens per second through all layers of a model; initial
+    /// estimate until the actual speed is measured.
     pub prompt_tokens_per_s: u32,
-    /// Output tokens a second, all sequences together; likewise.
+    /// Output tokens per second of all sequences together; initial estimate
+    /// until the actual speed is measured.
     pub output_tokens_per_s: u32,
 }
 
-/// A service that callers ask for.
+/// A service that callers request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Service {
-    /// What answers it.
+    /// Kind of the service.
     pub kind: ServiceKind,
-    /// Time a caller gets that states none.
+    /// Deadline of requests that do not specify one.
     pub default_deadline_ms: u64,
-    /// Longest time a caller may ask for.
+    /// Maximum deadline that a caller may request.
     pub max_deadline_ms: u64,
-    /// Objective: share of requests answered whole, in parts of 10,000.
+    /// Objective: share of requests that complete, in parts per 10,000.
     pub objective_per_10000: u32,
-    /// Objective: time to the first token or the answer.
+    /// Objective: time to the first token or the response.
     pub first_token_objective_ms: u64,
 }
 
 impl Service {
-    /// The objective for accounts whose class has none of its own.
+    /// Objective for accounts whose class has no objective of its own.
     pub fn objective(&self) -> Objective {
         Objective {
             objective_per_10000: self.objective_per_10000,
@@ -168,30 +170,30 @@
     }
 }
 
-/// What is promised to the accounts of a class.
+/// Service level objective for the accounts of a class.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Objective {
-    /// Share of requests answered whole, in parts of 10,000.
+    /// Share of requests that complete, in parts per 10,000.
     pub objective_per_10000: u32,
-    /// Time to the first token or the answer.
+    /// Time to the first token or the response.
     pub first_token_objective_ms: u64,
 }
 
-/// What answers a service.
+/// Kind of a service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ServiceKind {
-    /// Model engines that hold layer ranges.
+    /// A language model whose layers are distributed over engines.
     Language {
-        /// Model name that callers give.
+        /// Model name in requests of callers.
         model: String,
-        /// Layers of the model.
+        /// Number of layers of the model.
         layer_count: u32,
-        /// Longest prompt and answer together, in tokens.
+        /// Maximum length of prompt and answer together.
         max_context_tokens: u32,
     },
-    /// A plain service under a path of its own.
+    /// A plain HTTP service with its own URL path.
     Plain {
-        /// Path prefix, "/ledger-app".
+        /// URL path prefix, such as "/ledger-app".
         path: String,
     },
 }
@@ -199,40 +201,41 @@
 /// A client account.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Account {
-    /// BLAKE3 digests of its bearer keys, 64 hexadecimal digits each.
+    /// BLAKE3 digests of the bearer keys, 64 hexadecimal digits each.
     pub key_digests: BTreeSet<String>,
-    /// Share against the other accounts.
+    /// Capacity share relative to the other accounts.
     pub weight: u32,
-    /// Services it may use.
+    /// Services that the account may use.
     pub services: BTreeSet<String>,
-    /// Class for objectives and reports.
+    /// Account class, for objectives and reports.
     pub class: String,
-    /// Least share of each of its services when all accounts ask at once.
-    /// The weights must give it; the manifest is refused where they don't.
+    /// Guaranteed share of each of the account's services under contention. A
+    /// manifest whose weights do not yield this share is rejected.
     pub guaranteed_percent: u32,
 }
 
 /// A backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendServer {
-    /// Service it answers.
+    /// Service that the backend server provides.
     pub service: String,
-    /// Data centre it stands in.
+    /// Data centre of the backend server.
     pub data_centre: String,
-    /// VM of its side process.
+    /// VM of the side process.
     pub vm: String,
-    /// Inner address of its side process.
+    /// Inner address of the side process.
     pub side_address: SocketAddr,
-    /// Kind of accelerator; none for a plain service.
+    /// Kind of accelerator; `None` for a plain service.
     pub accelerator: Option<String>,
-    /// Layers first..end; 0..0 for a plain service.
+    /// First layer of the layer range; 0 for a plain service.
     pub first_layer: u32,
-    /// End of the layers.
+    /// End of the layer range, exclusive; 0 for a plain service.
     pub end_layer: u32,
-    /// Requests it runs at once.
+    /// Maximum number of running requests.
     pub max_running: u32,
-    /// Tokens its cache holds; 0 for a plain service.
+    /// Capacity of the KV cache in tokens; 0 for a plain service.
     pub cache_tokens: u64,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the backend server refuses orders with an outdated fencing
+    /// number.
     pub checks_fencing: bool,
 }
--- a/crates/config/src/manifest/checks.rs
+++ b/crates/config/src/manifest/checks.rs
@@ -1,8 +1,8 @@
-//! What must hold across the sections of a manifest.
+//! Validation across the sections of a manifest.
 //!
-//! Each check names the section that an operator would change. Where a
-//! section couldn't be read, checks that need all of its kind don't run, so
-//! that one fault isn't told twice.
+//! A finding refers to the section that an operator would change. If a section
+//! could not be parsed, checks that need all sections of this kind are
+//! skipped, so that an error is not reported twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,8 +40,8 @@
         self.findings.push(finding);
     }
 
-    /// Reports a reference to a section that the file doesn't have. One that
-    /// is there and wrong itself counts as known.
+    /// Reports a reference to a section that is not in the file. A section
+    /// that is in the file but invalid counts as known.
     fn check_reference(
         &mut self,
         heading: &str,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Whether every section with `word` was read.
+    /// Whether all sections with `keyword` were parsed, given the number of
+    /// parsed ones.
     fn all_were_read(&self, keyword: &str, read_count: usize) -> bool {
         self.index.names(keyword).len() == read_count
     }
@@ -95,13 +96,14 @@
     }
 }
 
-/// The first user of each value; a later one is told who that is.
+/// First user of each value, for reports of values that must not be shared.
 #[derive(Default)]
 struct FirstUsers<'a> {
     first: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> FirstUsers<'a> {
+    /// Records a user; returns the first user of the value if that is another.
     fn insert(&mut self, value: &'a str, user: &'a str) -> Option<&'a str> {
         let first = self.first.entry(value).or_insert(user);
         (*first != user).then_some(*first)
--- a/crates/config/src/manifest/checks/accounts.rs
+++ b/crates/config/src/manifest/checks/accounts.rs
@@ -1,13 +1,12 @@
-//! Checks of client accounts.
+//! Validation of client accounts.
 //!
-//! Capacity is shared by weight, so a guaranteed share is no mechanism of
-//! its own: it is a promise that the weights must keep, and that is a matter
-//! of the manifest alone.
+//! Capacity is shared by weight. A guaranteed share has no mechanism of its
+//! own: the weights must yield the share, which is validated here.
 
 use super::{Checker, FirstUsers};
 use crate::manifest::{Account, schema::*};
 
-/// All of a service's capacity.
+/// Total capacity of a service.
 const FULL_CAPACITY_PERCENT: u64 = 100;
 
 impl Checker<'_> {
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Whether the guaranteed shares leave room for each other.
+    /// Whether the guaranteed shares add up to at most the total capacity.
     fn check_guaranteed_sum(
         &mut self,
         service: &str,
@@ -91,9 +90,9 @@
         {
             return;
         }
-        let given_percent = weight * FULL_CAPACITY_PERCENT / total_weight;
+        let weighted_percent = weight * FULL_CAPACITY_PERCENT / total_weight;
         let message = format!(
-            "{guaranteed_percent} % is more than the {given_percent} % of \
+            "{guaranteed_percent} % is more than the {weighted_percent} % of \
              {service} that weight {weight} of {total_weight} gives",
         );
         let heading = format!("{ACCOUNT_KEYWORD} {name}");
--- a/crates/config/src/manifest/checks/servers.rs
+++ b/crates/config/src/manifest/checks/servers.rs
@@ -1,4 +1,4 @@
-//! Checks of backend servers.
+//! Validation of backend servers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -57,23 +57,22 @@
         }
         if end > *layer_count {
             let message = format!(
-                "the layer range {first}..{end} is longer than the model, \
-                 0..{layer_count}",
+                "the layer range {first}..{end} exceeds the layers of the \
+                 model, 0..{layer_count}",
             );
             self.report(heading, END_LAYER.key, message);
         }
         let cache_tokens = server.cache_tokens;
         if cache_tokens < u64::from(*max_context_tokens) {
             let message = format!(
-                "{cache_tokens} tokens don't hold one request of \
+                "{cache_tokens} tokens cannot hold a request of \
                  max-context-tokens, {max_context_tokens} tokens",
             );
             self.report(heading, CACHE_TOKENS.key, message);
         }
     }
 
-    /// A side process may stand beside several backend servers, but it runs
-    /// on one VM.
+    /// A side process may serve several backend servers, but runs on one VM.
     fn check_side_addresses(&mut self) {
         let mut first: BTreeMap<SocketAddr, (&str, &str)> = BTreeMap::new();
         for (name, server) in &self.manifest.backend_servers {
@@ -113,14 +112,14 @@
         for (name, service) in &self.manifest.services {
             match &service.kind {
                 ServiceKind::Language { layer_count, .. } => {
-                    self.check_tiling(name, *layer_count);
+                    self.check_layer_coverage(name, *layer_count);
                 }
                 ServiceKind::Plain { .. } => self.check_is_served(name),
             }
         }
     }
 
-    fn check_tiling(&mut self, service: &str, layer_count: u32) {
+    fn check_layer_coverage(&mut self, service: &str, layer_count: u32) {
         let servers = self.manifest.backend_servers.values();
         let ranges: BTreeSet<(u32, u32)> = servers
             .filter(|server| server.service == service)
@@ -136,7 +135,7 @@
     fn check_is_served(&mut self, service: &str) {
         let mut servers = self.manifest.backend_servers.values();
         if !servers.any(|server| server.service == service) {
-            let message = "no backend server answers it".to_owned();
+            let message = "no backend server provides this service".to_owned();
             self.report(&format!("{SERVICE_KEYWORD} {service}"), "", message);
         }
     }
--- a/crates/config/src/manifest/checks/services.rs
+++ b/crates/config/src/manifest/checks/services.rs
@@ -1,9 +1,9 @@
-//! Checks of services.
+//! Validation of services.
 
 use super::{Checker, FirstUsers};
 use crate::manifest::{Service, ServiceKind, schema::*};
 
-/// Paths that entries answer themselves.
+/// URL paths that entries handle themselves.
 const RESERVED_PATHS: &[&str] = &["/v1"];
 
 impl Checker<'_> {
@@ -49,13 +49,13 @@
     }
 
     fn check_plain_paths(&mut self) {
-        let mut seen: Vec<(&str, &str)> = Vec::new();
+        let mut checked: Vec<(&str, &str)> = Vec::new();
         for (name, service) in &self.manifest.services {
             let ServiceKind::Plain { path } = &service.kind else {
                 continue;
             };
-            self.check_plain_path(name, path, &seen);
-            seen.push((name, path));
+            self.check_plain_path(name, path, &checked);
+            checked.push((name, path));
         }
     }
 
@@ -63,7 +63,7 @@
         &mut self,
         name: &str,
         path: &str,
-        seen: &[(&str, &str)],
+        checked: &[(&str, &str)],
     ) {
         let heading = format!("{SERVICE_KEYWORD} {name}");
         for reserved in RESERVED_PATHS {
@@ -73,7 +73,7 @@
                 self.report(&heading, PATH_PREFIX.key, message);
             }
         }
-        for (other, other_path) in seen {
+        for (other, other_path) in checked {
             if overlaps(path, other_path) {
                 let message = format!(
                     "{path} overlaps {other_path} of [service {other}]",
@@ -84,7 +84,7 @@
     }
 }
 
-/// Whether one path lies under the other.
+/// Whether the paths are equal or one is a prefix of the other.
 fn overlaps(a: &str, b: &str) -> bool {
     is_under(a, b) || is_under(b, a)
 }
--- a/crates/config/src/manifest/difference.rs
+++ b/crates/config/src/manifest/difference.rs
@@ -1,28 +1,28 @@
-//! Two manifests side by side.
+//! Comparison of two manifests.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     fmt,
 };
 
-/// What became of a section.
+/// Change of a section between two manifests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SectionChange {
-    /// Only the new manifest has it.
+    /// Only the new manifest has the section.
     Added {
         /// Heading without brackets.
         name: String,
-        /// Its body.
+        /// Body of the section.
         body: String,
     },
-    /// Only the old manifest has it.
+    /// Only the old manifest has the section.
     Removed {
         /// Heading without brackets.
         name: String,
-        /// Its body.
+        /// Body of the section.
         body: String,
     },
-    /// Both have it, with different bodies.
+    /// Both manifests have the section, with different bodies.
     Changed {
         /// Heading without brackets.
         name: String,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Changes as an operator reads them, one entry a line.
+/// Displays changes for operators, with one entry per line.
 #[derive(Clone, Copy, Debug)]
 pub struct Difference<'a>(pub &'a [SectionChange]);
 
@@ -82,14 +82,14 @@
     }
 }
 
-/// What changed from `old` to `new`, in the order of the headings.
+/// Changes from `old` to `new`, sorted by heading.
 pub fn diff(
     old: &BTreeMap<String, String>,
     new: &BTreeMap<String, String>,
 ) -> Vec<SectionChange> {
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     let change = |name: &String| match (old.get(name), new.get(name)) {
-        (Some(old), Some(new)) => changed(name, old, new),
+        (Some(old), Some(new)) => compare_bodies(name, old, new),
         (Some(body), None) => Some(SectionChange::Removed {
             name: name.clone(),
             body: body.clone(),
@@ -103,7 +103,7 @@
     names.into_iter().filter_map(change).collect()
 }
 
-fn changed(name: &str, old: &str, new: &str) -> Option<SectionChange> {
+fn compare_bodies(name: &str, old: &str, new: &str) -> Option<SectionChange> {
     if old == new {
         return None;
     }
--- a/crates/config/src/manifest/layer_coverage.rs
+++ b/crates/config/src/manifest/layer_coverage.rs
@@ -1,23 +1,24 @@
-//! Whether layer ranges can tile a model.
+//! Whether layer ranges can form a complete chain of a model.
 //!
-//! Ranges may overlap, since replicas do; what a chain needs is one way from
-//! layer 0 to the last over ranges that meet end to start.
+//! Ranges may overlap, since layers are replicated. A chain needs a sequence
+//! of ranges from layer 0 to the last layer, each of which starts where the
+//! previous range ends.
 
 use std::{collections::BTreeSet, fmt};
 
-/// Why no chain can be built.
+/// Reason why no complete chain exists.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum CoverageError {
-    /// Layers `first..end` that no range holds.
+    /// No range contains the layers `first..end`.
     Gap {
-        /// First such layer.
+        /// First layer of the gap.
         first: u32,
-        /// End of them.
+        /// End of the gap, exclusive.
         end: u32,
     },
-    /// Ranges end at the boundary and none starts there.
+    /// Reachable ranges end at the boundary, but no range starts there.
     NoContinuation {
-        /// The boundary.
+        /// Layer boundary.
         boundary: u32,
     },
 }
@@ -30,15 +31,15 @@
             }
             CoverageError::NoContinuation { boundary } => write!(
                 f,
-                "no chain can go on after layer boundary {boundary}: \
-                 backend servers end there and none starts there",
+                "no chain can continue after layer boundary {boundary}: \
+                 layer ranges end there, but none starts there",
             ),
         }
     }
 }
 
-/// Everything that keeps `ranges` from tiling `0..layer_count`. Empty and
-/// overlong ranges must be left out before.
+/// Finds every reason why `ranges` do not form a chain over `0..layer_count`.
+/// `ranges` must not contain empty ranges or ranges beyond `layer_count`.
 pub(super) fn coverage_errors(
     ranges: &BTreeSet<(u32, u32)>,
     layer_count: u32,
@@ -74,8 +75,8 @@
     gaps
 }
 
-/// Boundaries that chains from layer 0 reach. Ranges are in the order of
-/// their starts, so one pass is enough.
+/// Boundaries that partial chains from layer 0 reach. Ranges are sorted by
+/// their start, so a single pass is sufficient.
 fn reachable_boundaries(ranges: &BTreeSet<(u32, u32)>) -> BTreeSet<u32> {
     let mut boundaries = BTreeSet::from([0]);
     for &(first, end) in ranges {
--- a/crates/config/src/manifest/read.rs
+++ b/crates/config/src/manifest/read.rs
@@ -1,4 +1,5 @@
-//! Reads a manifest section by section, then has it checked as a whole.
+//! Parser of a manifest: reads each section, then validates the manifest as a
+//! whole.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
     section_index::{SectionIndex, SectionReader},
 };
 
-/// Reads and checks `text`.
+/// Parses and validates `text`.
 pub(super) fn parse_manifest(
     file: &str,
     text: &str,
@@ -34,8 +35,8 @@
 }
 
 impl ManifestReader<'_> {
-    /// What could be read. Whatever couldn't has left a finding, so that a
-    /// manifest with something left out is never given to a caller.
+    /// Reads the sections that are valid. Every section that is left out has a
+    /// finding, so that an incomplete manifest is never returned to a caller.
     fn read(&mut self) -> Manifest {
         let services =
             self.read_sections(SERVICE_KEYWORD, SERVICE_FIELD_GROUPS, service);
@@ -111,7 +112,7 @@
 
     fn report_duplicate_path(&mut self, a: &str, b: &str) {
         let heading = format!("{PATH_KEYWORD} {a} {b}");
-        let message = format!("the same path as [{PATH_KEYWORD} {b} {a}]");
+        let message = format!("duplicate of [{PATH_KEYWORD} {b} {a}]");
         let finding = self.index.location(&heading).finding("", message);
         self.findings.push(finding);
     }
@@ -146,17 +147,17 @@
     }
 }
 
-/// The tables of a service whose kind isn't known yet.
+/// Fields of a service whose kind is not known yet.
 const SERVICE_FIELD_GROUPS: &[&[Field]] =
     &[SERVICE, LANGUAGE_SERVICE, PLAIN_SERVICE];
 
-/// Which keys a backend server has.
+/// Kind of the service of a backend server, which determines its keys.
 #[derive(Clone, Copy)]
 enum BackendKind {
     Language,
     Plain,
-    /// Its service is unknown or wrong itself, so nothing is said about
-    /// the keys that depend on it.
+    /// The service is unknown or invalid, so the keys that depend on its kind
+    /// are not validated.
     Unknown,
 }
 
@@ -179,7 +180,7 @@
     }
 }
 
-/// The two names of a heading; headings were checked to have two.
+/// Splits the two names of a heading; validated headings have two names.
 fn split_names(names: &str) -> (&str, &str) {
     names.split_once(' ').unwrap_or((names, ""))
 }
@@ -224,7 +225,7 @@
     })
 }
 
-/// The words of `kind`.
+/// Values of the key `kind`.
 enum Kind {
     Language,
     Plain,
@@ -288,7 +289,7 @@
     })
 }
 
-/// What only the backend servers of a language service have.
+/// Values that only backend servers of a language service have.
 #[derive(Default)]
 struct LanguageBackend {
     accelerator: Option<String>,
--- a/crates/config/src/manifest/schema.rs
+++ b/crates/config/src/manifest/schema.rs
@@ -1,30 +1,30 @@
-//! The keys of a manifest.
+//! Schema of a manifest.
 
 use crate::fields::{
     AddressField, ChoiceField, Field, IntegerField, ListField, SectionSchema,
     TextField, TextFormat,
 };
 
-/// First word of `[deployment]`.
+/// Keyword of `[deployment]`.
 pub(super) const DEPLOYMENT_KEYWORD: &str = "deployment";
-/// First word of `[data-centre NAME]`.
+/// Keyword of `[data-centre NAME]`.
 pub(super) const DATA_CENTRE_KEYWORD: &str = "data-centre";
-/// First word of `[path A B]`.
+/// Keyword of `[path A B]`.
 pub(super) const PATH_KEYWORD: &str = "path";
-/// First word of `[accelerator NAME]`.
+/// Keyword of `[accelerator NAME]`.
 pub(super) const ACCELERATOR_KEYWORD: &str = "accelerator";
-/// First word of `[service NAME]`.
+/// Keyword of `[service NAME]`.
 pub(super) const SERVICE_KEYWORD: &str = "service";
-/// First word of `[account NAME]`.
+/// Keyword of `[account NAME]`.
 pub(super) const ACCOUNT_KEYWORD: &str = "account";
-/// First word of `[objective SERVICE CLASS]`.
+/// Keyword of `[objective SERVICE CLASS]`.
 pub(super) const OBJECTIVE_KEYWORD: &str = "objective";
-/// First word of `[backend-server NAME]`.
+/// Keyword of `[backend-server NAME]`.
 pub(super) const BACKEND_SERVER_KEYWORD: &str = "backend-server";
 
 const ONE_NAME: &[&str] = &["NAME"];
 
-/// Every section of a manifest.
+/// Sections of a manifest.
 pub const SECTIONS: &[SectionSchema] = &[
     SectionSchema {
         keyword: DEPLOYMENT_KEYWORD,
@@ -68,7 +68,7 @@
     },
 ];
 
-/// Greatest layer count, and so the greatest end of a range.
+/// Maximum number of layers of a model, and maximum end of a layer range.
 const MAX_LAYERS: u64 = 10_000;
 
 pub(super) const NAME: TextField = TextField::new("name", TextFormat::Name);
@@ -163,8 +163,8 @@
     Field::Integer(GUARANTEED_PERCENT),
 ];
 
-/// The same two keys as a service's, but without defaults: a section that
-/// says nothing would be a mistake.
+/// The two objective keys of a service, but required: an `[objective]` section
+/// without them would have no effect.
 pub(super) const CLASS_OBJECTIVE_PER_10000: IntegerField =
     IntegerField { default: None, ..OBJECTIVE_PER_10000 };
 pub(super) const CLASS_FIRST_TOKEN_OBJECTIVE_MS: IntegerField =
--- a/crates/config/src/manifest/sections.rs
+++ b/crates/config/src/manifest/sections.rs
@@ -1,7 +1,7 @@
-//! A manifest as canonical sections.
+//! Conversion of a manifest to canonical sections.
 //!
-//! Every key is written, also one that has its default, so that a later
-//! change of a default doesn't change a stored manifest.
+//! All keys are written, including those with default values, so that a later
+//! change of a default does not change the meaning of a stored manifest.
 
 use std::{collections::BTreeMap, fmt::Display};
 
@@ -10,7 +10,7 @@
     NetworkPath, Objective, Service, ServiceKind, schema::*,
 };
 
-/// Sections as one text.
+/// Concatenates sections to an INI text.
 pub fn sections_to_ini(sections: &BTreeMap<String, String>) -> String {
     let mut text = String::new();
     for (heading, body) in sections {
@@ -23,7 +23,7 @@
     text
 }
 
-/// The sections of a manifest.
+/// Converts a manifest to canonical sections.
 pub(super) fn from_manifest(manifest: &Manifest) -> BTreeMap<String, String> {
     let mut sections = BTreeMap::new();
     let deployment = deployment(&manifest.deployment);
@@ -59,7 +59,7 @@
     sections
 }
 
-/// Entries in the order of their keys.
+/// Entries of a section, sorted by key.
 #[derive(Default)]
 struct Body {
     entries: BTreeMap<&'static str, String>,
--- a/crates/config/src/parts.rs
+++ b/crates/config/src/parts.rs
@@ -1,27 +1,28 @@
-//! A manifest split for storing and sending.
+//! Content-addressed parts of a manifest, for storage and transfer.
 //!
-//! Sections fall into a fixed count of buckets by the digest of their name.
-//! Each bucket is stored under the digest of its content, and the root lists
-//! the digests of all. One changed section changes one bucket and the root,
-//! whatever the size of the manifest; that costs a root of 4 KiB even for a
-//! small one, which is still one write.
+//! Sections are hashed by name into a fixed number of buckets. Each bucket is
+//! stored under the digest of its content, and the root lists the digests of
+//! all buckets. Changing one section changes one bucket and the root, whatever
+//! the size of the manifest. The root takes 4 KiB even for a small manifest,
+//! which is still a single write.
 
 use std::{collections::BTreeMap, error, fmt};
 
-/// Buckets of a manifest; part of the stored form.
+/// Number of buckets of a manifest; part of the stored format.
 pub const BUCKET_COUNT: usize = 256;
 
-/// Bytes of a [`PartDigest`].
+/// Length of a [`PartDigest`].
 pub const PART_DIGEST_BYTES: usize = 16;
 
-/// Body of a bucket without sections.
+/// Encoding of a bucket without sections.
 pub const EMPTY_BUCKET: &[u8] = b"{}";
 
-/// Bytes of an encoded root.
+/// Length of an encoded root.
 pub const ROOT_BYTES: usize = BUCKET_COUNT * PART_DIGEST_BYTES;
 
-/// BLAKE3 digest of a part, cut to 16 bytes. Only operators who may change
-/// the manifest anyway write parts, so collisions by chance alone matter.
+/// BLAKE3 digest of a part, truncated to 16 bytes. Only operators who may
+/// change the manifest write parts, so the digest only needs to prevent
+/// accidental collisions.
 #[derive(Clone, Copy, Eq, Ord, PartialEq, PartialOrd)]
 pub struct PartDigest([u8; PART_DIGEST_BYTES]);
 
@@ -34,17 +35,17 @@
         PartDigest(digest)
     }
 
-    /// Digest of a bucket without sections, which needs no storing.
+    /// Digest of a bucket without sections; such a bucket need not be stored.
     pub fn of_empty_bucket() -> PartDigest {
         PartDigest::of(EMPTY_BUCKET)
     }
 
-    /// A digest that was encoded before.
+    /// Digest from its encoded bytes.
     pub fn from_bytes(bytes: [u8; PART_DIGEST_BYTES]) -> PartDigest {
         PartDigest(bytes)
     }
 
-    /// The digest's bytes.
+    /// Encoded bytes of the digest.
     pub fn as_bytes(&self) -> &[u8; PART_DIGEST_BYTES] {
         &self.0
     }
@@ -62,17 +63,17 @@
     }
 }
 
-/// A manifest in parts.
+/// Root and bucket bodies of a manifest.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Parts {
-    /// Digest of each bucket's body, by bucket.
+    /// Digest of the body of each bucket, in bucket order.
     pub root: Vec<PartDigest>,
-    /// Bodies by digest; buckets with equal bodies share one.
+    /// Bodies by digest; buckets with equal bodies share an element.
     pub bodies: BTreeMap<PartDigest, Vec<u8>>,
 }
 
 impl Parts {
-    /// Splits `sections`.
+    /// Distributes `sections` over the buckets.
     pub fn from_sections(sections: &BTreeMap<String, String>) -> Parts {
         let mut buckets = vec![BTreeMap::new(); BUCKET_COUNT];
         for (name, body) in sections {
@@ -88,7 +89,7 @@
         parts
     }
 
-    /// The bodies that a holder of `known` root doesn't have.
+    /// Bodies that are not listed in the root `known`.
     pub fn new_bodies(
         &self,
         known: &[PartDigest],
@@ -101,39 +102,39 @@
     }
 }
 
-/// Why parts don't make a manifest.
+/// Reason why a manifest cannot be assembled from parts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PartsError {
     /// An encoded root has the wrong length.
     RootLength {
-        /// Its length.
+        /// Actual length.
         length_bytes: usize,
     },
-    /// A root has the wrong count of buckets.
+    /// A root has the wrong number of buckets.
     BucketCount {
-        /// Its count.
+        /// Actual number of buckets.
         count: usize,
     },
-    /// A body isn't there.
+    /// A body is missing.
     Missing {
-        /// Its digest.
+        /// Digest of the body in the root.
         digest: PartDigest,
     },
-    /// A body has another digest than the root says.
+    /// The digest of a body differs from the digest in the root.
     DigestMismatch {
         /// Digest in the root.
         expected: PartDigest,
         /// Digest of the body.
         actual: PartDigest,
     },
-    /// A body can't be read.
+    /// A body is not valid JSON.
     Unreadable {
-        /// Its digest.
+        /// Digest of the body in the root.
         digest: PartDigest,
     },
-    /// A section stands in a bucket that isn't its own.
+    /// A section is not in the bucket that its name hashes to.
     WrongBucket {
-        /// Heading of the section, without brackets.
+        /// Heading of the section without brackets.
         name: String,
     },
 }
@@ -157,7 +158,7 @@
                 write!(f, "part {expected} has the digest {actual}")
             }
             PartsError::Unreadable { digest } => {
-                write!(f, "part {digest} can't be read")
+                write!(f, "part {digest} cannot be decoded")
             }
             PartsError::WrongBucket { name } => {
                 write!(f, "section [{name}] is in the wrong bucket")
@@ -168,16 +169,16 @@
 
 impl error::Error for PartsError {}
 
-/// The root as it is stored.
+/// Encodes a root for storage.
 pub fn encode_root(root: &[PartDigest]) -> Vec<u8> {
     root.iter().flat_map(|digest| digest.0).collect()
 }
 
-/// The root from its stored form.
+/// Decodes a stored root.
 ///
 /// # Errors
 ///
-/// When the length is wrong.
+/// [`PartsError::RootLength`] if the length is wrong.
 pub fn decode_root(bytes: &[u8]) -> Result<Vec<PartDigest>, PartsError> {
     if bytes.len() != ROOT_BYTES {
         return Err(PartsError::RootLength { length_bytes: bytes.len() });
@@ -186,11 +187,11 @@
     Ok(digests.iter().copied().map(PartDigest).collect())
 }
 
-/// The sections again; each body is checked against its digest.
+/// Reassembles the sections and checks each body against its digest.
 ///
 /// # Errors
 ///
-/// When a body is missing or isn't what the root names.
+/// When a body is missing, does not match its digest or cannot be decoded.
 pub fn assemble<B: AsRef<[u8]>>(
     root: &[PartDigest],
     bodies: &BTreeMap<PartDigest, B>,
@@ -211,11 +212,12 @@
 }
 
 fn bucket_of(name: &str) -> usize {
-    // One byte of the digest, since there are 256 buckets.
+    // One byte of the digest covers the 256 buckets.
     usize::from(blake3::hash(name.as_bytes()).as_bytes()[0])
 }
 
-/// JSON, since headings and bodies are then free of any form of their own.
+/// Encodes a bucket as JSON, which can represent any heading and body without
+/// escaping rules of its own.
 fn encode_bucket(bucket: &BTreeMap<&str, &str>) -> Vec<u8> {
     let pairs =
         bucket.iter().map(|(&name, &body)| (name.to_owned(), body.into()));
--- a/crates/config/src/section_index.rs
+++ b/crates/config/src/section_index.rs
@@ -1,8 +1,8 @@
-//! A file read against the tables of its sections.
+//! Sections of a file, validated against their schemas.
 //!
-//! Headings are checked first, then each section's keys, then each value. A
-//! reader gives `None` for a value it has reported, so that a check over
-//! several keys simply doesn't run where one of them is wrong.
+//! Headings are validated first, then the keys of each section, then each
+//! value. A reader returns `None` for a value that it has reported as invalid,
+//! so that a check across several keys is skipped if one of them is invalid.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -14,12 +14,12 @@
     },
     findings::{Finding, Findings},
     values::{
-        not_of_form, parse_address, parse_addresses, parse_integer,
+        invalid_format, parse_address, parse_addresses, parse_integer,
         parse_list, parse_text,
     },
 };
 
-/// A file whose headings are checked.
+/// Sections of a file by validated heading.
 pub(crate) struct SectionIndex<'a> {
     file: &'a str,
     document: &'a IniDocument,
@@ -28,7 +28,7 @@
 }
 
 impl<'a> SectionIndex<'a> {
-    /// Checks the headings against `tables`.
+    /// Indexes the sections and reports invalid and duplicate headings.
     pub(crate) fn new(
         file: &'a str,
         document: &'a IniDocument,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The names of the sections with `word`, in the order of the file.
+    /// Names of the sections with `keyword`, in file order.
     pub(crate) fn names(&self, keyword: &str) -> Vec<&'a str> {
         let named = |section: &'a IniSection| {
             let names = names_of_heading(&section.heading, keyword)?;
@@ -72,13 +72,13 @@
         self.document.sections.iter().filter_map(named).collect()
     }
 
-    /// Whether there is a section.
+    /// Whether the file has a section with this heading.
     pub(crate) fn contains(&self, heading: &str) -> bool {
         self.sections.contains_key(heading)
     }
 
-    /// Reads the section, whose keys are those of `tables`; a section that
-    /// isn't there is read as an empty one.
+    /// Reader of a section whose valid keys are those of `field_groups`. A
+    /// missing section is read as an empty section.
     pub(crate) fn reader<'b>(
         &'b self,
         heading: &'b str,
@@ -98,7 +98,7 @@
         reader
     }
 
-    /// The keys of all kinds of the section.
+    /// Keys of the section in all its variants.
     fn known_fields(&self, heading: &str) -> &'static [&'static [Field]] {
         let keyword = heading.split(' ').next().unwrap_or_default();
         let schema =
@@ -106,7 +106,7 @@
         schema.map_or(&[], |schema| schema.field_groups)
     }
 
-    /// Where findings of a section are placed.
+    /// Location of a section, for findings.
     pub(crate) fn location<'b>(
         &'b self,
         heading: &'b str,
@@ -116,7 +116,7 @@
     }
 }
 
-/// A section as the place of findings.
+/// Location of a section in the file; creates findings.
 pub(crate) struct SectionLocation<'a> {
     file: &'a str,
     heading: &'a str,
@@ -124,12 +124,18 @@
 }
 
 impl SectionLocation<'_> {
-    /// A finding at the first entry with `key`, else at the heading.
+    /// Creates a finding at the first entry with `key`, or at the heading if
+    /// there is none.
     pub(crate) fn finding(&self, key: &str, message: String) -> Finding {
-        self.at(self.line(key), key, message)
+        self.finding_at(self.line(key), key, message)
     }
 
-    fn at(&self, line: Option<usize>, key: &str, message: String) -> Finding {
+    fn finding_at(
+        &self,
+        line: Option<usize>,
+        key: &str,
+        message: String,
+    ) -> Finding {
         Finding {
             file: self.file.to_owned(),
             line,
@@ -139,7 +145,7 @@
         }
     }
 
-    /// The value as it is written.
+    /// Unparsed value of `key`.
     pub(crate) fn value(&self, key: &str) -> Option<&str> {
         self.entry(key).map(|entry| entry.value.as_str())
     }
@@ -173,7 +179,8 @@
             if let Err(message) = self.index_entry(entry, field_groups, known)
             {
                 let line = Some(entry.line);
-                let finding = self.location.at(line, &entry.key, message);
+                let finding =
+                    self.location.finding_at(line, &entry.key, message);
                 self.findings.push(finding);
             }
         }
@@ -200,7 +207,7 @@
         }
     }
 
-    /// A whole number within its range.
+    /// Reads an integer.
     pub(crate) fn integer<T: TryFrom<u64>>(
         &mut self,
         field: &IntegerField,
@@ -210,7 +217,7 @@
         T::try_from(value).ok()
     }
 
-    /// One of the field's words, as what it stands for.
+    /// Reads one of a fixed set of values.
     pub(crate) fn choice<T>(
         &mut self,
         field: &ChoiceField,
@@ -226,7 +233,7 @@
         self.parse_value(field.key, default, parse)
     }
 
-    /// An address.
+    /// Reads a socket address.
     pub(crate) fn address(
         &mut self,
         field: &AddressField,
@@ -235,20 +242,20 @@
         self.parse_value(field.key, None, parse)
     }
 
-    /// A short text.
+    /// Reads a short text.
     pub(crate) fn text(&mut self, field: &TextField) -> Option<String> {
         let default = field.default.map(str::to_owned);
-        let parse = |text: &str| parse_text(field.form, text);
+        let parse = |text: &str| parse_text(field.format, text);
         self.parse_value(field.key, default, parse)
     }
 
-    /// A list in the order of the file.
+    /// Reads a list; items are in file order.
     pub(crate) fn list(&mut self, field: &ListField) -> Option<Vec<String>> {
         let parse = |text: &str| parse_list(field, text);
         self.parse_value(field.key, None, parse)
     }
 
-    /// Addresses in the order of the file; none where the key is missing.
+    /// Reads a list of addresses in file order; empty if the key is missing.
     pub(crate) fn addresses(
         &mut self,
         field: &AddressListField,
@@ -257,7 +264,8 @@
         self.parse_value(field.key, Some(Vec::new()), parse)
     }
 
-    /// Reports the keys of `table`, which belong to another kind of service.
+    /// Reports entries with a key of `fields`, which apply to another kind of
+    /// service.
     pub(crate) fn reject_keys(&mut self, fields: &[Field]) {
         for field in fields {
             if self.entries.contains_key(field.key()) {
@@ -266,7 +274,7 @@
         }
     }
 
-    /// Reports something about a key that was read.
+    /// Reports a finding about a key.
     pub(crate) fn report(&mut self, key: &str, message: String) {
         let finding = self.location.finding(key, message);
         self.findings.push(finding);
@@ -309,13 +317,13 @@
         return Err(format!("must be written [{}]", schema.heading()));
     }
     match names.iter().find(|name| !TextFormat::Name.matches(name)) {
-        Some(name) => Err(not_of_form(TextFormat::Name, name)),
+        Some(name) => Err(invalid_format(TextFormat::Name, name)),
         None => Ok(()),
     }
 }
 
-/// A key that belongs to another kind of the section.
-const INAPPLICABLE_KEY: &str = "key is not for this kind of service";
+/// Message for a key that applies to another kind of service.
+const INAPPLICABLE_KEY: &str = "key does not apply to this kind of service";
 
 fn has_key(field_groups: &[&[Field]], key: &str) -> bool {
     let mut fields = field_groups.iter().flat_map(|group| group.iter());
@@ -327,5 +335,5 @@
 }
 
 fn duplicate_message(what: &str, first_line: usize) -> String {
-    format!("doubled {what}; the first is on line {first_line}")
+    format!("duplicate {what}; the first is on line {first_line}")
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,8 @@
-//! The settings of one daemon.
+//! Settings of one daemon.
 //!
-//! Everything but names and addresses has a default. Ranges are checked here,
-//! also across keys, so that no other crate has to.
+//! All keys except names and addresses have defaults. Ranges, including those
+//! that depend on several keys, are validated here, so that other crates need
+//! not validate them.
 
 use std::{fs, net::SocketAddr, path::Path};
 
@@ -14,18 +15,18 @@
 /// Settings of a daemon in one of its roles.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DaemonSettings {
-    /// Speaks HTTP to callers.
+    /// Accepts HTTP requests of callers.
     Entry(EntrySettings),
-    /// Stands beside backend servers.
+    /// Runs next to backend servers.
     Side(SideSettings),
 }
 
 impl DaemonSettings {
-    /// Reads the settings from `text`; `file` names it in findings.
+    /// Parses `text`; findings refer to it as `file`.
     ///
     /// # Errors
     ///
-    /// Everything found wrong.
+    /// All errors of the file.
     pub fn try_parse(
         file: &str,
         text: &str,
@@ -33,11 +34,11 @@
         read::parse_daemon(file, text)
     }
 
-    /// Reads the settings from the file at `path`.
+    /// Loads the file at `path`.
     ///
     /// # Errors
     ///
-    /// Everything found wrong; also that the file can't be read.
+    /// All errors of the file, or that the file cannot be read.
     pub fn try_load(path: &Path) -> Result<DaemonSettings, Findings> {
         let file = path.display().to_string();
         match fs::read_to_string(path) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// What both roles have.
+    /// Settings that both roles have.
     pub fn node(&self) -> &NodeSettings {
         match self {
             DaemonSettings::Entry(entry) => &entry.node,
@@ -67,119 +68,121 @@
     findings
 }
 
-/// What both roles have.
+/// Settings that both roles have.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NodeSettings {
     /// Name of the VM.
     pub vm: String,
     /// Data centre of the VM.
     pub data_centre: String,
-    /// Where other processes of the system connect.
+    /// Listen address for other processes of the system.
     pub inner_address: SocketAddr,
-    /// Where metrics and readiness are served.
+    /// Listen address of the operators' HTTP port.
     pub ops_address: SocketAddr,
-    /// Where the operators' tool and peers make control calls.
+    /// Listen address for control calls of the operators' tool and of peers.
     pub control_address: SocketAddr,
     /// Threads that run requests.
     pub threads: usize,
-    /// How long a planned stop may take before what is left is cut.
+    /// Maximum duration of a planned stop; remaining work is aborted
+    /// afterwards.
     pub drain_limit_ms: u64,
-    /// Control addresses of processes that are asked for the manifest when
-    /// the store does not answer, beside those that this one has links to.
+    /// Control addresses of processes that are queried for the manifest while
+    /// the store is unavailable, in addition to the linked processes.
     pub seed_peers: Vec<SocketAddr>,
-    /// Logs.
+    /// Log settings.
     pub log: LogSettings,
-    /// Connections between processes.
+    /// Links between processes.
     pub links: LinkSettings,
-    /// The platform's services.
+    /// Services of the platform.
     pub platform: PlatformSettings,
 }
 
-/// Form of the logs.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogFormat {
-    /// One readable line an event.
+    /// A human-readable line per event.
     Text,
-    /// One JSON object an event.
+    /// A JSON object per event.
     Json,
 }
 
-/// Least important events that are written.
+/// Minimum severity of logged events.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogLevel {
-    /// Only what needs an operator.
+    /// Events that need an operator.
     Error,
-    /// Also what may soon need one.
+    /// Also events that may soon need an operator.
     Warn,
-    /// Also changes of state.
+    /// Also state changes.
     Info,
-    /// Also each request.
+    /// Also every request.
     Debug,
 }
 
-/// Logs.
+/// Log settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LogSettings {
-    /// Form of each line.
+    /// Format of the log lines.
     pub format: LogFormat,
-    /// Least important events written.
+    /// Minimum severity of logged events.
     pub level: LogLevel,
 }
 
-/// Connections between processes; see the inner protocol's options.
+/// Links between processes; see the options of the inner protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LinkSettings {
-    /// Time for dialling and the first message together.
+    /// Timeout for connecting and receiving the first message.
     pub connect_timeout_ms: u64,
-    /// Quiet time after which a busy link's peer is asked.
+    /// Time without a message after which the peer of a busy link is probed.
     pub busy_interval_ms: u64,
-    /// Quiet time after which an idle link's peer is asked.
+    /// Time without a message after which the peer of an idle link is probed.
     pub idle_interval_ms: u64,
-    /// Quiet time after which a busy link counts as lost.
+    /// Time without a message after which a busy link is considered lost.
     pub silence_limit_ms: u64,
 }
 
-/// The platform's services.
+/// Services of the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlatformSettings {
-    /// Table service.
+    /// Address of the table service.
     pub table_address: SocketAddr,
-    /// Object store.
+    /// Address of the object store.
     pub object_address: SocketAddr,
-    /// List of live and leaving VMs.
+    /// Address of the list of VMs, which includes those that are draining.
     pub vm_list_address: SocketAddr,
-    /// Longest wait for one answer.
+    /// Timeout of a request to a platform service.
     pub request_timeout_ms: u64,
-    /// Time between two looks at the manifest's head.
+    /// Poll interval of the manifest head.
     pub manifest_poll_ms: u64,
-    /// Time between two looks at the list of VMs.
+    /// Poll interval of the list of VMs.
     pub vm_list_poll_ms: u64,
 }
 
 /// Settings of the role `entry`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntrySettings {
-    /// What both roles have.
+    /// Settings that both roles have.
     pub node: NodeSettings,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub http_address: SocketAddr,
-    /// Longest request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Requests in flight at once; more are answered 503 at once.
+    /// Maximum number of requests in flight; additional ones are refused
+    /// immediately with status 503.
     pub max_requests_in_flight: usize,
-    /// Most attempts of one idempotent request that deliver nothing, one
-    /// after another.
+    /// Maximum number of consecutive attempts of an idempotent request that
+    /// deliver nothing.
     pub max_attempts: u32,
-    /// Further attempts allowed for each hundred requests of a service.
+    /// Retries allowed per hundred requests of a service.
     pub retry_budget_percent: u32,
-    /// How long a side process that went silent is asked again before the
-    /// outcome of a non-idempotent request is told as unknown.
+    /// How long an unresponsive side process is queried for the outcome of a
+    /// non-idempotent request before the outcome is reported as unknown.
     pub recover_limit_ms: u64,
-    /// Time between two group commits of claims.
+    /// Interval between group commits of claims.
     pub claim_flush_ms: u64,
-    /// Most claims in one group commit.
+    /// Maximum number of claims in a group commit.
     pub claim_batch: usize,
-    /// How long a stopping entry still takes new requests, while the
+    /// How long a stopping entry still accepts new requests, until the load
     /// balancer notices.
     pub lame_duck_ms: u64,
 }
@@ -187,34 +190,34 @@
 /// Settings of the role `side`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SideSettings {
-    /// What both roles have.
+    /// Settings that both roles have.
     pub node: NodeSettings,
-    /// The backend servers beside this process.
+    /// Backend servers next to this process.
     pub backends: Vec<BackendSettings>,
-    /// Requests that the run-once table remembers.
+    /// Capacity of the run-once table.
     pub run_once_capacity: usize,
-    /// How long an ended non-idempotent request is remembered.
+    /// How long the record of a finished non-idempotent request is kept.
     pub run_once_retention_ms: u64,
-    /// Longest wait for one step of one token.
+    /// Timeout of a step that computes one token.
     pub step_timeout_ms: u64,
-    /// Longest wait for the first step, which runs the whole prompt.
+    /// Timeout of the first step, which computes the prefill.
     pub prefill_timeout_ms: u64,
-    /// Most requests in one call to an engine.
+    /// Maximum number of requests in one call to an engine.
     pub max_batch: usize,
-    /// Calls to one engine at once.
+    /// Maximum number of concurrent calls to an engine.
     pub engine_calls: usize,
-    /// Requests that may wait for admission, in tokens of work.
+    /// Maximum length of the admission queue, in tokens of work.
     pub queue_limit_tokens: u64,
-    /// How long a request runs on after its entry was lost, so that it can
-    /// be asked for over a new connection.
+    /// How long a request continues to run after its entry was lost, so that
+    /// it can be queried over a new connection.
     pub orphan_limit_ms: u64,
 }
 
-/// A backend server beside a side process.
+/// A backend server next to a side process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendSettings {
-    /// Its name in the manifest.
+    /// Name in the manifest.
     pub name: String,
-    /// Where it listens.
+    /// Address of the backend server.
     pub address: SocketAddr,
 }
--- a/crates/config/src/settings/read.rs
+++ b/crates/config/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads a daemon's settings in its role.
+//! Parser of the settings of a daemon, according to its role.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -14,14 +14,14 @@
     section_index::{SectionIndex, SectionReader},
 };
 
-/// Which role a daemon has.
+/// Role of a daemon.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Role {
     Entry,
     Side,
 }
 
-/// Reads `text`.
+/// Parses and validates `text`.
 pub(super) fn parse_daemon(
     file: &str,
     text: &str,
@@ -84,7 +84,7 @@
         side.map(DaemonSettings::Side)
     }
 
-    /// Reads what is there when the role isn't known, for the findings.
+    /// Validates the sections that are present if the role is unknown.
     fn check_without_role(&mut self) -> Option<DaemonSettings> {
         if self.index.contains(ENTRY_KEYWORD) {
             entry(&mut self.section(ENTRY_KEYWORD, ENTRY), None);
@@ -100,7 +100,7 @@
 
     fn reject_section(&mut self, heading: &str, role: &str) {
         if self.index.contains(heading) {
-            let message = format!("section is not for the role {role}");
+            let message = format!("section does not apply to the role {role}");
             let finding = self.index.location(heading).finding("", message);
             self.findings.push(finding);
         }
@@ -109,7 +109,7 @@
     fn backends(&mut self) -> Option<Vec<BackendSettings>> {
         let names = self.index.names(BACKEND_SERVER_KEYWORD);
         if names.is_empty() {
-            let message = "missing section; the role side needs one or more";
+            let message = "missing section; the role side needs at least one";
             let location = self.index.location("backend-server NAME");
             self.findings.push(location.finding("", message.to_owned()));
         }
@@ -125,8 +125,9 @@
         Some(BackendSettings { name: name.to_owned(), address })
     }
 
-    /// Reports a local address that two things are to use. Read again from
-    /// the index, so that one wrong address doesn't hide a doubled one.
+    /// Reports a local address that is used twice. The addresses are parsed
+    /// again from the index, so that an invalid address does not hide a
+    /// duplicate.
     fn check_addresses(&mut self) {
         let mut uses = BTreeMap::new();
         let node_fields = [&INNER_ADDRESS, &OPS_ADDRESS, &CONTROL_ADDRESS];
@@ -152,7 +153,7 @@
             return;
         };
         if let Some(user) = uses.get(&address) {
-            let message = format!("{address} is also {user}");
+            let message = format!("{address} is also used by {user}");
             self.findings.push(location.finding(key, message));
             return;
         }
--- a/crates/config/src/settings/schema.rs
+++ b/crates/config/src/settings/schema.rs
@@ -1,26 +1,26 @@
-//! The keys of a daemon's settings.
+//! Schema of the settings of a daemon.
 
 use crate::fields::{
     AddressField, AddressListField, ChoiceField, Field, IntegerField,
     SectionSchema, TextField, TextFormat,
 };
 
-/// First word of `[node]`.
+/// Keyword of `[node]`.
 pub(super) const NODE_KEYWORD: &str = "node";
-/// First word of `[log]`.
+/// Keyword of `[log]`.
 pub(super) const LOG_KEYWORD: &str = "log";
-/// First word of `[links]`.
+/// Keyword of `[links]`.
 pub(super) const LINKS_KEYWORD: &str = "links";
-/// First word of `[platform]`.
+/// Keyword of `[platform]`.
 pub(super) const PLATFORM_KEYWORD: &str = "platform";
-/// First word of `[entry]`.
+/// Keyword of `[entry]`.
 pub(super) const ENTRY_KEYWORD: &str = "entry";
-/// First word of `[side]`.
+/// Keyword of `[side]`.
 pub(super) const SIDE_KEYWORD: &str = "side";
-/// First word of `[backend-server NAME]`.
+/// Keyword of `[backend-server NAME]`.
 pub(super) const BACKEND_SERVER_KEYWORD: &str = "backend-server";
 
-/// Every section of a daemon's settings.
+/// Sections of the settings of a daemon.
 pub const SECTIONS: &[SectionSchema] = &[
     SectionSchema {
         keyword: NODE_KEYWORD,
--- a/crates/config/src/settings/sections.rs
+++ b/crates/config/src/settings/sections.rs
@@ -1,4 +1,5 @@
-//! Reads each section of a daemon's settings and checks it across keys.
+//! Readers of the sections of a daemon's settings, including checks across
+//! keys.
 
 use super::{
     BackendSettings, EntrySettings, LinkSettings, LogFormat, LogLevel,
@@ -6,8 +7,8 @@
 };
 use crate::{fields::IntegerField, section_index::SectionReader};
 
-/// Busy intervals that must fit in the silence limit: one to ask, one for
-/// the answer.
+/// Minimum silence limit in busy intervals: one to send the probe and one to
+/// receive the response.
 const MIN_SILENCE_INTERVALS: u64 = 2;
 
 fn parse_format(value: &str) -> Option<LogFormat> {
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,4 +1,4 @@
-//! Values from their text; an error is the message of a finding.
+//! Parsers of values; an error is the message of a finding.
 
 use std::{fmt::Display, net::SocketAddr, num::IntErrorKind};
 
@@ -10,7 +10,7 @@
     },
 };
 
-/// A whole number within the field's range.
+/// Parses an integer and checks its range.
 pub(crate) fn parse_integer(
     field: &IntegerField,
     text: &str,
@@ -33,7 +33,7 @@
     format!("{} is out of range; it must be {range}", truncated(text))
 }
 
-/// An address with a port.
+/// Parses a socket address and checks that it suits its use.
 pub(crate) fn parse_address(
     field: &AddressField,
     text: &str,
@@ -46,32 +46,33 @@
     }
     let is_connected = field.address_use == AddressUse::Connect;
     if is_connected && address.ip().is_unspecified() {
-        return Err(format!("{address} is no address to connect to"));
+        return Err(format!("{address} is not a valid address to connect to"));
     }
     Ok(address)
 }
 
-/// A text of the form.
+/// Parses a text of a format.
 pub(crate) fn parse_text(
-    form: TextFormat,
+    format: TextFormat,
     text: &str,
 ) -> Result<String, String> {
-    if form.matches(text) {
-        Ok(form.normalised(text))
+    if format.matches(text) {
+        Ok(format.to_canonical(text))
     } else {
-        Err(not_of_form(form, text))
+        Err(invalid_format(format, text))
     }
 }
 
-/// Items of the field's form, none twice.
+/// Parses a non-empty list without duplicates.
 pub(crate) fn parse_list(
     field: &ListField,
     text: &str,
 ) -> Result<Vec<String>, String> {
-    parse_items(text, |item| parse_text(field.form, item))
+    parse_items(text, |item| parse_text(field.format, item))
 }
 
-/// Addresses to connect to, none twice, not more than the field allows.
+/// Parses a non-empty list of addresses without duplicates, and checks the
+/// number of addresses.
 pub(crate) fn parse_addresses(
     field: &AddressListField,
     text: &str,
@@ -80,7 +81,7 @@
     let addresses = parse_items(text, |text| parse_address(&item, text))?;
     let (count, max) = (addresses.len(), field.max_count);
     if count > max {
-        return Err(format!("{count} addresses; there may be {max} at most"));
+        return Err(format!("{count} addresses; at most {max} are allowed"));
     }
     Ok(addresses)
 }
@@ -90,22 +91,24 @@
     parse: impl Fn(&str) -> Result<T, String>,
 ) -> Result<Vec<T>, String> {
     if text.is_empty() {
-        return Err("empty list; it needs one item or more".to_owned());
+        return Err(
+            "the list is empty; it must have at least one item".to_owned()
+        );
     }
     let mut items = Vec::new();
     for item in text.split(',') {
         let item = parse(item.trim())?;
         if items.contains(&item) {
-            return Err(format!("{item} stands twice"));
+            return Err(format!("{item} is listed twice"));
         }
         items.push(item);
     }
     Ok(items)
 }
 
-/// Message for a text that hasn't the form.
-pub(crate) fn not_of_form(form: TextFormat, text: &str) -> String {
-    format!("{} is not a {}", quoted(text), form.describe())
+/// Message for a text that does not have the format.
+pub(crate) fn invalid_format(format: TextFormat, text: &str) -> String {
+    format!("{} is not a {}", quoted(text), format.describe())
 }
 
 fn quoted(text: &str) -> String {
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The shipped examples hold what they say.
+//! The shipped example files are valid and consistent.
 
 use std::{fs, path::PathBuf};
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn settings_are_valid() {
+fn example_settings_are_valid() {
     let load = |name| DaemonSettings::try_load(&example(name)).unwrap();
     assert!(matches!(load("entry.ini"), DaemonSettings::Entry(_)));
     let DaemonSettings::Side(side) = load("side.ini") else {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn manifests_are_valid() {
+fn example_manifests_are_valid() {
     struct Case {
         file: &'static str,
         language: &'static str,
--- a/crates/config/tests/manifest.rs
+++ b/crates/config/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest: what must hold within and across its sections.
+//! Validation of manifests, within and across sections.
 
 use chestnutreach_config::{Manifest, key_digest, manifest::Objective};
 
@@ -8,7 +8,8 @@
     Manifest::try_parse("m.ini", BASE).unwrap_or_else(|f| panic!("{f}"))
 }
 
-/// The findings without their line, which [`lines_are_told`] checks.
+/// The findings without lines; [`findings_have_the_line_of_the_error`] checks
+/// the lines.
 fn findings(text: &str) -> Vec<String> {
     match Manifest::try_parse("m.ini", text) {
         Ok(_) => Vec::new(),
@@ -20,7 +21,7 @@
     format!("[{}] {}: {}", finding.section, finding.key, finding.message)
 }
 
-/// A change of the base manifest and what is found then.
+/// Replacements in the base manifest and the findings they cause.
 struct Case {
     change: &'static [(&'static str, &'static str)],
     findings: &'static [&'static str],
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn layer_ranges() {
+fn layer_ranges_without_a_chain_are_reported() {
     check(&[
         Case {
             change: &[("first-layer = 4", "first-layer = 5")],
@@ -47,8 +48,8 @@
         },
         Case {
             change: &[("end-layer = 4", "end-layer = 5")],
-            findings: &["[service chat] : no chain can go on after layer \
-                 boundary 5: backend servers end there and none starts there"],
+            findings: &["[service chat] : no chain can continue after layer \
+                 boundary 5: layer ranges end there, but none starts there"],
         },
         Case {
             change: &[("end-layer = 8", "end-layer = 7")],
@@ -59,8 +60,8 @@
             change: &[("end-layer = 8", "end-layer = 9")],
             findings: &[
                 "[service chat] : no backend server holds the layers 4..8",
-                "[backend-server e2] end-layer: the layer range 4..9 is \
-                 longer than the model, 0..8",
+                "[backend-server e2] end-layer: the layer range 4..9 exceeds \
+                 the layers of the model, 0..8",
             ],
         },
         Case {
@@ -72,7 +73,8 @@
             ],
         },
         Case {
-            // The one that can't be read hides no gap and makes none.
+            // A server that cannot be parsed neither hides nor causes a gap
+            // in the coverage.
             change: &[("end-layer = 4", "end-layer = four")],
             findings: &["[backend-server e1] end-layer: \"four\" is not a \
                  whole number; it must be 0..=10000 layers"],
@@ -81,16 +83,16 @@
 }
 
 #[test]
-fn accounts() {
+fn invalid_accounts_are_reported() {
     check(&[
         Case {
             change: &[("services = chat, book", "services =")],
-            findings: &["[account big] services: empty list; it needs one \
-                 item or more"],
+            findings: &["[account big] services: the list is empty; it must \
+                 have at least one item"],
         },
         Case {
             change: &[("services = chat\n", "services = chat, chat\n")],
-            findings: &["[account small] services: chat stands twice"],
+            findings: &["[account small] services: chat is listed twice"],
         },
         Case {
             change: &[("services = chat\n", "services = chess\n")],
@@ -135,7 +137,7 @@
 }
 
 #[test]
-fn services() {
+fn invalid_services_are_reported() {
     const SECOND: &str = "[service chat2]\nkind = language\nmodel = m-1\n\
          layer-count = 1\nmax-context-tokens = 1\n[service book]";
     const UNDER: &str = "[service a]\nkind = plain\npath = /book/a\n\
@@ -153,17 +155,17 @@
         Case {
             change: &[("[service book]", UNDER)],
             findings: &[
-                "[service a] : no backend server answers it",
-                "[service b] : no backend server answers it",
-                "[service c] : no backend server answers it",
+                "[service a] : no backend server provides this service",
+                "[service b] : no backend server provides this service",
+                "[service c] : no backend server provides this service",
                 "[service c] path: /v1/c overlaps /v1, which is reserved",
                 "[service book] path: /book overlaps /book/a of [service a]",
             ],
         },
         Case {
             change: &[("path = /book", "path = /book\nmodel = m-2")],
-            findings: &["[service book] model: key is not for this kind of \
-                 service"],
+            findings: &["[service book] model: key does not apply to this \
+                 kind of service"],
         },
         Case {
             change: &[("path = /book", "path = book/")],
@@ -188,13 +190,13 @@
 }
 
 #[test]
-fn backend_servers_and_places() {
+fn invalid_backend_servers_and_paths_are_reported() {
     check(&[
         Case {
             change: &[("[backend-server e2]", "[backend-server e1]")],
             findings: &[
                 "[service chat] : no backend server holds the layers 4..8",
-                "[backend-server e1] : doubled section; the first is on \
+                "[backend-server e1] : duplicate section; the first is on \
                  line 44",
             ],
         },
@@ -224,8 +226,10 @@
         },
         Case {
             change: &[("cache-tokens = 4000", "cache-tokens = 2047")],
-            findings: &["[backend-server e2] cache-tokens: 2047 tokens \
-                 don't hold one request of max-context-tokens, 2048 tokens"],
+            findings: &[
+                "[backend-server e2] cache-tokens: 2047 tokens cannot \
+                 hold a request of max-context-tokens, 2048 tokens",
+            ],
         },
         Case {
             change: &[
@@ -239,13 +243,15 @@
         },
         Case {
             change: &[("max-running = 2", "max-running = 2\nend-layer = 1")],
-            findings: &["[backend-server p1] end-layer: key is not for this \
-                 kind of service"],
+            findings: &[
+                "[backend-server p1] end-layer: key does not apply to \
+                 this kind of service",
+            ],
         },
         Case {
             change: &[("service = book", "service = boko")],
             findings: &[
-                "[service book] : no backend server answers it",
+                "[service book] : no backend server provides this service",
                 "[backend-server p1] service: unknown service: boko",
             ],
         },
@@ -266,8 +272,7 @@
                  bandwidth-mbit-per-s = 1\n[accelerator fast]",
             )],
             findings: &[
-                "[path hall-b hall-a] : the same path as \
-                 [path hall-a hall-b]",
+                "[path hall-b hall-a] : duplicate of [path hall-a hall-b]",
                 "[path hall-a hall-a] : a path needs two data centres",
             ],
         },
@@ -279,7 +284,7 @@
 }
 
 #[test]
-fn lines_are_told() {
+fn findings_have_the_line_of_the_error() {
     let text = BASE.replace("end-layer = 4", "end-layer = 0");
     let findings = Manifest::try_parse("m.ini", &text).unwrap_err();
     for finding in findings.iter() {
@@ -291,7 +296,7 @@
 }
 
 #[test]
-fn replicas_may_overlap() {
+fn overlapping_replicas_are_valid() {
     let replica = BASE.split("[backend-server e1]").nth(1).unwrap();
     let replica = replica.split("\n[").next().unwrap();
     let text = format!("{BASE}\n[backend-server e9]{replica}")
@@ -301,7 +306,7 @@
 }
 
 #[test]
-fn lookups_fall_back() {
+fn lookups_use_either_order_and_default_objectives() {
     let manifest = base();
     assert_eq!(manifest.path("hall-b", "hall-a").unwrap().latency_us, 200);
     assert_eq!(manifest.path("hall-a", "hall-b").unwrap().latency_us, 200);
@@ -316,7 +321,7 @@
 }
 
 #[test]
-fn digests_are_held_in_lower_case() {
+fn key_digests_are_converted_to_lower_case() {
     let text = BASE.replace("bbbbbbbb", "BBBBBBBB");
     assert_eq!(Manifest::try_parse("m.ini", &text), Ok(base()));
     let digest = key_digest("demo-key");
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages say what the tables of keys say.
+//! The operators' pages match the schemas.
 
 use chestnutreach_config::{
     fields::{Field, SectionSchema},
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn pages_have_every_key() {
+fn pages_list_every_key_with_range_unit_and_default() {
     struct Case {
         page: &'static str,
         text: &'static str,
@@ -33,19 +33,19 @@
     }
 }
 
-/// The rows under a heading, without the meaning.
+/// Table rows under a heading, without the description column.
 fn rows_of(page: &str, heading: &str) -> Vec<String> {
     let start = format!("## [{heading}]\n");
     let (_, rest) = page.split_once(&start).expect(heading);
     let section = rest.split("\n## ").next().unwrap();
     let rows = section.lines().filter(|line| line.starts_with("| `"));
-    rows.map(without_meaning).collect()
+    rows.map(without_description).collect()
 }
 
-fn without_meaning(row: &str) -> String {
+fn without_description(row: &str) -> String {
     let cells: Vec<&str> = row.split(" | ").collect();
-    let (meaning, cells) = cells.split_last().unwrap();
-    assert!(meaning.len() > " |".len(), "{row}");
+    let (description, cells) = cells.split_last().unwrap();
+    assert!(description.len() > " |".len(), "{row}");
     cells.join(" | ")
 }
 
--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Manifests split, joined and compared.
+//! Splitting manifests into parts, reassembling and comparing them.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     Manifest::try_parse("m.ini", text).unwrap().to_sections()
 }
 
-/// A fleet far larger than today's.
+/// Sections of a large fleet.
 fn many_sections() -> Sections {
     let body = |index| format!("weight = {index}\n");
     let section = |index| (format!("account a{index}"), body(index));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn parts_join_to_the_same_sections() {
+fn parts_reassemble_to_the_same_sections() {
     for sections in [sections(), many_sections(), Sections::new()] {
         let parts = Parts::from_sections(&sections);
         let root = encode_root(&parts.root);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_manifest_without_sections_is_256_empty_buckets() {
+fn a_manifest_without_sections_has_only_empty_buckets() {
     let parts = Parts::from_sections(&Sections::new());
     let empty = PartDigest::of_empty_bucket();
     assert_eq!(parts.root, [empty; BUCKET_COUNT]);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn one_changed_section_changes_one_part() {
+fn changing_one_section_changes_one_bucket() {
     let old = many_sections();
     let mut new = old.clone();
     new.insert("account a7".to_owned(), "weight = 8\n".to_owned());
@@ -59,17 +59,17 @@
 
 type Bodies = BTreeMap<PartDigest, Vec<u8>>;
 
-fn error(root: &[PartDigest], bodies: &Bodies) -> Option<PartsError> {
+fn assemble_error(root: &[PartDigest], bodies: &Bodies) -> Option<PartsError> {
     assemble(root, bodies).err()
 }
 
 #[test]
-fn wrong_parts_are_refused() {
+fn invalid_parts_are_rejected() {
     let parts = Parts::from_sections(&sections());
     let first = parts.root[0];
     let mut swapped = parts.root.clone();
-    let full = |digest: &PartDigest| parts.bodies[digest].len() > 2;
-    let from = parts.root.iter().position(full).unwrap();
+    let has_sections = |digest: &PartDigest| parts.bodies[digest].len() > 2;
+    let from = parts.root.iter().position(has_sections).unwrap();
     let to = (from + 1) % BUCKET_COUNT;
     swapped[to] = parts.root[from];
     let garbage = PartDigest::of(b"garbage");
@@ -80,23 +80,23 @@
     changed.bodies.insert(first, b"garbage".to_vec());
 
     assert_eq!(
-        error(&parts.root, &BTreeMap::new()),
+        assemble_error(&parts.root, &BTreeMap::new()),
         Some(PartsError::Missing { digest: first }),
     );
     assert_eq!(
-        error(&changed.root, &changed.bodies),
+        assemble_error(&changed.root, &changed.bodies),
         Some(PartsError::DigestMismatch { expected: first, actual: garbage }),
     );
     assert_eq!(
-        error(&unreadable.root, &unreadable.bodies),
+        assemble_error(&unreadable.root, &unreadable.bodies),
         Some(PartsError::Unreadable { digest: garbage }),
     );
     assert!(matches!(
-        error(&swapped, &parts.bodies),
+        assemble_error(&swapped, &parts.bodies),
         Some(PartsError::WrongBucket { .. }),
     ));
     assert_eq!(
-        error(&parts.root[1..], &parts.bodies),
+        assemble_error(&parts.root[1..], &parts.bodies),
         Some(PartsError::BucketCount { count: BUCKET_COUNT - 1 }),
     );
     assert_eq!(
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn difference_reads_well() {
+fn differences_are_displayed_by_section() {
     let old = sections();
     let mut new = old.clone();
     new.remove("data-centre hall-b");
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,5 +1,5 @@
-//! What holds for any text and any manifest. Seeds are fixed, so that a run
-//! says the same everywhere.
+//! Properties of arbitrary texts and manifests. Seeds are fixed, so that runs
+//! are reproducible.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,34 +29,34 @@
     }
 }
 
-/// Pieces of files, parted by `~`, so that random text gets past the first
-/// checks.
-const PIECES: &str = "[node]~[service a]~[path a b]~[account a]~[~]~[[a]]~\
+/// Fragments of files, separated by `~`. Text generated from them passes the
+/// first checks more often than arbitrary text.
+const FRAGMENTS: &str = "[node]~[service a]~[path a b]~[account a]~[~]~[[a]]~\
     [backend-server a]~role = side~role = entry~kind = language~=~:~\"~'~#~\
     first-layer = 3~end-layer = 1~services = a, b~key-digests = ,~;~ ~\t~\r~\
     service = a~path = //~weight = 99999999999999999999~\\~\n~\n~\n~\u{feff}~\
     \u{85}~\u{2028}~\0~a~\u{1f330}~inner-address = [::1]:1";
 
-fn pieces() -> impl Strategy<Value = String> {
-    let pieces: Vec<&str> = PIECES.split('~').collect();
-    let piece = prop::sample::select(pieces);
-    vec(piece, 0..60).prop_map(|pieces| pieces.concat())
+fn fragments() -> impl Strategy<Value = String> {
+    let fragments: Vec<&str> = FRAGMENTS.split('~').collect();
+    let fragment = prop::sample::select(fragments);
+    vec(fragment, 0..60).prop_map(|fragments| fragments.concat())
 }
 
-/// An example with a stretch replaced.
-fn damaged() -> impl Strategy<Value = String> {
+/// An example file with a random range replaced.
+fn corrupted_file() -> impl Strategy<Value = String> {
     let texts = [
         include_str!("../../../examples/side.ini"),
         include_str!("../../../examples/entry.ini"),
         include_str!("manifest.ini"),
     ];
     let text = prop::sample::select(texts.to_vec());
-    let stretch = (any::<prop::sample::Index>(), 0..30_usize, pieces());
-    (text, stretch).prop_map(|(text, (at, length, piece))| {
+    let replacement = (any::<prop::sample::Index>(), 0..30_usize, fragments());
+    (text, replacement).prop_map(|(text, (at, length, fragment))| {
         let mut chars: Vec<char> = text.chars().collect();
         let start = at.index(chars.len());
         let end = (start + length).min(chars.len());
-        chars.splice(start..end, piece.chars());
+        chars.splice(start..end, fragment.chars());
         chars.into_iter().collect()
     })
 }
@@ -65,12 +65,12 @@
     let line_count = text.lines().count();
     for finding in findings.iter().flat_map(|findings| findings.iter()) {
         assert!(finding.line.unwrap_or(1) <= line_count.max(1));
-        // The index leaves the library nothing that it can't read.
+        // The INI library only receives lines that it can parse.
         assert!(!finding.message.contains("read as INI"), "{finding}");
     }
 }
 
-fn check_any(text: &str) {
+fn check_both_parsers(text: &str) {
     check_findings(text, DaemonSettings::try_parse("f", text).err());
     check_findings(text, Manifest::try_parse("f", text).err());
 }
@@ -79,18 +79,18 @@
     #![proptest_config(config(400))]
 
     #[test]
-    fn any_text_is_read_without_panic(text in any::<String>()) {
-        check_any(&text);
+    fn arbitrary_text_does_not_panic(text in any::<String>()) {
+        check_both_parsers(&text);
     }
 
     #[test]
-    fn any_pieces_are_read_without_panic(text in pieces()) {
-        check_any(&text);
+    fn arbitrary_fragments_do_not_panic(text in fragments()) {
+        check_both_parsers(&text);
     }
 
     #[test]
-    fn any_damaged_file_is_read_without_panic(text in damaged()) {
-        check_any(&text);
+    fn corrupted_files_do_not_panic(text in corrupted_file()) {
+        check_both_parsers(&text);
     }
 }
 
@@ -98,7 +98,7 @@
     #![proptest_config(config(100))]
 
     #[test]
-    fn manifest_is_the_same_after_writing(manifest in manifest()) {
+    fn manifests_survive_a_round_trip(manifest in manifest()) {
         let text = manifest.to_ini();
         let read = Manifest::try_parse("m.ini", &text);
         prop_assert_eq!(read.as_ref(), Ok(&manifest), "{}", text);
@@ -113,19 +113,22 @@
 
 const LAYER_COUNT: u32 = 64;
 
-/// What varies: cuts of the layers, an account's weight and whether it uses
-/// the plain service, numbers for the rest.
-type Seeds = (BTreeSet<u32>, Vec<(u32, bool)>, (u32, u64));
+/// Random inputs of a manifest: boundaries of layer ranges, weight of each
+/// account and whether the account uses the plain service, and two numbers for
+/// the other values.
+type Inputs = (BTreeSet<u32>, Vec<(u32, bool)>, (u32, u64));
 
 fn manifest() -> impl Strategy<Value = Manifest> {
-    let cuts = btree_set(1..LAYER_COUNT, 0..6);
+    let boundaries = btree_set(1..LAYER_COUNT, 0..6);
     let accounts = vec((1..=10_000_u32, any::<bool>()), 1..6);
     let numbers = (0..=100_u32, 2_048..=100_000_u64);
-    (cuts, accounts, numbers).prop_map(build)
+    (boundaries, accounts, numbers).prop_map(build_manifest)
 }
 
-/// The base manifest with everything changed that may vary.
-fn build((cuts, accounts, (percent, number)): Seeds) -> Manifest {
+/// Builds a manifest from the base manifest and the random inputs.
+fn build_manifest(
+    (boundaries, accounts, (percent, number)): Inputs,
+) -> Manifest {
     let base = include_str!("manifest.ini");
     let mut manifest = Manifest::try_parse("m.ini", base).unwrap();
     manifest.deployment.recovery_weight_percent = percent;
@@ -147,7 +150,7 @@
     let objective_key = ("chat".to_owned(), "c0".to_owned());
     manifest.objectives = BTreeMap::from([(objective_key, objective)]);
     manifest.accounts = accounts.iter().enumerate().map(account).collect();
-    split_layers(&mut manifest.backend_servers, cuts, number);
+    split_layers(&mut manifest.backend_servers, boundaries, number);
     manifest
 }
 
@@ -186,13 +189,13 @@
 
 fn split_layers(
     servers: &mut BTreeMap<String, BackendServer>,
-    cuts: BTreeSet<u32>,
+    boundaries: BTreeSet<u32>,
     number: u64,
 ) {
     let template = servers.remove("e1").unwrap();
     servers.remove("e2");
     let mut first_layer = 0;
-    for end_layer in cuts.into_iter().chain([LAYER_COUNT]) {
+    for end_layer in boundaries.into_iter().chain([LAYER_COUNT]) {
         let server = BackendServer {
             first_layer,
             end_layer,
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: defaults, ranges and checks across keys.
+//! Parsing of daemon settings: defaults, ranges and checks across keys.
 
 use std::path::Path;
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn entry_has_defaults() {
+fn missing_keys_of_an_entry_have_defaults() {
     let expected = EntrySettings {
         node: node(),
         http_address: "10.0.0.1:80".parse().unwrap(),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn side_has_defaults() {
+fn missing_keys_of_a_side_process_have_defaults() {
     let backend = BackendSettings {
         name: "e1".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn seed_peers_are_read_in_order() {
+fn seed_peers_keep_their_order_and_are_limited() {
     let text =
         ENTRY.replace("role", "seed-peers = 10.0.0.3:3,10.0.0.2:3\nrole");
     let settings = DaemonSettings::try_parse("e.ini", &text).unwrap();
@@ -112,7 +112,7 @@
     let many = many.collect::<Vec<_>>().join(", ");
     let text = ENTRY.replace("role", &format!("seed-peers = {many}\nrole"));
     let expected = "f.ini:2: [node] seed-peers: 65 addresses; \
-         there may be 64 at most";
+         at most 64 are allowed";
     assert_eq!(findings(&text), [expected]);
 }
 
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn faults_are_found_with_their_place() {
+fn errors_are_reported_with_their_location() {
     struct Case {
-        /// A text of the entry's settings and what stands in its place.
+        /// Text of the entry settings and its replacement.
         change: (&'static str, &'static str),
         findings: &'static [&'static str],
     }
@@ -157,8 +157,10 @@
         },
         Case {
             change: ("10.0.0.1:2", "10.0.0.1:1"),
-            findings: &["f.ini:6: [node] ops-address: 10.0.0.1:1 is also \
-                 [node] inner-address"],
+            findings: &[
+                "f.ini:6: [node] ops-address: 10.0.0.1:1 is also used \
+                 by [node] inner-address",
+            ],
         },
         Case {
             change: ("10.0.0.1:2", "10.0.0.1:0"),
@@ -170,7 +172,7 @@
         Case {
             change: ("10.0.9.1:1", "0.0.0.0:1"),
             findings: &["f.ini:9: [platform] table-address: \
-                 0.0.0.0:1 is no address to connect to"],
+                 0.0.0.0:1 is not a valid address to connect to"],
         },
         Case {
             change: ("[platform]", "drain-limit-ms = 2000\n[platform]"),
@@ -184,17 +186,18 @@
         },
         Case {
             change: ("role", "seed-peers = 10.0.0.2:3, 10.0.0.2:3\nrole"),
-            findings: &["f.ini:2: [node] seed-peers: 10.0.0.2:3 stands twice"],
+            findings: &["f.ini:2: [node] seed-peers: 10.0.0.2:3 is listed \
+                 twice"],
         },
         Case {
             change: ("role", "seed-peers = 10.0.0.2:3, 0.0.0.0:3\nrole"),
             findings: &["f.ini:2: [node] seed-peers: \
-                 0.0.0.0:3 is no address to connect to"],
+                 0.0.0.0:3 is not a valid address to connect to"],
         },
         Case {
             change: ("role", "seed-peers =\nrole"),
-            findings: &["f.ini:2: [node] seed-peers: empty list; \
-                 it needs one item or more"],
+            findings: &["f.ini:2: [node] seed-peers: the list is empty; it \
+                 must have at least one item"],
         },
         Case {
             change: ("[entry]", "[links]\nsilence-limit-ms = 399\n[entry]"),
@@ -211,7 +214,7 @@
             findings: &[
                 "f.ini:13: [entry] claim-batch: \"1e3\" is not a whole \
                  number; it must be 1..=10000 claims",
-                "f.ini:14: [entry] claim-batch: doubled key; \
+                "f.ini:14: [entry] claim-batch: duplicate key; \
                  the first is on line 13",
             ],
         },
@@ -228,8 +231,8 @@
             change: ("[entry]", "[entry]\n[side]\n[entry]\n[gate]\n[log x]"),
             findings: &[
                 "f.ini:12: [entry] http-address: missing key",
-                "f.ini:13: [side]: section is not for the role entry",
-                "f.ini:14: [entry]: doubled section; \
+                "f.ini:13: [side]: section does not apply to the role entry",
+                "f.ini:14: [entry]: duplicate section; \
                  the first is on line 12",
                 "f.ini:15: [gate]: unknown section",
                 "f.ini:16: [log x]: must be written [log]",
@@ -240,15 +243,15 @@
             findings: &[
                 "f.ini:12: not a heading such as [service NAME]",
                 "f.ini:13: not a heading, an entry or a comment",
-                "f.ini:14: holds a control character",
-                "f.ini:15: holds a backslash; \
-                 values can't be escaped or continued",
+                "f.ini:14: contains a control character",
+                "f.ini:15: contains a backslash; escapes and line \
+                 continuations are not supported",
             ],
         },
         Case {
             change: ("[node]", "early = 1\n[node]\nBig = 1"),
             findings: &[
-                "f.ini:1: early: stands before the first section",
+                "f.ini:1: early: entry is before the first section",
                 "f.ini:3: [node] Big: not a key: a-z, 0-9 and - only",
             ],
         },
@@ -262,12 +265,12 @@
 }
 
 #[test]
-fn side_faults_are_found() {
+fn errors_of_a_side_process_are_reported() {
     let text = side() + "[backend-server e2]\naddress = 127.0.0.1:9\n";
     let text = text + "[side]\nrun-once-retention-ms = 59999\n";
     let text = text + "step-timeout-ms = 500\nprefill-timeout-ms = 400\n";
     let expected = [
-        "f.ini:15: [backend-server e2] address: 127.0.0.1:9 is also \
+        "f.ini:15: [backend-server e2] address: 127.0.0.1:9 is also used by \
          [backend-server e1] address",
         "f.ini:17: [side] run-once-retention-ms: 59999 is out of range; \
          it must be 60000..=86400000 ms",
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn missing_keys_have_no_line_without_their_section() {
+fn missing_keys_of_a_missing_section_have_no_line() {
     let expected = [
         "f.ini: [platform] table-address: missing key",
         "f.ini: [platform] object-address: missing key",
@@ -294,7 +297,7 @@
 }
 
 #[test]
-fn form_of_the_file_is_free() {
+fn formatting_of_the_file_does_not_matter() {
     let text = ENTRY
         .replace("role = entry", "; comment\n\n   role:entry")
         .replace("[node]", "\u{feff}  [ node ]  ")
@@ -304,7 +307,7 @@
 }
 
 #[test]
-fn unreadable_file_is_a_finding() {
+fn an_unreadable_file_is_reported() {
     let path = Path::new("no/such/file.ini");
     let findings = DaemonSettings::try_load(path).unwrap_err();
     let finding = findings.iter().next().unwrap();
