--- a/crates/config/tests/parts.rs
+++ b/crates/config/tests/parts.rs
@@ -18,7 +18,7 @@
     Manifest::try_parse("m.ini", text).unwrap().to_sections()
 }
 
-/// Sections of a large fleet.
+/// Sections of a fleet that is much larger than current deployments.
 fn many_sections() -> Sections {
     let body = |index| format!("weight = {index}\n");
     let section = |index| (format!("account a{index}"), body(index));
