--- a/crates/config/src/manifest/checks.rs
+++ b/crates/config/src/manifest/checks.rs
@@ -1,13 +1,13 @@
-//! What must hold across the sections of a manifest.
+//! Validation across the sections of a manifest.
 //!
-//! Each check names the section that an operator would change. Where a
-//! section couldn't be read, checks that need all of its kind don't run, so
-//! that one fault isn't told twice.
+//! A finding refers to the section that an operator would change. If a section
+//! could not be parsed, checks that need all sections of this kind are
+//! skipped, so that an error is not reported twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Manifest, tables::*};
-use crate::{findings::Findings, sheet::Sheet};
+use super::{Manifest, schema::*};
+use crate::{findings::Findings, section_index::SectionIndex};
 
 mod accounts;
 mod servers;
@@ -16,10 +16,10 @@
 /// Runs every check.
 pub(super) fn check(
     manifest: &Manifest,
-    sheet: &Sheet<'_>,
+    index: &SectionIndex<'_>,
     findings: &mut Findings,
 ) {
-    let mut checker = Checker { manifest, sheet, findings };
+    let mut checker = Checker { manifest, index, findings };
     checker.check_paths();
     checker.check_services();
     checker.check_accounts();
@@ -30,49 +30,50 @@
 
 struct Checker<'a> {
     manifest: &'a Manifest,
-    sheet: &'a Sheet<'a>,
+    index: &'a SectionIndex<'a>,
     findings: &'a mut Findings,
 }
 
 impl Checker<'_> {
     fn report(&mut self, heading: &str, key: &str, message: String) {
-        let finding = self.sheet.place(heading).finding(key, message);
+        let finding = self.index.location(heading).finding(key, message);
         self.findings.push(finding);
     }
 
-    /// Reports a reference to a section that the file doesn't have. One that
-    /// is there and wrong itself counts as known.
+    /// Reports a reference to a section that is not in the file. A section
+    /// that is in the file but invalid counts as known.
     fn check_reference(
         &mut self,
         heading: &str,
         key: &str,
-        word: &str,
+        keyword: &str,
         name: &str,
     ) {
-        if !self.sheet.has(&format!("{word} {name}")) {
+        if !self.index.contains(&format!("{keyword} {name}")) {
             let message =
-                format!("unknown {}: {name}", word.replace('-', " "));
+                format!("unknown {}: {name}", keyword.replace('-', " "));
             self.report(heading, key, message);
         }
     }
 
-    /// Whether every section with `word` was read.
-    fn is_complete(&self, word: &str, read: usize) -> bool {
-        self.sheet.names(word).len() == read
+    /// Whether all sections with `keyword` were parsed, given the number of
+    /// parsed ones.
+    fn all_were_read(&self, keyword: &str, read_count: usize) -> bool {
+        self.index.names(keyword).len() == read_count
     }
 
     fn check_paths(&mut self) {
         for (a, b) in self.manifest.paths.keys() {
-            let written = format!("{PATH_WORD} {a} {b}");
-            let reversed = format!("{PATH_WORD} {b} {a}");
-            let is_written = self.sheet.has(&written);
+            let written = format!("{PATH_KEYWORD} {a} {b}");
+            let reversed = format!("{PATH_KEYWORD} {b} {a}");
+            let is_written = self.index.contains(&written);
             let heading = if is_written { written } else { reversed };
             if a == b {
                 let message = "a path needs two data centres".to_owned();
                 self.report(&heading, "", message);
             }
             for name in BTreeSet::from([a, b]) {
-                self.check_reference(&heading, "", DATA_CENTRE_WORD, name);
+                self.check_reference(&heading, "", DATA_CENTRE_KEYWORD, name);
             }
         }
     }
@@ -82,11 +83,12 @@
         let accounts = &manifest.accounts;
         let classes: BTreeSet<&str> =
             accounts.values().map(|account| account.class.as_str()).collect();
-        let knows_classes = self.is_complete(ACCOUNT_WORD, accounts.len());
+        let all_accounts_were_read =
+            self.all_were_read(ACCOUNT_KEYWORD, accounts.len());
         for (service, class) in manifest.objectives.keys() {
-            let heading = format!("{OBJECTIVE_WORD} {service} {class}");
-            self.check_reference(&heading, "", SERVICE_WORD, service);
-            if knows_classes && !classes.contains(class.as_str()) {
+            let heading = format!("{OBJECTIVE_KEYWORD} {service} {class}");
+            self.check_reference(&heading, "", SERVICE_KEYWORD, service);
+            if all_accounts_were_read && !classes.contains(class.as_str()) {
                 let message = format!("no account has the class {class}");
                 self.report(&heading, "", message);
             }
@@ -94,14 +96,15 @@
     }
 }
 
-/// The first user of each value; a later one is told who that is.
+/// First user of each value, for reports of values that must not be shared.
 #[derive(Default)]
-struct Users<'a> {
+struct FirstUsers<'a> {
     first: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Users<'a> {
-    fn add(&mut self, value: &'a str, user: &'a str) -> Option<&'a str> {
+impl<'a> FirstUsers<'a> {
+    /// Records a user; returns the first user of the value if that is another.
+    fn insert(&mut self, value: &'a str, user: &'a str) -> Option<&'a str> {
         let first = self.first.entry(value).or_insert(user);
         (*first != user).then_some(*first)
     }
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -84,7 +84,7 @@
         match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
             RestNotice::None => return,
             RestNotice::Malformed => {
-                return core.metrics.malformed_rests.inc();
+                return core.metrics.malformed_cooldowns.inc();
             }
             RestNotice::For(cooldown) => cooldown,
         };
@@ -96,7 +96,7 @@
         state.cooldown_until_ms
     };
     core.fleet.record_cooldown(until_ms);
-    core.metrics.rests_asked.inc();
+    core.metrics.cooldowns_requested.inc();
     emit(
         Event::RestAsked,
         &[
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -128,7 +128,7 @@
         };
         match written {
             Ok(ClaimOutcome::Acquired) => {
-                self.record_result(ClaimResult::Taken);
+                self.record_result(ClaimResult::Acquired);
                 self.claim = Some(claim);
                 self.replaced_claim = None;
                 AcquireResult::Available
@@ -192,10 +192,10 @@
     }
 
     fn record_result(&self, result: ClaimResult) {
-        if result == ClaimResult::Taken {
+        if result == ClaimResult::Acquired {
             self.entry.store_outage.record_success();
         }
-        self.entry.metrics.claim(result);
+        self.entry.metrics.record_claim(result);
     }
 
     /// Records the outcome in the claim, for repeated requests.
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -130,11 +130,11 @@
     };
     match decide(held, digest, owner, unix_s()) {
         RepeatAction::Replay(answer) => {
-            entry.metrics.claim(ClaimResult::Repeated);
+            entry.metrics.record_claim(ClaimResult::Repeated);
             Resolution::Respond(replay(answer))
         }
         RepeatAction::KeyReused => {
-            entry.metrics.claim(ClaimResult::KeyReused);
+            entry.metrics.record_claim(ClaimResult::KeyReused);
             let detail =
                 "the idempotency key was used for a different request";
             not_run(NotRunReason::KeyReused, None, detail)
--- a/crates/platform/src/manifest_store/mod.rs
+++ b/crates/platform/src/manifest_store/mod.rs
@@ -218,7 +218,7 @@
         };
         let mut new =
             parts.new_bodies(existing.as_deref().unwrap_or_default());
-        new.remove(&PartDigest::of_empty());
+        new.remove(&PartDigest::of_empty_bucket());
         let puts = new.into_iter().map(|(digest, body)| async move {
             let key = ObjectDigest::Part(digest).key();
             self.objects.put(&key, body).await
