--- a/crates/direct/src/by_service.rs
+++ b/crates/direct/src/by_service.rs
@@ -1,49 +1,48 @@
-//! Something that an entry keeps for each service, by its name.
+//! Per-service state, keyed by service name.
 
 use std::{
     collections::BTreeMap,
     sync::{Mutex, MutexGuard},
 };
 
-/// One value a service, made when it is first changed.
+/// One value per service, created by its first update.
 #[derive(Debug, Default)]
 pub(crate) struct ByService<T> {
     values: Mutex<BTreeMap<String, T>>,
 }
 
 impl<T: Default> ByService<T> {
-    /// Changes the value of a service.
-    pub(crate) fn change<R>(
+    /// Updates the value of a service.
+    pub(crate) fn update<R>(
         &self,
         service: &str,
-        change: impl FnOnce(&mut T) -> R,
+        update: impl FnOnce(&mut T) -> R,
     ) -> R {
         let mut values = self.lock();
-        // Names are copied only once for each service: this stands on the
-        // path of every request.
+        // `entry` would copy the name, and this runs for every request.
         match values.get_mut(service) {
-            Some(value) => change(value),
-            None => change(values.entry(service.to_owned()).or_default()),
+            Some(value) => update(value),
+            None => update(values.entry(service.to_owned()).or_default()),
         }
     }
 
-    /// Looks at the value of a service; none before its first change.
-    pub(crate) fn look<R>(
+    /// Reads the value of a service; `None` before its first update.
+    pub(crate) fn read<R>(
         &self,
         service: &str,
-        look: impl FnOnce(&T) -> R,
+        read: impl FnOnce(&T) -> R,
     ) -> Option<R> {
-        self.lock().get(service).map(look)
+        self.lock().get(service).map(read)
     }
 
-    /// Takes something of each, with the names.
-    pub(crate) fn of_each<R>(
+    /// Applies a function to each value; the results with the service names.
+    pub(crate) fn map_each<R>(
         &self,
-        mut of: impl FnMut(&mut T) -> R,
+        mut map: impl FnMut(&mut T) -> R,
     ) -> Vec<(String, R)> {
         let mut values = self.lock();
         let named =
-            |(name, value): (&String, &mut T)| (name.clone(), of(value));
+            |(name, value): (&String, &mut T)| (name.clone(), map(value));
         values.iter_mut().map(named).collect()
     }
 
--- a/crates/direct/src/clock.rs
+++ b/crates/direct/src/clock.rs
@@ -1,11 +1,12 @@
 //! The clock of an entry.
 //!
-//! It counts the time that the VM was suspended: what was confirmed before a
-//! suspension is older after it, which the usual steady clock would hide.
+//! The clock includes the time for which the VM was suspended. A monotonic
+//! clock without that time would make a confirmation from before a suspension
+//! look recent.
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Milliseconds since the VM started.
+/// Milliseconds since the VM booted.
 pub(crate) fn now_ms() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry share.
+//! State shared by the tasks of an entry.
 
 use std::sync::{
     Arc, Mutex,
@@ -28,25 +28,26 @@
     subscribers::Subscribers,
 };
 
-/// Time left of the bound on withdrawn keys when they are refused: a request
-/// is checked a little after it was sent.
+/// Margin by which access keys are rejected before the limit on revoked keys:
+/// a request is checked some time after it was sent.
 const REVOKE_MARGIN_MS: u64 = 400;
 
-/// Share of the bound on further arrivals that a process uses within its
-/// first window: with the share of the one before it, the bound holds.
-const SHARE_WHILE_NEW: f64 = 0.3;
+/// Share of the retry limit that a process uses within its first window. The
+/// retries of the previous process count in the same window, and both together
+/// stay within the limit.
+const STARTUP_RETRY_SHARE: f64 = 0.3;
 
-/// A process younger than this does not stand in for the planner: it has not
-/// heard all others yet, and a first planner is found within 1 s.
-const MIN_STAND_IN_AGE_MS: u64 = 3_000;
+/// Minimum uptime of a deputy planner. A younger process has not received
+/// messages from all peers yet, and a first planner is elected within 1 s.
+const MIN_DEPUTY_UPTIME_MS: u64 = 3_000;
 
-/// Why an entry is not ready.
+/// Reasons why an entry is not ready.
 pub(crate) const NEEDS_CONFIGURATION: &str = "configuration";
 pub(crate) const NEEDS_BACKENDS: &str = "backends";
 pub(crate) const IS_STOPPING: &str = "stopping";
 pub(crate) const KEYS_STALE: &str = "keys";
 
-/// What the tasks of an entry share.
+/// State shared by the tasks of an entry.
 pub(crate) struct Core {
     pub(crate) settings: NodeSettings,
     pub(crate) boot_id: u64,
@@ -59,43 +60,43 @@
     pub(crate) fleet: Fleet,
     pub(crate) unusable_rows: UnusableRows,
     pub(crate) stream_subscribers: Subscribers,
-    /// Those that wait for a configuration.
+    /// Requests that wait for the first configuration.
     pub(crate) configuration_subscribers: Subscribers,
     pub(crate) path_queues: PathQueues,
     pub(crate) peers: PeerTable,
-    /// What the store holds.
+    /// Copies of the tables of the store.
     pub(crate) feeds: Feeds,
-    /// Port at which this entry answers in place of the store.
+    /// Port at which this entry serves its feeds to other entries.
     pub(crate) feed_port: AtomicU16,
-    /// What was just found of engines.
+    /// Findings that the next alert to the peers reports.
     pub(crate) alerts: Alerts,
     /// Requests under which engines crashed.
     pub(crate) suspects: SuspectTable,
-    /// Permits for backend servers that named a limit.
+    /// Permits for backend servers that announced a rate limit.
     pub(crate) permits: PermitTable,
-    /// Engines that others told that they use.
+    /// Engines that each peer reported using.
     pub(crate) peer_usage: PeerUsage,
-    /// What own requests send between data centres.
+    /// Traffic of this entry's requests between data centres.
     pub(crate) interconnect: InterconnectTraffic,
     retries: ByService<RetryWindow>,
-    first_waits: ByService<FirstEventWaits>,
-    /// What finds room, and what waits for it.
-    pub(crate) room_waits: Arc<ByService<CapacityWaits>>,
+    first_event_waits: ByService<FirstEventWaits>,
+    /// Requests that run or wait for capacity, by service.
+    pub(crate) capacity_waits: Arc<ByService<CapacityWaits>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) readiness: Arc<Readiness>,
-    /// When the stop began; 0 before.
+    /// When the stop began; 0 while the entry runs.
     stopping_ms: AtomicU64,
     pub(crate) in_flight: AtomicUsize,
-    /// Closes once the entry stops.
+    /// Closes when the entry stops.
     pub(crate) closing: async_channel::Receiver<()>,
     pub(crate) is_planner: AtomicBool,
-    /// Orders that were given and do not show yet.
+    /// Orders that were issued and have no visible effect yet.
     pub(crate) pending_orders: AtomicUsize,
-    /// The moves among them that this entry gave last, with their times.
+    /// Pending moves that this entry issued last, with the times of issue.
     moves: Mutex<Vec<(u64, OpenMove)>>,
-    /// Number of the last lease that this entry gave up.
+    /// Fencing number of the last lease that this entry released.
     pub(crate) released_lease_number: AtomicU64,
-    /// Since when the feed of the configuration fails; 0 if it doesn't.
+    /// Since when reads of the configuration feed fail; 0 while they succeed.
     pub(crate) store_failing_since_ms: AtomicU64,
 }
 
@@ -128,8 +129,8 @@
             peer_usage: PeerUsage::default(),
             interconnect: InterconnectTraffic::default(),
             retries: ByService::default(),
-            first_waits: ByService::default(),
-            room_waits: Arc::default(),
+            first_event_waits: ByService::default(),
+            capacity_waits: Arc::default(),
             metrics: Arc::new(metrics),
             readiness: Arc::new(Readiness::new(&conditions)),
             stopping_ms: AtomicU64::new(0),
@@ -160,8 +161,8 @@
         configuration.as_ref().map_or_else(Limits::default, |c| c.limits)
     }
 
-    /// Puts a configuration in force, unless a newer one is; true if it is
-    /// new here.
+    /// Puts a configuration in force unless the current one is as new; true
+    /// if the configuration in force changed.
     pub(crate) fn apply_configuration(
         &self,
         new: Configuration,
@@ -171,7 +172,7 @@
         if current.is_some_and(|current| current.version >= new.version) {
             return false;
         }
-        note_configuration(&new, row_version);
+        log_configuration(&new, row_version);
         self.metrics.generation.set(new.version as i64);
         self.configuration.store(Some(Arc::new(new)));
         self.readiness.clear(NEEDS_CONFIGURATION);
@@ -179,7 +180,8 @@
         true
     }
 
-    /// The store has confirmed that the configuration was the newest then.
+    /// Records that the store confirmed the configuration as the newest at
+    /// `then_ms`.
     pub(crate) fn record_configuration_confirmed(&self, then_ms: u64) {
         self.confirmed_ms.fetch_max(then_ms, Relaxed);
         if self.were_keys_stale.swap(false, Relaxed) {
@@ -187,7 +189,8 @@
         }
     }
 
-    /// The store did not answer; it counts from the first failure in a row.
+    /// Records that the store did not respond; the outage counts from the
+    /// first failure in a row.
     pub(crate) fn record_store_failure(&self) {
         if self.store_failing_since_ms.load(Relaxed) == 0 {
             self.store_failing_since_ms.store(now_ms(), Relaxed);
@@ -199,8 +202,9 @@
         now_ms().saturating_sub(self.confirmed_ms.load(Relaxed))
     }
 
-    /// Whether a key may be trusted: none may have been withdrawn too long
-    /// ago for this entry to have heard of it.
+    /// Whether access keys may be trusted. They may not once the
+    /// configuration is unconfirmed for so long that a key could have been
+    /// revoked beyond the limit without this entry learning of it.
     pub(crate) fn are_keys_fresh(&self) -> bool {
         let bounds = &self.settings.bounds;
         if !bounds.is_revoke_strict {
@@ -224,7 +228,7 @@
         self.stopping_ms.store(now_ms(), Relaxed);
     }
 
-    /// Time since the stop began; none before.
+    /// Time since the stop began; `None` while the entry runs.
     pub(crate) fn stopping_for_ms(&self) -> Option<u64> {
         match self.stopping_ms.load(Relaxed) {
             0 => None,
@@ -232,13 +236,13 @@
         }
     }
 
-    fn retry_bounds(&self) -> RetryLimit {
+    fn retry_limit(&self) -> RetryLimit {
         let bounds = &self.settings.bounds;
-        // What the process before this one sent still counts, and is not
-        // known here.
+        // Retries of the previous process still count, and their number is
+        // unknown here.
         let age_ms = now_ms().saturating_sub(self.started_ms);
         let share = match age_ms < bounds.retry_window_ms {
-            true => SHARE_WHILE_NEW,
+            true => STARTUP_RETRY_SHARE,
             false => 1.0,
         };
         RetryLimit {
@@ -248,75 +252,76 @@
         }
     }
 
-    /// Counts a client's request to a service.
-    pub(crate) fn note_request(&self, service: &str) {
-        let bounds = self.retry_bounds();
-        let note = |window: &mut RetryWindow| {
-            window.record_request(&bounds, now_ms());
+    /// Counts a caller's request to a service.
+    pub(crate) fn record_request(&self, service: &str) {
+        let limit = self.retry_limit();
+        let record = |window: &mut RetryWindow| {
+            window.record_request(&limit, now_ms());
         };
-        self.retries.change(service, note);
+        self.retries.update(service, record);
     }
 
-    /// What this entry sent to each service within the window.
+    /// Requests and retries that this entry sent in the window, by service.
     pub(crate) fn sent_by_service(&self) -> Vec<(String, SentCounts)> {
-        let bounds = self.retry_bounds();
-        self.retries.of_each(|window| window.counts(&bounds, now_ms()))
+        let limit = self.retry_limit();
+        self.retries.map_each(|window| window.counts(&limit, now_ms()))
     }
 
-    /// Further arrivals that are left of this entry's own part, by service.
-    pub(crate) fn retries_left(&self) -> Vec<(String, f64)> {
-        let bounds = self.retry_bounds();
+    /// Retries left of this entry's own budget, by service.
+    pub(crate) fn remaining_retries(&self) -> Vec<(String, f64)> {
+        let limit = self.retry_limit();
         let entries = self.peers.entry_count();
         self.retries
-            .of_each(|window| window.remaining(&bounds, entries, now_ms()))
+            .map_each(|window| window.remaining(&limit, entries, now_ms()))
     }
 
-    /// How long the store has not answered; 0 if it does.
-    pub(crate) fn store_lost_for_ms(&self) -> u64 {
+    /// How long the store has been unavailable; 0 while it responds.
+    pub(crate) fn store_unavailable_ms(&self) -> u64 {
         match self.store_failing_since_ms.load(Relaxed) {
             0 => 0,
             since_ms => now_ms().saturating_sub(since_ms),
         }
     }
 
-    /// Takes one further arrival at a service from the shared bound.
-    pub(crate) fn take_retry(&self, service: &str) -> bool {
-        let bounds = self.retry_bounds();
+    /// Takes one retry at a service from the limit that all entries share.
+    pub(crate) fn try_take_retry(&self, service: &str) -> bool {
+        let limit = self.retry_limit();
         let entries = self.peers.entry_count();
         let others = self.peers.sent_by_peers(service);
         let take = |window: &mut RetryWindow| {
-            window.try_take(&bounds, entries, &others, now_ms())
+            window.try_take(&limit, entries, &others, now_ms())
         };
-        self.retries.change(service, take)
+        self.retries.update(service, take)
     }
 
-    /// A stream that was sent then has its first event.
-    pub(crate) fn note_first_event(&self, service: &str, sent_ms: u64) {
-        let note =
+    /// Records the first event of a stream that was sent at `sent_ms`.
+    pub(crate) fn record_first_event(&self, service: &str, sent_ms: u64) {
+        let record =
             |waits: &mut FirstEventWaits| waits.record(sent_ms, now_ms());
-        self.first_waits.change(service, note);
+        self.first_event_waits.update(service, record);
     }
 
-    /// Whether a stream that was sent then will hardly begin any more.
+    /// Whether a stream that was sent at `sent_ms` without a first event is
+    /// unlikely to get one.
     pub(crate) fn is_overdue(
         &self,
         service: &str,
         sent_ms: u64,
-        least_ms: u64,
+        min_ms: u64,
     ) -> bool {
         let is_overdue = |waits: &FirstEventWaits| {
-            waits.is_overdue(sent_ms, least_ms, now_ms())
+            waits.is_overdue(sent_ms, min_ms, now_ms())
         };
-        self.first_waits.look(service, is_overdue).unwrap_or(false)
+        self.first_event_waits.read(service, is_overdue).unwrap_or(false)
     }
 
-    /// How long streams of a service usually wait for their first event.
-    pub(crate) fn usual_first_ms(&self, service: &str) -> Option<u64> {
-        self.first_waits.look(service, FirstEventWaits::median_ms)?
+    /// Median of the recent waits for the first event of a service's streams.
+    pub(crate) fn median_first_event_ms(&self, service: &str) -> Option<u64> {
+        self.first_event_waits.read(service, FirstEventWaits::median_ms)?
     }
 
-    /// Tells that a request may not be sent again now.
-    pub(crate) fn note_retry_denied(&self, service: &str, request: &str) {
+    /// Counts and logs that the retry limit forbids another attempt.
+    pub(crate) fn record_retry_denied(&self, service: &str, request: &str) {
         self.metrics.service(service).retries_denied.inc();
         emit(
             Event::RetryBudgetSpent,
@@ -324,50 +329,52 @@
         );
     }
 
-    /// Keeps the moves that this planner ordered and that do not show yet,
-    /// with the times at which they were given.
+    /// Sets the pending moves that this planner issued, with the times of
+    /// issue.
     pub(crate) fn set_open_moves(&self, moves: Vec<(u64, OpenMove)>) {
         *self.moves.lock().expect("no holder panics") = moves;
         self.apply_moves(&self.open_moves());
     }
 
-    /// Takes that engines are about to give layers up: requests leave those
-    /// before the order comes, so that it need not wait for them to end.
+    /// Applies announced moves of engines. Requests leave the layers that an
+    /// engine is about to release, so that the order need not wait for those
+    /// requests to end.
     pub(crate) fn apply_moves(&self, moves: &[OpenMove]) {
         if self.fleet.apply_moves(moves) {
             self.stream_subscribers.notify_all();
         }
     }
 
-    /// Moves of engines of a service that this entry last gave.
+    /// Pending moves of a service's engines that this entry issued.
     pub(crate) fn issued_moves(&self, service: &str) -> Vec<(u64, OpenMove)> {
         let moves = self.moves.lock().expect("no holder panics");
         let of_service = moves.iter().filter(|m| m.1.service == service);
         of_service.cloned().collect()
     }
 
-    /// The same of all services, with their ages.
+    /// Pending moves of all services that this entry issued, with their ages.
     pub(crate) fn open_moves(&self) -> Vec<OpenMove> {
         let now_ms = now_ms();
         let moves = self.moves.lock().expect("no holder panics");
-        let aged = |(given_ms, given): &(u64, OpenMove)| {
-            let age_ms = now_ms.saturating_sub(*given_ms) as u32;
-            OpenMove { age_ms, ..given.clone() }
+        let aged = |(issued_ms, issued): &(u64, OpenMove)| {
+            let age_ms = now_ms.saturating_sub(*issued_ms) as u32;
+            OpenMove { age_ms, ..issued.clone() }
         };
         moves.iter().map(aged).collect()
     }
 
-    /// Whether this entry gives the orders that need no lease: no holder is
-    /// heard of, and it comes first among the entries that are heard.
+    /// Whether this entry issues the orders that need no lease: no lease
+    /// holder is known, and this entry has the lowest boot id of the live
+    /// entries.
     pub(crate) fn is_deputy_planner(&self) -> bool {
         let now_ms = now_ms();
-        now_ms.saturating_sub(self.started_ms) >= MIN_STAND_IN_AGE_MS
+        now_ms.saturating_sub(self.started_ms) >= MIN_DEPUTY_UPTIME_MS
             && self.stopping_for_ms().is_none()
             && !self.peers.has_planner(now_ms)
             && self.peers.has_lowest_boot_id(self.boot_id, now_ms)
     }
 
-    /// Other entries of this data centre that are heard and go on.
+    /// Boot ids of the live peers in this data centre that are not stopping.
     pub(crate) fn live_peers_in_data_centre(&self) -> Vec<u64> {
         self.peers.live_in(&self.settings.data_centre, now_ms())
     }
@@ -377,12 +384,13 @@
         now_ms().saturating_sub(self.started_ms)
     }
 
-    /// Other entries whose use of engines is not known yet.
+    /// Number of peers that have not reported their usage of engines yet.
     pub(crate) fn entries_without_report(&self) -> u64 {
         self.peers.without_report_count() as u64
     }
 
-    /// Index of a data centre; a name that the settings lack is the last.
+    /// Index of a data centre; the count of data centres for a name that the
+    /// settings lack.
     pub(crate) fn data_centre_index(&self, name: &str) -> usize {
         let names = &self.settings.data_centres;
         names.iter().position(|n| n == name).unwrap_or(names.len())
@@ -393,7 +401,7 @@
     }
 }
 
-fn note_configuration(new: &Configuration, row_version: u64) {
+fn log_configuration(new: &Configuration, row_version: u64) {
     emit(
         Event::ConfigurationInForce,
         &[
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -28,21 +28,21 @@
     request::callers,
 };
 
-/// Descriptors left for engines, peers and files.
-const OTHER_DESCRIPTORS: usize = 600;
-/// Descriptors of one client's request: its own and an engine's.
-const DESCRIPTORS_EACH: usize = 2;
-/// Time of the grace left when what still runs is cut.
-const CUT_BEFORE_MS: u64 = 350;
-/// Time between looks at what still runs.
-const LOOK: Duration = Duration::from_millis(20);
-/// A stop lasts at least so long: after the port has closed, what connected
-/// just before still sends its request.
-const LEAST_STOP_MS: u64 = callers::TAKE_WHILE_STOPPING_MS + 100;
-/// Connections of the balancer at once.
+/// File descriptors reserved for engines, peers and files.
+const RESERVED_DESCRIPTORS: usize = 600;
+/// File descriptors per request: the caller's connection and the engine's.
+const DESCRIPTORS_PER_REQUEST: usize = 2;
+/// Requests that still run are aborted this long before the grace ends.
+const ABORT_MARGIN_MS: u64 = 350;
+/// Interval between checks of the requests in flight during a stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum duration of a stop: callers that connected just before the port
+/// closed still send their requests.
+const MIN_STOP_MS: u64 = callers::ACCEPT_WHILE_STOPPING_MS + 100;
+/// Concurrent connections of the load balancer.
 const MAX_READY_CONNECTIONS: usize = 64;
 
-/// Why an entry could not start.
+/// A port that could not be opened when an entry started.
 #[derive(Debug)]
 pub struct StartError {
     what: &'static str,
@@ -53,7 +53,7 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let StartError { what, address, source } = self;
-        write!(f, "the port for {what} at {address}: {source}")
+        write!(f, "failed to open the port for {what} at {address}: {source}")
     }
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// An entry that passes requests to backend servers itself.
+/// An entry that forwards requests directly to backend servers.
 pub struct DirectEntry {
     core: Arc<Core>,
     lease: Arc<Lease>,
@@ -71,9 +71,9 @@
 }
 
 impl DirectEntry {
-    /// Opens the ports and starts the tasks of an entry. Metrics are at the
-    /// first internal port, and at `metrics_port` as well if that is free:
-    /// an entry that can't be watched still serves.
+    /// Opens the ports and starts the tasks of an entry. Metrics are served at
+    /// the first internal port, and also at `metrics_port` if that is free:
+    /// an entry without metrics there still serves requests.
     ///
     /// # Errors
     ///
@@ -96,10 +96,10 @@
             source,
         })?;
         let ops = listen("metrics", inner)?;
-        let more_ops = metrics_port.and_then(|port| {
+        let extra_ops = metrics_port.and_then(|port| {
             let address = SocketAddr::new(settings.ip, port);
             let listener = listen("metrics", address);
-            listener.map_err(|e| note_port_taken(port, &e)).ok()
+            listener.map_err(|e| log_port_taken(port, &e)).ok()
         });
         let feeds = feed_server::open(&core).map_err(|source| StartError {
             what: "feeds for other entries",
@@ -113,7 +113,7 @@
         executor.spawn(serve_clients(core.clone(), clients)).detach();
         executor.spawn(serve_ready(core.clone(), ready)).detach();
         let state = ops_state(&core);
-        for ops in iter::once(ops).chain(more_ops) {
+        for ops in iter::once(ops).chain(extra_ops) {
             let serve = serve_ops(ops, executor.clone(), state.clone());
             executor.spawn(serve).detach();
         }
@@ -126,11 +126,11 @@
         executor.spawn(engine_watcher::run(core.clone())).detach();
         executor.spawn(probe::recheck(core.clone())).detach();
         executor.spawn(orders::run(core.clone(), lease.clone())).detach();
-        let seek = {
+        let run_lease = {
             let (core, lease) = (core.clone(), lease.clone());
             async move { lease.run(core).await }
         };
-        executor.spawn(seek).detach();
+        executor.spawn(run_lease).detach();
         emit(
             Event::DaemonStarted,
             &[
@@ -143,8 +143,8 @@
         Ok(DirectEntry { core, lease, stop })
     }
 
-    /// Stops taking clients, lets what runs end within the grace, and cuts
-    /// the rest; how many requests were cut.
+    /// Stops accepting requests, waits within the grace for requests in flight
+    /// and aborts the remaining ones. Returns how many were aborted.
     pub async fn stop(self, cause: &str) -> usize {
         let core = &self.core;
         core.begin_stop();
@@ -158,11 +158,11 @@
         self.lease.release(core).await;
         self.stop.close();
         let grace_ms = core.settings.bounds.grace_ms;
-        let limit_ms = grace_ms.saturating_sub(CUT_BEFORE_MS);
+        let limit_ms = grace_ms.saturating_sub(ABORT_MARGIN_MS);
         loop {
             let elapsed_ms = core.stopping_for_ms().unwrap_or(0);
             let open = core.in_flight.load(Relaxed);
-            let is_done = open == 0 && elapsed_ms >= LEAST_STOP_MS;
+            let is_done = open == 0 && elapsed_ms >= MIN_STOP_MS;
             if is_done || elapsed_ms >= limit_ms {
                 emit(
                     Event::DaemonStopped,
@@ -170,7 +170,7 @@
                 );
                 return open;
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
@@ -188,14 +188,14 @@
 
 async fn serve_clients(core: Arc<Core>, listener: Async<TcpListener>) {
     let descriptors = core.settings.max_descriptors;
-    let most = descriptors.saturating_sub(OTHER_DESCRIPTORS);
-    let most = (most / DESCRIPTORS_EACH).max(1);
-    let port = Port::new(listener, "clients", most);
-    let mut is_closed = pin!(port_closes(&core));
+    let max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    let max_connections = (max_connections / DESCRIPTORS_PER_REQUEST).max(1);
+    let port = Port::new(listener, "clients", max_connections);
+    let mut is_closed = pin!(accept_period_ends(&core));
     loop {
-        // What waits in the queue of the port goes before its close: the
-        // kernel would cut connections whose requests nobody has read, and
-        // their clients could not tell whether these ran.
+        // Pending connections are accepted before the port closes: the kernel
+        // would reset them, and their callers could not tell whether their
+        // requests ran.
         let next = async { Some(port.accept().await) };
         let closed = async {
             is_closed.as_mut().await;
@@ -213,16 +213,17 @@
     }
 }
 
-/// Waits until a stop has lasted so long that no client should come any more.
-async fn port_closes(core: &Core) {
-    // Nothing is ever sent over it.
+/// Waits until a stop has lasted so long that the load balancer sends no more
+/// callers.
+async fn accept_period_ends(core: &Core) {
+    // Nothing is sent over this channel; `recv` returns when it closes.
     let _ = core.closing.recv().await;
     let elapsed_ms = core.stopping_for_ms().unwrap_or(0);
-    let left_ms = callers::TAKE_WHILE_STOPPING_MS.saturating_sub(elapsed_ms);
+    let left_ms = callers::ACCEPT_WHILE_STOPPING_MS.saturating_sub(elapsed_ms);
     Timer::after(Duration::from_millis(left_ms)).await;
 }
 
-/// Tells the balancer whether to send clients.
+/// Reports to the load balancer whether this entry accepts callers.
 async fn serve_ready(core: Arc<Core>, listener: Async<TcpListener>) {
     let port = Port::new(listener, "readiness", MAX_READY_CONNECTIONS);
     loop {
@@ -238,14 +239,14 @@
                 };
                 async move { Response::new(status) }
             };
-            // The balancer asks again, whatever became of this connection.
+            // The load balancer repeats its check, so an error is ignored.
             let _ = serve_connection(accepted.socket, &options, answer).await;
         };
         core.executor.spawn(serve).detach();
     }
 }
 
-fn note_port_taken(port: u16, error: &StartError) {
+fn log_port_taken(port: u16, error: &StartError) {
     emit(
         Event::MetricsPortTaken,
         &[("port", &port), ("error", &error.to_string())],
@@ -259,7 +260,7 @@
     };
     let order = {
         let core = core.clone();
-        move |path: &str| order(&core, path)
+        move |path: &str| end_quarantine(&core, path)
     };
     Arc::new(OpsState {
         metrics: core.metrics.clone(),
@@ -269,15 +270,15 @@
     })
 }
 
-/// Frees a request that is quarantined, at all entries.
-fn order(core: &Core, path: &str) -> Option<serde_json::Value> {
+/// Ends the quarantine of a request at all entries.
+fn end_quarantine(core: &Core, path: &str) -> Option<serde_json::Value> {
     let text = path.strip_prefix("/quarantine/")?.strip_suffix("/free")?;
     let fingerprint = text.parse::<Fingerprint>().ok()?;
     let is_freed = suspects::clear(core, fingerprint, "", "operator");
     Some(serde_json::json!({"is_freed": is_freed}))
 }
 
-/// What the entry knows, for operators.
+/// Status document for operators.
 fn status(core: &Core) -> serde_json::Value {
     let engine = |engine: Arc<crate::cluster::engine::Engine>| {
         let state = engine.lock();
@@ -303,12 +304,13 @@
     let watched = core.fleet.all().iter().filter(|e| is_watched(e)).count();
     let engines: Vec<_> = core.fleet.all().into_iter().map(engine).collect();
     let left = |(service, left): (String, f64)| serde_json::json!({"service": service, "left": left.floor()});
-    let retries: Vec<_> = core.retries_left().into_iter().map(left).collect();
+    let retries: Vec<_> =
+        core.remaining_retries().into_iter().map(left).collect();
     serde_json::json!({
         "vm": core.settings.vm,
         "data_centre": core.settings.data_centre,
         "is_stopping": core.stopping_for_ms().is_some(),
-        "store_lost_ms": core.store_lost_for_ms(),
+        "store_lost_ms": core.store_unavailable_ms(),
         "orders_waiting": core.pending_orders.load(Relaxed),
         "retries": retries,
         "boot_id": core.boot_id.to_string(),
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,20 +1,20 @@
-//! An entry that passes requests to backend servers itself.
+//! An entry that forwards requests directly to backend servers.
 //!
-//! On a platform whose engines form chains among themselves, no process of
-//! ours stands between the entry and the engines. The entry follows the
-//! configuration and the list of backend servers by feeds of the store,
-//! chooses the engines of each request, passes the answer on, and moves
-//! streams away from engines that die. One entry at a time holds a lease and
-//! orders which engine holds which layers.
+//! This crate is for platforms whose engines form chains among themselves, so
+//! that no side process is needed between the entry and the engines. The
+//! entry follows the configuration and the list of backend servers through
+//! feeds of the store, chooses the engines of each request, forwards the
+//! response, and reroutes streams when an engine fails. One entry at a time
+//! holds a lease and orders which engine holds which layers.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`entry`] | starting and stopping an entry |
-//! | `request` | the way of a request |
-//! | `cluster` | what an entry knows, and from whom |
-//! | `placement` | who plans, and the orders |
-//! | `core` | what the tasks of an entry share |
-//! | `by_service`, `subscribers`, `rate`, `clock` | small parts of these |
+//! | `request` | admission, routing and forwarding of requests |
+//! | `cluster` | state of the store, the backend servers and the peers |
+//! | `placement` | planner lease and placement orders |
+//! | `core` | state shared by the tasks of an entry |
+//! | `by_service`, `subscribers`, `rate`, `clock` | utilities |
 //!
 //! # Example
 //!
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,33 +1,33 @@
-//! The way of a request: admitted, queued, sent along a path, answered.
+//! Request handling: admission, queueing, path search and forwarding.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | `callers` | the connections of clients |
-//! | `admit` | route, key and time of a request |
-//! | `plain` | requests with one whole answer |
+//! | `callers` | connections of callers |
+//! | `admit` | route, access key and deadline of a request |
+//! | `plain` | requests with a single response |
 //! | `stream`, [`events`] | streams of events |
 //! | `queue` | streams that wait for a path |
-//! | `room` | what requests that run take of a service's room |
-//! | `route` | seeking a path |
+//! | `running_tokens` | capacity of a service that running requests use |
+//! | `route` | path search |
 //! | `path` | the engines that a request passes through |
-//! | `interconnect` | what goes between data centres |
+//! | `interconnect` | traffic between data centres |
 //! | `exchange` | one request to one backend server |
-//! | `fingerprint` | what tells that two requests are the same |
-//! | `isolation` | where and when a request may run that crashes servers |
-//! | `answer`, `ended` | answers of our own, and how a request ended |
+//! | `fingerprint` | identifies equal requests |
+//! | `isolation` | trials and quarantine of requests that may crash servers |
+//! | `response`, `outcome` | responses of the entry, and request outcomes |
 
 pub(crate) mod admit;
-pub(crate) mod answer;
 pub(crate) mod callers;
-pub(crate) mod ended;
 pub mod events;
 pub(crate) mod exchange;
 pub(crate) mod fingerprint;
 pub(crate) mod interconnect;
 pub(crate) mod isolation;
+pub(crate) mod outcome;
 pub(crate) mod path;
 pub(crate) mod plain;
 pub(crate) mod queue;
-pub(crate) mod room;
+pub(crate) mod response;
 pub(crate) mod route;
+pub(crate) mod running_tokens;
 pub(crate) mod stream;
--- a/crates/direct/src/request/admit.rs
+++ b/crates/direct/src/request/admit.rs
@@ -1,4 +1,4 @@
-//! Route, key and time of a request.
+//! Admission: checks the route, access key and deadline of a request.
 
 use std::sync::Arc;
 
@@ -7,38 +7,38 @@
 use chestnutreach_routing::{Attempts, CountedBackends};
 use chestnutreach_site::{Configuration, Route, Service};
 
-use crate::{core::Core, request::answer::Reason};
+use crate::{core::Core, request::response::ErrorReason};
 
-/// Time of a client that states none: the platform's clients all do.
-const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// Highest value of the urgency that engines take.
+/// Timeout of a request that states none; all callers of the platform do.
+const DEFAULT_TIMEOUT_MS: u64 = 30_000;
+/// Highest urgency value that engines accept; 0 is the most urgent.
 const LEAST_URGENT: u8 = 9;
 
 /// A request that may be sent to a backend server.
-pub(crate) struct Admitted {
+pub(crate) struct AdmittedRequest {
     pub(crate) route: Route,
     pub(crate) service: Service,
     pub(crate) account: Option<String>,
     pub(crate) urgency: u8,
     pub(crate) id: Option<String>,
-    /// When it had arrived.
+    /// When the whole request was received.
     pub(crate) received_ms: u64,
-    /// When the route's timeout, or the client's time, is over.
-    pub(crate) end_ms: u64,
+    /// The earlier of the route's timeout and the caller's deadline.
+    pub(crate) deadline_ms: u64,
     pub(crate) configuration: u64,
     pub(crate) configuration_age_ms: u64,
 }
 
-impl Admitted {
-    /// Time that a backend server is given.
-    pub(crate) fn left_ms(&self, now_ms: u64) -> u64 {
-        self.end_ms.saturating_sub(now_ms)
+impl AdmittedRequest {
+    /// Time left until the deadline.
+    pub(crate) fn remaining_ms(&self, now_ms: u64) -> u64 {
+        self.deadline_ms.saturating_sub(now_ms)
     }
 
-    /// Its tries at backend servers, none of them made.
+    /// A new counter of this request's attempts at backend servers.
     pub(crate) fn attempts(&self, counted: CountedBackends) -> Attempts {
-        let most = self.route.max_attempts as usize;
-        Attempts::new(self.route.reuse.may_repeat(), most, counted)
+        let max_attempts = self.route.max_attempts as usize;
+        Attempts::new(self.route.reuse.may_repeat(), max_attempts, counted)
     }
 
     pub(crate) fn id_text(&self) -> &str {
@@ -47,52 +47,53 @@
 }
 
 /// A request that may not be sent.
-pub(crate) struct NotAdmitted {
-    pub(crate) reason: Reason,
-    /// The configuration that says so; 0 where none was asked.
+pub(crate) struct AdmissionError {
+    pub(crate) reason: ErrorReason,
+    /// Version of the configuration that was checked; 0 for none.
     pub(crate) configuration: u64,
 }
 
-/// Checks a request that came then against the configuration in force.
+/// Checks a request against the configuration in force.
 pub(crate) fn admit(
     core: &Core,
     request: &RelayRequest,
     received_ms: u64,
-) -> Result<Admitted, NotAdmitted> {
+) -> Result<AdmittedRequest, AdmissionError> {
     let Some(configuration) = core.configuration() else {
-        let reason = Reason::NoConfiguration;
-        return Err(NotAdmitted { reason, configuration: 0 });
+        let reason = ErrorReason::NoConfiguration;
+        return Err(AdmissionError { reason, configuration: 0 });
     };
-    let admitted = admit_by(core, &configuration, request, received_ms);
-    admitted.map_err(|reason| NotAdmitted {
+    let admitted = admit_with(core, &configuration, request, received_ms);
+    admitted.map_err(|reason| AdmissionError {
         reason,
         configuration: configuration.version,
     })
 }
 
-fn admit_by(
+fn admit_with(
     core: &Core,
     configuration: &Arc<Configuration>,
     request: &RelayRequest,
     received_ms: u64,
-) -> Result<Admitted, Reason> {
+) -> Result<AdmittedRequest, ErrorReason> {
     let host = request.header("host").unwrap_or_default();
     let route = configuration
         .route(host, request.path())
-        .ok_or(Reason::NoRoute)?
+        .ok_or(ErrorReason::NoRoute)?
         .clone();
     let account = account(core, configuration, &route, request)?;
-    let service = service(configuration, &route)?;
-    core.note_request(&service.name);
-    let deadline_ms = received_ms.saturating_add(client_time_ms(request));
+    let service = choose_service(configuration, &route)?;
+    core.record_request(&service.name);
+    let caller_deadline_ms =
+        received_ms.saturating_add(caller_timeout_ms(request));
     let timeout_ms = received_ms + route.timeout_ms;
-    let rank = account.as_ref().and_then(|a| a.1);
-    Ok(Admitted {
-        urgency: rank.unwrap_or(route.priority).min(LEAST_URGENT),
+    let account_priority = account.as_ref().and_then(|a| a.1);
+    Ok(AdmittedRequest {
+        urgency: account_priority.unwrap_or(route.priority).min(LEAST_URGENT),
         account: account.map(|a| a.0),
         id: request.header(clients::REQUEST_ID).map(str::to_owned),
         received_ms,
-        end_ms: deadline_ms.min(timeout_ms),
+        deadline_ms: caller_deadline_ms.min(timeout_ms),
         configuration: configuration.version,
         configuration_age_ms: core.confirmed_age_ms(),
         route,
@@ -100,41 +101,41 @@
     })
 }
 
-/// Time for which its client waits.
-pub(crate) fn client_time_ms(request: &RelayRequest) -> u64 {
+/// Time for which the caller waits for the response.
+pub(crate) fn caller_timeout_ms(request: &RelayRequest) -> u64 {
     request
         .header(clients::DEADLINE_MS)
         .and_then(|value| value.trim().parse::<f64>().ok())
-        .map_or(DEFAULT_DEADLINE_MS, |ms| ms.max(0.0) as u64)
+        .map_or(DEFAULT_TIMEOUT_MS, |ms| ms.max(0.0) as u64)
 }
 
-/// Name and rank of the client account.
+/// Name and priority of the client account.
 fn account(
     core: &Core,
     configuration: &Configuration,
     route: &Route,
     request: &RelayRequest,
-) -> Result<Option<(String, Option<u8>)>, Reason> {
+) -> Result<Option<(String, Option<u8>)>, ErrorReason> {
     let Some(accounts) = &configuration.accounts else {
         return Ok(None);
     };
     let key = request.header(clients::KEY).and_then(clients::key_of);
     let found = key.and_then(|key| accounts.get(key));
     if !core.are_keys_fresh() && !route.is_public {
-        return Err(Reason::KeysStale);
+        return Err(ErrorReason::KeysStale);
     }
     match found {
         Some(account) => Ok(Some((account.name.clone(), account.priority))),
         None if route.is_public => Ok(None),
-        None => Err(Reason::NoKey),
+        None => Err(ErrorReason::NoKey),
     }
 }
 
-/// A service of the route, by weight.
-fn service(
+/// Chooses a service of the route at random by weight.
+fn choose_service(
     configuration: &Arc<Configuration>,
     route: &Route,
-) -> Result<Service, Reason> {
+) -> Result<Service, ErrorReason> {
     let total: f64 = route.shares.iter().map(|s| s.weight.max(0.0)).sum();
     let mut at = fastrand::f64() * total;
     let mut chosen = &route.shares[0];
@@ -149,5 +150,5 @@
         }
     }
     let service = configuration.services.get(&chosen.service);
-    service.cloned().ok_or(Reason::NoBackend)
+    service.cloned().ok_or(ErrorReason::NoBackend)
 }
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -1,4 +1,4 @@
-//! The connections of clients.
+//! Serves the connections of callers.
 
 use std::{
     net::TcpStream,
@@ -19,21 +19,22 @@
 use crate::{
     core::Core,
     request::{
-        admit::{self, Admitted, NotAdmitted, admit},
-        answer::{self, Reason},
-        ended::{After, Ended, refuse},
-        plain, stream,
+        admit::{self, AdmissionError, AdmittedRequest, admit},
+        outcome::{ConnectionAction, RequestSummary, refuse},
+        plain,
+        response::{self, ErrorReason},
+        stream,
     },
 };
 
-/// How long a body may take beyond the head.
+/// Time in which a body must arrive after its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long idle connections are kept once the process stops: a request may
-/// be on its way.
+/// How long idle connections stay open after a stop begins, since a request
+/// may be in transit.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(1_000);
-/// Time of a stop in which new requests are still taken: the balancer needs
-/// two looks to send clients elsewhere. After it the port closes.
-pub(crate) const TAKE_WHILE_STOPPING_MS: u64 = 2_600;
+/// How long new requests are accepted after a stop begins: the load balancer
+/// needs two checks to send callers elsewhere. The port closes afterwards.
+pub(crate) const ACCEPT_WHILE_STOPPING_MS: u64 = 2_600;
 
 /// Serves the requests of a connection one after another.
 pub(crate) async fn serve(core: Arc<Core>, socket: Async<TcpStream>) {
@@ -41,14 +42,19 @@
         return;
     };
     core.metrics.caller_connections.inc();
-    match serve_all(&core, &mut inbound).await {
-        After::Keep | After::Close => inbound.close().await,
-        After::Cut => inbound.abort(),
+    match serve_requests(&core, &mut inbound).await {
+        ConnectionAction::KeepAlive | ConnectionAction::Close => {
+            inbound.close().await
+        }
+        ConnectionAction::Abort => inbound.abort(),
     }
     core.metrics.caller_connections.dec();
 }
 
-async fn serve_all(core: &Arc<Core>, inbound: &mut Inbound) -> After {
+async fn serve_requests(
+    core: &Arc<Core>,
+    inbound: &mut Inbound,
+) -> ConnectionAction {
     loop {
         let limits = core.limits();
         let idle = async {
@@ -57,28 +63,30 @@
             Err(InboundError::Ended)
         };
         let closing = async {
-            // Nothing is ever sent over it.
+            // Nothing is sent over this channel; `recv` returns when it
+            // closes.
             let _ = core.closing.recv().await;
             Timer::after(CLOSE_IDLE_AFTER).await;
             Err(InboundError::Ended)
         };
         let bytes = inbound.wait_for_bytes().or(idle).or(closing);
         if bytes.await.is_err() {
-            return After::Close;
+            return ConnectionAction::Close;
         }
-        // From its first bytes on: a stop ends no request that has come.
-        let _in_flight = InFlight::new(core);
+        // Counted from the first bytes on, so that a stop waits for requests
+        // that are still being received.
+        let _in_flight = InFlightGuard::new(core);
         match inbound.receive(&inbound_limits(&limits)).await {
             Ok(request) => match handle(core, inbound, &request).await {
-                After::Keep => {}
-                after => return after,
+                ConnectionAction::KeepAlive => {}
+                action => return action,
             },
-            Err(InboundError::Ended) => return After::Cut,
+            Err(InboundError::Ended) => return ConnectionAction::Abort,
             Err(InboundError::Refused(why)) => {
-                let bytes = answer::refusal(why.status, &why.message);
-                // The client may have gone by now.
+                let bytes = response::rejection(why.status, &why.message);
+                // The caller may have disconnected by now.
                 let _ = inbound.write(&bytes).await;
-                return After::Close;
+                return ConnectionAction::Close;
             }
         }
     }
@@ -98,87 +106,93 @@
     core: &Arc<Core>,
     inbound: &mut Inbound,
     request: &RelayRequest,
-) -> After {
+) -> ConnectionAction {
     let started_ms = crate::clock::now_ms();
-    let is_last = request.is_last || core.stopping_for_ms().is_some();
+    let is_last_request = request.is_last || core.stopping_for_ms().is_some();
     let admitted = match core.stopping_for_ms() {
-        Some(ms) if ms > TAKE_WHILE_STOPPING_MS => {
-            let reason = Reason::Stopping;
-            Err(NotAdmitted { reason, configuration: 0 })
+        Some(ms) if ms > ACCEPT_WHILE_STOPPING_MS => {
+            let reason = ErrorReason::Stopping;
+            Err(AdmissionError { reason, configuration: 0 })
         }
         _ => {
             wait_for_first_configuration(core, request).await;
             admit(core, request, started_ms)
         }
     };
-    let (ended, after) = match &admitted {
+    let (summary, action) = match &admitted {
         Ok(admitted) if admitted.route.reuse.is_stream() => {
-            stream::relay(core, inbound, request, admitted, is_last).await
+            stream::relay(core, inbound, request, admitted, is_last_request)
+                .await
         }
         Ok(admitted) => {
-            plain::relay(core, inbound, request, admitted, is_last).await
+            plain::relay(core, inbound, request, admitted, is_last_request)
+                .await
+        }
+        Err(error) => {
+            refuse(inbound, request, error.reason, is_last_request).await
         }
-        Err(not) => refuse(inbound, request, not.reason, is_last).await,
     };
-    note_ended(core, request, admitted.as_ref(), &ended, started_ms);
-    after
+    record_end(core, request, admitted.as_ref(), &summary, started_ms);
+    action
 }
 
-/// A request that is read or served, until dropped.
-struct InFlight<'a>(&'a Core);
+/// Counts a request as in flight until dropped.
+struct InFlightGuard<'a>(&'a Core);
 
-impl InFlight<'_> {
-    fn new(core: &Core) -> InFlight<'_> {
+impl InFlightGuard<'_> {
+    fn new(core: &Core) -> InFlightGuard<'_> {
         core.in_flight.fetch_add(1, Relaxed);
-        InFlight(core)
+        InFlightGuard(core)
     }
 }
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Relaxed);
     }
 }
 
-/// Lets a request that came as the process started wait for the first read of
-/// the configuration, as long as that may come.
+/// Lets a request that arrived while the process started wait for the first
+/// read of the configuration, unless none is to be expected in time.
 async fn wait_for_first_configuration(core: &Core, request: &RelayRequest) {
-    let came_ms = crate::clock::now_ms();
-    let client_ms = admit::client_time_ms(request);
+    let arrived_ms = crate::clock::now_ms();
+    let caller_timeout_ms = admit::caller_timeout_ms(request);
     loop {
-        let configured = core.configuration_subscribers.subscribe();
+        let subscription = core.configuration_subscribers.subscribe();
         if core.configuration().is_some() {
             return;
         }
-        let waited_ms = crate::clock::now_ms() - came_ms;
-        let read = StartupWait {
+        let waited_ms = crate::clock::now_ms() - arrived_ms;
+        let startup_wait = StartupWait {
             uptime_ms: core.age_ms(),
-            is_store_unavailable: core.store_lost_for_ms() > 0,
-            client_remaining_ms: client_ms.saturating_sub(2 * waited_ms),
+            is_store_unavailable: core.store_unavailable_ms() > 0,
+            client_remaining_ms: caller_timeout_ms
+                .saturating_sub(2 * waited_ms),
         };
-        let Some(wait_ms) = read.max_wait_ms() else { return };
+        let Some(wait_ms) = startup_wait.max_wait_ms() else { return };
         let limit = async {
             Timer::after(Duration::from_millis(wait_ms)).await;
         };
-        configured.notified().or(limit).await;
+        subscription.notified().or(limit).await;
     }
 }
 
-fn note_ended(
+fn record_end(
     core: &Core,
     request: &RelayRequest,
-    admitted: Result<&Admitted, &NotAdmitted>,
-    ended: &Ended,
+    admitted: Result<&AdmittedRequest, &AdmissionError>,
+    summary: &RequestSummary,
     started_ms: u64,
 ) {
     let elapsed_ms = crate::clock::now_ms().saturating_sub(started_ms);
     let id = request.header(clients::REQUEST_ID).unwrap_or("");
     let configuration =
-        admitted.map_or_else(|not| not.configuration, |a| a.configuration);
+        admitted.map_or_else(|error| error.configuration, |a| a.configuration);
     let admitted = admitted.ok();
     let route = admitted.map_or("", |a| a.route.name.as_str());
     let account = admitted.and_then(|a| a.account.as_deref()).unwrap_or("");
-    let first = ended.first_ms.map_or_else(String::new, |ms| ms.to_string());
+    let first =
+        summary.first_event_ms.map_or_else(String::new, |ms| ms.to_string());
     let age_ms = admitted
         .map_or_else(|| core.confirmed_age_ms(), |a| a.configuration_age_ms);
     emit(
@@ -187,14 +201,14 @@
             ("request", &id),
             ("route", &route),
             ("account", &account),
-            ("outcome", &ended.outcome),
-            ("status", &ended.status),
-            ("reason", &ended.reason),
-            ("attempts", &ended.attempts),
-            ("changes", &ended.path_changes),
-            ("events", &ended.events),
+            ("outcome", &summary.outcome),
+            ("status", &summary.status),
+            ("reason", &summary.reason),
+            ("attempts", &summary.attempts),
+            ("changes", &summary.path_changes),
+            ("events", &summary.events),
             ("first_ms", &first),
-            ("max_gap_ms", &ended.max_gap_ms),
+            ("max_gap_ms", &summary.max_gap_ms),
             ("elapsed_ms", &elapsed_ms),
             ("configuration", &configuration),
             ("configuration_age_ms", &age_ms),
@@ -203,5 +217,5 @@
     let Some(admitted) = admitted else { return };
     let service = core.metrics.service(&admitted.service.name);
     let elapsed = Duration::from_millis(elapsed_ms);
-    service.request_ended(ended.outcome, "", elapsed);
+    service.request_ended(summary.outcome, "", elapsed);
 }
--- a/crates/direct/src/request/events.rs
+++ b/crates/direct/src/request/events.rs
@@ -1,54 +1,54 @@
-//! Events of a stream.
+//! Splits a stream into events.
 //!
-//! Only whole events are passed on, so that a stream whose engine breaks off
-//! in the middle of one can go on elsewhere without a seam.
+//! The entry forwards only complete events, so that a stream whose engine
+//! fails within an event can be resumed at another engine.
 
 use chestnutreach_adapter::engine::EVENT_ID_FIELD;
 
-/// Ends an event.
+/// Terminates an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StreamEvent {
-    /// Its id, where it has one.
+    /// The value of the id field.
     pub id: Option<u64>,
-    /// Its bytes, with the empty line that ends it.
+    /// The bytes of the event, including the empty line at its end.
     pub bytes: Vec<u8>,
 }
 
-/// Splits bytes into whole events.
+/// Splits bytes into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    unread: Vec<u8>,
-    taken: usize,
+    buffer: Vec<u8>,
+    consumed: usize,
 }
 
 impl EventSplitter {
-    /// A splitter without bytes.
+    /// Creates an empty splitter.
     pub fn new() -> EventSplitter {
         EventSplitter::default()
     }
 
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.unread.drain(..self.taken);
-        self.taken = 0;
-        self.unread.extend_from_slice(bytes);
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// The next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let left = &self.unread[self.taken..];
-        let end = left.windows(EVENT_END.len()).position(|w| w == EVENT_END);
-        let bytes = left[..end? + EVENT_END.len()].to_vec();
-        self.taken += bytes.len();
+        let rest = &self.buffer[self.consumed..];
+        let end = rest.windows(EVENT_END.len()).position(|w| w == EVENT_END);
+        let bytes = rest[..end? + EVENT_END.len()].to_vec();
+        self.consumed += bytes.len();
         Some(StreamEvent { id: id_of(&bytes), bytes })
     }
 
-    /// Whether an event has begun and not ended.
+    /// Whether the bytes end with an incomplete event.
     pub fn has_partial(&self) -> bool {
-        self.taken < self.unread.len()
+        self.consumed < self.buffer.len()
     }
 }
 
--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -1,10 +1,10 @@
-//! One request to one backend server.
+//! Sends one request to one backend server.
 //!
-//! Each request has a connection of its own. Dialling costs a fraction of a
-//! millisecond here, and a kept connection may have gone silent, may be
-//! reset on its next use, or may hold a late second answer of the request
-//! before; for a request that may run once, each of these would be an
-//! unknown end.
+//! Each request uses a new connection. Connecting takes a fraction of a
+//! millisecond here, while a reused connection may be stalled, may be reset on
+//! its next use, or may carry a late second response to the previous request.
+//! For a request that may run only once, each of these would leave the outcome
+//! unknown.
 
 use std::{io, time::Duration};
 
@@ -18,49 +18,55 @@
 
 use crate::cluster::engine::Engine;
 
-/// Time for dialling; a machine without power does not answer at all.
-pub(crate) const DIAL: Duration = Duration::from_millis(150);
-/// Longest answer to a call of our own.
-const MAX_CALL_BYTES: usize = 1 << 20;
+/// Timeout for connecting; a machine without power does not respond at all.
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum size of the response to a report or order request.
+const MAX_CALL_RESPONSE_BYTES: usize = 1 << 20;
 
-/// What the entry sets on a request to a backend server.
-pub(crate) struct Addressed<'a> {
+/// Values of the headers that the entry sets on a request to a backend
+/// server.
+pub(crate) struct BackendHeaders<'a> {
     pub(crate) instance: &'a str,
     pub(crate) account: Option<&'a str>,
-    pub(crate) left_ms: u64,
+    pub(crate) remaining_ms: u64,
     pub(crate) path: Option<&'a str>,
     pub(crate) priority: Option<u8>,
-    /// Last event that the client has, where the entry knows it better.
-    pub(crate) last_event: Option<u64>,
+    /// Id of the last event that the caller has, which replaces the caller's
+    /// own header.
+    pub(crate) last_event_id: Option<u64>,
 }
 
-/// The bytes of a request to a backend server.
+/// Encodes a request to a backend server.
 pub(crate) fn request_bytes(
     request: &RelayRequest,
-    to: &Addressed<'_>,
+    values: &BackendHeaders<'_>,
 ) -> Vec<u8> {
     let mut out = Vec::with_capacity(1_024 + request.body.len());
     let line = format!("{} {} HTTP/1.1\r\n", request.method, request.target);
     out.extend_from_slice(line.as_bytes());
     let connection = request.header("connection");
     for header in &request.headers {
-        let is_set_here = is_set_by_entry(&header.name, to);
-        if !is_set_here && is_end_to_end(&header.name, connection) {
+        let is_replaced = is_set_by_entry(&header.name, values);
+        if !is_replaced && is_end_to_end(&header.name, connection) {
             push_header(&mut out, &header.name, &header.value);
         }
     }
-    push_header(&mut out, clients::DEADLINE_MS, &to.left_ms.to_string());
-    push_header(&mut out, engine::INSTANCE, to.instance);
-    if let Some(account) = to.account {
+    push_header(
+        &mut out,
+        clients::DEADLINE_MS,
+        &values.remaining_ms.to_string(),
+    );
+    push_header(&mut out, engine::INSTANCE, values.instance);
+    if let Some(account) = values.account {
         push_header(&mut out, engine::ACCOUNT, account);
     }
-    if let Some(path) = to.path {
+    if let Some(path) = values.path {
         push_header(&mut out, engine::PATH, path);
     }
-    if let Some(priority) = to.priority {
+    if let Some(priority) = values.priority {
         push_header(&mut out, engine::PRIORITY, &priority.to_string());
     }
-    if let Some(id) = to.last_event {
+    if let Some(id) = values.last_event_id {
         push_header(&mut out, clients::LAST_EVENT_ID, &id.to_string());
     }
     let has_body = !request.body.is_empty() || request.method == "POST";
@@ -73,23 +79,23 @@
     out
 }
 
-fn is_set_by_entry(name: &str, to: &Addressed<'_>) -> bool {
+fn is_set_by_entry(name: &str, values: &BackendHeaders<'_>) -> bool {
     let is = |other: &str| name.eq_ignore_ascii_case(other);
     is(clients::KEY)
         || is(clients::DEADLINE_MS)
         || is("content-length")
-        || (is(clients::LAST_EVENT_ID) && to.last_event.is_some())
+        || (is(clients::LAST_EVENT_ID) && values.last_event_id.is_some())
         || clients::SET_BY_SYSTEM.iter().any(|other| is(other))
 }
 
-/// Whether an answer states that the request was not run.
+/// Whether a response states that the request did not run.
 pub(crate) fn is_not_run(head: &AnswerHead) -> bool {
     head.status == 421 || head.header(engine::NOT_RUN).is_some()
 }
 
-/// Takes the head of the answer to this request; answers that belong to
-/// another one are read past.
-pub(crate) async fn own_head(
+/// Reads the head of the response to this request, skipping responses to other
+/// requests.
+pub(crate) async fn read_matching_head(
     connection: &mut Outbound,
     request_id: Option<&str>,
     method: &str,
@@ -97,19 +103,19 @@
     loop {
         let head = connection.read_head().await?;
         let answered = head.header(clients::REQUEST_ID);
-        let is_other = match (answered, request_id) {
+        let is_other_request = match (answered, request_id) {
             (Some(answered), Some(own)) => answered != own,
             _ => false,
         };
-        if !is_other {
+        if !is_other_request {
             return Ok(head);
         }
         let body = head.body(method);
-        connection.read_body(body, MAX_CALL_BYTES).await?;
+        connection.read_body(body, MAX_CALL_RESPONSE_BYTES).await?;
     }
 }
 
-/// Asks an engine for its report.
+/// Requests the report of an engine.
 pub(crate) async fn fetch_report(
     to: &Engine,
 ) -> Result<(u16, Vec<u8>), OutboundError> {
@@ -119,8 +125,8 @@
     call(to, "GET", head.as_bytes()).await
 }
 
-/// Gives an engine an order. It names the engine's start: an order that was
-/// meant for the one before it at this address must not take effect.
+/// Sends an order to an engine. The order names the engine's incarnation, since
+/// an order for the previous process at this address must not take effect.
 pub(crate) async fn send_order(
     to: &Engine,
     body: &[u8],
@@ -136,21 +142,23 @@
     call(to, "POST", &out).await
 }
 
-/// Sends a request of our own; the status and body of its answer.
+/// Sends a request of the entry itself; returns the status and body of the
+/// response.
 async fn call(
     to: &Engine,
     method: &str,
     bytes: &[u8],
 ) -> Result<(u16, Vec<u8>), OutboundError> {
-    let mut connection = Outbound::connect(to.address, DIAL).await?;
+    let mut connection =
+        Outbound::connect(to.address, CONNECT_TIMEOUT).await?;
     connection.send(bytes).await?;
     let head = connection.read_head().await?;
     let body = head.body(method);
-    let body = connection.read_body(body, MAX_CALL_BYTES).await?;
+    let body = connection.read_body(body, MAX_CALL_RESPONSE_BYTES).await?;
     Ok((head.status, body))
 }
 
-/// Bounds a wait.
+/// Bounds a future in time.
 pub(crate) async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = T>,
--- a/crates/direct/src/request/fingerprint.rs
+++ b/crates/direct/src/request/fingerprint.rs
@@ -1,23 +1,23 @@
-//! What tells that two requests are the same under different ids.
+//! Identifies equal requests that have different ids.
 //!
-//! Requests of one client account with the same method, host, target and
-//! body are the same. The digest is not keyed: entries must agree on it, and
-//! they share no secret. A caller can make only its own requests collide,
-//! since the account is part of it.
+//! Requests of one client account with the same method, host, target and body
+//! are equal. The digest has no key, since all entries must compute the same
+//! digest and share no secret. A caller can cause collisions only among its
+//! own requests, since the account is part of the digest.
 
 use chestnutreach_http::relay::RelayRequest;
 use chestnutreach_routing::Fingerprint;
 
-/// Separates this use of the digest from others.
+/// Separates this use of the hash function from others.
 const CONTEXT: &str = "chestnutreach 2026 request fingerprint";
 
-/// Fingerprint of a request of a client account.
+/// The fingerprint of a request of a client account.
 pub(crate) fn of(request: &RelayRequest, account: &str) -> Fingerprint {
     let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
     let host = request.header("host").unwrap_or_default();
     let parts = [account, &request.method, host, &request.target];
     for part in parts.map(str::as_bytes).into_iter().chain([&*request.body]) {
-        // Its length, so that no two lists of parts read the same.
+        // The length prefix makes different lists of parts hash differently.
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
--- a/crates/direct/src/request/isolation.rs
+++ b/crates/direct/src/request/isolation.rs
@@ -21,7 +21,7 @@
         suspects::{self, FailedRun, TrialGuard},
     },
     core::Core,
-    request::{admit::Admitted, answer::Reason, fingerprint},
+    request::{admit::AdmittedRequest, fingerprint, response::ErrorReason},
 };
 
 /// Time in which entries that begin a trial, or lose an engine, at the same
@@ -50,7 +50,7 @@
 pub(crate) struct Suspicion<'a> {
     core: &'a Arc<Core>,
     request: &'a RelayRequest,
-    admitted: &'a Admitted,
+    admitted: &'a AdmittedRequest,
     /// Taken only where something is known of requests.
     fingerprint: OnceLock<Fingerprint>,
     /// It has run for so long that it crashes none.
@@ -64,7 +64,7 @@
     pub(crate) fn new(
         core: &'a Arc<Core>,
         request: &'a RelayRequest,
-        admitted: &'a Admitted,
+        admitted: &'a AdmittedRequest,
     ) -> Suspicion<'a> {
         Suspicion {
             core,
@@ -214,20 +214,23 @@
     }
 
     /// Why it ends, and when it may come back, where it is quarantined.
-    pub(crate) fn refusal(&self, may_have_run: bool) -> Option<(Reason, u64)> {
-        let left_ms = self.quarantine_left_ms()?;
-        self.note_refused(left_ms);
-        Some((Reason::in_quarantine(may_have_run), left_ms))
+    pub(crate) fn refusal(
+        &self,
+        may_have_run: bool,
+    ) -> Option<(ErrorReason, u64)> {
+        let remaining_ms = self.quarantine_left_ms()?;
+        self.note_refused(remaining_ms);
+        Some((ErrorReason::for_quarantined(may_have_run), remaining_ms))
     }
 
-    fn note_refused(&self, left_ms: u64) {
+    fn note_refused(&self, remaining_ms: u64) {
         self.core.metrics.quarantine_refusals.inc();
         emit(
             Event::QuarantineRefused,
             &[
                 ("request", &self.admitted.id_text()),
                 ("fingerprint", &self.fingerprint()),
-                ("left_ms", &left_ms),
+                ("left_ms", &remaining_ms),
             ],
         );
     }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -27,14 +27,17 @@
     },
     core::Core,
     request::{
-        admit::Admitted,
-        answer::{
-            Framing, Reason, passed_head, promises_not_run, usual_come_back_ms,
-        },
-        ended::{After, Ended, refuse, refuse_until},
-        exchange::{self, Addressed},
+        admit::AdmittedRequest,
+        exchange::{self, BackendHeaders},
         isolation::{Suspicion, Trial},
-        room::RunningTokens,
+        outcome::{
+            ConnectionAction, RequestSummary, refuse, refuse_with_retry_after,
+        },
+        response::{
+            ErrorReason, Framing, default_retry_after_ms, forwarded_head,
+            guarantees_not_run,
+        },
+        running_tokens::RunningTokens,
     },
 };
 
@@ -72,7 +75,7 @@
 struct Run<'a> {
     core: &'a Arc<Core>,
     request: &'a RelayRequest,
-    admitted: &'a Admitted,
+    admitted: &'a AdmittedRequest,
     suspicion: Suspicion<'a>,
     attempts: Attempts,
     /// Backend servers that were tried, by incarnation.
@@ -82,7 +85,7 @@
     /// Tells it from others that want a permit.
     key: u64,
     /// Why it was not let wait, and when its client is to come back.
-    refusal: Option<(Reason, u64)>,
+    refusal: Option<(ErrorReason, u64)>,
     is_caller_gone: bool,
     running: Option<RunningTokens>,
 }
@@ -92,9 +95,9 @@
     core: &Arc<Core>,
     inbound: &mut Inbound,
     request: &RelayRequest,
-    admitted: &Admitted,
-    is_last: bool,
-) -> (Ended, After) {
+    admitted: &AdmittedRequest,
+    is_last_request: bool,
+) -> (RequestSummary, ConnectionAction) {
     let mut run = Run::new(core, request, admitted);
     run.note_asked();
     while let Some((engine, trial)) = run.next_engine().await {
@@ -103,7 +106,7 @@
             break;
         }
     }
-    let (mut ended, after) = run.answer(inbound, is_last).await;
+    let (mut ended, after) = run.answer(inbound, is_last_request).await;
     ended.attempts = run.attempts.count();
     (ended, after)
 }
@@ -112,7 +115,7 @@
     fn new(
         core: &'a Arc<Core>,
         request: &'a RelayRequest,
-        admitted: &'a Admitted,
+        admitted: &'a AdmittedRequest,
     ) -> Run<'a> {
         Run {
             core,
@@ -137,9 +140,9 @@
         }
         let service = &self.admitted.service.name;
         let is_further = self.attempts.count() > 0;
-        if is_further && !self.core.take_retry(service) {
+        if is_further && !self.core.try_take_retry(service) {
             let id = self.admitted.id_text();
-            self.core.note_retry_denied(service, id);
+            self.core.record_retry_denied(service, id);
             return None;
         }
         self.seek_engine().await
@@ -156,7 +159,7 @@
         let made = self.attempts.count();
         // A trial is seen to its end: what it would show is lost else.
         let limit_ms = match trial {
-            Some(_) => self.admitted.end_ms,
+            Some(_) => self.admitted.deadline_ms,
             None => attempt_end_ms(self.admitted, made),
         };
         let sent = Sent {
@@ -204,27 +207,37 @@
             Attempt::NotRun => self.attempts.record_not_run(),
             Attempt::Lost | Attempt::TimeOver => {}
         }
-        self.admitted.left_ms(now_ms()) == 0 || !self.attempts.may_retry()
+        self.admitted.remaining_ms(now_ms()) == 0 || !self.attempts.may_retry()
     }
 
     /// Answers the client with what there is.
     async fn answer(
         &mut self,
         inbound: &mut Inbound,
-        is_last: bool,
-    ) -> (Ended, After) {
+        is_last_request: bool,
+    ) -> (RequestSummary, ConnectionAction) {
         if self.is_caller_gone {
             let outcome = "caller_gone";
-            return (Ended { outcome, ..Ended::default() }, After::Cut);
+            return (
+                RequestSummary { outcome, ..RequestSummary::default() },
+                ConnectionAction::Abort,
+            );
         }
         let may_have_run = self.attempts.may_have_run();
         match self.kept.take() {
             Some((head, body)) => {
                 let request = self.request;
-                pass_on(inbound, request, &head, &body, may_have_run, is_last)
-                    .await
+                pass_on(
+                    inbound,
+                    request,
+                    &head,
+                    &body,
+                    may_have_run,
+                    is_last_request,
+                )
+                .await
             }
-            None => self.give_up(inbound, may_have_run, is_last).await,
+            None => self.give_up(inbound, may_have_run, is_last_request).await,
         }
     }
 
@@ -233,20 +246,27 @@
         &self,
         inbound: &mut Inbound,
         may_have_run: bool,
-        is_last: bool,
-    ) -> (Ended, After) {
-        let left_ms = self.admitted.left_ms(now_ms());
+        is_last_request: bool,
+    ) -> (RequestSummary, ConnectionAction) {
+        let remaining_ms = self.admitted.remaining_ms(now_ms());
         let quarantine = self.suspicion.refusal(may_have_run);
-        let (reason, come_back_ms) = match (quarantine, self.refusal) {
+        let (reason, retry_after_ms) = match (quarantine, self.refusal) {
             (Some(quarantine), _) => quarantine,
             (None, Some(refusal)) if !may_have_run => refusal,
             (None, _) => {
-                let reason = Reason::at_end(may_have_run, left_ms);
-                (reason, usual_come_back_ms())
+                let reason =
+                    ErrorReason::for_exhausted(may_have_run, remaining_ms);
+                (reason, default_retry_after_ms())
             }
         };
-        refuse_until(inbound, self.request, reason, come_back_ms, is_last)
-            .await
+        refuse_with_retry_after(
+            inbound,
+            self.request,
+            reason,
+            retry_after_ms,
+            is_last_request,
+        )
+        .await
     }
 }
 
@@ -275,15 +295,15 @@
 
 /// When an attempt is given up: at the end, or while there is time for
 /// another one.
-fn attempt_end_ms(admitted: &Admitted, attempts: u32) -> u64 {
+fn attempt_end_ms(admitted: &AdmittedRequest, attempts: u32) -> u64 {
     let is_repeatable = admitted.route.reuse == Reuse::Idempotent;
     if !is_repeatable || attempts >= admitted.route.max_attempts {
-        return admitted.end_ms;
+        return admitted.deadline_ms;
     }
     let target_ms = admitted.route.target_ms as f64;
     let hedge_ms = admitted.received_ms + (HEDGE_FACTOR * target_ms) as u64;
     let least_ms = now_ms() + (LEAST_ATTEMPT * target_ms) as u64;
-    admitted.end_ms.min(hedge_ms.max(least_ms))
+    admitted.deadline_ms.min(hedge_ms.max(least_ms))
 }
 
 struct Sent<'a> {
@@ -297,40 +317,43 @@
 async fn attempt(
     core: &Core,
     request: &RelayRequest,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     sent: &Sent<'_>,
 ) -> Attempt {
     let engine = sent.engine;
     let _hold = Reservation::new(engine, 0, true);
     let started_ms = now_ms();
     let mut connection =
-        match Outbound::connect(engine.address, exchange::DIAL).await {
+        match Outbound::connect(engine.address, exchange::CONNECT_TIMEOUT)
+            .await
+        {
             Ok(connection) => connection,
             Err(e) => {
                 note_broken(admitted, sent, &e, started_ms);
                 return Attempt::NotRun;
             }
         };
-    let left_ms = admitted.left_ms(now_ms());
+    let remaining_ms = admitted.remaining_ms(now_ms());
     let bytes = exchange::request_bytes(
         request,
-        &Addressed {
+        &BackendHeaders {
             instance: &engine.id,
             account: admitted.account.as_deref(),
-            left_ms,
+            remaining_ms,
             path: None,
             priority: Some(admitted.urgency),
-            last_event: None,
+            last_event_id: None,
         },
     );
-    note_sent(core, admitted, sent, left_ms);
+    note_sent(core, admitted, sent, remaining_ms);
     let sent_ms = now_ms();
     engine.notices.record_sent(sent_ms);
     let exchange = async {
         connection.send(&bytes).await?;
         let id = admitted.id.as_deref();
         let head =
-            exchange::own_head(&mut connection, id, &request.method).await?;
+            exchange::read_matching_head(&mut connection, id, &request.method)
+                .await?;
         let answered = ResponseContext {
             request: admitted.id_text(),
             sent_ms,
@@ -362,7 +385,7 @@
 
 /// Sorts an answer: one that states that nothing ran counts as none.
 fn answered(
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     sent: &Sent<'_>,
     head: AnswerHead,
     body: Vec<u8>,
@@ -410,10 +433,16 @@
     head: &AnswerHead,
     body: &[u8],
     may_have_run: bool,
-    is_last: bool,
-) -> (Ended, After) {
-    if may_have_run && promises_not_run(head.status) {
-        return refuse(inbound, request, Reason::Unknown, is_last).await;
+    is_last_request: bool,
+) -> (RequestSummary, ConnectionAction) {
+    if may_have_run && guarantees_not_run(head.status) {
+        return refuse(
+            inbound,
+            request,
+            ErrorReason::ResponseLost,
+            is_last_request,
+        )
+        .await;
     }
     let has_no_body =
         request.method == "HEAD" || matches!(head.status, 204 | 304);
@@ -421,20 +450,29 @@
         true => Framing::None,
         false => Framing::Length(body.len()),
     };
-    let mut bytes = passed_head(head, framing, is_last);
+    let mut bytes = forwarded_head(head, framing, is_last_request);
     bytes.extend_from_slice(body);
     let is_sent = inbound.write(&bytes).await.is_ok();
     let outcome = match head.status {
         ..400 => "completed",
         _ => "failed",
     };
-    let ended =
-        Ended { outcome, status: head.status, events: 1, ..Ended::default() };
-    let after = After::answer(is_sent, is_last);
+    let ended = RequestSummary {
+        outcome,
+        status: head.status,
+        events: 1,
+        ..RequestSummary::default()
+    };
+    let after = ConnectionAction::after_response(is_sent, is_last_request);
     (ended, after)
 }
 
-fn note_sent(core: &Core, admitted: &Admitted, sent: &Sent<'_>, left_ms: u64) {
+fn note_sent(
+    core: &Core,
+    admitted: &AdmittedRequest,
+    sent: &Sent<'_>,
+    remaining_ms: u64,
+) {
     core.metrics.service(&admitted.service.name).attempts.inc();
     let waited_ms = now_ms().saturating_sub(admitted.received_ms);
     emit(
@@ -444,13 +482,13 @@
             ("attempt", &sent.attempt),
             ("backends", &sent.engine.id),
             ("waited_ms", &waited_ms),
-            ("left_ms", &left_ms),
+            ("left_ms", &remaining_ms),
         ],
     );
 }
 
 fn note_broken(
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     sent: &Sent<'_>,
     error: &dyn std::fmt::Display,
     started_ms: u64,
--- a/crates/direct/src/request/plain/seek.rs
+++ b/crates/direct/src/request/plain/seek.rs
@@ -18,11 +18,11 @@
     cluster::{engine::Engine, fleet::accepts_requests, permits},
     core::Core,
     request::{
-        admit::Admitted,
-        answer::{Reason, rest_come_back_ms},
+        admit::AdmittedRequest,
         isolation::{Trial, Turn},
         queue::{Place, priority_of},
-        room::RunningTokens,
+        response::{ErrorReason, cooldown_retry_after_ms},
+        running_tokens::RunningTokens,
     },
 };
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy)]
 struct Look<'a> {
     core: &'a Core,
-    admitted: &'a Admitted,
+    admitted: &'a AdmittedRequest,
     /// Those that were tried, by incarnation.
     tried: &'a BTreeSet<String>,
     /// Whether those that named a limit need a permit now.
@@ -59,7 +59,8 @@
         &mut self,
     ) -> Option<(Arc<Engine>, Option<Trial>)> {
         let wait_ms = WAIT_SHARE * self.admitted.route.target_ms as f64;
-        let until_ms = self.admitted.end_ms.min(now_ms() + wait_ms as u64);
+        let until_ms =
+            self.admitted.deadline_ms.min(now_ms() + wait_ms as u64);
         let look = Look {
             core: self.core,
             admitted: self.admitted,
@@ -145,8 +146,9 @@
         let engines = engines.all.iter().filter(is_fresh);
         let ready_in_ms = self.core.fleet.cooldown_left_ms(engines, now_ms);
         let may_wait_ms = until_ms.saturating_sub(now_ms);
-        let come_back_ms = rest_come_back_ms(ready_in_ms, may_wait_ms);
-        let refusal = come_back_ms.map(|ms| (Reason::ServersRest, ms));
+        let retry_after_ms = cooldown_retry_after_ms(ready_in_ms, may_wait_ms);
+        let refusal =
+            retry_after_ms.map(|ms| (ErrorReason::ServersInCooldown, ms));
         self.refusal = refusal.or(self.refusal);
         refusal.is_some()
     }
@@ -188,8 +190,8 @@
                     Some(waits.retry_after_ms(now_ms, &mut rng))
                 }
             };
-        let come_back_ms = self.core.room_waits.change(service, decide);
-        self.refusal = come_back_ms.map(|ms| (Reason::NoRoom, ms));
+        let retry_after_ms = self.core.capacity_waits.update(service, decide);
+        self.refusal = retry_after_ms.map(|ms| (ErrorReason::NoCapacity, ms));
         if self.refusal.is_some() {
             return None;
         }
@@ -217,13 +219,13 @@
         let ask = |waits: &mut CapacityWaits| {
             waits.record_request(account, TOKENS, now_ms())
         };
-        self.core.room_waits.change(&self.admitted.service.name, ask);
+        self.core.capacity_waits.update(&self.admitted.service.name, ask);
     }
 
     fn note_running(&mut self) {
         let account = self.admitted.account.as_deref().unwrap_or("");
         let service = &self.admitted.service.name;
-        let waits = &self.core.room_waits;
+        let waits = &self.core.capacity_waits;
         self.running =
             Some(RunningTokens::begin(waits, service, account, TOKENS));
     }
--- a/crates/direct/src/request/queue.rs
+++ b/crates/direct/src/request/queue.rs
@@ -74,13 +74,13 @@
     /// Whether nobody waits, so that a request may look without a turn.
     pub(crate) fn is_idle(&self, service: &str) -> bool {
         let is_idle = |queue: &Queue| queue.turns.is_idle();
-        self.by_service.look(service, is_idle).unwrap_or(true)
+        self.by_service.read(service, is_idle).unwrap_or(true)
     }
 
     /// How many wait for a turn at a service.
     pub(crate) fn waiting_count(&self, service: &str) -> usize {
         let count = |queue: &Queue| queue.turns.waiting_count();
-        self.by_service.look(service, count).unwrap_or(0)
+        self.by_service.read(service, count).unwrap_or(0)
     }
 
     /// What goes before a request that comes now.
@@ -94,7 +94,7 @@
             busy_for_ms: queue.turns.contended_for_ms(now_ms()),
             tokens: queue.turns.tokens_before(account, tokens),
         };
-        self.by_service.look(service, before).unwrap_or_default()
+        self.by_service.read(service, before).unwrap_or_default()
     }
 
     /// Takes a place.
@@ -114,7 +114,7 @@
             queue.grant();
             Ok(key)
         };
-        let key = self.by_service.change(service, join)?;
+        let key = self.by_service.update(service, join)?;
         let service = service.to_owned();
         Ok(Place { queues: self.clone(), service, key, granted })
     }
@@ -130,7 +130,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.queues.by_service.change(&self.service, |queue| {
+        self.queues.by_service.update(&self.service, |queue| {
             queue.signals.remove(&self.key);
             queue.turns.leave(self.key);
             queue.grant();
--- a/crates/direct/src/request/room.rs
+++ b/crates/direct/src/request/running_tokens.rs
@@ -24,7 +24,7 @@
         let begin = |waits: &mut CapacityWaits| {
             waits.record_start(account, tokens, now_ms());
         };
-        waits.change(service, begin);
+        waits.update(service, begin);
         let (waits, service) = (waits.clone(), service.to_owned());
         RunningTokens { waits, service, tokens }
     }
@@ -33,6 +33,6 @@
 impl Drop for RunningTokens {
     fn drop(&mut self) {
         let end = |waits: &mut CapacityWaits| waits.record_end(self.tokens);
-        self.waits.change(&self.service, end);
+        self.waits.update(&self.service, end);
     }
 }
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -26,12 +26,14 @@
     },
     core::Core,
     request::{
-        admit::Admitted,
-        answer::{Framing, Reason, passed_head, promises_not_run},
-        ended::{After, Ended, refuse, refuse_until},
+        admit::AdmittedRequest,
         isolation::{Suspicion, Trial},
+        outcome::{
+            ConnectionAction, RequestSummary, refuse, refuse_with_retry_after,
+        },
         path::Path,
-        room::RunningTokens,
+        response::{ErrorReason, Framing, forwarded_head, guarantees_not_run},
+        running_tokens::RunningTokens,
     },
     subscribers::Subscription,
 };
@@ -75,9 +77,9 @@
 struct Stream<'a> {
     core: &'a Arc<Core>,
     request: &'a RelayRequest,
-    admitted: &'a Admitted,
+    admitted: &'a AdmittedRequest,
     model: &'a Model,
-    is_last: bool,
+    is_last_request: bool,
     /// Tokens of the prompt and of what the client has already.
     tokens: u64,
     listed: Subscription,
@@ -102,11 +104,11 @@
     has_passed: bool,
     /// When its client is to come back, where all that could be first are at
     /// rest.
-    rest_come_back_ms: Option<u64>,
+    cooldown_retry_after_ms: Option<u64>,
     /// Whether it was not let wait for room.
     is_refused_room: bool,
     is_head_sent: bool,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     pace: Pace,
     /// Whether the connection to the first engine ended, rather than that the
     /// stream left it.
@@ -117,7 +119,7 @@
     left_because: &'static str,
     /// Why the next attempt is made.
     cause: &'static str,
-    ended: Ended,
+    ended: RequestSummary,
 }
 
 /// Passes a stream on.
@@ -125,18 +127,24 @@
     core: &Arc<Core>,
     inbound: &mut Inbound,
     request: &RelayRequest,
-    admitted: &Admitted,
-    is_last: bool,
-) -> (Ended, After) {
+    admitted: &AdmittedRequest,
+    is_last_request: bool,
+) -> (RequestSummary, ConnectionAction) {
     let Some(model) = &admitted.service.model else {
-        return refuse(inbound, request, Reason::NoBackend, is_last).await;
+        return refuse(
+            inbound,
+            request,
+            ErrorReason::NoBackend,
+            is_last_request,
+        )
+        .await;
     };
     let mut stream = Stream {
         core,
         request,
         admitted,
         model,
-        is_last,
+        is_last_request,
         tokens: needed_tokens(request, model),
         listed: core.stream_subscribers.subscribe(),
         without: BTreeSet::new(),
@@ -151,16 +159,16 @@
         trial: None,
         key: fastrand::u64(..),
         has_passed: false,
-        rest_come_back_ms: None,
+        cooldown_retry_after_ms: None,
         is_refused_room: false,
         is_head_sent: false,
-        last_event: last_event(request),
+        last_event_id: last_event_id(request),
         pace: Pace::new(admitted.route.gap_target_ms),
         is_cut: false,
         leave_after_ms: leave_after_ms(core),
         left_because: "",
         cause: FIRST,
-        ended: Ended::default(),
+        ended: RequestSummary::default(),
     };
     let metrics = core.metrics.service(&admitted.service.name);
     metrics.requests_in_flight.inc();
@@ -178,7 +186,7 @@
     (drain_ms * LEAVE_WITHIN * fastrand::f64()) as u64
 }
 
-fn last_event(request: &RelayRequest) -> Option<u64> {
+fn last_event_id(request: &RelayRequest) -> Option<u64> {
     request.header(clients::LAST_EVENT_ID)?.trim().parse().ok()
 }
 
@@ -195,7 +203,7 @@
 }
 
 impl Stream<'_> {
-    async fn run(&mut self, inbound: &mut Inbound) -> After {
+    async fn run(&mut self, inbound: &mut Inbound) -> ConnectionAction {
         loop {
             let caller = inbound.stream().clone();
             let gone = async {
@@ -254,19 +262,19 @@
         }
     }
 
-    fn note_caller_gone(&mut self) -> After {
+    fn note_caller_gone(&mut self) -> ConnectionAction {
         if self.pace.run.may_have_crashed_server(now_ms()) {
             let (first, is_in_trial) =
                 (self.path.first(), self.trial.is_some());
             self.suspicion.note_left(first, self.pace.run, is_in_trial);
         }
         self.ended.outcome = "caller_gone";
-        After::Cut
+        ConnectionAction::Abort
     }
 
     /// Whether it may go to another first engine.
     fn can_move(&self) -> bool {
-        self.admitted.left_ms(now_ms()) > 0 && self.attempts.may_retry()
+        self.admitted.remaining_ms(now_ms()) > 0 && self.attempts.may_retry()
     }
 
     /// Takes that the first engine no longer answers this request. It does
@@ -315,41 +323,46 @@
         self.without.insert(engine.incarnation.clone());
     }
 
-    async fn finish(&mut self, inbound: &mut Inbound) -> After {
+    async fn finish(&mut self, inbound: &mut Inbound) -> ConnectionAction {
         self.ended.outcome = "completed";
         let is_sent = inbound.write(LAST_CHUNK).await.is_ok();
-        After::answer(is_sent, self.is_last)
+        ConnectionAction::after_response(is_sent, self.is_last_request)
     }
 
     /// Ends a stream for which nothing more can be done.
-    async fn give_up(&mut self, inbound: &mut Inbound) -> After {
-        let left_ms = self.admitted.left_ms(now_ms());
+    async fn give_up(&mut self, inbound: &mut Inbound) -> ConnectionAction {
+        let remaining_ms = self.admitted.remaining_ms(now_ms());
         let may_have_run = self.attempts.may_have_run();
         let refusal = self.suspicion.refusal(may_have_run);
-        let reason = match Reason::at_end(may_have_run, left_ms) {
-            _ if let Some((reason, _)) = refusal => reason,
-            Reason::NoBackend if self.rest_come_back_ms.is_some() => {
-                Reason::ServersRest
-            }
-            Reason::NoBackend if self.is_refused_room => Reason::NoRoom,
-            reason => reason,
-        };
+        let reason =
+            match ErrorReason::for_exhausted(may_have_run, remaining_ms) {
+                _ if let Some((reason, _)) = refusal => reason,
+                ErrorReason::NoBackend
+                    if self.cooldown_retry_after_ms.is_some() =>
+                {
+                    ErrorReason::ServersInCooldown
+                }
+                ErrorReason::NoBackend if self.is_refused_room => {
+                    ErrorReason::NoCapacity
+                }
+                reason => reason,
+            };
         if self.is_head_sent {
             self.ended.outcome = "failed";
-            self.ended.reason = reason.name().to_owned();
-            return After::Cut;
+            self.ended.reason = reason.as_str().to_owned();
+            return ConnectionAction::Abort;
         }
-        let come_back_ms = match (refusal, self.rest_come_back_ms) {
-            (Some((_, left_ms)), _) => left_ms,
-            (None, Some(come_back_ms)) => come_back_ms,
-            (None, None) => self.come_back_ms(),
+        let retry_after_ms = match (refusal, self.cooldown_retry_after_ms) {
+            (Some((_, remaining_ms)), _) => remaining_ms,
+            (None, Some(retry_after_ms)) => retry_after_ms,
+            (None, None) => self.retry_after_ms(),
         };
-        let (ended, after) = refuse_until(
+        let (ended, after) = refuse_with_retry_after(
             inbound,
             self.request,
             reason,
-            come_back_ms,
-            self.is_last,
+            retry_after_ms,
+            self.is_last_request,
         )
         .await;
         self.ended.outcome = ended.outcome;
@@ -363,17 +376,17 @@
         inbound: &mut Inbound,
         head: &AnswerHead,
         body: &[u8],
-    ) -> After {
-        if self.attempts.may_have_run() && promises_not_run(head.status) {
+    ) -> ConnectionAction {
+        if self.attempts.may_have_run() && guarantees_not_run(head.status) {
             return self.give_up(inbound).await;
         }
         let framing = Framing::Length(body.len());
-        let mut bytes = passed_head(head, framing, self.is_last);
+        let mut bytes = forwarded_head(head, framing, self.is_last_request);
         bytes.extend_from_slice(body);
         self.ended.outcome = "failed";
         self.ended.status = head.status;
         self.ended.reason = "engine".to_owned();
         let is_sent = inbound.write(&bytes).await.is_ok();
-        After::answer(is_sent, self.is_last)
+        ConnectionAction::after_response(is_sent, self.is_last_request)
     }
 }
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -20,9 +20,9 @@
         probe,
     },
     request::{
-        answer::{Framing, passed_head},
         events::EventSplitter,
-        exchange::{self, Addressed, with_timeout},
+        exchange::{self, BackendHeaders, with_timeout},
+        response::{Framing, forwarded_head},
     },
 };
 
@@ -39,7 +39,7 @@
         let caller = inbound.stream().clone();
         self.pace.begin_attempt();
         self.is_cut = false;
-        let dial = Outbound::connect(first.address, exchange::DIAL);
+        let dial = Outbound::connect(first.address, exchange::CONNECT_TIMEOUT);
         let mut connection = match dial.await {
             Ok(connection) => connection,
             Err(e) => {
@@ -59,7 +59,12 @@
         let method = self.request.method.clone();
         let work = async {
             connection.send(&bytes).await?;
-            exchange::own_head(&mut connection, id.as_deref(), &method).await
+            exchange::read_matching_head(
+                &mut connection,
+                id.as_deref(),
+                &method,
+            )
+            .await
         };
         let mut watch = Watch::new(&caller);
         let waited = self.supervise(&mut watch, work).await;
@@ -159,7 +164,7 @@
         let mut body = head.body(&self.request.method);
         let mut out = Vec::new();
         if !self.is_head_sent {
-            out = passed_head(head, Framing::Chunked, self.is_last);
+            out = forwarded_head(head, Framing::Chunked, self.is_last_request);
         }
         loop {
             let part = connection.next_part(&mut body);
@@ -193,12 +198,12 @@
     ) -> bool {
         let mut bytes = Vec::new();
         while let Some(event) = splitter.next_event() {
-            if let (Some(id), Some(last)) = (event.id, self.last_event)
+            if let (Some(id), Some(last)) = (event.id, self.last_event_id)
                 && id <= last
             {
                 continue;
             }
-            self.last_event = event.id.or(self.last_event);
+            self.last_event_id = event.id.or(self.last_event_id);
             self.ended.events += 1;
             self.pace.run.record_event();
             bytes.extend_from_slice(&event.bytes);
@@ -217,14 +222,14 @@
         let metrics = self.core.metrics.service(service);
         let had_begun = self.pace.has_begun;
         if !had_begun {
-            self.core.note_first_event(service, self.pace.moved_ms);
+            self.core.record_first_event(service, self.pace.moved_ms);
         }
         let gap_ms = self.pace.moved(now_ms);
         let gap = Duration::from_millis(gap_ms).as_secs_f64();
-        match self.ended.first_ms {
+        match self.ended.first_event_ms {
             None => {
                 let first_ms = now_ms - self.admitted.received_ms;
-                self.ended.first_ms = Some(first_ms);
+                self.ended.first_event_ms = Some(first_ms);
                 metrics.time_to_first_token.observe(first_ms as f64 / 1e3);
             }
             Some(_) => {
@@ -253,13 +258,13 @@
         let is_resumable = self.admitted.route.reuse == Reuse::ResumableStream;
         exchange::request_bytes(
             self.request,
-            &Addressed {
+            &BackendHeaders {
                 instance: &self.path.first().id,
                 account: self.admitted.account.as_deref(),
-                left_ms: self.admitted.left_ms(now_ms()),
+                remaining_ms: self.admitted.remaining_ms(now_ms()),
                 path: Some(&path),
                 priority: Some(self.admitted.urgency),
-                last_event: self.last_event.filter(|_| is_resumable),
+                last_event_id: self.last_event_id.filter(|_| is_resumable),
             },
         )
     }
--- a/crates/direct/src/request/stream/room.rs
+++ b/crates/direct/src/request/stream/room.rs
@@ -4,7 +4,7 @@
 use chestnutreach_telemetry::{Event, emit};
 
 use super::Stream;
-use crate::{clock::now_ms, request::room::RunningTokens};
+use crate::{clock::now_ms, request::running_tokens::RunningTokens};
 
 /// Multiple of the usual wait for the first event that is kept for it.
 const FIRST_EVENT_FACTOR: f64 = 1.5;
@@ -23,13 +23,13 @@
             waits.record_request(self.account(), self.tokens, now_ms());
         };
         let service = &self.admitted.service.name;
-        self.core.room_waits.change(service, ask);
+        self.core.capacity_waits.update(service, ask);
     }
 
     /// Counts that it has found room.
     pub(super) fn note_running(&mut self) {
         let service = &self.admitted.service.name;
-        let (waits, account) = (&self.core.room_waits, self.account());
+        let (waits, account) = (&self.core.capacity_waits, self.account());
         let running =
             RunningTokens::begin(waits, service, account, self.tokens);
         self.running = Some(running);
@@ -39,11 +39,12 @@
     pub(super) fn in_time_ms(&self) -> u64 {
         let target_ms = self.admitted.route.target_ms as f64;
         let service = &self.admitted.service.name;
-        let first_ms = self.core.usual_first_ms(service).unwrap_or(0) as f64;
+        let first_ms =
+            self.core.median_first_event_ms(service).unwrap_or(0) as f64;
         let spent_ms = now_ms().saturating_sub(self.admitted.received_ms);
-        let left_ms =
+        let remaining_ms =
             target_ms - spent_ms as f64 - FIRST_EVENT_FACTOR * first_ms;
-        left_ms.max(LEAST_WAIT_SHARE * target_ms) as u64
+        remaining_ms.max(LEAST_WAIT_SHARE * target_ms) as u64
     }
 
     /// Whether it may wait for room; how long, in milliseconds.
@@ -64,7 +65,7 @@
             (waits.decide(&need, now_ms), waits.tokens_per_s(now_ms))
         };
         let (wait, tokens_per_s) =
-            self.core.room_waits.change(service, decide);
+            self.core.capacity_waits.update(service, decide);
         match wait {
             CapacityWait::UpTo(ms) => Some(ms),
             CapacityWait::Refused(expected_ms) => {
@@ -76,12 +77,12 @@
     }
 
     /// Time after which its client is to come back.
-    pub(super) fn come_back_ms(&self) -> u64 {
+    pub(super) fn retry_after_ms(&self) -> u64 {
         let service = &self.admitted.service.name;
         let come_back = |waits: &mut CapacityWaits| {
             waits.retry_after_ms(now_ms(), &mut fastrand::Rng::new())
         };
-        self.core.room_waits.change(service, come_back)
+        self.core.capacity_waits.update(service, come_back)
     }
 
     fn note_refused(
--- a/crates/direct/src/request/stream/seek.rs
+++ b/crates/direct/src/request/stream/seek.rs
@@ -18,9 +18,9 @@
     clock::now_ms,
     cluster::permits,
     request::{
-        answer::rest_come_back_ms,
         path::Path,
         queue::{Place, priority_of},
+        response::cooldown_retry_after_ms,
         route::{PathNeed, first_ready_in_ms, limited_firsts},
     },
 };
@@ -71,8 +71,8 @@
         // path may come with any engine that is back, and a cut would only
         // have the client look for the same.
         match self.is_head_sent {
-            true => self.admitted.end_ms,
-            false => self.admitted.end_ms.min(now_ms() + MAX_WAIT_MS),
+            true => self.admitted.deadline_ms,
+            false => self.admitted.deadline_ms.min(now_ms() + MAX_WAIT_MS),
         }
     }
 
@@ -122,10 +122,11 @@
         loop {
             if let Some(path) = self.path_soon().await {
                 let service = &self.admitted.service.name;
-                let is_denied = needs_retry && !self.core.take_retry(service);
+                let is_denied =
+                    needs_retry && !self.core.try_take_retry(service);
                 if is_denied && !was_denied {
                     let id = self.admitted.id_text();
-                    self.core.note_retry_denied(service, id);
+                    self.core.record_retry_denied(service, id);
                 }
                 was_denied = is_denied;
                 needs_retry = is_denied;
@@ -149,9 +150,9 @@
         let need = self.need(false);
         let ready_in_ms = first_ready_in_ms(self.core, &need);
         let may_wait_ms = until_ms.saturating_sub(need.now_ms);
-        let come_back_ms = rest_come_back_ms(ready_in_ms, may_wait_ms);
-        self.rest_come_back_ms = come_back_ms;
-        come_back_ms.is_some()
+        let retry_after_ms = cooldown_retry_after_ms(ready_in_ms, may_wait_ms);
+        self.cooldown_retry_after_ms = retry_after_ms;
+        retry_after_ms.is_some()
     }
 
     /// Takes the path that is there now; false if there is none.
@@ -250,7 +251,7 @@
             crossing_use: self
                 .core
                 .interconnect
-                .share(&self.core.peers, self.model.pipe_mbps),
+                .utilisation(&self.core.peers, self.model.pipe_mbps),
             entries_without_report: self.core.entries_without_report(),
             not_first: &self.not_first,
             only_first: self.trial.as_ref().map(|trial| &trial.engine),
@@ -262,7 +263,7 @@
         let each = self.tokens as f64 * self.model.activation_bytes;
         let bytes = crossings as f64 * each;
         let core = self.core;
-        core.interconnect.note(&core.peers, self.model.pipe_mbps, bytes);
+        core.interconnect.record(&core.peers, self.model.pipe_mbps, bytes);
     }
 
     /// Shows how many wait.
--- a/crates/direct/src/request/stream/told.rs
+++ b/crates/direct/src/request/stream/told.rs
@@ -18,7 +18,8 @@
             metrics.requests_resumed.inc();
         }
         let now_ms = now_ms();
-        let last = self.last_event.map_or_else(String::new, |e| e.to_string());
+        let last =
+            self.last_event_id.map_or_else(String::new, |e| e.to_string());
         emit(
             Event::RelaySent,
             &[
@@ -27,7 +28,7 @@
                 ("backends", &self.path.names()),
                 ("tokens", &self.tokens),
                 ("waited_ms", &(now_ms - self.admitted.received_ms)),
-                ("left_ms", &self.admitted.left_ms(now_ms)),
+                ("left_ms", &self.admitted.remaining_ms(now_ms)),
                 ("last_event", &last),
                 ("cause", &self.cause),
             ],
@@ -35,7 +36,8 @@
     }
 
     pub(super) fn note_broken(&self, error: &dyn Display) {
-        let last = self.last_event.map_or_else(String::new, |e| e.to_string());
+        let last =
+            self.last_event_id.map_or_else(String::new, |e| e.to_string());
         let begun_ms = self.pace.run.age_ms(now_ms());
         let begun_ms = begun_ms.map_or_else(String::new, |ms| ms.to_string());
         emit(
--- a/crates/direct/src/request/stream/watch.rs
+++ b/crates/direct/src/request/stream/watch.rs
@@ -126,7 +126,7 @@
                 Woken::Nudged => {}
                 Woken::Look => watch.look_at = None,
             }
-            if self.admitted.left_ms(now_ms()) == 0 {
+            if self.admitted.remaining_ms(now_ms()) == 0 {
                 return Waited::TimeOver;
             }
             if !self.look_after().await {
@@ -139,7 +139,7 @@
         let now_ms = now_ms();
         let quiet_ms = self.pace.quiet_ms(now_ms);
         let look_ms = self.pace.look_ms();
-        let left_ms = self.admitted.left_ms(now_ms);
+        let remaining_ms = self.admitted.remaining_ms(now_ms);
         let wait = match quiet_ms < look_ms {
             true => Duration::from_millis(look_ms - quiet_ms),
             false => Duration::from_millis(self.pace.look_again_ms),
@@ -149,12 +149,13 @@
             .filter_map(|stage| stage.leaving_ms(now_ms));
         let wait = match leaving.max() {
             Some(ms) => {
-                let left_ms = self.leave_after_ms.saturating_sub(ms).max(40);
-                wait.min(Duration::from_millis(left_ms))
+                let remaining_ms =
+                    self.leave_after_ms.saturating_sub(ms).max(40);
+                wait.min(Duration::from_millis(remaining_ms))
             }
             None => wait,
         };
-        wait.min(Duration::from_millis(left_ms.max(1)))
+        wait.min(Duration::from_millis(remaining_ms.max(1)))
     }
 
     /// Looks for the cause of a pause and leads the stream around it; false
--- a/crates/direct/src/subscribers.rs
+++ b/crates/direct/src/subscribers.rs
@@ -1,4 +1,4 @@
-//! Waking whoever waits for something that has changed.
+//! Wakes tasks that wait for a change.
 
 use std::{
     collections::BTreeMap,
@@ -10,7 +10,7 @@
 
 use async_channel::{Receiver, Sender};
 
-/// Those that wait, such as the streams of an entry.
+/// The subscribed tasks, such as the streams of an entry.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Subscribers {
     shared: Arc<Shared>,
@@ -18,49 +18,50 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    next: AtomicU64,
-    nudges: Mutex<BTreeMap<u64, Sender<()>>>,
+    next_key: AtomicU64,
+    senders: Mutex<BTreeMap<u64, Sender<()>>>,
 }
 
-/// One among them, until it is dropped.
+/// The subscription of one task, which ends when dropped.
 #[derive(Debug)]
 pub(crate) struct Subscription {
     key: u64,
     shared: Arc<Shared>,
-    nudged: Receiver<()>,
+    receiver: Receiver<()>,
 }
 
 impl Subscribers {
     pub(crate) fn subscribe(&self) -> Subscription {
-        let (sender, nudged) = async_channel::bounded(1);
-        let key = self.shared.next.fetch_add(1, Relaxed);
-        self.nudges().insert(key, sender);
-        Subscription { key, shared: self.shared.clone(), nudged }
+        let (sender, receiver) = async_channel::bounded(1);
+        let key = self.shared.next_key.fetch_add(1, Relaxed);
+        self.senders().insert(key, sender);
+        Subscription { key, shared: self.shared.clone(), receiver }
     }
 
-    /// Has all of them look again.
+    /// Wakes all subscribed tasks.
     pub(crate) fn notify_all(&self) {
-        for sender in self.nudges().values() {
-            // One that is full has been nudged and not looked yet.
+        for sender in self.senders().values() {
+            // A full channel holds a notification that is not consumed yet.
             let _ = sender.try_send(());
         }
     }
 
-    fn nudges(&self) -> std::sync::MutexGuard<'_, BTreeMap<u64, Sender<()>>> {
-        self.shared.nudges.lock().expect("no holder panics")
+    fn senders(&self) -> std::sync::MutexGuard<'_, BTreeMap<u64, Sender<()>>> {
+        self.shared.senders.lock().expect("no holder panics")
     }
 }
 
 impl Subscription {
     pub(crate) async fn notified(&self) {
-        // The sender lives in the list as long as this does.
-        let _ = self.nudged.recv().await;
+        // The sender stays registered for as long as this subscription.
+        let _ = self.receiver.recv().await;
     }
 }
 
 impl Drop for Subscription {
     fn drop(&mut self) {
-        let mut nudges = self.shared.nudges.lock().expect("no holder panics");
-        nudges.remove(&self.key);
+        let mut senders =
+            self.shared.senders.lock().expect("no holder panics");
+        senders.remove(&self.key);
     }
 }
