--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -125,8 +125,9 @@
     call(to, "GET", head.as_bytes()).await
 }
 
-/// Sends an order to an engine. The order names the engine's incarnation, since
-/// an order for the previous process at this address must not take effect.
+/// Sends an order to an engine. The order names the engine's incarnation,
+/// since an order for the previous process at this address must not take
+/// effect.
 pub(crate) async fn send_order(
     to: &Engine,
     body: &[u8],
--- a/crates/direct/src/request/isolation.rs
+++ b/crates/direct/src/request/isolation.rs
@@ -1,7 +1,8 @@
-//! Where and when a request may run that may crash its engines.
+//! Decides where and when a request may run that may crash its engines.
 //!
-//! A request under which engines crashed runs in a trial. Of several engines
-//! the one with the fewest requests takes it, where a crash does least harm.
+//! A request under which engines crashed runs in a trial. The trial takes
+//! place at the engine with the fewest requests, where a crash does the least
+//! harm.
 
 use std::{
     collections::BTreeSet,
@@ -24,54 +25,56 @@
     request::{admit::AdmittedRequest, fingerprint, response::ErrorReason},
 };
 
-/// Time in which entries that begin a trial, or lose an engine, at the same
-/// moment hear of each other.
-const SETTLE: Duration = Duration::from_millis(20);
-/// Pause before looking again for an engine without a trial.
-const LOOK_AGAIN: Duration = Duration::from_millis(15);
+/// Time in which entries that begin a trial, or observe a crash, at the same
+/// moment learn of each other.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(20);
+/// Interval between searches for an engine without a trial.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(15);
 
-/// A trial that may be made now. Others are kept from it until it is dropped.
+/// A trial that may run now. No other trial of the request or at the engine
+/// begins until this value is dropped.
 pub(crate) struct Trial {
     pub(crate) engine: Arc<Engine>,
-    hold: TrialGuard,
+    guard: TrialGuard,
 }
 
 /// How a request may run.
-pub(crate) enum Turn {
-    /// Like any other.
-    Free,
+pub(crate) enum RunPermission {
+    /// Without restrictions.
+    Unrestricted,
     /// In a trial.
     Trial(Trial),
-    /// Not now: it is quarantined, or no trial could begin in its time.
-    None,
+    /// Not at all: the request is quarantined, or no trial could begin in
+    /// time.
+    Denied,
 }
 
-/// What is known of a request that may crash its engines.
-pub(crate) struct Suspicion<'a> {
+/// Tracks whether a request may crash its engines.
+pub(crate) struct RequestSuspicion<'a> {
     core: &'a Arc<Core>,
     request: &'a RelayRequest,
     admitted: &'a AdmittedRequest,
-    /// Taken only where something is known of requests.
+    /// Computed only if some request is suspect.
     fingerprint: OnceLock<Fingerprint>,
-    /// It has run for so long that it crashes none.
-    has_lasted: bool,
-    /// An engine has just crashed under it, and what other entries say of
-    /// that crash has not come yet.
+    /// Whether the request has run for so long that it crashes no engine.
+    has_survived: bool,
+    /// Whether an engine has just crashed under the request, and the reports
+    /// of other entries about that crash may still be in transit.
     has_just_crashed: bool,
 }
 
-impl<'a> Suspicion<'a> {
+impl<'a> RequestSuspicion<'a> {
     pub(crate) fn new(
         core: &'a Arc<Core>,
         request: &'a RelayRequest,
         admitted: &'a AdmittedRequest,
-    ) -> Suspicion<'a> {
-        Suspicion {
+    ) -> RequestSuspicion<'a> {
+        RequestSuspicion {
             core,
             request,
             admitted,
             fingerprint: OnceLock::new(),
-            has_lasted: false,
+            has_survived: false,
             has_just_crashed: false,
         }
     }
@@ -82,110 +85,111 @@
         *self.fingerprint.get_or_init(of)
     }
 
-    /// Whether it has run for so long that it crashes none.
-    pub(crate) fn has_lasted(&self) -> bool {
-        self.has_lasted
+    /// Whether the request has run for so long that it crashes no engine.
+    pub(crate) fn has_survived(&self) -> bool {
+        self.has_survived
     }
 
     fn verdict(&self) -> Verdict {
-        if self.has_lasted || self.core.suspects.is_empty() {
+        if self.has_survived || self.core.suspects.is_empty() {
             return Verdict::Free;
         }
         self.core.suspects.verdict(self.fingerprint())
     }
 
-    /// Whether it may not run like any other.
+    /// Whether the request may not run without restrictions.
     pub(crate) fn is_suspect(&self) -> bool {
         self.verdict() != Verdict::Free
     }
 
-    /// Time left of its quarantine; none where it is in none.
+    /// Time left of the quarantine; `None` if the request is not quarantined.
     pub(crate) fn quarantine_left_ms(&self) -> Option<u64> {
         self.verdict().quarantine_left_ms(now_ms())
     }
 
-    /// Waits until it may run, but not beyond a time; `choose` names an
-    /// engine outside of a set of short hashes.
-    pub(crate) async fn turn(
+    /// Waits until the request may run, at most until `until_ms`. `choose`
+    /// returns an engine that is not in a set of short hashes.
+    pub(crate) async fn await_permission(
         &mut self,
         until_ms: u64,
         choose: impl Fn(&BTreeSet<u32>) -> Option<Arc<Engine>>,
-    ) -> Turn {
-        let asked_ms = now_ms();
+    ) -> RunPermission {
+        let began_ms = now_ms();
         if std::mem::take(&mut self.has_just_crashed) {
-            Timer::after(SETTLE).await;
+            Timer::after(PROPAGATION_DELAY).await;
         }
         loop {
             let crashes = match self.verdict() {
-                Verdict::Free => return Turn::Free,
+                Verdict::Free => return RunPermission::Unrestricted,
                 Verdict::Suspect { crashes } => crashes,
-                Verdict::Quarantined { .. } => return Turn::None,
+                Verdict::Quarantined { .. } => return RunPermission::Denied,
             };
-            if let Some(trial) = self.try_trial(&choose).await {
-                self.note_trial(&trial, crashes, now_ms() - asked_ms);
-                return Turn::Trial(trial);
+            if let Some(trial) = self.try_begin_trial(&choose).await {
+                self.log_trial_begun(&trial, crashes, now_ms() - began_ms);
+                return RunPermission::Trial(trial);
             }
             if now_ms() >= until_ms {
-                return Turn::None;
+                return RunPermission::Denied;
             }
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(SEARCH_INTERVAL).await;
         }
     }
 
-    async fn try_trial(
+    async fn try_begin_trial(
         &self,
         choose: &impl Fn(&BTreeSet<u32>) -> Option<Arc<Engine>>,
     ) -> Option<Trial> {
         let core = self.core;
         let engine = choose(&core.suspects.trial_engines())?;
-        let hold = suspects::try_trial(core, self.fingerprint(), &engine)?;
-        let trial = Trial { engine, hold };
-        Timer::after(SETTLE / 2).await;
-        // A claim that is lost is not made up for.
-        trial.hold.announce();
-        Timer::after(SETTLE / 2).await;
-        trial.hold.is_held().then_some(trial)
+        let guard = suspects::try_trial(core, self.fingerprint(), &engine)?;
+        let trial = Trial { engine, guard };
+        Timer::after(PROPAGATION_DELAY / 2).await;
+        // A lost announcement would not be repeated otherwise.
+        trial.guard.announce();
+        Timer::after(PROPAGATION_DELAY / 2).await;
+        trial.guard.is_held().then_some(trial)
     }
 
-    /// Takes that a run has lasted: it crashes nothing.
-    pub(crate) fn note_lasted(&mut self) {
-        self.has_lasted = true;
+    /// Records that a run survived, so the request crashes no engine.
+    pub(crate) fn record_survived(&mut self) {
+        self.has_survived = true;
         if !self.core.suspects.is_empty() {
             let id = self.admitted.id_text();
             suspects::record_survived(self.core, self.fingerprint(), id);
         }
     }
 
-    /// Takes that a run that had just begun broke off at an engine, which
-    /// may have crashed.
-    pub(crate) async fn note_broken(
+    /// Records that a run failed soon after its start, and checks whether the
+    /// engine crashed.
+    pub(crate) async fn record_failed_run(
         &mut self,
         engine: &Arc<Engine>,
         start: RunProgress,
         is_in_trial: bool,
     ) {
-        if self.has_lasted {
+        if self.has_survived {
             return;
         }
-        let run = self.broken_run(engine, start, is_in_trial);
+        let run = self.failed_run(engine, start, is_in_trial);
         self.has_just_crashed = suspects::check_crash(self.core, run).await;
     }
 
-    /// Takes that a run that had just begun was left, which may go on for a
-    /// moment at its engine.
-    pub(crate) fn note_left(
+    /// Records that the entry abandoned a run soon after its start. The run
+    /// may continue for a moment at its engine, so the check for a crash is
+    /// later.
+    pub(crate) fn record_abandoned_run(
         &self,
         engine: &Arc<Engine>,
         start: RunProgress,
         is_in_trial: bool,
     ) {
-        if !self.has_lasted {
-            let run = self.broken_run(engine, start, is_in_trial);
+        if !self.has_survived {
+            let run = self.failed_run(engine, start, is_in_trial);
             suspects::check_crash_later(self.core, run);
         }
     }
 
-    fn broken_run(
+    fn failed_run(
         &self,
         engine: &Arc<Engine>,
         start: RunProgress,
@@ -200,7 +204,7 @@
         }
     }
 
-    fn note_trial(&self, trial: &Trial, crashes: usize, waited_ms: u64) {
+    fn log_trial_begun(&self, trial: &Trial, crashes: usize, waited_ms: u64) {
         emit(
             Event::TrialBegun,
             &[
@@ -213,17 +217,18 @@
         );
     }
 
-    /// Why it ends, and when it may come back, where it is quarantined.
+    /// The reason and the retry time for a quarantined request; `None` for
+    /// other requests.
     pub(crate) fn refusal(
         &self,
         may_have_run: bool,
     ) -> Option<(ErrorReason, u64)> {
         let remaining_ms = self.quarantine_left_ms()?;
-        self.note_refused(remaining_ms);
+        self.record_refusal(remaining_ms);
         Some((ErrorReason::for_quarantined(may_have_run), remaining_ms))
     }
 
-    fn note_refused(&self, remaining_ms: u64) {
+    fn record_refusal(&self, remaining_ms: u64) {
         self.core.metrics.quarantine_refusals.inc();
         emit(
             Event::QuarantineRefused,
--- a/crates/direct/src/request/path.rs
+++ b/crates/direct/src/request/path.rs
@@ -7,7 +7,7 @@
 
 use crate::cluster::engine::{Engine, Reservation};
 
-/// One engine of a path and the layers that it runs.
+/// One engine of a path, and the layers that the engine runs.
 #[derive(Clone, Debug)]
 pub(crate) struct Stage {
     pub(crate) engine: Arc<Engine>,
@@ -15,7 +15,7 @@
     pub(crate) end_layer: u32,
 }
 
-/// Engines that a request passes through.
+/// The engines that a request passes through, in order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Path {
     pub(crate) stages: Vec<Stage>,
@@ -26,40 +26,40 @@
         LayerRange::new(self.first_layer, self.end_layer)
     }
 
-    /// How long its engine has been leaving; none if it stays.
+    /// How long the engine has been leaving; `None` if the engine stays.
     pub(crate) fn leaving_ms(&self, now_ms: u64) -> Option<u64> {
         self.engine.lock().leaving_ms(now_ms)
     }
 
-    /// Whether its layers there are about to be given up.
-    pub(crate) fn is_given_up(&self) -> bool {
+    /// Whether the engine is about to release some layers of this stage.
+    pub(crate) fn is_being_released(&self) -> bool {
         self.engine.lock().will_release(self.layers())
     }
 }
 
 impl Path {
-    pub(crate) fn first(&self) -> &Arc<Engine> {
+    pub(crate) fn first_engine(&self) -> &Arc<Engine> {
         &self.stages[0].engine
     }
 
-    /// How often it goes to another data centre on its way.
-    pub(crate) fn crossings(&self) -> usize {
+    /// Number of hops to another data centre.
+    pub(crate) fn interconnect_hops(&self) -> usize {
         let pairs = self.stages.windows(2);
         pairs
             .filter(|p| p[0].engine.data_centre != p[1].engine.data_centre)
             .count()
     }
 
-    /// The path as engines read it.
-    pub(crate) fn value(&self) -> String {
+    /// The value of the path header that engines read.
+    pub(crate) fn header_value(&self) -> String {
         let stages = self.stages.iter();
         path_value(
             stages.map(|s| (s.engine.address, s.first_layer, s.end_layer)),
         )
     }
 
-    /// The path as it stands in logs.
-    pub(crate) fn names(&self) -> String {
+    /// The path as written to logs.
+    pub(crate) fn log_text(&self) -> String {
         let name = |s: &Stage| {
             format!("{}={}-{}", s.engine.id, s.first_layer, s.end_layer)
         };
@@ -67,18 +67,18 @@
         names.join(",")
     }
 
-    /// Counts the reading that a request of so many tokens brings to the
-    /// engines that were not on the path before.
-    pub(crate) fn note_work(
+    /// Records the prefill of `tokens` at the engines that are not part of the
+    /// previous path.
+    pub(crate) fn record_prefill(
         &self,
         model: &Model,
         tokens: u64,
-        before: &Path,
+        previous: &Path,
         now_ms: u64,
     ) {
         for stage in &self.stages {
             let same = |s: &Stage| Arc::ptr_eq(&s.engine, &stage.engine);
-            if before.stages.iter().any(same) {
+            if previous.stages.iter().any(same) {
                 continue;
             }
             let kind = stage.engine.lock().row.kind.clone();
@@ -91,11 +91,12 @@
         }
     }
 
+    /// Reserves memory for `tokens` at all engines, and a slot at the first.
     pub(crate) fn reserve(&self, tokens: u64) -> Vec<Reservation> {
-        let hold = |(index, stage): (usize, &Stage)| {
+        let reservation = |(index, stage): (usize, &Stage)| {
             let layers = u64::from(stage.end_layer - stage.first_layer);
             Reservation::new(&stage.engine, layers * tokens, index == 0)
         };
-        self.stages.iter().enumerate().map(hold).collect()
+        self.stages.iter().enumerate().map(reservation).collect()
     }
 }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -1,10 +1,11 @@
-//! Requests with one whole answer.
+//! Requests with a single response.
 //!
-//! The answer is read whole before it is passed on, so that one that breaks
-//! off can be replaced: an idempotent request goes to another backend server,
-//! within its attempts and the shared bound. One that may run once is sent
-//! on only while it surely has not run. An answer comes whole at the end of a
-//! run, so whatever was sent may be why its backend server crashes.
+//! The entry reads the whole response before forwarding it, so that an
+//! incomplete response can be replaced: an idempotent request is retried at
+//! another backend server within its attempts and the retry limit. A request
+//! that may run only once is retried only if it certainly has not run. The
+//! response arrives at the end of a run, so any request in flight may be the
+//! cause of a crash of its backend server.
 
 use std::{
     collections::BTreeSet,
@@ -29,7 +30,7 @@
     request::{
         admit::AdmittedRequest,
         exchange::{self, BackendHeaders},
-        isolation::{Suspicion, Trial},
+        isolation::{RequestSuspicion, Trial},
         outcome::{
             ConnectionAction, RequestSummary, refuse, refuse_with_retry_after,
         },
@@ -41,56 +42,55 @@
     },
 };
 
-mod seek;
+mod search;
 
-/// Longest answer that is passed on.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// An idempotent request is sent elsewhere when its first backend server has
-/// not answered within this many times the route's target.
+/// Maximum size of a forwarded response.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// An idempotent request is retried elsewhere if it has no response within
+/// this multiple of the route's target.
 const HEDGE_FACTOR: f64 = 0.9;
-/// Share of that target that an attempt has at least: one that begins late,
-/// since it waited, would else be left while it runs.
-const LEAST_ATTEMPT: f64 = 0.3;
-/// How long a backend server that failed is avoided, for each failure in a
-/// row.
-const AVOID_MS: u64 = 150;
-/// Longest time that one is avoided.
-const MAX_AVOID_MS: u64 = 2_000;
+/// Minimum duration of an attempt as a fraction of that target. An attempt
+/// that starts late because the request waited would otherwise be abandoned
+/// while it runs.
+const MIN_ATTEMPT_SHARE: f64 = 0.3;
+/// Back-off of a failing backend server for each failure in a row after the
+/// first.
+const BACKOFF_MS: u64 = 150;
+/// Maximum back-off of a backend server.
+const MAX_BACKOFF_MS: u64 = 2_000;
 
-/// What one attempt gave.
-enum Attempt {
-    /// A whole answer.
-    Answered(AnswerHead, Vec<u8>),
-    /// It surely did not run.
+/// Result of one attempt.
+enum AttemptResult {
+    /// The whole response was received.
+    Responded(AnswerHead, Vec<u8>),
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
-    Lost,
-    /// The attempt's time is over, and it may have run.
-    TimeOver,
-    /// The client has gone.
-    CallerGone,
+    /// The response is lost; the request may have run.
+    ResponseLost,
+    /// The attempt timed out; the request may have run.
+    TimedOut,
+    CallerDisconnected,
 }
 
-/// A request, with what became of it so far.
-struct Run<'a> {
+/// A request and the state of its attempts.
+struct PlainRequest<'a> {
     core: &'a Arc<Core>,
     request: &'a RelayRequest,
     admitted: &'a AdmittedRequest,
-    suspicion: Suspicion<'a>,
+    suspicion: RequestSuspicion<'a>,
     attempts: Attempts,
-    /// Backend servers that were tried, by incarnation.
+    /// Incarnations of the backend servers that were tried.
     tried: BTreeSet<String>,
-    /// The last answer of one.
-    kept: Option<(AnswerHead, Vec<u8>)>,
-    /// Tells it from others that want a permit.
-    key: u64,
-    /// Why it was not let wait, and when its client is to come back.
+    last_response: Option<(AnswerHead, Vec<u8>)>,
+    /// Identifies this request among those that wait for a permit.
+    permit_key: u64,
+    /// Why the request may not wait, and when its caller may retry.
     refusal: Option<(ErrorReason, u64)>,
-    is_caller_gone: bool,
+    is_caller_disconnected: bool,
     running: Option<RunningTokens>,
 }
 
-/// Passes a request on and its answer back.
+/// Forwards a request and its response.
 pub(crate) async fn relay(
     core: &Arc<Core>,
     inbound: &mut Inbound,
@@ -98,54 +98,55 @@
     admitted: &AdmittedRequest,
     is_last_request: bool,
 ) -> (RequestSummary, ConnectionAction) {
-    let mut run = Run::new(core, request, admitted);
-    run.note_asked();
-    while let Some((engine, trial)) = run.next_engine().await {
-        let result = run.attempt(inbound, &engine, trial).await;
-        if run.is_over_after(result) {
+    let mut plain_request = PlainRequest::new(core, request, admitted);
+    plain_request.record_capacity_request();
+    while let Some((engine, trial)) = plain_request.next_engine().await {
+        let result = plain_request.attempt(inbound, &engine, trial).await;
+        if plain_request.handle_result(result) {
             break;
         }
     }
-    let (mut ended, after) = run.answer(inbound, is_last_request).await;
-    ended.attempts = run.attempts.count();
-    (ended, after)
+    let (mut summary, action) =
+        plain_request.respond(inbound, is_last_request).await;
+    summary.attempts = plain_request.attempts.count();
+    (summary, action)
 }
 
-impl<'a> Run<'a> {
+impl<'a> PlainRequest<'a> {
     fn new(
         core: &'a Arc<Core>,
         request: &'a RelayRequest,
         admitted: &'a AdmittedRequest,
-    ) -> Run<'a> {
-        Run {
+    ) -> PlainRequest<'a> {
+        PlainRequest {
             core,
             request,
             admitted,
-            suspicion: Suspicion::new(core, request, admitted),
+            suspicion: RequestSuspicion::new(core, request, admitted),
             attempts: admitted.attempts(CountedBackends::Contacted),
             tried: BTreeSet::new(),
-            kept: None,
-            key: fastrand::u64(..),
+            last_response: None,
+            permit_key: fastrand::u64(..),
             refusal: None,
-            is_caller_gone: false,
+            is_caller_disconnected: false,
             running: None,
         }
     }
 
-    /// The backend server of the next attempt; none where there is to be no
-    /// further one.
+    /// The backend server of the next attempt; `None` if there is no further
+    /// attempt.
     async fn next_engine(&mut self) -> Option<(Arc<Engine>, Option<Trial>)> {
         if self.suspicion.quarantine_left_ms().is_some() {
             return None;
         }
         let service = &self.admitted.service.name;
-        let is_further = self.attempts.count() > 0;
-        if is_further && !self.core.try_take_retry(service) {
+        let is_retry = self.attempts.count() > 0;
+        if is_retry && !self.core.try_take_retry(service) {
             let id = self.admitted.id_text();
             self.core.record_retry_denied(service, id);
             return None;
         }
-        self.seek_engine().await
+        self.find_engine().await
     }
 
     async fn attempt(
@@ -153,70 +154,70 @@
         inbound: &Inbound,
         engine: &Arc<Engine>,
         trial: Option<Trial>,
-    ) -> Attempt {
+    ) -> AttemptResult {
         self.attempts.begin(&engine.incarnation);
         self.tried.insert(engine.incarnation.clone());
-        let made = self.attempts.count();
-        // A trial is seen to its end: what it would show is lost else.
-        let limit_ms = match trial {
+        let attempt_number = self.attempts.count();
+        // A trial is never cut short, since its result would be lost.
+        let timeout_at_ms = match trial {
             Some(_) => self.admitted.deadline_ms,
-            None => attempt_end_ms(self.admitted, made),
+            None => attempt_timeout_at_ms(self.admitted, attempt_number),
         };
-        let sent = Sent {
+        let context = AttemptContext {
             engine,
-            attempt: made,
-            limit_ms,
+            attempt: attempt_number,
+            timeout_at_ms,
             suspicion: &self.suspicion,
         };
         let caller = inbound.stream().clone();
-        let gone = async {
+        let disconnected = async {
             caller.hung_up().await;
-            Attempt::CallerGone
+            AttemptResult::CallerDisconnected
         };
-        let work = attempt(self.core, self.request, self.admitted, &sent);
-        let result = work.or(gone).await;
-        note_result(engine, &result);
-        let asked_for_rest = matches!(result, Attempt::NotRun)
+        let work = attempt(self.core, self.request, self.admitted, &context);
+        let result = work.or(disconnected).await;
+        record_result(engine, &result);
+        let is_in_cooldown = matches!(result, AttemptResult::NotRun)
             && engine.lock().is_in_cooldown(now_ms());
-        if asked_for_rest {
+        if is_in_cooldown {
             self.tried.remove(&engine.incarnation);
         }
         let is_in_trial = trial.is_some();
         let suspicion = &mut self.suspicion;
-        note_suspicion(suspicion, engine, &result, is_in_trial).await;
+        record_crash_evidence(suspicion, engine, &result, is_in_trial).await;
         result
     }
 
-    /// Takes what an attempt gave; whether it was the last.
-    fn is_over_after(&mut self, result: Attempt) -> bool {
+    /// Handles the result of an attempt; true if that was the last attempt.
+    fn handle_result(&mut self, result: AttemptResult) -> bool {
         match result {
-            Attempt::Answered(head, body) => {
+            AttemptResult::Responded(head, body) => {
                 let is_failure = head.status >= 500;
                 if exchange::is_not_run(&head) {
                     self.attempts.record_not_run();
                 }
-                self.kept = Some((head, body));
+                self.last_response = Some((head, body));
                 if !is_failure {
                     return true;
                 }
             }
-            Attempt::CallerGone => {
-                self.is_caller_gone = true;
+            AttemptResult::CallerDisconnected => {
+                self.is_caller_disconnected = true;
                 return true;
             }
-            Attempt::NotRun => self.attempts.record_not_run(),
-            Attempt::Lost | Attempt::TimeOver => {}
+            AttemptResult::NotRun => self.attempts.record_not_run(),
+            AttemptResult::ResponseLost | AttemptResult::TimedOut => {}
         }
         self.admitted.remaining_ms(now_ms()) == 0 || !self.attempts.may_retry()
     }
 
-    /// Answers the client with what there is.
-    async fn answer(
+    /// Sends the best available response to the caller.
+    async fn respond(
         &mut self,
         inbound: &mut Inbound,
         is_last_request: bool,
     ) -> (RequestSummary, ConnectionAction) {
-        if self.is_caller_gone {
+        if self.is_caller_disconnected {
             let outcome = "caller_gone";
             return (
                 RequestSummary { outcome, ..RequestSummary::default() },
@@ -224,10 +225,10 @@
             );
         }
         let may_have_run = self.attempts.may_have_run();
-        match self.kept.take() {
+        match self.last_response.take() {
             Some((head, body)) => {
                 let request = self.request;
-                pass_on(
+                forward_response(
                     inbound,
                     request,
                     &head,
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Ends a request for which nothing more can be done.
+    /// Ends a request that can't be sent again with an error response.
     async fn give_up(
         &self,
         inbound: &mut Inbound,
@@ -270,58 +271,62 @@
     }
 }
 
-/// Takes what an attempt says of the request: an answer that it crashed
-/// nothing, a broken one that it may have.
-async fn note_suspicion(
-    suspicion: &mut Suspicion<'_>,
+/// Records what an attempt shows about crashes: after a response the request
+/// has crashed nothing, after a lost response it may have.
+async fn record_crash_evidence(
+    suspicion: &mut RequestSuspicion<'_>,
     engine: &Arc<Engine>,
-    result: &Attempt,
+    result: &AttemptResult,
     is_in_trial: bool,
 ) {
     match result {
-        Attempt::Answered(head, _) if !exchange::is_not_run(head) => {
-            suspicion.note_lasted();
+        AttemptResult::Responded(head, _) if !exchange::is_not_run(head) => {
+            suspicion.record_survived();
         }
-        Attempt::Lost => {
+        AttemptResult::ResponseLost => {
             let start = RunProgress::new();
-            suspicion.note_broken(engine, start, is_in_trial).await;
+            suspicion.record_failed_run(engine, start, is_in_trial).await;
         }
-        Attempt::TimeOver | Attempt::CallerGone => {
-            suspicion.note_left(engine, RunProgress::new(), is_in_trial);
+        AttemptResult::TimedOut | AttemptResult::CallerDisconnected => {
+            suspicion.record_abandoned_run(
+                engine,
+                RunProgress::new(),
+                is_in_trial,
+            );
         }
         _ => {}
     }
 }
 
-/// When an attempt is given up: at the end, or while there is time for
-/// another one.
-fn attempt_end_ms(admitted: &AdmittedRequest, attempts: u32) -> u64 {
+/// When an attempt times out: at the deadline, or earlier if another attempt
+/// may follow.
+fn attempt_timeout_at_ms(admitted: &AdmittedRequest, attempts: u32) -> u64 {
     let is_repeatable = admitted.route.reuse == Reuse::Idempotent;
     if !is_repeatable || attempts >= admitted.route.max_attempts {
         return admitted.deadline_ms;
     }
     let target_ms = admitted.route.target_ms as f64;
     let hedge_ms = admitted.received_ms + (HEDGE_FACTOR * target_ms) as u64;
-    let least_ms = now_ms() + (LEAST_ATTEMPT * target_ms) as u64;
-    admitted.deadline_ms.min(hedge_ms.max(least_ms))
+    let min_end_ms = now_ms() + (MIN_ATTEMPT_SHARE * target_ms) as u64;
+    admitted.deadline_ms.min(hedge_ms.max(min_end_ms))
 }
 
-struct Sent<'a> {
+/// What an attempt needs to know beside the request.
+struct AttemptContext<'a> {
     engine: &'a Arc<Engine>,
     attempt: u32,
-    /// When the attempt is given up.
-    limit_ms: u64,
-    suspicion: &'a Suspicion<'a>,
+    timeout_at_ms: u64,
+    suspicion: &'a RequestSuspicion<'a>,
 }
 
 async fn attempt(
     core: &Core,
     request: &RelayRequest,
     admitted: &AdmittedRequest,
-    sent: &Sent<'_>,
-) -> Attempt {
-    let engine = sent.engine;
-    let _hold = Reservation::new(engine, 0, true);
+    context: &AttemptContext<'_>,
+) -> AttemptResult {
+    let engine = context.engine;
+    let _reservation = Reservation::new(engine, 0, true);
     let started_ms = now_ms();
     let mut connection =
         match Outbound::connect(engine.address, exchange::CONNECT_TIMEOUT)
@@ -329,8 +334,8 @@
         {
             Ok(connection) => connection,
             Err(e) => {
-                note_broken(admitted, sent, &e, started_ms);
-                return Attempt::NotRun;
+                log_interrupted(admitted, context, &e, started_ms);
+                return AttemptResult::NotRun;
             }
         };
     let remaining_ms = admitted.remaining_ms(now_ms());
@@ -345,7 +350,7 @@
             last_event_id: None,
         },
     );
-    note_sent(core, admitted, sent, remaining_ms);
+    record_sent(core, admitted, context, remaining_ms);
     let sent_ms = now_ms();
     engine.notices.record_sent(sent_ms);
     let exchange = async {
@@ -354,80 +359,85 @@
         let head =
             exchange::read_matching_head(&mut connection, id, &request.method)
                 .await?;
-        let answered = ResponseContext {
+        let response = ResponseContext {
             request: admitted.id_text(),
             sent_ms,
             head: &head,
         };
-        notices::apply_response(core, engine, &answered);
+        notices::apply_response(core, engine, &response);
         let body = head.body(&request.method);
-        let body = connection.read_body(body, MAX_ANSWER_BYTES).await?;
+        let body = connection.read_body(body, MAX_RESPONSE_BYTES).await?;
         Ok((head, body))
     };
     let exchange = async {
         match exchange.await {
-            Ok((head, body)) => answered(admitted, sent, head, body),
+            Ok((head, body)) => {
+                classify_response(admitted, context, head, body)
+            }
             Err::<_, chestnutreach_http::relay::OutboundError>(e) => {
-                note_broken(admitted, sent, &e, started_ms);
-                Attempt::Lost
+                log_interrupted(admitted, context, &e, started_ms);
+                AttemptResult::ResponseLost
             }
         }
     };
-    let wait_ms = sent.limit_ms.saturating_sub(now_ms());
+    let wait_ms = context.timeout_at_ms.saturating_sub(now_ms());
     let limit = async {
         Timer::at(Instant::now() + Duration::from_millis(wait_ms)).await;
-        Attempt::TimeOver
+        AttemptResult::TimedOut
     };
     let result = exchange.or(limit).await;
     connection.abort();
     result
 }
 
-/// Sorts an answer: one that states that nothing ran counts as none.
-fn answered(
+/// Classifies a response: one that states that the request did not run counts
+/// as no response.
+fn classify_response(
     admitted: &AdmittedRequest,
-    sent: &Sent<'_>,
+    context: &AttemptContext<'_>,
     head: AnswerHead,
     body: Vec<u8>,
-) -> Attempt {
+) -> AttemptResult {
     let is_not_run = exchange::is_not_run(&head);
     if head.status >= 400 {
         emit(
             Event::RelayAnswered,
             &[
                 ("request", &admitted.id_text()),
-                ("attempt", &sent.attempt),
-                ("backend", &sent.engine.id),
+                ("attempt", &context.attempt),
+                ("backend", &context.engine.id),
                 ("status", &head.status),
                 ("is_not_run", &is_not_run),
             ],
         );
     }
-    let is_own_fault = head.status == 400;
-    if is_not_run && !is_own_fault {
-        return Attempt::NotRun;
+    let is_bad_request = head.status == 400;
+    if is_not_run && !is_bad_request {
+        return AttemptResult::NotRun;
     }
-    Attempt::Answered(head, body)
+    AttemptResult::Responded(head, body)
 }
 
-fn note_result(engine: &Engine, result: &Attempt) {
+fn record_result(engine: &Engine, result: &AttemptResult) {
     let mut state = engine.lock();
     let is_failure = match result {
-        Attempt::Answered(head, _) => head.status >= 500,
-        Attempt::CallerGone => return,
-        Attempt::NotRun if state.is_in_cooldown(now_ms()) => return,
-        Attempt::NotRun | Attempt::Lost | Attempt::TimeOver => true,
+        AttemptResult::Responded(head, _) => head.status >= 500,
+        AttemptResult::CallerDisconnected => return,
+        AttemptResult::NotRun if state.is_in_cooldown(now_ms()) => return,
+        AttemptResult::NotRun
+        | AttemptResult::ResponseLost
+        | AttemptResult::TimedOut => true,
     };
     if !is_failure {
         state.failures = 0;
         return;
     }
     state.failures += 1;
-    let avoid_ms = AVOID_MS * u64::from(state.failures.saturating_sub(1));
-    state.backoff_until_ms = now_ms() + avoid_ms.min(MAX_AVOID_MS);
+    let backoff_ms = BACKOFF_MS * u64::from(state.failures.saturating_sub(1));
+    state.backoff_until_ms = now_ms() + backoff_ms.min(MAX_BACKOFF_MS);
 }
 
-async fn pass_on(
+async fn forward_response(
     inbound: &mut Inbound,
     request: &RelayRequest,
     head: &AnswerHead,
@@ -457,20 +467,20 @@
         ..400 => "completed",
         _ => "failed",
     };
-    let ended = RequestSummary {
+    let summary = RequestSummary {
         outcome,
         status: head.status,
         events: 1,
         ..RequestSummary::default()
     };
-    let after = ConnectionAction::after_response(is_sent, is_last_request);
-    (ended, after)
+    let action = ConnectionAction::after_response(is_sent, is_last_request);
+    (summary, action)
 }
 
-fn note_sent(
+fn record_sent(
     core: &Core,
     admitted: &AdmittedRequest,
-    sent: &Sent<'_>,
+    context: &AttemptContext<'_>,
     remaining_ms: u64,
 ) {
     core.metrics.service(&admitted.service.name).attempts.inc();
@@ -479,17 +489,17 @@
         Event::RelaySent,
         &[
             ("request", &admitted.id_text()),
-            ("attempt", &sent.attempt),
-            ("backends", &sent.engine.id),
+            ("attempt", &context.attempt),
+            ("backends", &context.engine.id),
             ("waited_ms", &waited_ms),
             ("left_ms", &remaining_ms),
         ],
     );
 }
 
-fn note_broken(
+fn log_interrupted(
     admitted: &AdmittedRequest,
-    sent: &Sent<'_>,
+    context: &AttemptContext<'_>,
     error: &dyn std::fmt::Display,
     started_ms: u64,
 ) {
@@ -497,11 +507,11 @@
         Event::RelayBroken,
         &[
             ("request", &admitted.id_text()),
-            ("attempt", &sent.attempt),
-            ("backend", &sent.engine.id),
+            ("attempt", &context.attempt),
+            ("backend", &context.engine.id),
             ("error", &error),
             ("gap_ms", &now_ms().saturating_sub(started_ms)),
-            ("fingerprint", &sent.suspicion.fingerprint()),
+            ("fingerprint", &context.suspicion.fingerprint()),
         ],
     );
 }
--- a/crates/direct/src/request/queue.rs
+++ b/crates/direct/src/request/queue.rs
@@ -1,7 +1,8 @@
-//! Streams that wait for a path, in turns.
+//! Queues of the streams that wait for a path.
 //!
-//! Who may look next is decided by [`SearchTurns`]; here are the wake-ups. A place
-//! in a queue ends when it is dropped, whatever became of its request.
+//! [`SearchTurns`] decides which request may search next; this module wakes
+//! that request. A request leaves its queue when its [`QueueEntry`] is
+//! dropped.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,14 +13,16 @@
 
 use crate::{by_service::ByService, clock::now_ms};
 
-/// Tokens that may wait at an entry for a service: what the largest
-/// deployment's engines write and read in the longest wait, 1.5 s at
-/// 1.4 M tokens/s, all at one entry.
-const LIMIT_TOKENS: u64 = 2_100_000;
-/// Last value of urgency, from 0 to 9, for which a person waits.
-const HIGH_UNTIL: u8 = 1;
-/// The value of a request that states none: 5.
-const NORMAL_UNTIL: u8 = 5;
+/// Maximum number of queued tokens per service: what the engines of the
+/// largest deployment prefill and generate within the maximum wait, 1.5 s at
+/// 1.4 M tokens/s, if all requests arrive at one entry.
+const MAX_QUEUED_TOKENS: u64 = 2_100_000;
+/// Highest urgency value, on a scale from 0 to 9, of requests for which a
+/// person waits.
+const MAX_HIGH_URGENCY: u8 = 1;
+/// Highest urgency value of normal priority, the value of requests that state
+/// none.
+const MAX_NORMAL_URGENCY: u8 = 5;
 
 /// The queues of an entry, by service.
 #[derive(Clone, Debug, Default)]
@@ -33,17 +36,17 @@
     signals: BTreeMap<u64, Sender<()>>,
 }
 
-/// What goes before a request.
+/// The load that is queued ahead of a request.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Before {
-    /// For how long somebody has waited without a break.
-    pub(crate) busy_for_ms: u64,
+pub(crate) struct LoadAhead {
+    /// Time for which requests have waited without a break.
+    pub(crate) contended_for_ms: u64,
     pub(crate) tokens: u64,
 }
 
-/// A place in a queue, and later a turn, until it is dropped.
+/// A queued request and later its search turn; leaves the queue when dropped.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct QueueEntry {
     queues: PathQueues,
     service: String,
     key: u64,
@@ -53,7 +56,7 @@
 impl Default for Queue {
     fn default() -> Queue {
         Queue {
-            turns: SearchTurns::new(LIMIT_TOKENS),
+            turns: SearchTurns::new(MAX_QUEUED_TOKENS),
             signals: BTreeMap::new(),
         }
     }
@@ -63,7 +66,8 @@
     fn grant(&mut self) {
         for key in self.turns.grant(now_ms()) {
             if let Some(signal) = self.signals.get(&key) {
-                // Sent once for each key, into room for one.
+                // Each key is signalled once, and the channel holds one
+                // signal.
                 let _ = signal.try_send(());
             }
         }
@@ -71,64 +75,64 @@
 }
 
 impl PathQueues {
-    /// Whether nobody waits, so that a request may look without a turn.
+    /// Whether no request waits, so that a request may search without a turn.
     pub(crate) fn is_idle(&self, service: &str) -> bool {
         let is_idle = |queue: &Queue| queue.turns.is_idle();
         self.by_service.read(service, is_idle).unwrap_or(true)
     }
 
-    /// How many wait for a turn at a service.
+    /// Number of requests that wait for a search turn at a service.
     pub(crate) fn waiting_count(&self, service: &str) -> usize {
         let count = |queue: &Queue| queue.turns.waiting_count();
         self.by_service.read(service, count).unwrap_or(0)
     }
 
-    /// What goes before a request that comes now.
-    pub(crate) fn before(
+    /// The load queued ahead of a request that joins now.
+    pub(crate) fn ahead(
         &self,
         service: &str,
         account: &str,
         tokens: u64,
-    ) -> Before {
-        let before = |queue: &Queue| Before {
-            busy_for_ms: queue.turns.contended_for_ms(now_ms()),
+    ) -> LoadAhead {
+        let ahead = |queue: &Queue| LoadAhead {
+            contended_for_ms: queue.turns.contended_for_ms(now_ms()),
             tokens: queue.turns.tokens_before(account, tokens),
         };
-        self.by_service.read(service, before).unwrap_or_default()
+        self.by_service.read(service, ahead).unwrap_or_default()
     }
 
-    /// Takes a place.
+    /// Adds a request to the queue of a service.
     ///
     /// # Errors
     ///
-    /// The queue, or the account's part of it, is full.
+    /// The queue, or the account's share of the queue, is full.
     pub(crate) fn try_join(
         &self,
         service: &str,
-        need: &TurnRequest<'_>,
-    ) -> Result<Place, PushErrorReason> {
+        request: &TurnRequest<'_>,
+    ) -> Result<QueueEntry, PushErrorReason> {
         let (signal, granted) = async_channel::bounded(1);
         let join = |queue: &mut Queue| {
-            let key = queue.turns.try_join(need, now_ms())?;
+            let key = queue.turns.try_join(request, now_ms())?;
             queue.signals.insert(key, signal);
             queue.grant();
             Ok(key)
         };
         let key = self.by_service.update(service, join)?;
         let service = service.to_owned();
-        Ok(Place { queues: self.clone(), service, key, granted })
+        Ok(QueueEntry { queues: self.clone(), service, key, granted })
     }
 }
 
-impl Place {
-    /// Waits for the turn.
-    pub(crate) async fn turn(&self) {
-        // The sender lives in the queue as long as this does.
+impl QueueEntry {
+    /// Waits for the search turn.
+    pub(crate) async fn await_turn(&self) {
+        // The sender stays in the queue for as long as this entry.
         let _ = self.granted.recv().await;
     }
 }
 
-impl Drop for Place {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         self.queues.by_service.update(&self.service, |queue| {
             queue.signals.remove(&self.key);
@@ -138,11 +142,11 @@
     }
 }
 
-/// The priority of an urgency on the platform's scale, 0 first.
+/// The priority of an urgency on the platform's scale, where 0 is most urgent.
 pub(crate) fn priority_of(urgency: u8) -> Priority {
     match urgency {
-        0..=HIGH_UNTIL => Priority::High,
-        _ if urgency <= NORMAL_UNTIL => Priority::Normal,
+        0..=MAX_HIGH_URGENCY => Priority::High,
+        _ if urgency <= MAX_NORMAL_URGENCY => Priority::Normal,
         _ => Priority::Low,
     }
 }
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -1,10 +1,11 @@
-//! Paths through the backend servers that an entry knows.
+//! Path search over the backend servers that an entry knows.
 //!
-//! The load that sampling answers: a thousand engines and more, on entries
-//! with a tenth of a core. A search over all would take some ms of a whole
-//! core for each look, and requests that wait look every few ms. So past
-//! [`MOST_AT_ONCE`] engines a look takes [`SAMPLE`] of its data centre, and
-//! where those have no path as many of one other.
+//! A service may have more than a thousand engines, while an entry may have a
+//! tenth of a CPU core. A search over all engines would take several
+//! milliseconds of a whole core, and waiting requests search every few
+//! milliseconds. Above [`MAX_SEARCHED_ENGINES`] engines, a search therefore
+//! uses a sample of [`SAMPLE_SIZE`] engines of one data centre, and adds a
+//! sample of one other data centre if the first sample has no path.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -22,100 +23,104 @@
     request::path::{Path, Stage},
 };
 
-/// Share of an engine's memory for requests that is planned with: what
-/// requests will need is only estimated.
-const PLANNED_SHARE: f64 = 0.92;
+/// Fraction of an engine's request memory that the search uses, since the
+/// memory that requests will need is only estimated.
+const USABLE_MEMORY_SHARE: f64 = 0.92;
 
-/// Engines from which on a path is sought among a sample: the search grows
-/// with their number.
-const MOST_AT_ONCE: usize = 160;
-/// Engines of the sample of a data centre: seven of those that hold a layer
-/// where 600 engines hold it 37 times, so that it rarely lacks one.
-const SAMPLE: usize = 120;
+/// Maximum number of engines that are searched without sampling; the cost of a
+/// search grows with the number of engines.
+const MAX_SEARCHED_ENGINES: usize = 160;
+/// Engines sampled per data centre. With 600 engines and 37 replicas of a
+/// layer, a sample holds seven replicas, so it rarely lacks a layer.
+const SAMPLE_SIZE: usize = 120;
 
-/// What a path is sought for.
+/// Parameters of a path search.
 #[derive(Clone, Copy)]
-pub(crate) struct PathNeed<'a> {
+pub(crate) struct PathQuery<'a> {
     pub(crate) service: &'a str,
     pub(crate) model: &'a Model,
     pub(crate) data_centre: usize,
     pub(crate) tokens: u64,
-    /// Engines that may not be used, by incarnation.
-    pub(crate) without: &'a BTreeSet<String>,
+    /// Incarnations of the engines that must not be used.
+    pub(crate) excluded: &'a BTreeSet<String>,
     pub(crate) now_ms: u64,
-    /// Whether engines that failed of late are not to be first.
-    pub(crate) is_choosy: bool,
-    /// Use of what joins data centres; 1 is full.
-    pub(crate) crossing_use: f64,
-    /// Other entries that have not told yet what they use.
+    /// Whether engines with an open circuit must not be first.
+    pub(crate) is_circuit_checked: bool,
+    /// Utilisation of the interconnect; 1 is full.
+    pub(crate) interconnect_utilisation: f64,
+    /// Number of peers that have not reported their usage yet.
     pub(crate) entries_without_report: u64,
-    /// The only engine that may be first, where there is one.
+    /// The only engine that may be first, for a trial.
     pub(crate) only_first: Option<&'a Arc<Engine>>,
-    /// Whether engines that named a limit may be first without a permit.
+    /// Whether engines that announced a rate limit may be first only with a
+    /// permit.
     pub(crate) is_permit_needed: bool,
-    /// Engines that are not to be first while others can be, by their short
-    /// hashes.
-    pub(crate) not_first: &'a BTreeSet<u32>,
+    /// Short hashes of the engines that are first only if no other engine can
+    /// be.
+    pub(crate) excluded_first: &'a BTreeSet<u32>,
 }
 
 impl Fleet {
     /// The cheapest path through all layers.
-    pub(crate) fn path(&self, need: &PathNeed<'_>) -> Option<Path> {
+    pub(crate) fn search_path(&self, query: &PathQuery<'_>) -> Option<Path> {
         let request = PathRequest {
             first_layer: 0,
-            end_layer: need.model.layer_count,
-            tokens: need.tokens,
-            data_centre: need.data_centre,
+            end_layer: query.model.layer_count,
+            tokens: query.tokens,
+            data_centre: query.data_centre,
             is_start: true,
-            interconnect_utilisation: need.crossing_use,
-            interconnect_prefill_ms: need.model.crossing_takes_ms(need.tokens),
+            interconnect_utilisation: query.interconnect_utilisation,
+            interconnect_prefill_ms: query
+                .model
+                .crossing_takes_ms(query.tokens),
             max_stages: MOST_PARTS,
         };
         let none = BTreeSet::new();
-        let path = self.part(need, &request, &none);
+        let path = self.search_layers(query, &request, &none);
         if path.is_some() {
             return path;
         }
-        if !need.not_first.is_empty() {
-            let not_first = &BTreeSet::new();
-            return self.path(&PathNeed { not_first, ..*need });
+        if !query.excluded_first.is_empty() {
+            let excluded_first = &BTreeSet::new();
+            return self.search_path(&PathQuery { excluded_first, ..*query });
         }
-        if !self.has_failing(need) {
+        if !self.has_open_circuit(query) {
             return None;
         }
-        // Where all that could be first have failed, they are tried again.
-        let need = PathNeed { is_choosy: false, ..*need };
-        self.part(&need, &request, &none)
+        // If all usable first engines have an open circuit, they are tried
+        // again.
+        let query = PathQuery { is_circuit_checked: false, ..*query };
+        self.search_layers(&query, &request, &none)
     }
 
-    /// Whether engines that may not be first are left out for their answers.
-    fn has_failing(&self, need: &PathNeed<'_>) -> bool {
-        let engines = self.of_service(need.service);
+    /// Whether some engine is excluded as first engine by an open circuit.
+    fn has_open_circuit(&self, query: &PathQuery<'_>) -> bool {
+        let engines = self.of_service(query.service);
         let mut engines = engines.all.iter();
-        engines.any(|e| !e.circuit.allows_requests(need.now_ms))
+        engines.any(|e| !e.circuit.allows_requests(query.now_ms))
     }
 
-    /// A path without its bad engines, with the same first one; none where
-    /// that can't be.
+    /// A path with the same first engine that avoids the bad engines of
+    /// `path`; `None` if there is none.
     pub(crate) fn detour(
         &self,
-        need: &PathNeed<'_>,
+        query: &PathQuery<'_>,
         path: &Path,
     ) -> Option<Path> {
         let is_bad = |stage: &Stage| {
-            need.without.contains(&stage.engine.incarnation)
+            query.excluded.contains(&stage.engine.incarnation)
                 || stage.engine.is_suspect()
-                || stage.leaving_ms(need.now_ms).is_some()
-                || stage.is_given_up()
+                || stage.leaving_ms(query.now_ms).is_some()
+                || stage.is_being_released()
         };
-        self.fill(need, path, is_bad)
-            .or_else(|| self.fill(need, path, |_| true))
+        self.replace_stages(query, path, is_bad)
+            .or_else(|| self.replace_stages(query, path, |_| true))
     }
 
-    /// Replaces each run of bad stages after the first.
-    fn fill(
+    /// Replaces each run of bad stages after the first stage.
+    fn replace_stages(
         &self,
-        need: &PathNeed<'_>,
+        query: &PathQuery<'_>,
         path: &Path,
         is_bad: impl Fn(&Stage) -> bool,
     ) -> Option<Path> {
@@ -135,74 +140,75 @@
                 at += 1;
                 continue;
             }
-            let run = rest[at..].iter().take_while(|s| is_bad(s)).count();
+            let run_length =
+                rest[at..].iter().take_while(|s| is_bad(s)).count();
             let before = out.stages.last().expect("the first is there");
-            let after = rest[at + run..].iter().filter(|s| !is_bad(s));
-            let kept_parts = out.stages.len() + after.count();
+            let after = rest[at + run_length..].iter().filter(|s| !is_bad(s));
+            let kept_stages = out.stages.len() + after.count();
             let request = PathRequest {
                 first_layer: rest[at].first_layer,
-                end_layer: rest[at + run - 1].end_layer,
-                tokens: need.tokens,
+                end_layer: rest[at + run_length - 1].end_layer,
+                tokens: query.tokens,
                 data_centre: before.engine.data_centre,
                 is_start: false,
-                interconnect_utilisation: need.crossing_use,
-                interconnect_prefill_ms: need
+                interconnect_utilisation: query.interconnect_utilisation,
+                interconnect_prefill_ms: query
                     .model
-                    .crossing_takes_ms(need.tokens),
-                max_stages: MOST_PARTS.saturating_sub(kept_parts),
+                    .crossing_takes_ms(query.tokens),
+                max_stages: MOST_PARTS.saturating_sub(kept_stages),
             };
-            let part = self.part(need, &request, &used)?;
-            let names = part.stages.iter();
-            used.extend(names.map(|s| s.engine.incarnation.clone()));
-            out.stages.extend(part.stages);
-            at += run;
+            let replacement = self.search_layers(query, &request, &used)?;
+            let added = replacement.stages.iter();
+            used.extend(added.map(|s| s.engine.incarnation.clone()));
+            out.stages.extend(replacement.stages);
+            at += run_length;
         }
         Some(out)
     }
 
-    fn part(
+    fn search_layers(
         &self,
-        need: &PathNeed<'_>,
+        query: &PathQuery<'_>,
         request: &PathRequest,
         used: &BTreeSet<String>,
     ) -> Option<Path> {
-        let engines = self.of_service(need.service);
-        if engines.all.len() <= MOST_AT_ONCE {
-            return path_among(&engines.all, need, request, used);
+        let engines = self.of_service(query.service);
+        if engines.all.len() <= MAX_SEARCHED_ENGINES {
+            return search_among(&engines.all, query, request, used);
         }
-        let mut near = sample(&engines, request.data_centre);
-        if let Some(first) = need.only_first
-            && !near.iter().any(|engine| Arc::ptr_eq(engine, first))
+        let mut candidates = sample(&engines, request.data_centre);
+        if let Some(first) = query.only_first
+            && !candidates.iter().any(|engine| Arc::ptr_eq(engine, first))
         {
-            near.push(first.clone());
+            candidates.push(first.clone());
         }
-        let path = path_among(&near, need, request, used);
+        let path = search_among(&candidates, query, request, used);
         if path.is_some() {
             return path;
         }
-        // The next look draws another one.
+        // If this draws the same data centre, the next search draws again.
         let other = fastrand::usize(..engines.by_data_centre.len());
         if other != request.data_centre {
-            near.extend(sample(&engines, other));
+            candidates.extend(sample(&engines, other));
         }
-        path_among(&near, need, request, used)
+        search_among(&candidates, query, request, used)
     }
 }
 
-/// The engine outside of a set that runs the fewest requests first, of those
-/// that may be first; one of the own data centre if there is one.
-pub(crate) fn least_used_first(
+/// The engine with the fewest requests among those that may be first and are
+/// not excluded, preferably in the own data centre.
+pub(crate) fn least_used_first_engine(
     core: &Core,
     service: &str,
-    without: &BTreeSet<String>,
-    outside: &BTreeSet<u32>,
+    excluded: &BTreeSet<String>,
+    excluded_hashes: &BTreeSet<u32>,
 ) -> Option<Arc<Engine>> {
     let (now_ms, own) = (now_ms(), core.own_data_centre_index());
     let may_be_first = |engine: &&Arc<Engine>| {
         let state = engine.lock();
-        !outside.contains(&engine.hash)
-            && !without.contains(&engine.incarnation)
-            && holds_first(&state)
+        !excluded_hashes.contains(&engine.hash)
+            && !excluded.contains(&engine.incarnation)
+            && holds_first_layer(&state)
             && accepts_requests(&state, now_ms)
             && engine.first_count() < u64::from(state.row.slots)
     };
@@ -215,112 +221,114 @@
     usable.min_by_key(rank).cloned()
 }
 
-/// Engines that may be first but for a permit.
-pub(crate) fn limited_firsts(
+/// Engines that could be first if the entry had a permit.
+pub(crate) fn first_engines_without_permit(
     core: &Core,
-    need: &PathNeed<'_>,
+    query: &PathQuery<'_>,
 ) -> Vec<Arc<Engine>> {
-    let engines = core.fleet.of_service(need.service);
+    let engines = core.fleet.of_service(query.service);
     let is_limited = |engine: &&Arc<Engine>| {
-        !engine.notices.may_send(need.now_ms)
-            && !need.without.contains(&engine.incarnation)
-            && need.only_first.is_none_or(|only| Arc::ptr_eq(only, engine))
-            && holds_first(&engine.lock())
-            && accepts_requests(&engine.lock(), need.now_ms)
+        !engine.notices.may_send(query.now_ms)
+            && !query.excluded.contains(&engine.incarnation)
+            && query.only_first.is_none_or(|only| Arc::ptr_eq(only, engine))
+            && holds_first_layer(&engine.lock())
+            && accepts_requests(&engine.lock(), query.now_ms)
     };
     engines.all.iter().filter(is_limited).cloned().collect()
 }
 
-/// Time until the first engine is ready that could be first but for its rest;
-/// none where one can be first now.
-pub(crate) fn first_ready_in_ms(
+/// Time until the first cooldown ends among the engines that could be first;
+/// `None` if one can be first now.
+pub(crate) fn first_engine_cooldown_left_ms(
     core: &Core,
-    need: &PathNeed<'_>,
+    query: &PathQuery<'_>,
 ) -> Option<u64> {
-    let engines = core.fleet.of_service(need.service);
+    let engines = core.fleet.of_service(query.service);
     let could_be_first = |engine: &&Arc<Engine>| {
-        need.only_first.is_none_or(|only| Arc::ptr_eq(only, engine))
-            && !need.without.contains(&engine.incarnation)
-            && holds_first(&engine.lock())
+        query.only_first.is_none_or(|only| Arc::ptr_eq(only, engine))
+            && !query.excluded.contains(&engine.incarnation)
+            && holds_first_layer(&engine.lock())
     };
-    let firsts = engines.all.iter().filter(could_be_first);
-    core.fleet.cooldown_left_ms(firsts, need.now_ms)
+    let first_engines = engines.all.iter().filter(could_be_first);
+    core.fleet.cooldown_left_ms(first_engines, query.now_ms)
 }
 
-fn holds_first(state: &EngineState) -> bool {
+fn holds_first_layer(state: &EngineState) -> bool {
     let layers = state.retained_layers();
     layers.is_some_and(|layers| layers.first_layer == 0)
 }
 
-/// Engines of a data centre, evenly from all of them.
+/// An evenly spaced sample of the engines of a data centre.
 fn sample(engines: &ServiceEngines, data_centre: usize) -> Vec<Arc<Engine>> {
-    let Some(here) = engines.by_data_centre.get(data_centre) else {
+    let Some(local_engines) = engines.by_data_centre.get(data_centre) else {
         return Vec::new();
     };
-    let step = here.len().div_ceil(SAMPLE).max(1);
+    let step = local_engines.len().div_ceil(SAMPLE_SIZE).max(1);
     let skipped = fastrand::usize(..step);
-    here.iter().skip(skipped).step_by(step).cloned().collect()
+    local_engines.iter().skip(skipped).step_by(step).cloned().collect()
 }
 
-fn path_among(
+fn search_among(
     engines: &[Arc<Engine>],
-    need: &PathNeed<'_>,
+    query: &PathQuery<'_>,
     request: &PathRequest,
     used: &BTreeSet<String>,
 ) -> Option<Path> {
-    let holders: Vec<LayerHolder> =
-        engines.iter().map(|engine| holder(need, engine, used)).collect();
+    let holders: Vec<LayerHolder> = engines
+        .iter()
+        .map(|engine| layer_holder(query, engine, used))
+        .collect();
     let mut rng = fastrand::Rng::new();
-    let parts = find_path(&holders, request, &mut rng)?;
-    let stage = |part: chestnutreach_routing::PathStage| Stage {
-        engine: engines[part.holder].clone(),
-        first_layer: part.first_layer,
-        end_layer: part.end_layer,
+    let path_stages = find_path(&holders, request, &mut rng)?;
+    let stage = |path_stage: chestnutreach_routing::PathStage| Stage {
+        engine: engines[path_stage.holder].clone(),
+        first_layer: path_stage.first_layer,
+        end_layer: path_stage.end_layer,
     };
-    Some(Path { stages: parts.into_iter().map(stage).collect() })
+    Some(Path { stages: path_stages.into_iter().map(stage).collect() })
 }
 
-fn holder(
-    need: &PathNeed<'_>,
+fn layer_holder(
+    query: &PathQuery<'_>,
     engine: &Engine,
     used: &BTreeSet<String>,
 ) -> LayerHolder {
     let state = engine.lock();
     let kind = state.row.kind.as_ref();
-    let kind = kind.and_then(|kind| need.model.kinds.get(kind));
+    let kind = kind.and_then(|kind| query.model.kinds.get(kind));
     let name = &engine.incarnation;
-    let is_named = need.without.contains(name) || used.contains(name);
-    let (Some(kind), Some(held), Some(lasting)) =
+    let is_excluded = query.excluded.contains(name) || used.contains(name);
+    let (Some(kind), Some(held), Some(retained)) =
         (kind, state.row.held, state.retained_layers())
     else {
-        return unusable(engine.data_centre);
+        return unusable_holder(engine.data_centre);
     };
-    let total = need.model.token_layers_beside(kind, held.layer_count());
+    let total = query.model.token_layers_beside(kind, held.layer_count());
     LayerHolder {
         data_centre: engine.data_centre,
-        first_layer: lasting.first_layer,
-        end_layer: lasting.end_layer,
-        layer_ms: need.model.step_part_ms(kind, 1) * state.slowness,
+        first_layer: retained.first_layer,
+        end_layer: retained.end_layer,
+        layer_ms: query.model.step_part_ms(kind, 1) * state.slowness,
         used_token_layers: engine
-            .estimated_token_layers(need.entries_without_report),
-        prefill_share: engine.prefill_utilisation(need.now_ms)
+            .estimated_token_layers(query.entries_without_report),
+        prefill_share: engine.prefill_utilisation(query.now_ms)
             * state.slowness,
-        total_token_layers: (total as f64 * PLANNED_SHARE) as u64,
-        is_usable: !is_named && accepts_work(&state, need.now_ms),
-        can_be_first: need
+        total_token_layers: (total as f64 * USABLE_MEMORY_SHARE) as u64,
+        is_usable: !is_excluded && accepts_work(&state, query.now_ms),
+        can_be_first: query
             .only_first
             .is_none_or(|first| first.incarnation == engine.incarnation)
-            && !need.not_first.contains(&engine.hash)
-            && !state.is_in_cooldown(need.now_ms)
+            && !query.excluded_first.contains(&engine.hash)
+            && !state.is_in_cooldown(query.now_ms)
             && engine.first_count() < u64::from(state.row.slots)
-            && (!need.is_permit_needed
-                || engine.notices.may_send(need.now_ms))
-            && (!need.is_choosy
-                || engine.circuit.allows_requests(need.now_ms)),
+            && (!query.is_permit_needed
+                || engine.notices.may_send(query.now_ms))
+            && (!query.is_circuit_checked
+                || engine.circuit.allows_requests(query.now_ms)),
     }
 }
 
-fn unusable(data_centre: usize) -> LayerHolder {
+fn unusable_holder(data_centre: usize) -> LayerHolder {
     LayerHolder {
         data_centre,
         first_layer: 0,
--- a/crates/direct/src/request/running_tokens.rs
+++ b/crates/direct/src/request/running_tokens.rs
@@ -1,4 +1,4 @@
-//! What requests that run take of a service's room.
+//! Accounts for the capacity of a service that running requests use.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::{by_service::ByService, clock::now_ms};
 
-/// Tokens of a request that runs, until it is dropped.
+/// The tokens of a running request, which count until this value is dropped.
 pub(crate) struct RunningTokens {
     waits: Arc<ByService<CapacityWaits>>,
     service: String,
@@ -14,7 +14,7 @@
 }
 
 impl RunningTokens {
-    /// Counts that a request has found room.
+    /// Records that a request found capacity.
     pub(crate) fn begin(
         waits: &Arc<ByService<CapacityWaits>>,
         service: &str,
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -1,12 +1,13 @@
 //! Streams of events.
 //!
-//! A stream is one request to a first engine, which sends it on through the
-//! others of its path. While it runs, its pace is watched. When an engine of
-//! the path dies, the first one is told another path, which costs a pause
-//! while new engines read what was written so far. When the first one dies,
-//! a stream that may be resumed goes on elsewhere after its last event. The
-//! client sees one answer, with the head of the first engine, and only whole
-//! events in their order.
+//! A stream is one request to a first engine, which passes the request through
+//! the other engines of its path. The entry monitors the gaps between events.
+//! When a later engine fails, the entry orders the first engine to use another
+//! path, which causes a pause while the new engines prefill all tokens so far.
+//! When the first engine fails, a resumable stream continues at another first
+//! engine after its last event. The caller receives one response, with the
+//! head of the first engine that sent an event, and only complete events in
+//! order.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc};
 
@@ -27,7 +28,7 @@
     core::Core,
     request::{
         admit::AdmittedRequest,
-        isolation::{Suspicion, Trial},
+        isolation::{RequestSuspicion, Trial},
         outcome::{
             ConnectionAction, RequestSummary, refuse, refuse_with_retry_after,
         },
@@ -39,39 +40,42 @@
 };
 
 mod attempt;
+mod capacity;
+mod logging;
 mod pace;
-mod room;
-mod seek;
-mod told;
+mod search;
+mod supervise;
 mod trial;
-mod watch;
 
 use pace::Pace;
 
-/// Streams leave an engine that drains one after another over this part of
-/// the time for which it surely serves on: the engines that stand in read
-/// what each has written so far, and all at once would wait for that.
-const LEAVE_WITHIN: f64 = 0.75;
-/// How long an engine that had no room or layers is avoided.
-const AVOID_MS: u64 = 250;
-/// Share of the estimated answer that is planned with: it grows from none.
-const ANSWER_SHARE: f64 = 0.8;
+/// Streams leave a draining engine at random times within this fraction of the
+/// time for which the engine certainly serves. The replacement engines prefill
+/// all tokens of each stream, and streams that leave together would wait for
+/// each other's prefill.
+const LEAVE_WINDOW_SHARE: f64 = 0.75;
+/// Minimum back-off of an engine that lacked capacity or layers.
+const BACKOFF_MS: u64 = 250;
+/// Fraction of the estimated answer for which memory is reserved, since the
+/// answer grows from zero tokens.
+const RESERVED_ANSWER_SHARE: f64 = 0.8;
 
-/// Cause of the attempt that a request makes as it comes.
-const FIRST: &str = "first";
+/// Cause of the first attempt of a request.
+const FIRST_ATTEMPT: &str = "first";
 
-/// How an attempt ended.
-enum AttemptEnd {
-    /// The stream is whole.
-    Whole,
-    CallerGone,
-    /// It surely did not run; who refused, if that was said.
+/// Result of an attempt.
+enum AttemptResult {
+    /// The stream is complete.
+    Completed,
+    CallerDisconnected,
+    /// The request certainly did not run; the address of the engine that
+    /// refused the request, if known.
     NotRun(Option<SocketAddr>),
-    /// It broke off, or goes on elsewhere.
-    Broken,
-    /// The engine answered with a failure.
+    /// The stream was interrupted, or left its first engine.
+    Interrupted,
+    /// The engine responded with an error.
     Failed(AnswerHead, Vec<u8>),
-    TimeOver,
+    DeadlineExceeded,
 }
 
 struct Stream<'a> {
@@ -80,49 +84,49 @@
     admitted: &'a AdmittedRequest,
     model: &'a Model,
     is_last_request: bool,
-    /// Tokens of the prompt and of what the client has already.
+    /// Tokens of the prompt and of the expected answer.
     tokens: u64,
-    listed: Subscription,
-    /// Engines that may not be used for this request, by incarnation.
-    without: BTreeSet<String>,
-    /// Engines at which others are on trial, by their short hashes.
-    not_first: BTreeSet<u32>,
+    subscription: Subscription,
+    /// Incarnations of the engines that must not be used for this request.
+    excluded: BTreeSet<String>,
+    /// Short hashes of the engines that run trials of other requests.
+    excluded_first: BTreeSet<u32>,
     attempts: Attempts,
-    /// Answers of engines that it is malformed.
-    malformed: u32,
-    /// First engines that it left and that may live.
-    left: Vec<Arc<Engine>>,
+    /// Number of responses that call the request malformed.
+    malformed_responses: u32,
+    /// First engines that the stream left and whose processes may still run.
+    abandoned: Vec<Arc<Engine>>,
     path: Path,
     reservations: Vec<Reservation>,
     running: Option<RunningTokens>,
-    suspicion: Suspicion<'a>,
-    /// Its trial, if this attempt is one.
+    suspicion: RequestSuspicion<'a>,
+    /// The trial, if this attempt is one.
     trial: Option<Trial>,
-    /// Tells it from others that want a permit.
-    key: u64,
-    /// Whether it has waited a moment for one.
-    has_passed: bool,
-    /// When its client is to come back, where all that could be first are at
-    /// rest.
+    /// Identifies this request among those that wait for a permit.
+    permit_key: u64,
+    /// Whether the stream has already waited briefly for a permit.
+    has_awaited_permit: bool,
+    /// When the caller may retry, if all engines that could be first are in
+    /// cooldown.
     cooldown_retry_after_ms: Option<u64>,
-    /// Whether it was not let wait for room.
-    is_refused_room: bool,
+    /// Whether the stream was refused a wait for capacity.
+    is_refused_capacity: bool,
     is_head_sent: bool,
     last_event_id: Option<u64>,
     pace: Pace,
-    /// Whether the connection to the first engine ended, rather than that the
-    /// stream left it.
-    is_cut: bool,
-    /// How long it stays on an engine that drains.
+    /// Whether the connection to the first engine failed, as opposed to the
+    /// stream leaving that engine.
+    is_connection_lost: bool,
+    /// How long the stream stays on a draining engine.
     leave_after_ms: u64,
-    /// Why it left its first engine, which may still run.
-    left_because: &'static str,
+    /// Why the stream left its first engine, which may still run.
+    leave_reason: &'static str,
     /// Why the next attempt is made.
     cause: &'static str,
-    ended: RequestSummary,
+    summary: RequestSummary,
 }
 
-/// Passes a stream on.
+/// Forwards a request and the events of its response.
 pub(crate) async fn relay(
     core: &Arc<Core>,
     inbound: &mut Inbound,
@@ -146,115 +150,125 @@
         model,
         is_last_request,
         tokens: needed_tokens(request, model),
-        listed: core.stream_subscribers.subscribe(),
-        without: BTreeSet::new(),
-        not_first: BTreeSet::new(),
+        subscription: core.stream_subscribers.subscribe(),
+        excluded: BTreeSet::new(),
+        excluded_first: BTreeSet::new(),
         attempts: admitted.attempts(CountedBackends::MayHaveRun),
-        malformed: 0,
-        left: Vec::new(),
+        malformed_responses: 0,
+        abandoned: Vec::new(),
         path: Path::default(),
         reservations: Vec::new(),
         running: None,
-        suspicion: Suspicion::new(core, request, admitted),
+        suspicion: RequestSuspicion::new(core, request, admitted),
         trial: None,
-        key: fastrand::u64(..),
-        has_passed: false,
+        permit_key: fastrand::u64(..),
+        has_awaited_permit: false,
         cooldown_retry_after_ms: None,
-        is_refused_room: false,
+        is_refused_capacity: false,
         is_head_sent: false,
         last_event_id: last_event_id(request),
         pace: Pace::new(admitted.route.gap_target_ms),
-        is_cut: false,
+        is_connection_lost: false,
         leave_after_ms: leave_after_ms(core),
-        left_because: "",
-        cause: FIRST,
-        ended: RequestSummary::default(),
+        leave_reason: "",
+        cause: FIRST_ATTEMPT,
+        summary: RequestSummary::default(),
     };
     let metrics = core.metrics.service(&admitted.service.name);
     metrics.requests_in_flight.inc();
-    stream.note_asked();
-    let after = stream.run(inbound).await;
-    stream.ended.attempts = stream.attempts.count();
+    stream.record_capacity_request();
+    let action = stream.run(inbound).await;
+    stream.summary.attempts = stream.attempts.count();
     metrics.requests_in_flight.dec();
-    stream.note_waiting();
-    (stream.ended, after)
+    stream.update_waiting_metric();
+    (stream.summary, action)
 }
 
-/// A random part of the time for which an engine that drains serves on.
+/// A random time after which a stream leaves a draining engine.
 fn leave_after_ms(core: &Core) -> u64 {
     let drain_ms = core.settings.bounds.drain_ms as f64;
-    (drain_ms * LEAVE_WITHIN * fastrand::f64()) as u64
+    (drain_ms * LEAVE_WINDOW_SHARE * fastrand::f64()) as u64
 }
 
 fn last_event_id(request: &RelayRequest) -> Option<u64> {
     request.header(clients::LAST_EVENT_ID)?.trim().parse().ok()
 }
 
-/// Tokens that a request is expected to hold in memory.
+/// Estimated tokens that a request holds in memory.
 fn needed_tokens(request: &RelayRequest, model: &Model) -> u64 {
     let stated = request.header(clients::TOKENS);
-    let (prompt, most) = stated
+    let (prompt, max_tokens) = stated
         .and_then(clients::tokens_of)
         .unwrap_or((model.usual_prompt_tokens, model.usual_answer_tokens));
-    let hint = request.header(clients::LENGTH_HINT);
-    let hint = hint.and_then(|value| value.trim().parse::<f64>().ok());
-    let hint = hint.unwrap_or(f64::from(most)).min(f64::from(most));
-    u64::from(prompt) + (ANSWER_SHARE * hint) as u64
+    let length_hint = request.header(clients::LENGTH_HINT);
+    let length_hint =
+        length_hint.and_then(|value| value.trim().parse::<f64>().ok());
+    let length_hint = length_hint
+        .unwrap_or(f64::from(max_tokens))
+        .min(f64::from(max_tokens));
+    u64::from(prompt) + (RESERVED_ANSWER_SHARE * length_hint) as u64
 }
 
 impl Stream<'_> {
     async fn run(&mut self, inbound: &mut Inbound) -> ConnectionAction {
         loop {
             let caller = inbound.stream().clone();
-            let gone = async {
+            let disconnected = async {
                 caller.hung_up().await;
                 None
             };
-            let sought = async { Some(self.find_path().await) };
-            match sought.or(gone).await {
+            let found = async { Some(self.find_path().await) };
+            match found.or(disconnected).await {
                 Some(true) => {}
                 Some(false) => return self.give_up(inbound).await,
-                // Nothing may be sent for a client that has left.
-                None => return self.note_caller_gone(),
+                // Nothing may be sent for a caller that has disconnected.
+                None => return self.handle_caller_disconnect(),
             }
-            let end = self.attempt(inbound).await;
-            self.note_answer(&end);
-            match end {
-                AttemptEnd::Whole => {
-                    self.suspicion.note_lasted();
+            let result = self.attempt(inbound).await;
+            self.record_result(&result);
+            match result {
+                AttemptResult::Completed => {
+                    self.suspicion.record_survived();
                     return self.finish(inbound).await;
                 }
-                AttemptEnd::CallerGone => return self.note_caller_gone(),
-                AttemptEnd::NotRun(at) => self.avoid(at),
-                AttemptEnd::Broken => self.leave_first().await,
-                AttemptEnd::Failed(head, body) => {
-                    let first = self.path.first();
-                    self.without.insert(first.incarnation.clone());
+                AttemptResult::CallerDisconnected => {
+                    return self.handle_caller_disconnect();
+                }
+                AttemptResult::NotRun(at) => self.exclude_refusing_engine(at),
+                AttemptResult::Interrupted => self.leave_first_engine().await,
+                AttemptResult::Failed(head, body) => {
+                    let first = self.path.first_engine();
+                    self.excluded.insert(first.incarnation.clone());
                     self.cause = "failed";
-                    let is_final = head.status < 500 || !self.can_move();
+                    let is_final =
+                        head.status < 500 || !self.can_change_first_engine();
                     if is_final && !self.is_head_sent {
-                        return self.pass_failure(inbound, &head, &body).await;
+                        return self
+                            .forward_failure(inbound, &head, &body)
+                            .await;
                     }
                 }
-                AttemptEnd::TimeOver => return self.give_up(inbound).await,
+                AttemptResult::DeadlineExceeded => {
+                    return self.give_up(inbound).await;
+                }
             }
             self.release_path();
             self.trial = None;
-            self.pace.run = RunProgress::new();
+            self.pace.run_progress = RunProgress::new();
         }
     }
 
-    /// Takes what the end of an attempt says of its first engine; that it
-    /// has begun was noted then.
-    fn note_answer(&self, end: &AttemptEnd) {
-        let first = self.path.first();
-        match end {
-            AttemptEnd::Failed(head, _) if head.status >= 500 => {
+    /// Records the result of an attempt in the circuit breaker of the first
+    /// engine. A success was recorded at the first event.
+    fn record_result(&self, result: &AttemptResult) {
+        let first = self.path.first_engine();
+        match result {
+            AttemptResult::Failed(head, _) if head.status >= 500 => {
                 first.circuit.record_failure(now_ms());
             }
-            // One further on that died speaks against no first engine.
-            AttemptEnd::Broken
-                if !self.pace.has_begun && !self.has_dead_stage() =>
+            // A later engine that failed doesn't count against the first.
+            AttemptResult::Interrupted
+                if !self.pace.has_begun && !self.has_failed_stage() =>
             {
                 first.circuit.record_failure(now_ms());
             }
@@ -262,74 +276,81 @@
         }
     }
 
-    fn note_caller_gone(&mut self) -> ConnectionAction {
-        if self.pace.run.may_have_crashed_server(now_ms()) {
+    fn handle_caller_disconnect(&mut self) -> ConnectionAction {
+        if self.pace.run_progress.may_have_crashed_server(now_ms()) {
             let (first, is_in_trial) =
-                (self.path.first(), self.trial.is_some());
-            self.suspicion.note_left(first, self.pace.run, is_in_trial);
+                (self.path.first_engine(), self.trial.is_some());
+            self.suspicion.record_abandoned_run(
+                first,
+                self.pace.run_progress,
+                is_in_trial,
+            );
         }
-        self.ended.outcome = "caller_gone";
+        self.summary.outcome = "caller_gone";
         ConnectionAction::Abort
     }
 
-    /// Whether it may go to another first engine.
-    fn can_move(&self) -> bool {
+    /// Whether the stream may go to another first engine.
+    fn can_change_first_engine(&self) -> bool {
         self.admitted.remaining_ms(now_ms()) > 0 && self.attempts.may_retry()
     }
 
-    /// Takes that the first engine no longer answers this request. It does
-    /// not count as one that ran it if it has ended, which a dial shows now;
-    /// one that ends later has still run it, and one that the list lacks may
-    /// live. Where only its silence speaks for an end, that is asked again
-    /// once the bound of the route forbids another attempt.
-    async fn leave_first(&mut self) {
-        let first = self.path.first().clone();
-        self.without.insert(first.incarnation.clone());
+    /// Leaves a first engine that no longer responds to this request. The
+    /// engine doesn't count as having run the request if its process has
+    /// exited, which a connection attempt shows now. An engine that exits
+    /// later still counts, and an engine that is no longer listed may be
+    /// running. If only silence indicates an exit, the check is repeated once
+    /// the limit of the route forbids another attempt.
+    async fn leave_first_engine(&mut self) {
+        let first = self.path.first_engine().clone();
+        self.excluded.insert(first.incarnation.clone());
         self.cause = "resumed";
-        let may_crash = self.pace.run.may_have_crashed_server(now_ms())
-            && (self.is_cut || first.is_suspect());
+        let may_have_crashed =
+            self.pace.run_progress.may_have_crashed_server(now_ms())
+                && (self.is_connection_lost || first.is_suspect());
         match probe::has_ended(self.core, &first, false).await {
             true => self.attempts.record_backend_exit(&first.incarnation),
-            false => self.left.push(first.clone()),
+            false => self.abandoned.push(first.clone()),
         }
-        if may_crash {
+        if may_have_crashed {
             let is_in_trial = self.trial.is_some();
-            let run = self.pace.run;
-            self.suspicion.note_broken(&first, run, is_in_trial).await;
+            let run = self.pace.run_progress;
+            self.suspicion.record_failed_run(&first, run, is_in_trial).await;
         }
         if self.attempts.may_retry() {
             return;
         }
-        for left in std::mem::take(&mut self.left) {
-            if probe::has_ended(self.core, &left, true).await {
-                self.attempts.record_backend_exit(&left.incarnation);
+        for abandoned in std::mem::take(&mut self.abandoned) {
+            if probe::has_ended(self.core, &abandoned, true).await {
+                self.attempts.record_backend_exit(&abandoned.incarnation);
             }
         }
     }
 
-    /// Leaves out who refused; its rest does so for one that asked for it.
-    fn avoid(&mut self, at: Option<SocketAddr>) {
+    /// Backs off from the engine that refused the stream, unless the engine is
+    /// in cooldown, which excludes it already.
+    fn exclude_refusing_engine(&mut self, at: Option<SocketAddr>) {
         self.cause = "refused";
-        let first = self.path.first();
-        let named = at.and_then(|at| self.core.fleet.by_address(at));
-        let engine = named.unwrap_or_else(|| first.clone());
+        let first = self.path.first_engine();
+        let refusing = at.and_then(|at| self.core.fleet.by_address(at));
+        let engine = refusing.unwrap_or_else(|| first.clone());
         let now_ms = now_ms();
         let mut state = engine.lock();
         if state.is_in_cooldown(now_ms) {
             return;
         }
-        state.back_off(now_ms, AVOID_MS);
+        state.back_off(now_ms, BACKOFF_MS);
         drop(state);
-        self.without.insert(engine.incarnation.clone());
+        self.excluded.insert(engine.incarnation.clone());
     }
 
     async fn finish(&mut self, inbound: &mut Inbound) -> ConnectionAction {
-        self.ended.outcome = "completed";
+        self.summary.outcome = "completed";
         let is_sent = inbound.write(LAST_CHUNK).await.is_ok();
         ConnectionAction::after_response(is_sent, self.is_last_request)
     }
 
-    /// Ends a stream for which nothing more can be done.
+    /// Ends a stream that can't be continued.
     async fn give_up(&mut self, inbound: &mut Inbound) -> ConnectionAction {
         let remaining_ms = self.admitted.remaining_ms(now_ms());
         let may_have_run = self.attempts.may_have_run();
@@ -342,14 +363,14 @@
                 {
                     ErrorReason::ServersInCooldown
                 }
-                ErrorReason::NoBackend if self.is_refused_room => {
+                ErrorReason::NoBackend if self.is_refused_capacity => {
                     ErrorReason::NoCapacity
                 }
                 reason => reason,
             };
         if self.is_head_sent {
-            self.ended.outcome = "failed";
-            self.ended.reason = reason.as_str().to_owned();
+            self.summary.outcome = "failed";
+            self.summary.reason = reason.as_str().to_owned();
             return ConnectionAction::Abort;
         }
         let retry_after_ms = match (refusal, self.cooldown_retry_after_ms) {
@@ -357,7 +378,7 @@
             (None, Some(retry_after_ms)) => retry_after_ms,
             (None, None) => self.retry_after_ms(),
         };
-        let (ended, after) = refuse_with_retry_after(
+        let (summary, action) = refuse_with_retry_after(
             inbound,
             self.request,
             reason,
@@ -365,13 +386,13 @@
             self.is_last_request,
         )
         .await;
-        self.ended.outcome = ended.outcome;
-        self.ended.status = ended.status;
-        self.ended.reason = ended.reason;
-        after
+        self.summary.outcome = summary.outcome;
+        self.summary.status = summary.status;
+        self.summary.reason = summary.reason;
+        action
     }
 
-    async fn pass_failure(
+    async fn forward_failure(
         &mut self,
         inbound: &mut Inbound,
         head: &AnswerHead,
@@ -383,9 +404,9 @@
         let framing = Framing::Length(body.len());
         let mut bytes = forwarded_head(head, framing, self.is_last_request);
         bytes.extend_from_slice(body);
-        self.ended.outcome = "failed";
-        self.ended.status = head.status;
-        self.ended.reason = "engine".to_owned();
+        self.summary.outcome = "failed";
+        self.summary.status = head.status;
+        self.summary.reason = "engine".to_owned();
         let is_sent = inbound.write(&bytes).await.is_ok();
         ConnectionAction::after_response(is_sent, self.is_last_request)
     }
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a stream at a first engine.
+//! One attempt of a stream at one first engine.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use chestnutreach_telemetry::{Event, emit};
 
 use super::{
-    AttemptEnd, Stream,
-    watch::{ORDER, Waited, Watch},
+    AttemptResult, Stream,
+    supervise::{ORDER_TIMEOUT, Supervision, WaitResult},
 };
 use crate::{
     clock::now_ms,
@@ -26,31 +26,32 @@
     },
 };
 
-/// Paths that engines may call malformed before the request itself counts as
-/// malformed: what they refuse may be the path, which is ours.
-const MOST_MALFORMED: u32 = 2;
+/// Number of responses with status 400 that are attributed to the path, which
+/// the entry sets, before the request itself counts as malformed.
+const MAX_MALFORMED_PATHS: u32 = 2;
 
 impl Stream<'_> {
     pub(super) async fn attempt(
         &mut self,
         inbound: &mut Inbound,
-    ) -> AttemptEnd {
-        let first = self.path.first().clone();
+    ) -> AttemptResult {
+        let first = self.path.first_engine().clone();
         let caller = inbound.stream().clone();
         self.pace.begin_attempt();
-        self.is_cut = false;
-        let dial = Outbound::connect(first.address, exchange::CONNECT_TIMEOUT);
-        let mut connection = match dial.await {
+        self.is_connection_lost = false;
+        let connect =
+            Outbound::connect(first.address, exchange::CONNECT_TIMEOUT);
+        let mut connection = match connect.await {
             Ok(connection) => connection,
             Err(e) => {
-                self.note_broken(&e);
+                self.log_interrupted(&e);
                 let task = probe::probe(self.core.clone(), first.clone());
                 self.core.executor.spawn(task).detach();
-                return AttemptEnd::NotRun(Some(first.address));
+                return AttemptResult::NotRun(Some(first.address));
             }
         };
         let bytes = self.request_bytes();
-        self.note_sent();
+        self.record_sent();
         self.attempts.begin(&first.incarnation);
         let sent_ms = now_ms();
         first.circuit.record_sent(sent_ms);
@@ -66,64 +67,70 @@
             )
             .await
         };
-        let mut watch = Watch::new(&caller);
-        let waited = self.supervise(&mut watch, work).await;
-        let head = match self.sort(waited) {
+        let mut supervision = Supervision::new(&caller);
+        let waited = self.supervise(&mut supervision, work).await;
+        let head = match self.classify_wait(waited) {
             Ok(head) => head,
-            Err(end) => return end,
+            Err(result) => return result,
         };
         let request = self.admitted.id_text();
-        let answered = ResponseContext { request, sent_ms, head: &head };
-        notices::apply_response(self.core, &first, &answered);
+        let response = ResponseContext { request, sent_ms, head: &head };
+        notices::apply_response(self.core, &first, &response);
         if head.status != 200 {
             if exchange::is_not_run(&head) {
                 self.attempts.record_not_run();
             }
-            return self.refused(&mut connection, head).await;
+            return self.handle_error_response(&mut connection, head).await;
         }
-        self.pace.run.record_start(now_ms());
-        self.pass_events(inbound, &mut watch, &mut connection, &head).await
+        self.pace.run_progress.record_start(now_ms());
+        self.forward_events(inbound, &mut supervision, &mut connection, &head)
+            .await
     }
 
-    /// What a wait gave, or how it ended the attempt.
-    fn sort<T>(
+    /// The value that a wait produced, or the attempt's result if the wait
+    /// ended the attempt.
+    fn classify_wait<T>(
         &mut self,
-        waited: Waited<Result<T, OutboundError>>,
-    ) -> Result<T, AttemptEnd> {
+        waited: WaitResult<Result<T, OutboundError>>,
+    ) -> Result<T, AttemptResult> {
         match waited {
-            Waited::Done(Ok(done)) => Ok(done),
-            Waited::Done(Err(e)) => {
-                self.is_cut = true;
-                self.note_broken(&e);
-                Err(AttemptEnd::Broken)
+            WaitResult::Done(Ok(done)) => Ok(done),
+            WaitResult::Done(Err(e)) => {
+                self.is_connection_lost = true;
+                self.log_interrupted(&e);
+                Err(AttemptResult::Interrupted)
+            }
+            WaitResult::Abandoned => {
+                self.log_interrupted(&self.leave_reason);
+                Err(AttemptResult::Interrupted)
+            }
+            WaitResult::CallerDisconnected => {
+                Err(AttemptResult::CallerDisconnected)
             }
-            Waited::GivenUp => {
-                self.note_broken(&self.left_because);
-                Err(AttemptEnd::Broken)
+            WaitResult::DeadlineExceeded => {
+                Err(AttemptResult::DeadlineExceeded)
             }
-            Waited::CallerGone => Err(AttemptEnd::CallerGone),
-            Waited::TimeOver => Err(AttemptEnd::TimeOver),
         }
     }
 
-    /// What an answer that ended in order is.
-    fn end_of(&self, splitter: &EventSplitter) -> AttemptEnd {
+    /// The result of a response that ended in order.
+    fn classify_end(&self, splitter: &EventSplitter) -> AttemptResult {
         if splitter.has_partial() {
-            self.note_broken(&"the last event is not whole");
-            return AttemptEnd::Broken;
+            self.log_interrupted(&"the last event is incomplete");
+            return AttemptResult::Interrupted;
         }
         if !self.is_head_sent {
-            self.note_broken(&"the stream has no event");
-            return AttemptEnd::Broken;
+            self.log_interrupted(&"the stream ended without an event");
+            return AttemptResult::Interrupted;
         }
-        AttemptEnd::Whole
+        AttemptResult::Completed
     }
 
-    async fn refused(
+    async fn handle_error_response(
         &mut self,
         connection: &mut Outbound,
         head: AnswerHead,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let at = head.header(engine::REFUSED_AT).map(str::to_owned);
         let is_not_run = exchange::is_not_run(&head);
         emit(
@@ -131,35 +138,35 @@
             &[
                 ("request", &self.admitted.id_text()),
                 ("attempt", &self.attempts.count()),
-                ("backend", &self.path.first().id),
+                ("backend", &self.path.first_engine().id),
                 ("status", &head.status),
                 ("at", &at.as_deref().unwrap_or("")),
                 ("is_not_run", &is_not_run),
-                ("elapsed_ms", &self.pace.quiet_ms(now_ms())),
+                ("elapsed_ms", &self.pace.idle_ms(now_ms())),
             ],
         );
         let is_malformed = head.status == 400;
-        self.malformed += u32::from(is_malformed);
-        let may_be_own =
-            self.admitted.id.is_some() && self.malformed <= MOST_MALFORMED;
-        if is_not_run && (!is_malformed || may_be_own) {
-            return AttemptEnd::NotRun(at.and_then(|at| at.parse().ok()));
+        self.malformed_responses += u32::from(is_malformed);
+        let may_be_path_error = self.admitted.id.is_some()
+            && self.malformed_responses <= MAX_MALFORMED_PATHS;
+        if is_not_run && (!is_malformed || may_be_path_error) {
+            return AttemptResult::NotRun(at.and_then(|at| at.parse().ok()));
         }
         let body = head.body(&self.request.method);
         let body = connection.read_body(body, 1 << 20);
-        match with_timeout(ORDER, body).await {
-            Ok(Ok(body)) => AttemptEnd::Failed(head, body),
-            _ => AttemptEnd::Broken,
+        match with_timeout(ORDER_TIMEOUT, body).await {
+            Ok(Ok(body)) => AttemptResult::Failed(head, body),
+            _ => AttemptResult::Interrupted,
         }
     }
 
-    async fn pass_events(
+    async fn forward_events(
         &mut self,
         inbound: &mut Inbound,
-        watch: &mut Watch<'_>,
+        supervision: &mut Supervision<'_>,
         connection: &mut Outbound,
         head: &AnswerHead,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let mut splitter = EventSplitter::new();
         let mut body = head.body(&self.request.method);
         let mut out = Vec::new();
@@ -168,30 +175,30 @@
         }
         loop {
             let part = connection.next_part(&mut body);
-            let waited = self.supervise(watch, part).await;
-            let part = match self.sort(waited) {
+            let waited = self.supervise(supervision, part).await;
+            let part = match self.classify_wait(waited) {
                 Ok(Some(part)) => part,
-                Ok(None) => return self.end_of(&splitter),
-                Err(end) => return end,
+                Ok(None) => return self.classify_end(&splitter),
+                Err(result) => return result,
             };
             splitter.push(&part);
-            if !self.take_events(&mut splitter, &mut out) {
+            if !self.append_events(&mut splitter, &mut out) {
                 continue;
             }
-            // Only now: an engine that breaks off before its first event
-            // leaves the answer to the next one, with that one's head.
+            // Not earlier: if an engine fails before its first event, the
+            // head of the next engine is forwarded instead.
             self.is_head_sent = true;
-            self.ended.status = head.status;
+            self.summary.status = head.status;
             if inbound.write(&out).await.is_err() {
-                return AttemptEnd::CallerGone;
+                return AttemptResult::CallerDisconnected;
             }
             out.clear();
         }
     }
 
-    /// Moves whole events to the answer; those that the client has are
-    /// passed over. False when there was none.
-    fn take_events(
+    /// Appends complete events to the response, skipping those that the caller
+    /// has; false if there is no new event.
+    fn append_events(
         &mut self,
         splitter: &mut EventSplitter,
         out: &mut Vec<u8>,
@@ -204,62 +211,64 @@
                 continue;
             }
             self.last_event_id = event.id.or(self.last_event_id);
-            self.ended.events += 1;
-            self.pace.run.record_event();
+            self.summary.events += 1;
+            self.pace.run_progress.record_event();
             bytes.extend_from_slice(&event.bytes);
         }
         if bytes.is_empty() {
             return false;
         }
         push_chunk(out, &bytes);
-        self.note_progress();
+        self.record_progress();
         true
     }
 
-    fn note_progress(&mut self) {
+    fn record_progress(&mut self) {
         let now_ms = now_ms();
         let service = &self.admitted.service.name;
         let metrics = self.core.metrics.service(service);
         let had_begun = self.pace.has_begun;
         if !had_begun {
-            self.core.record_first_event(service, self.pace.moved_ms);
+            self.core.record_first_event(service, self.pace.progress_ms);
         }
-        let gap_ms = self.pace.moved(now_ms);
+        let gap_ms = self.pace.record_event(now_ms);
         let gap = Duration::from_millis(gap_ms).as_secs_f64();
-        match self.ended.first_event_ms {
+        match self.summary.first_event_ms {
             None => {
                 let first_ms = now_ms - self.admitted.received_ms;
-                self.ended.first_event_ms = Some(first_ms);
+                self.summary.first_event_ms = Some(first_ms);
                 metrics.time_to_first_token.observe(first_ms as f64 / 1e3);
             }
             Some(_) => {
-                self.ended.max_gap_ms = self.ended.max_gap_ms.max(gap_ms);
+                self.summary.max_gap_ms = self.summary.max_gap_ms.max(gap_ms);
                 metrics.time_between_tokens.observe(gap);
             }
         }
         if !had_begun {
-            self.path.first().circuit.record_success(now_ms);
+            self.path.first_engine().circuit.record_success(now_ms);
         }
-        if !self.suspicion.has_lasted() && self.pace.run.has_survived(now_ms) {
-            self.suspicion.note_lasted();
+        if !self.suspicion.has_survived()
+            && self.pace.run_progress.has_survived(now_ms)
+        {
+            self.suspicion.record_survived();
             self.trial = None;
         }
-        let is_first = self.ended.events == 1;
+        let is_first_event = self.summary.events == 1;
         for stage in &self.path.stages {
             stage.engine.record_progress(now_ms);
-            if is_first {
+            if is_first_event {
                 stage.engine.lock().failures = 0;
             }
         }
     }
 
     fn request_bytes(&self) -> Vec<u8> {
-        let path = self.path.value();
+        let path = self.path.header_value();
         let is_resumable = self.admitted.route.reuse == Reuse::ResumableStream;
         exchange::request_bytes(
             self.request,
             &BackendHeaders {
-                instance: &self.path.first().id,
+                instance: &self.path.first_engine().id,
                 account: self.admitted.account.as_deref(),
                 remaining_ms: self.admitted.remaining_ms(now_ms()),
                 path: Some(&path),
--- a/crates/direct/src/request/stream/pace.rs
+++ b/crates/direct/src/request/stream/pace.rs
@@ -1,121 +1,124 @@
-//! How fast a stream goes, and when a pause is worth a look.
+//! Gaps between the events of a stream, and when a gap counts as a stall.
 
 use chestnutreach_routing::{RunProgress, StallCheck};
 
 use crate::clock::now_ms;
 
-/// A stream that has not begun is looked at after this time.
-const FIRST_LOOK_MS: u64 = 260;
-/// Usual pause before any was seen.
-const USUAL_GAP_MS: f64 = 45.0;
-/// Weight of the newest pause in the usual one.
+/// Time after which a stream without a first event is checked.
+const FIRST_EVENT_CHECK_MS: u64 = 260;
+/// Typical gap that is assumed before one was observed.
+const DEFAULT_GAP_MS: f64 = 45.0;
+/// Weight of the newest gap in the moving average.
 const GAP_WEIGHT: f64 = 0.1;
-/// Time between looks at a stream that pauses, at first; it doubles.
-const LOOK_AGAIN_MS: u64 = 40;
+/// Initial interval between checks of a stalled stream; doubles with each
+/// check.
+const CHECK_INTERVAL_MS: u64 = 40;
 
-/// Time after a refused order to change the path until the next, at first; it
-/// doubles, and up to a half is added, so that streams that meet the same
-/// refusal do not all ask again together. Without it a stream would give the
-/// same order at each look.
-const ORDER_AGAIN_MS: u64 = 50;
-/// Most doublings of that time: 0.8 s, less than clients wait.
+/// Initial back-off after a refused order to change the path; doubles with
+/// each refusal, with a jitter of up to a half so that streams with the same
+/// refusal don't retry together. Without a back-off, a stream would repeat the
+/// order at each check.
+const ORDER_BACKOFF_MS: u64 = 50;
+/// Maximum number of doublings: up to 0.8 s, less than callers wait.
 const MAX_ORDER_DOUBLINGS: u32 = 4;
 
-/// How fast a stream goes.
+/// Progress of a stream, and the timing of its checks.
 pub(super) struct Pace {
-    look: StallCheck,
-    /// When the last event came, or the attempt began.
-    pub(super) moved_ms: u64,
+    stall_check: StallCheck,
+    /// When the last event arrived, or the attempt began.
+    pub(super) progress_ms: u64,
     /// When the path was last changed.
-    pub(super) changed_ms: u64,
-    pub(super) usual_gap_ms: f64,
+    pub(super) path_changed_ms: u64,
+    pub(super) typical_gap_ms: f64,
     pub(super) has_begun: bool,
-    /// The start of the run of this attempt.
-    pub(super) run: RunProgress,
-    /// Time until the next look at a pause.
-    pub(super) look_again_ms: u64,
-    /// Whether the pause was told in the logs.
-    pub(super) is_told: bool,
-    /// Orders to change the path that were refused in a row.
+    /// How far the run of this attempt has come.
+    pub(super) run_progress: RunProgress,
+    /// Time until the next check of a stall.
+    pub(super) check_interval_ms: u64,
+    /// Whether the stall was logged.
+    pub(super) is_stall_logged: bool,
+    /// Number of refused orders to change the path, in a row.
     refused_orders: u32,
-    /// No further one is given before.
-    order_again_ms: u64,
+    /// No further order is sent before this time.
+    next_order_ms: u64,
 }
 
 impl Pace {
-    /// Of a stream whose route has this longest pause that is in time.
+    /// The pace of a new stream; `gap_target_ms` is the route's target for
+    /// gaps.
     pub(super) fn new(gap_target_ms: Option<u64>) -> Pace {
         Pace {
-            look: StallCheck::new(gap_target_ms),
-            moved_ms: now_ms(),
-            changed_ms: 0,
-            usual_gap_ms: USUAL_GAP_MS,
+            stall_check: StallCheck::new(gap_target_ms),
+            progress_ms: now_ms(),
+            path_changed_ms: 0,
+            typical_gap_ms: DEFAULT_GAP_MS,
             has_begun: false,
-            run: RunProgress::new(),
-            look_again_ms: LOOK_AGAIN_MS,
-            is_told: false,
+            run_progress: RunProgress::new(),
+            check_interval_ms: CHECK_INTERVAL_MS,
+            is_stall_logged: false,
             refused_orders: 0,
-            order_again_ms: 0,
+            next_order_ms: 0,
         }
     }
 
-    /// Whether the path may be ordered to change now.
+    /// Whether an order to change the path may be sent now.
     pub(super) fn may_order(&self, now_ms: u64) -> bool {
-        now_ms >= self.order_again_ms
+        now_ms >= self.next_order_ms
     }
 
-    /// The path has changed.
-    pub(super) fn note_order_taken(&mut self, now_ms: u64) {
-        self.changed_ms = now_ms;
+    /// Records that the first engine accepted another path.
+    pub(super) fn record_order_accepted(&mut self, now_ms: u64) {
+        self.path_changed_ms = now_ms;
         self.refused_orders = 0;
-        self.order_again_ms = 0;
+        self.next_order_ms = 0;
     }
 
-    /// The path could not be changed: what stands against it takes a while
-    /// to change. The time until it may be tried again.
-    pub(super) fn note_order_refused(&mut self, now_ms: u64) -> u64 {
+    /// Records that the path could not be changed. The obstacle usually lasts
+    /// a while, so further orders are delayed by the returned back-off.
+    pub(super) fn record_order_refused(&mut self, now_ms: u64) -> u64 {
         let doublings = self.refused_orders.min(MAX_ORDER_DOUBLINGS);
         self.refused_orders += 1;
-        let pause_ms = ORDER_AGAIN_MS << doublings;
-        let pause_ms = pause_ms + fastrand::u64(0..=pause_ms / 2);
-        self.order_again_ms = now_ms + pause_ms;
-        pause_ms
+        let backoff_ms = ORDER_BACKOFF_MS << doublings;
+        let backoff_ms = backoff_ms + fastrand::u64(0..=backoff_ms / 2);
+        self.next_order_ms = now_ms + backoff_ms;
+        backoff_ms
     }
 
     pub(super) fn begin_attempt(&mut self) {
-        self.moved_ms = now_ms();
+        self.progress_ms = now_ms();
         self.has_begun = false;
-        self.run = RunProgress::new();
+        self.run_progress = RunProgress::new();
     }
 
-    pub(super) fn moved(&mut self, now_ms: u64) -> u64 {
-        let gap_ms = now_ms.saturating_sub(self.moved_ms);
+    /// Records an event; returns the gap before the event.
+    pub(super) fn record_event(&mut self, now_ms: u64) -> u64 {
+        let gap_ms = now_ms.saturating_sub(self.progress_ms);
         if self.has_begun {
-            let gap = (gap_ms as f64).min(4.0 * self.usual_gap_ms);
-            self.usual_gap_ms += GAP_WEIGHT * (gap - self.usual_gap_ms);
+            let gap = (gap_ms as f64).min(4.0 * self.typical_gap_ms);
+            self.typical_gap_ms += GAP_WEIGHT * (gap - self.typical_gap_ms);
         }
         self.has_begun = true;
-        self.moved_ms = now_ms;
-        self.look_again_ms = LOOK_AGAIN_MS;
-        self.is_told = false;
+        self.progress_ms = now_ms;
+        self.check_interval_ms = CHECK_INTERVAL_MS;
+        self.is_stall_logged = false;
         gap_ms
     }
 
-    /// Time since the last event, or since the path was changed after it.
-    pub(super) fn quiet_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.moved_ms.max(self.changed_ms))
+    /// Time since the last event or the last change of the path.
+    pub(super) fn idle_ms(&self, now_ms: u64) -> u64 {
+        now_ms.saturating_sub(self.progress_ms.max(self.path_changed_ms))
     }
 
-    /// Pause from which a stream is looked at.
-    pub(super) fn look_ms(&self) -> u64 {
+    /// Gap after which a stream is checked for a stall.
+    pub(super) fn stall_after_ms(&self) -> u64 {
         if !self.has_begun {
-            return FIRST_LOOK_MS;
+            return FIRST_EVENT_CHECK_MS;
         }
-        self.look.gap_ms(self.usual_gap_ms)
+        self.stall_check.gap_ms(self.typical_gap_ms)
     }
 
-    /// The shortest pause that is worth a look.
-    pub(super) fn least_look_ms(&self) -> u64 {
-        self.look.min_gap_ms()
+    /// The shortest gap that counts as a stall.
+    pub(super) fn min_stall_ms(&self) -> u64 {
+        self.stall_check.min_gap_ms()
     }
 }
