--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -213,14 +213,15 @@
     }
 }
 
-/// Waits until a stop has lasted so long that the load balancer sends no more
+/// Waits until a stop has lasted so long that the load balancer no longer sends
 /// callers.
 async fn accept_period_ends(core: &Core) {
     // Nothing is sent over this channel; `recv` returns when it closes.
     let _ = core.closing.recv().await;
     let elapsed_ms = core.stopping_for_ms().unwrap_or(0);
-    let left_ms = callers::ACCEPT_WHILE_STOPPING_MS.saturating_sub(elapsed_ms);
-    Timer::after(Duration::from_millis(left_ms)).await;
+    let remaining_ms =
+        callers::ACCEPT_WHILE_STOPPING_MS.saturating_sub(elapsed_ms);
+    Timer::after(Duration::from_millis(remaining_ms)).await;
 }
 
 /// Reports to the load balancer whether this entry accepts callers.
@@ -232,7 +233,7 @@
         let serve = async move {
             let _slot = accepted.slot;
             let options = ServerOptions::new();
-            let answer = |_: Received| {
+            let respond = |_: Received| {
                 let status = match readiness.is_ready() {
                     true => 200,
                     false => 503,
@@ -240,7 +241,7 @@
                 async move { Response::new(status) }
             };
             // The load balancer repeats its check, so an error is ignored.
-            let _ = serve_connection(accepted.socket, &options, answer).await;
+            let _ = serve_connection(accepted.socket, &options, respond).await;
         };
         core.executor.spawn(serve).detach();
     }
@@ -303,9 +304,9 @@
         |e: &Arc<crate::cluster::engine::Engine>| e.is_watched.load(Relaxed);
     let watched = core.fleet.all().iter().filter(|e| is_watched(e)).count();
     let engines: Vec<_> = core.fleet.all().into_iter().map(engine).collect();
-    let left = |(service, left): (String, f64)| serde_json::json!({"service": service, "left": left.floor()});
+    let retries_left = |(service, left): (String, f64)| serde_json::json!({"service": service, "left": left.floor()});
     let retries: Vec<_> =
-        core.remaining_retries().into_iter().map(left).collect();
+        core.remaining_retries().into_iter().map(retries_left).collect();
     serde_json::json!({
         "vm": core.settings.vm,
         "data_centre": core.settings.data_centre,
--- a/crates/direct/src/request/events.rs
+++ b/crates/direct/src/request/events.rs
@@ -5,7 +5,7 @@
 
 use chestnutreach_adapter::engine::EVENT_ID_FIELD;
 
-/// Terminates an event.
+/// The terminator of an event.
 const EVENT_END: &[u8] = b"\n\n";
 
 /// A complete event.
--- a/crates/direct/src/request/outcome.rs
+++ b/crates/direct/src/request/outcome.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ConnectionAction {
     KeepAlive,
-    /// The connection is closed in order.
+    /// The connection is closed after the response.
     Close,
     /// The connection is aborted, so that the response looks incomplete.
     Abort,
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -311,7 +311,7 @@
     admitted.deadline_ms.min(hedge_ms.max(min_end_ms))
 }
 
-/// What an attempt needs to know beside the request.
+/// Parameters of an attempt.
 struct AttemptContext<'a> {
     engine: &'a Arc<Engine>,
     attempt: u32,
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The result of a response that ended in order.
+    /// The result of a response whose connection did not fail.
     fn classify_end(&self, splitter: &EventSplitter) -> AttemptResult {
         if splitter.has_partial() {
             self.log_interrupted(&"the last event is incomplete");
--- a/crates/direct/src/request/stream/supervise.rs
+++ b/crates/direct/src/request/stream/supervise.rs
@@ -234,8 +234,8 @@
             && first.quiet_ms(now_ms()) < self.pace.min_stall_ms()
     }
 
-    /// Whether the first engine sends no events. An engine that sends events
-    /// has not failed, even if connection attempts fail.
+    /// Whether the first engine sends this stream no events. An engine that
+    /// sends events has not failed, even if connection attempts fail.
     fn is_first_engine_idle(&self) -> bool {
         self.pace.idle_ms(now_ms()) >= self.pace.min_stall_ms()
     }
