--- a/crates/direct/src/cluster/feeds.rs
+++ b/crates/direct/src/cluster/feeds.rs
@@ -1,8 +1,7 @@
-//! What the store holds, as this entry has it: copies of two tables, how old
-//! they are, and whom to ask next.
+//! Copies of two tables of the store, their ages, and their next source.
 //!
-//! Who asks and whom is decided by [`FeedSources`]; what is answered to others by
-//! [`TableCopy`]. Here is what the tasks share.
+//! [`FeedSources`] decides from where an entry reads, and [`TableCopy`] what
+//! to serve to others. This module holds the state that the tasks share.
 
 use std::sync::{
     Mutex, MutexGuard,
@@ -20,11 +19,11 @@
 
 use crate::{clock::now_ms, subscribers::Subscribers};
 
-/// What an entry tells is old once the store has not confirmed it for so
-/// long: longer than a reader's call waits, with its way.
+/// A copy is stale if the store has not confirmed it within this time, which
+/// is longer than the poll of a reader takes.
 pub(crate) const STALE_MS: u64 = 2_000;
 
-/// Both feeds.
+/// The feeds that an entry follows.
 #[derive(Debug)]
 pub(crate) struct Feeds {
     pub(crate) configuration: Feed,
@@ -39,78 +38,78 @@
         }
     }
 
-    /// What operators are shown.
+    /// Status document for operators.
     pub(crate) fn status(&self) -> Vec<serde_json::Value> {
         vec![self.configuration.status(), self.backends.status()]
     }
 
-    /// The feed of a table.
-    pub(crate) fn of(&self, table: &str) -> Option<&Feed> {
+    pub(crate) fn by_table(&self, table: &str) -> Option<&Feed> {
         let all = [&self.configuration, &self.backends];
         all.into_iter().find(|feed| feed.table == table)
     }
 }
 
-/// One table.
+/// Copy of one table, and where it is read from.
 #[derive(Debug)]
 pub(crate) struct Feed {
     pub(crate) table: &'static str,
-    /// Number of the duty to read it.
-    duty: u64,
+    /// Key of the assignment to read the table from the store.
+    assignment: u64,
     copy: Mutex<TableCopy>,
     sources: Mutex<FeedSources>,
     /// When the store last confirmed the copy.
     confirmed_ms: AtomicU64,
-    /// When the store was back after an outage; 0 if there was none.
-    back_ms: AtomicU64,
-    /// Boot id of the entry that is asked; 0 for the store.
-    asks: AtomicU64,
-    /// Those who wait for a change.
+    /// When the store was available again after the last outage; 0 if there
+    /// was none.
+    recovered_ms: AtomicU64,
+    /// Boot id of the entry that is polled; 0 for the store.
+    source_boot_id: AtomicU64,
+    /// Tasks that wait for a change.
     pub(crate) changed: Subscribers,
 }
 
 impl Feed {
-    fn new(table: &'static str, duty: u64) -> Feed {
+    fn new(table: &'static str, assignment: u64) -> Feed {
         Feed {
             table,
-            duty,
+            assignment,
             copy: Mutex::default(),
             sources: Mutex::default(),
             confirmed_ms: AtomicU64::new(0),
-            back_ms: AtomicU64::new(0),
-            asks: AtomicU64::new(0),
+            recovered_ms: AtomicU64::new(0),
+            source_boot_id: AtomicU64::new(0),
             changed: Subscribers::default(),
         }
     }
 
-    pub(crate) fn choose(&self, around: &FeedPeers<'_>) -> FeedSource {
-        self.sources().choose(around, self.duty, now_ms())
+    pub(crate) fn choose_source(&self, around: &FeedPeers<'_>) -> FeedSource {
+        self.sources().choose(around, self.assignment, now_ms())
     }
 
-    /// Keeps whom this entry asks now, for operators.
+    /// Records the current source for the status document.
     pub(crate) fn set_source(&self, source: FeedSource) {
-        let asks = match source {
+        let boot_id = match source {
             FeedSource::Store => 0,
             FeedSource::Entry(boot_id) => boot_id,
         };
-        self.asks.store(asks, Relaxed);
+        self.source_boot_id.store(boot_id, Relaxed);
     }
 
-    /// What operators are shown.
+    /// Status document for operators.
     pub(crate) fn status(&self) -> serde_json::Value {
-        let asks = match self.asks.load(Relaxed) {
+        let source = match self.source_boot_id.load(Relaxed) {
             0 => "store".to_owned(),
             boot_id => boot_id.to_string(),
         };
         serde_json::json!({
             "table": self.table,
-            "asks": asks,
+            "asks": source,
             "age_ms": self.age_ms(),
             "row_version": self.version(),
         })
     }
 
-    pub(crate) fn note_asked(&self) {
+    pub(crate) fn record_request(&self) {
         self.sources().record_request(now_ms());
     }
 
@@ -131,59 +130,62 @@
         now_ms().saturating_sub(self.confirmed_ms.load(Relaxed))
     }
 
-    /// The store confirmed the copy then, as far as is known.
-    pub(crate) fn confirm(&self, then_ms: u64) {
+    /// Records that the store confirmed the copy at this time.
+    pub(crate) fn record_confirmed(&self, then_ms: u64) {
         self.confirmed_ms.fetch_max(then_ms, Relaxed);
     }
 
-    pub(crate) fn back_ms(&self) -> u64 {
-        self.back_ms.load(Relaxed)
+    pub(crate) fn recovered_ms(&self) -> u64 {
+        self.recovered_ms.load(Relaxed)
     }
 
-    pub(crate) fn note_back(&self, back_ms: u64) {
-        self.back_ms.fetch_max(back_ms, Relaxed);
+    pub(crate) fn record_recovery(&self, recovered_ms: u64) {
+        self.recovered_ms.fetch_max(recovered_ms, Relaxed);
     }
 
-    /// Takes all rows; false where newer ones are known.
+    /// Replaces all rows; returns false if the copy is newer.
     pub(crate) fn replace(&self, rows: &Rows) -> bool {
-        let changes = rows.rows.iter().map(change_of).collect();
+        let changes = rows.rows.iter().map(row_change).collect();
         let is_taken = self.copy().replace(changes, rows.version);
         self.changed.notify_all();
         is_taken
     }
 
-    /// Takes rows that changed.
-    pub(crate) fn extend(&self, rows: &Rows) {
-        let changes = rows.rows.iter().map(change_of).collect();
+    /// Applies rows that changed.
+    pub(crate) fn apply_changes(&self, rows: &Rows) {
+        let changes = rows.rows.iter().map(row_change).collect();
         self.copy().apply(changes, rows.version);
         if !rows.rows.is_empty() {
             self.changed.notify_all();
         }
     }
 
-    /// Whether the copy has something newer than a version.
-    pub(crate) fn has_news(&self, version: u64) -> bool {
+    /// Whether the copy has changes after a version.
+    pub(crate) fn has_changes_after(&self, version: u64) -> bool {
         self.copy().has_changes_after(version)
     }
 
-    /// What is told to an entry that knows a version; none while nothing is
-    /// known here.
-    pub(crate) fn answer(&self, after: Option<u64>) -> Option<FeedAnswer> {
+    /// Response to an entry whose copy has this version; `None` while this
+    /// entry has no copy.
+    pub(crate) fn response_after(
+        &self,
+        after: Option<u64>,
+    ) -> Option<FeedAnswer> {
         let copy = self.copy();
         let version = copy.version()?;
         let changes = after.and_then(|after| copy.changes_after(after));
         let is_whole = changes.is_none();
         let rows = match changes {
-            Some(changes) => changes.into_iter().map(told_row).collect(),
-            None => copy.rows().map(told_row).collect(),
+            Some(changes) => changes.into_iter().map(feed_row).collect(),
+            None => copy.rows().map(feed_row).collect(),
         };
-        let back_ms = Some(self.back_ms()).filter(|ms| *ms > 0);
+        let recovered_ms = Some(self.recovered_ms()).filter(|ms| *ms > 0);
         Some(FeedAnswer {
             rows,
             version,
             is_whole,
             confirmed_age_ms: self.age_ms(),
-            back_age_ms: back_ms.map(|ms| now_ms().saturating_sub(ms)),
+            back_age_ms: recovered_ms.map(|ms| now_ms().saturating_sub(ms)),
             waited_ms: 0,
         })
     }
@@ -197,19 +199,19 @@
     }
 }
 
-/// Rows as the store would have answered them.
-pub(crate) fn rows_of(answer: FeedAnswer) -> Rows {
-    let row = |told: FeedRow| Row {
-        key: told.key,
-        is_dropped: told.value.is_none(),
-        value: told.value.unwrap_or_default(),
-        version: told.version,
+/// Converts a response of an entry to rows as the store returns them.
+pub(crate) fn into_rows(answer: FeedAnswer) -> Rows {
+    let convert = |row: FeedRow| Row {
+        key: row.key,
+        is_dropped: row.value.is_none(),
+        value: row.value.unwrap_or_default(),
+        version: row.version,
     };
     let version = answer.version;
-    Rows { rows: answer.rows.into_iter().map(row).collect(), version }
+    Rows { rows: answer.rows.into_iter().map(convert).collect(), version }
 }
 
-fn change_of(row: &Row) -> RowChange {
+fn row_change(row: &Row) -> RowChange {
     RowChange {
         key: row.key.clone(),
         value: (!row.is_dropped).then(|| row.value.clone()),
@@ -217,7 +219,7 @@
     }
 }
 
-fn told_row(change: &RowChange) -> FeedRow {
+fn feed_row(change: &RowChange) -> FeedRow {
     FeedRow {
         key: change.key.clone(),
         value: change.value.clone(),
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -1,10 +1,11 @@
-//! What entries tell each other.
+//! Exchange of state between entries.
 //!
-//! Each entry sends its state to the others a few times a second, one
-//! datagram each. Lost ones do not matter: the next one says the same. From
-//! them an entry knows how full engines are beyond its own requests, and
-//! between how many entries the bound on further arrivals is shared. Entries
-//! find each other in a table of the store, and from then on by who sends.
+//! Each entry sends its state to the others several times a second, in one
+//! datagram each. Lost datagrams do not matter, because the next one has the
+//! full state again. From these messages an entry learns the load on engines
+//! beyond its own requests, and how many entries share the retry limit.
+//! Entries find each other through a table of the store, and afterwards also
+//! through the messages that they receive.
 
 use std::{
     collections::BTreeSet,
@@ -31,26 +32,22 @@
     cluster::{
         alerts::percent,
         engine::{Engine, EngineUsage},
-        peer_table::{Heard, Silent},
+        peer_table::{SilentPeer, StateOutcome},
         permits, probe, suspects,
     },
     core::Core,
 };
 
-/// Time between messages.
-const TELL_EVERY: Duration = Duration::from_millis(BASE_INTERVAL_MS);
-/// Time for a call of the store.
+const STATE_INTERVAL: Duration = Duration::from_millis(BASE_INTERVAL_MS);
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time before the table is read again after a failure.
-const READ_AGAIN: Duration = Duration::from_millis(1_500);
-/// Time between later looks at the table: entries hear each other from their
-/// first messages on.
-const READ_EVERY: Duration = Duration::from_secs(60);
-/// Time within which alerts are gathered.
-const ALERT_GATHERS: Duration = Duration::from_millis(2);
-/// Most names of entries in a line of the logs.
-const MAX_NAMES: usize = 24;
-/// Longest datagram taken.
+/// Pause before the table is read again after a failure.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
+/// Long, because entries learn of each other from their first messages.
+const TABLE_READ_INTERVAL: Duration = Duration::from_secs(60);
+/// Time over which findings are collected into one alert.
+const ALERT_BATCH_WINDOW: Duration = Duration::from_millis(2);
+/// Maximum number of peers named in one log line.
+const MAX_LOGGED_PEERS: usize = 24;
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
 /// Opens the socket for messages between entries.
@@ -62,69 +59,74 @@
     core.settings.internal_ports.0
 }
 
-/// Tells the others and hears them, until the process ends.
+/// Sends and receives messages until the process exits.
 pub(crate) async fn run(core: Arc<Core>, socket: Async<UdpSocket>) {
     let socket = Arc::new(socket);
-    let told = tell(core.clone(), socket.clone());
-    core.executor.spawn(told).detach();
-    let alerted = tell_alerts(core.clone(), socket.clone());
-    core.executor.spawn(alerted).detach();
+    let states = send_states(core.clone(), socket.clone());
+    core.executor.spawn(states).detach();
+    let alerts = send_alerts(core.clone(), socket.clone());
+    core.executor.spawn(alerts).detach();
     let permits = permits::run(core.clone(), socket.clone());
     core.executor.spawn(permits).detach();
-    core.executor.spawn(find(core.clone())).detach();
+    core.executor.spawn(discover(core.clone())).detach();
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((count, from)) = socket.recv_from(&mut bytes).await else {
-            Timer::after(TELL_EVERY).await;
+            Timer::after(STATE_INTERVAL).await;
             continue;
         };
         if let Ok(state) = PeerState::decode(&bytes[..count]) {
-            take(&core, from, &state);
+            handle_message(&core, from, &state);
         }
     }
 }
 
-async fn tell(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
+async fn send_states(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     let mut sequence = 0;
     let mut rounds = [RoundRobin::default(), RoundRobin::default()];
     loop {
         sequence += 1;
         let bytes = own_state(&core, sequence).encode_to_vec();
-        for address in told_now(&core, &mut rounds) {
-            // A datagram that is lost is made up for by the next one.
+        for address in recipients(&core, &mut rounds) {
+            // An error needs no handling: the next state replaces this one.
             let _ = socket.send_to(&bytes, address).await;
         }
-        forget_silent(&core);
-        Timer::after(TELL_EVERY).await;
+        remove_silent(&core);
+        Timer::after(STATE_INTERVAL).await;
     }
 }
 
-/// Who is told now: some of this data centre, fewer of the others.
-fn told_now(core: &Core, rounds: &mut [RoundRobin; 2]) -> Vec<SocketAddr> {
+/// The next peers to send the state to: several of this data centre, and fewer
+/// of the others.
+fn recipients(core: &Core, rounds: &mut [RoundRobin; 2]) -> Vec<SocketAddr> {
     let is_planner = core.is_planner.load(Relaxed);
-    let turn = |(whom, rounds): (PeerScope, &mut RoundRobin)| {
-        let told = if is_planner { PeerScope::FromPlanner } else { whom };
-        rounds.next_batch(&core.peers.addresses_of(whom), told.fan_out())
+    let batch = |(scope, rounds): (PeerScope, &mut RoundRobin)| {
+        let fan_out_scope =
+            if is_planner { PeerScope::FromPlanner } else { scope };
+        rounds.next_batch(
+            &core.peers.addresses_of(scope),
+            fan_out_scope.fan_out(),
+        )
     };
-    let whom =
+    let scopes =
         [PeerScope::SameDataCentre, PeerScope::OtherDataCentre].into_iter();
-    whom.zip(rounds).flat_map(turn).collect()
+    scopes.zip(rounds).flat_map(batch).collect()
 }
 
-/// Tells all others at once what was just found of engines: by turns the
-/// last of many would hear of it a second later.
-async fn tell_alerts(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
+/// Sends alerts to all peers at once. In turns like the state, an alert would
+/// reach the last of many peers a second later.
+async fn send_alerts(core: Arc<Core>, socket: Arc<Async<UdpSocket>>) {
     loop {
         core.alerts.wait().await;
-        // Engines that were lost together are told together.
-        Timer::after(ALERT_GATHERS).await;
+        // Engines that fail together are reported in one alert.
+        Timer::after(ALERT_BATCH_WINDOW).await;
         let pending = core.alerts.take();
         let suspects = pending.suspects.iter();
-        let news_of = |of: &Fingerprint| core.suspects.news_of(*of);
+        let report = |suspect: &Fingerprint| core.suspects.report_of(*suspect);
         let alert = PeerState {
             boot_id: core.boot_id,
             is_alert: true,
-            suspects: suspects.filter_map(news_of).collect(),
+            suspects: suspects.filter_map(report).collect(),
             trials: pending.trials(),
             notices: pending.notices(&core),
             engines: pending.engines.into_values().collect(),
@@ -132,37 +134,38 @@
         };
         let bytes = alert.encode_to_vec();
         for address in core.peers.addresses() {
-            // One that is lost is made up for by the next state.
+            // An error needs no handling: the next state has the finding too.
             let _ = socket.send_to(&bytes, address).await;
         }
     }
 }
 
 fn own_state(core: &Core, sequence: u64) -> PeerState {
-    let engine_use = |engine: Arc<Engine>| {
-        let used = engine.own_usage(now_ms());
+    let to_message = |engine: Arc<Engine>| {
+        let usage = engine.own_usage(now_ms());
         let (is_suspect, slowness) = {
             let state = engine.lock();
             (state.suspicion.is_some(), state.slowness)
         };
-        // Who watches it repeats how slow it is, for those who missed it.
-        let is_told_slow = slowness > 1.0 && engine.is_watched.load(Relaxed);
-        let is_told =
-            used != EngineUsage::default() || is_suspect || is_told_slow;
-        is_told.then_some(EngineUse {
+        // A watching entry repeats the slowness, for peers that missed it.
+        let reports_slowness =
+            slowness > 1.0 && engine.is_watched.load(Relaxed);
+        let has_content =
+            usage != EngineUsage::default() || is_suspect || reports_slowness;
+        has_content.then_some(EngineUse {
             engine: engine.hash,
-            used_kilo_token_layers: used.kilo_token_layers,
-            first_count: used.first_count,
-            work_ms_per_s: used.work_ms_per_s,
+            used_kilo_token_layers: usage.kilo_token_layers,
+            first_count: usage.first_count,
+            work_ms_per_s: usage.prefill_ms_per_s,
             is_suspect,
             is_cleared: false,
-            slowness_percent: match is_told_slow {
+            slowness_percent: match reports_slowness {
                 true => percent(slowness),
                 false => 0,
             },
         })
     };
-    let engines = core.fleet.all().into_iter().filter_map(engine_use);
+    let engines = core.fleet.all().into_iter().filter_map(to_message);
     let sent = core.sent_by_service().into_iter();
     let services = sent.map(|(service, sent)| ServiceUse {
         service,
@@ -185,179 +188,191 @@
         data_centre: core.settings.data_centre.clone(),
         feed_port: core.feed_port.load(Relaxed).into(),
         is_alert: false,
-        suspects: suspect_news(core),
-        notices: core.permits.news(core),
+        suspects: suspect_reports(core),
+        notices: core.permits.notices(core),
         ..PeerState::default()
     }
 }
 
-fn suspect_news(core: &Core) -> Vec<SuspectRequest> {
+fn suspect_reports(core: &Core) -> Vec<SuspectRequest> {
     if core.suspects.is_empty() {
         return Vec::new();
     }
-    core.suspects.news(states_per_s(core))
+    core.suspects.reports(received_states_per_s(core))
 }
 
-/// States that an entry hears in a second, about as many as it sends.
-fn states_per_s(core: &Core) -> f64 {
-    let at_once = [PeerScope::SameDataCentre, PeerScope::OtherDataCentre]
+/// State messages that an entry receives a second: about as many as it sends.
+fn received_states_per_s(core: &Core) -> f64 {
+    let per_interval = [PeerScope::SameDataCentre, PeerScope::OtherDataCentre]
         .into_iter()
-        .map(|whom| core.peers.addresses_of(whom).len().min(whom.fan_out()));
-    let at_once: usize = at_once.sum();
-    at_once as f64 * 1e3 / BASE_INTERVAL_MS as f64
+        .map(|scope| {
+            core.peers.addresses_of(scope).len().min(scope.fan_out())
+        });
+    let per_interval: usize = per_interval.sum();
+    per_interval as f64 * 1e3 / BASE_INTERVAL_MS as f64
 }
 
-fn take(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
+fn handle_message(core: &Arc<Core>, from: SocketAddr, state: &PeerState) {
     if state.boot_id == core.boot_id || state.boot_id == 0 {
         return;
     }
-    suspects::hear(core, state);
-    permits::hear(core, from, state);
+    suspects::handle_message(core, state);
+    permits::handle_message(core, from, state);
     if state.is_alert {
-        take_alert(core, state);
+        apply_alert(core, state);
         return;
     }
-    match core.peers.hear(from, state) {
-        Heard::Stale => return,
-        Heard::Known => {}
-        Heard::New(old) => {
+    match core.peers.apply_state(from, state) {
+        StateOutcome::Stale => return,
+        StateOutcome::Known => {}
+        StateOutcome::New(old) => {
             if let Some(old) = old {
-                forget_use(core, old);
+                remove_usage(core, old);
             }
         }
     }
-    core.peers.take_sent(state, core.settings.bounds.retry_window_ms);
+    core.peers.record_sent(state, core.settings.bounds.retry_window_ms);
     if state.is_planner {
         core.apply_moves(&state.open_moves);
     }
-    take_use(core, state);
+    apply_usage(core, state);
 }
 
-fn take_use(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.index();
-    let told: BTreeSet<u32> = state.engines.iter().map(|u| u.engine).collect();
-    for hash in core.peer_usage.replace(state.boot_id, told) {
-        if let Some(engine) = listed.by_hash.get(&hash) {
+fn apply_usage(core: &Arc<Core>, state: &PeerState) {
+    let index = core.fleet.index();
+    let engines: BTreeSet<u32> =
+        state.engines.iter().map(|u| u.engine).collect();
+    for hash in core.peer_usage.replace(state.boot_id, engines) {
+        if let Some(engine) = index.by_hash.get(&hash) {
             engine.set_peer_usage(state.boot_id, None);
         }
     }
-    for used in &state.engines {
-        let Some(engine) = listed.by_hash.get(&used.engine) else { continue };
-        let told_use = EngineUsage {
-            kilo_token_layers: used.used_kilo_token_layers,
-            first_count: used.first_count,
-            work_ms_per_s: used.work_ms_per_s,
+    for reported in &state.engines {
+        let Some(engine) = index.by_hash.get(&reported.engine) else {
+            continue;
+        };
+        let usage = EngineUsage {
+            kilo_token_layers: reported.used_kilo_token_layers,
+            first_count: reported.first_count,
+            prefill_ms_per_s: reported.work_ms_per_s,
         };
-        engine.set_peer_usage(state.boot_id, Some(told_use));
-        take_news(core, engine, used);
+        engine.set_peer_usage(state.boot_id, Some(usage));
+        apply_engine_update(core, engine, reported);
     }
 }
 
-fn take_alert(core: &Arc<Core>, state: &PeerState) {
-    let listed = core.fleet.index();
-    for told in &state.engines {
-        let Some(engine) = listed.by_hash.get(&told.engine) else { continue };
+fn apply_alert(core: &Arc<Core>, state: &PeerState) {
+    let index = core.fleet.index();
+    for update in &state.engines {
+        let Some(engine) = index.by_hash.get(&update.engine) else { continue };
         engine.lock().alerted_ms = now_ms();
-        take_news(core, engine, told);
+        apply_engine_update(core, engine, update);
     }
 }
 
-/// Takes what another entry found of an engine. That it is dead or back is
-/// looked at, not believed: the other one may itself be cut off. And not at
-/// each message: many that are cut off would have all others dial all
-/// engines. How slow it is the engine has said itself.
-fn take_news(core: &Arc<Core>, engine: &Arc<Engine>, told: &EngineUse) {
+/// Applies an engine update of another entry. A reported failure or recovery
+/// is probed rather than trusted, because the other entry may be partitioned.
+/// Not every report triggers a probe: otherwise many partitioned entries would
+/// make all others connect to all engines. A slowness is trusted, because the
+/// engine itself reported it.
+fn apply_engine_update(
+    core: &Arc<Core>,
+    engine: &Arc<Engine>,
+    update: &EngineUse,
+) {
     let is_suspect = engine.is_suspect();
-    let is_news = match (told.is_suspect, told.is_cleared) {
-        (true, _) => !is_suspect && is_dial_due(engine),
+    let needs_probe = match (update.is_suspect, update.is_cleared) {
+        (true, _) => !is_suspect && is_connect_due(engine),
         (false, is_cleared) => is_cleared && is_suspect,
     };
-    if is_news {
-        let task = probe::probe_alerted(core.clone(), engine.clone());
+    if needs_probe {
+        let task = probe::probe_after_alert(core.clone(), engine.clone());
         core.executor.spawn(task).detach();
     }
-    if told.slowness_percent > 0 {
-        let slowness = f64::from(told.slowness_percent) / 100.0;
-        probe::take_slowness(engine, slowness, now_ms());
+    if update.slowness_percent > 0 {
+        let slowness = f64::from(update.slowness_percent) / 100.0;
+        probe::record_slowness(engine, slowness, now_ms());
     }
 }
 
-fn is_dial_due(engine: &Engine) -> bool {
+fn is_connect_due(engine: &Engine) -> bool {
     let now_ms = now_ms();
-    engine.lock().is_dial_due(now_ms, engine.quiet_ms(now_ms))
+    engine.lock().is_connect_due(now_ms, engine.quiet_ms(now_ms))
 }
 
-/// Forgets those that are silent, and sums up who came and went since.
-fn forget_silent(core: &Core) {
-    let silent = core.peers.take_silent();
+/// Removes silent peers, and logs the peers lost and found since the last
+/// call.
+fn remove_silent(core: &Core) {
+    let silent = core.peers.remove_silent();
     for silent in &silent {
-        forget_use(core, silent.boot_id);
+        remove_usage(core, silent.boot_id);
     }
-    let lost = silent.iter().map(Silent::name).collect();
-    note_peers(core, Event::PeerLost, lost);
-    note_peers(core, Event::PeerFound, core.peers.take_found());
+    let lost = silent.iter().map(SilentPeer::name).collect();
+    log_peers(core, Event::PeerLost, lost);
+    log_peers(core, Event::PeerFound, core.peers.take_found());
 }
 
-fn note_peers(core: &Core, event: Event, names: Vec<String>) {
+fn log_peers(core: &Core, event: Event, names: Vec<String>) {
     if names.is_empty() {
         return;
     }
-    let told: Vec<&str> =
-        names.iter().take(MAX_NAMES).map(String::as_str).collect();
+    let logged: Vec<&str> =
+        names.iter().take(MAX_LOGGED_PEERS).map(String::as_str).collect();
     let known = core.peers.addresses().len();
     emit(
         event,
         &[
-            ("peers", &told.join(", ")),
+            ("peers", &logged.join(", ")),
             ("count", &names.len()),
             ("known", &known),
         ],
     );
 }
 
-fn forget_use(core: &Core, boot_id: u64) {
-    let listed = core.fleet.index();
+fn remove_usage(core: &Core, boot_id: u64) {
+    let index = core.fleet.index();
     for hash in core.peer_usage.replace(boot_id, BTreeSet::new()) {
-        if let Some(engine) = listed.by_hash.get(&hash) {
+        if let Some(engine) = index.by_hash.get(&hash) {
             engine.set_peer_usage(boot_id, None);
         }
     }
 }
 
-/// Lists this entry and looks for others.
+/// Adds this entry to the table of entries, and finds the others there.
 ///
 /// Of two entries that start together, one reads the table after the other
-/// has written its row, and tells it; so one read after the own row is there
-/// is enough, and the later ones only make up for what went wrong.
-async fn find(core: Arc<Core>) {
+/// has written its row, and sends a message to that entry. So one read after
+/// the own row is written suffices; later reads only cover failures.
+async fn discover(core: Arc<Core>) {
     let store = StoreClient::new(core.settings.store_address);
     let own = SocketAddr::new(core.settings.ip, port(&core));
     let mut is_listed = false;
     loop {
-        let pause = match find_once(&core, &store, own, &mut is_listed).await {
-            Ok(Looked::Read) => READ_EVERY,
-            Ok(Looked::Written) => Duration::ZERO,
-            Err(_) => READ_AGAIN,
-        };
+        let pause =
+            match discover_once(&core, &store, own, &mut is_listed).await {
+                Ok(Discovery::Read) => TABLE_READ_INTERVAL,
+                Ok(Discovery::Written) => Duration::ZERO,
+                Err(_) => READ_RETRY_PAUSE,
+            };
         Timer::after(pause).await;
     }
 }
 
-/// What a look at the table came to.
-enum Looked {
-    /// It was read while the own row was there.
+/// Result of reading the table of entries.
+enum Discovery {
+    /// The table already had this entry's row.
     Read,
-    /// The own row was not there before.
+    /// This entry's row was missing, and has been written.
     Written,
 }
 
-/// Reads the table, and writes the own row where it is not there yet.
-async fn find_once(
+/// Reads the table, and writes this entry's row if that is missing.
+async fn discover_once(
     core: &Core,
     store: &StoreClient,
     own: SocketAddr,
     is_listed: &mut bool,
-) -> Result<Looked, StoreError> {
+) -> Result<Discovery, StoreError> {
     let rows = store.read_table(ENTRIES, STORE_TIMEOUT).await?;
     for row in &rows.rows {
         let address = std::str::from_utf8(&row.value)
@@ -365,11 +380,11 @@
             .and_then(|text| text.parse::<SocketAddr>().ok());
         *is_listed |= row.key == core.settings.vm && address == Some(own);
         if let Some(address) = address.filter(|a| *a != own) {
-            core.peers.add(address);
+            core.peers.add_address(address);
         }
     }
     if *is_listed {
-        return Ok(Looked::Read);
+        return Ok(Discovery::Read);
     }
     let value = own.to_string();
     let vm = &core.settings.vm;
@@ -377,5 +392,5 @@
         .write_row(ENTRIES, vm, None, value.as_bytes(), STORE_TIMEOUT)
         .await?;
     *is_listed = true;
-    Ok(Looked::Written)
+    Ok(Discovery::Written)
 }
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -1,12 +1,13 @@
-//! Noticing that a backend server is dead, slow, or back.
+//! Detection of backend servers that fail, are slow, or recover.
 //!
-//! An idle connection to each engine shows at once that its process ended.
-//! An engine that falls silent shows only by what waits for it: when a
-//! stream pauses for longer than its pace explains, every engine of its path
-//! through which nothing else flows is dialled, and who does not answer in
-//! time is suspected. A dial costs far less than a report and is not as old.
-//! Reports are asked for when dials explain nothing: they name engines that
-//! others wait for, and those that are slow.
+//! An idle connection to each engine shows immediately that the process has
+//! exited. An engine that stops responding shows only by the requests that
+//! wait for it: when a stream stalls for longer than its pace explains, the
+//! entry connects to every engine of the path that no other stream shows to
+//! be alive, and suspects those that do not accept in time. A connect costs
+//! far less than a report, and its result is newer. Reports are requested if
+//! connects do not explain a stall: they name slow engines, and engines that
+//! other engines wait for.
 
 use std::{io, sync::Arc, sync::atomic::Ordering::Relaxed, time::Duration};
 
@@ -23,35 +24,38 @@
     clock::now_ms,
     cluster::{
         alerts::percent,
-        engine::{Engine, FLOWING_MS, FailureEvidence, StartOrder, Suspicion},
+        engine::{
+            Engine, FailureEvidence, RECENT_PROGRESS_MS, StartOrder, Suspicion,
+        },
     },
     core::Core,
     request::{exchange, path::Path},
 };
 
-/// Time for a dial; ways are below 2 ms and engines accept within 1 ms.
-const DIAL: Duration = Duration::from_millis(25);
-/// Dials before silence counts: a lost packet is sent again only after 1 s.
-const DIALS: usize = 2;
-/// Time for a report.
-const REPORT: Duration = Duration::from_millis(250);
-/// Shortest time between two reports of an engine.
-const REPORT_EVERY_MS: u64 = 1_500;
-/// Time between looks at suspected engines.
-const RECHECK: Duration = Duration::from_millis(400);
-/// Rounds of such looks until an entry looks at an engine that others watch:
-/// they tell when it is back.
-const OTHERS_EVERY: u32 = 5;
-/// What others said of a slow engine is asked anew after so long.
-const SLOW_HEARD_MS: u64 = 4_000;
-/// An alert of another entry so recent need not be repeated.
-const ALERTED_MS: u64 = 1_000;
-/// Share of engines that are silent from which on no more are suspected: more
-/// than a data centre's fault takes away.
-const OWN_FAULT_SHARE: f64 = 0.4;
-/// Slowness below it is told as none.
-const SLOW_FROM: f64 = 1.2;
+/// Network delays are below 2 ms, and engines accept within 1 ms.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(25);
+/// Two, because TCP retransmits a lost packet only after 1 s.
+const CONNECT_ATTEMPTS: usize = 2;
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Minimum time between two requests for an engine's report.
+const MIN_REPORT_INTERVAL_MS: u64 = 1_500;
+/// Time between checks of suspected and slow engines.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// An entry checks suspected engines that it does not watch only in every
+/// fifth round: the entries that watch them report a recovery.
+const UNWATCHED_RECHECK_ROUNDS: u32 = 5;
+/// Age at which a slowness that others reported is queried again.
+const SLOWNESS_REFRESH_MS: u64 = 4_000;
+/// An alert is not repeated if another entry sent one within this time.
+const MIN_ALERT_INTERVAL_MS: u64 = 1_000;
+/// Share of silent engines at which this VM counts as partitioned. The share
+/// exceeds what the failure of one data centre takes away.
+const PARTITION_SILENT_SHARE: f64 = 0.4;
+/// A smaller slowness counts as none.
+const MIN_SLOWNESS: f64 = 1.2;
 
+/// Records a failed connect to an engine and suspects the engine, unless this
+/// VM seems to be partitioned.
 pub(crate) fn record_unreachable(
     core: &Core,
     engine: &Engine,
@@ -61,33 +65,33 @@
         io::ErrorKind::TimedOut => FailureEvidence::Silent,
         _ => FailureEvidence::Refused,
     };
-    if evidence == FailureEvidence::Silent && is_own_fault(core) {
+    if evidence == FailureEvidence::Silent && is_partitioned(core) {
         return;
     }
     suspect(core, engine, evidence);
 }
 
-/// Whether so many engines are silent that rather this VM is cut off, or too
-/// slow to dial in time.
-fn is_own_fault(core: &Core) -> bool {
+/// Whether so many engines are silent that this VM itself is more likely
+/// partitioned, or too slow to connect within the timeout.
+fn is_partitioned(core: &Core) -> bool {
     let engines = core.fleet.all();
     let is_silent = |engine: &&Arc<Engine>| {
         let suspicion = engine.lock().suspicion;
         suspicion.is_some_and(|s| s.evidence == FailureEvidence::Silent)
     };
     let silent = engines.iter().filter(is_silent).count();
-    silent as f64 >= OWN_FAULT_SHARE * engines.len() as f64
+    silent as f64 >= PARTITION_SILENT_SHARE * engines.len() as f64
 }
 
-/// Takes an engine out of new paths and tells the streams on it.
+/// Excludes an engine from new paths and notifies the streams.
 pub(crate) fn suspect(
     core: &Core,
     engine: &Engine,
     evidence: FailureEvidence,
 ) {
     let now_ms = now_ms();
-    let least_ms = match evidence {
-        // Others may wait for it that long before that shows.
+    let min_ms = match evidence {
+        // A repeated stall takes that long to show at the engines that wait.
         FailureEvidence::Stalled => core.settings.bounds.stall_ms,
         FailureEvidence::Refused | FailureEvidence::Silent => 0,
     };
@@ -98,7 +102,7 @@
         }
         state.suspicion = Some(Suspicion {
             since_ms: now_ms,
-            until_ms: now_ms + least_ms,
+            until_ms: now_ms + min_ms,
             evidence,
         });
     }
@@ -112,33 +116,41 @@
         ],
     );
     core.stream_subscribers.notify_all();
-    // Others that wait for an engine may not reach those that they need.
+    // A stall is not alerted: the engine that reported it may itself be unable
+    // to reach the engines that it needs.
     if evidence != FailureEvidence::Stalled {
-        alert(core, engine, EngineUse { is_suspect: true, ..news(engine) });
+        queue_alert(
+            core,
+            engine,
+            EngineUse { is_suspect: true, ..empty_update(engine) },
+        );
     }
 }
 
-fn news(engine: &Engine) -> EngineUse {
+/// An update of an engine in which nothing is set yet.
+fn empty_update(engine: &Engine) -> EngineUse {
     EngineUse { engine: engine.hash, ..EngineUse::default() }
 }
 
-/// Tells all others, unless one of them just did.
-fn alert(core: &Core, engine: &Engine, news: EngineUse) {
+/// Queues an alert, unless another entry has sent one just before.
+fn queue_alert(core: &Core, engine: &Engine, update: EngineUse) {
     let alerted_ms = engine.lock().alerted_ms;
-    if now_ms().saturating_sub(alerted_ms) >= ALERTED_MS {
-        core.alerts.queue_engine(news);
+    if now_ms().saturating_sub(alerted_ms) >= MIN_ALERT_INTERVAL_MS {
+        core.alerts.queue_engine(update);
     }
 }
 
-pub(crate) fn clear(core: &Core, engine: &Engine) {
+/// Records a successful connect to an engine and clears its suspicion if that
+/// proves the engine alive.
+pub(crate) fn record_connected(core: &Core, engine: &Engine) {
     let now_ms = now_ms();
     let mut state = engine.lock();
-    state.reached_ms = now_ms;
-    state.dials_in_vain += 1;
+    state.connected_ms = now_ms;
+    state.connects_without_progress += 1;
     let Some(suspicion) = state.suspicion else {
         return;
     };
-    // A port that answers again after its process ended is a new process.
+    // After a refused connect, a port that accepts belongs to a new process.
     let is_over = suspicion.until_ms <= now_ms
         && suspicion.evidence != FailureEvidence::Refused;
     if !is_over {
@@ -154,37 +166,45 @@
             ("suspected_ms", &(now_ms - suspicion.since_ms)),
         ],
     );
-    alert(core, engine, EngineUse { is_cleared: true, ..news(engine) });
+    queue_alert(
+        core,
+        engine,
+        EngineUse { is_cleared: true, ..empty_update(engine) },
+    );
 }
 
-/// Dials an engine and takes what that shows.
+/// Connects to an engine and records the result.
 pub(crate) async fn probe(core: Arc<Core>, engine: Arc<Engine>) {
-    probe_within(core, engine, DIALS).await;
+    probe_with_attempts(core, engine, CONNECT_ATTEMPTS).await;
 }
 
-/// The same where another entry has dialled it in vain just now: a packet
-/// that is lost here as well is less likely than that it is dead, and what
-/// streams pause for is to end within 300 ms.
-pub(crate) async fn probe_alerted(core: Arc<Core>, engine: Arc<Engine>) {
-    probe_within(core, engine, 1).await;
+/// Probes an engine to which another entry has just failed to connect. One
+/// attempt suffices: a second lost packet is less likely than a failed engine,
+/// and a stall of streams is to end within 300 ms.
+pub(crate) async fn probe_after_alert(core: Arc<Core>, engine: Arc<Engine>) {
+    probe_with_attempts(core, engine, 1).await;
 }
 
-async fn probe_within(core: Arc<Core>, engine: Arc<Engine>, dials: usize) {
+async fn probe_with_attempts(
+    core: Arc<Core>,
+    engine: Arc<Engine>,
+    max_attempts: usize,
+) {
     if engine.is_probing.swap(true, Relaxed) {
         return;
     }
-    let dialled = dial(&engine, dials).await;
+    let connected = connect(&engine, max_attempts).await;
     engine.is_probing.store(false, Relaxed);
-    match dialled {
-        Ok(()) => clear(&core, &engine),
+    match connected {
+        Ok(()) => record_connected(&core, &engine),
         Err(e) => record_unreachable(&core, &engine, &e),
     }
 }
 
-/// Whether the process of an engine has surely ended, or is out of reach, as
-/// far as dials show; those that would show it are awaited if `is_patient`.
-/// What is there at the address of one that has left the list may be another
-/// process; it is taken for the same.
+/// Whether connects show that the process of an engine has exited or is
+/// unreachable. If `is_patient`, waits for a connect that decides an unclear
+/// case. A process at the address of a removed engine may be another one, but
+/// counts as the same.
 pub(crate) async fn has_ended(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
@@ -193,7 +213,7 @@
     if !engine.lock().is_removed {
         probe(core.clone(), engine.clone()).await;
     }
-    let (is_gone, is_replaced, suspicion) = {
+    let (is_removed, is_replaced, suspicion) = {
         let state = engine.lock();
         (state.is_removed, state.is_replaced, state.suspicion)
     };
@@ -202,15 +222,17 @@
         ExitStatus::Exited => true,
         _ if is_replaced => true,
         ExitStatus::Unknown => {
-            let limit = Duration::from_millis(SILENCE_TIMEOUT_MS);
+            let timeout = Duration::from_millis(SILENCE_TIMEOUT_MS);
             is_patient
-                && Outbound::connect(engine.address, limit).await.is_err()
+                && Outbound::connect(engine.address, timeout).await.is_err()
+        }
+        ExitStatus::Alive => {
+            is_removed && connect(engine, CONNECT_ATTEMPTS).await.is_err()
         }
-        ExitStatus::Alive => is_gone && dial(engine, DIALS).await.is_err(),
     }
 }
 
-/// Whether an engine has crashed, as a dial shows if it is not known.
+/// Whether an engine has crashed; connects to it if that is not known yet.
 pub(crate) async fn confirm_crash(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
@@ -221,8 +243,8 @@
     has_crashed(engine)
 }
 
-/// Whether an engine has crashed, as far as is known now: its process ended,
-/// and it was not leaving. One that is silent may be cut off.
+/// Whether an engine is known to have crashed: its process exited while it was
+/// not leaving. A silent engine does not count, since it may be partitioned.
 fn has_crashed(engine: &Engine) -> bool {
     let state = engine.lock();
     let evidence = state.suspicion.map(|suspicion| suspicion.evidence);
@@ -231,25 +253,27 @@
     has_ended && state.leaving_since_ms.is_none()
 }
 
-/// Dials; a lost packet alone is no failure.
-async fn dial(engine: &Engine, dials: usize) -> io::Result<()> {
-    let mut dialled = Ok(());
-    for _ in 0..dials {
-        dialled = Outbound::connect(engine.address, DIAL).await.map(|_| ());
+/// Connects to an engine, with another attempt after each timeout.
+async fn connect(engine: &Engine, max_attempts: usize) -> io::Result<()> {
+    let mut connected = Ok(());
+    for _ in 0..max_attempts {
+        connected = Outbound::connect(engine.address, CONNECT_TIMEOUT)
+            .await
+            .map(|_| ());
         let is_silent = |e: &io::Error| e.kind() == io::ErrorKind::TimedOut;
-        if !dialled.as_ref().is_err_and(is_silent) {
+        if !connected.as_ref().is_err_and(is_silent) {
             break;
         }
     }
-    dialled
+    connected
 }
 
-/// Dials the engines of a path that nothing speaks for.
+/// Probes the engines of a path that nothing else shows to be alive.
 pub(crate) fn probe_path(core: &Arc<Core>, path: &Path) {
     let now_ms = now_ms();
     for stage in &path.stages {
         let engine = &stage.engine;
-        if !engine.lock().is_dial_due(now_ms, engine.quiet_ms(now_ms)) {
+        if !engine.lock().is_connect_due(now_ms, engine.quiet_ms(now_ms)) {
             continue;
         }
         let task = probe(core.clone(), engine.clone());
@@ -257,22 +281,24 @@
     }
 }
 
-/// Asks the engines of a path for reports, where that was not done of late.
+/// Requests reports from the engines of a path, except where one was requested
+/// recently.
 pub(crate) fn request_path_reports(core: &Arc<Core>, path: &Path) {
     for stage in &path.stages {
-        ask_one(core, &stage.engine);
+        request_report_if_due(core, &stage.engine);
     }
 }
 
-fn ask_one(core: &Arc<Core>, engine: &Arc<Engine>) {
+fn request_report_if_due(core: &Arc<Core>, engine: &Arc<Engine>) {
     let now_ms = now_ms();
     let mut state = engine.lock();
-    let is_asked_of_late =
-        now_ms.saturating_sub(state.asked_ms) < REPORT_EVERY_MS;
-    if is_asked_of_late || state.is_in_cooldown(now_ms) {
+    let is_recently_requested = now_ms
+        .saturating_sub(state.report_requested_ms)
+        < MIN_REPORT_INTERVAL_MS;
+    if is_recently_requested || state.is_in_cooldown(now_ms) {
         return;
     }
-    state.asked_ms = now_ms;
+    state.report_requested_ms = now_ms;
     drop(state);
     let task = request_report(core.clone(), engine.clone());
     core.executor.spawn(task).detach();
@@ -280,12 +306,13 @@
 
 pub(crate) async fn request_report(core: Arc<Core>, engine: Arc<Engine>) {
     let body = exchange::fetch_report(&engine);
-    let Ok(Ok((200, body))) = exchange::with_timeout(REPORT, body).await
+    let Ok(Ok((200, body))) =
+        exchange::with_timeout(REPORT_TIMEOUT, body).await
     else {
         return;
     };
     match try_report(&body) {
-        Ok(report) => take_report(&core, &engine, &report),
+        Ok(report) => apply_report(&core, &engine, &report),
         Err(error) => emit(
             Event::RelayAnswered,
             &[("backend", &engine.id), ("at", &error)],
@@ -293,46 +320,48 @@
     }
 }
 
-fn take_report(core: &Core, engine: &Engine, report: &Report) {
-    match told_by(engine, report) {
+fn apply_report(core: &Core, engine: &Engine, report: &Report) {
+    match report_start_order(engine, report) {
         StartOrder::Same => {}
-        // It came late, or is of another writer.
+        // The report is late, or comes from another process.
         StartOrder::Earlier => return,
-        // What runs there now has a row of its own, or soon will.
+        // The new process has its own row, or will have it soon.
         StartOrder::Later => {
             return suspect(core, engine, FailureEvidence::Refused);
         }
     }
     let slowness = match report.slowness {
-        slowness if slowness < SLOW_FROM => 1.0,
+        slowness if slowness < MIN_SLOWNESS => 1.0,
         slowness => slowness,
     };
-    if take_slowness(engine, slowness, now_ms()) {
+    if record_slowness(engine, slowness, now_ms()) {
         let slowness_percent = percent(slowness);
-        core.alerts
-            .queue_engine(EngineUse { slowness_percent, ..news(engine) });
+        core.alerts.queue_engine(EngineUse {
+            slowness_percent,
+            ..empty_update(engine)
+        });
     }
     engine.lock().orders_begun = report.orders_begun;
     for stalled in &report.stalled {
-        let Some(dead) = core.fleet.by_address(stalled.at) else { continue };
-        // It may be back, while the report is of before.
-        let is_flowing = dead.quiet_ms(now_ms()) < FLOWING_MS;
-        if !is_flowing && dead.incarnation != engine.incarnation {
-            suspect(core, &dead, FailureEvidence::Stalled);
+        let Some(target) = core.fleet.by_address(stalled.at) else { continue };
+        // The engine may have recovered since the report was made.
+        let has_progress = target.quiet_ms(now_ms()) < RECENT_PROGRESS_MS;
+        if !has_progress && target.incarnation != engine.incarnation {
+            suspect(core, &target, FailureEvidence::Stalled);
         }
     }
 }
 
-/// Of which start a report tells.
-fn told_by(engine: &Engine, report: &Report) -> StartOrder {
+/// Order of the report's incarnation relative to the known one.
+fn report_start_order(engine: &Engine, report: &Report) -> StartOrder {
     match engine.started_unix_ms {
         Some(known) => StartOrder::of(report.started_unix_ms, Some(known)),
         None => StartOrder::Same,
     }
 }
 
-/// Takes how slow an engine said that it is; true if that is new.
-pub(crate) fn take_slowness(
+/// Records a reported slowness; returns true if it has changed.
+pub(crate) fn record_slowness(
     engine: &Engine,
     slowness: f64,
     now_ms: u64,
@@ -340,7 +369,7 @@
     let mut state = engine.lock();
     let is_same = (state.slowness - slowness).abs() < 0.1;
     state.slowness = slowness;
-    state.slow_heard_ms = now_ms;
+    state.slowness_received_ms = now_ms;
     drop(state);
     if !is_same {
         emit(
@@ -355,26 +384,30 @@
     !is_same
 }
 
-/// Looks again at engines that are suspected or slow: those that this entry
-/// watches at once, the others where nobody tells of them.
+/// Checks suspected and slow engines again: in every round those that this
+/// entry watches, less often those that other entries report on.
 pub(crate) async fn recheck(core: Arc<Core>) {
     for round in 0_u32.. {
-        Timer::after(RECHECK).await;
-        let is_round_of_all = round % OTHERS_EVERY == 0;
+        Timer::after(RECHECK_INTERVAL).await;
+        let includes_unwatched = round % UNWATCHED_RECHECK_ROUNDS == 0;
         for engine in core.fleet.all() {
             let is_watched = engine.is_watched.load(Relaxed);
-            let (is_suspect, is_slow, heard_ms) = {
+            let (is_suspect, is_slow, received_ms) = {
                 let state = engine.lock();
                 let is_slow = state.slowness > 1.0;
-                (state.suspicion.is_some(), is_slow, state.slow_heard_ms)
+                (
+                    state.suspicion.is_some(),
+                    is_slow,
+                    state.slowness_received_ms,
+                )
             };
-            if is_suspect && (is_watched || is_round_of_all) {
+            if is_suspect && (is_watched || includes_unwatched) {
                 let task = probe(core.clone(), engine.clone());
                 core.executor.spawn(task).detach();
             } else if is_slow && !is_suspect {
-                let heard_for_ms = now_ms().saturating_sub(heard_ms);
-                if is_watched || heard_for_ms >= SLOW_HEARD_MS {
-                    ask_one(&core, &engine);
+                let age_ms = now_ms().saturating_sub(received_ms);
+                if is_watched || age_ms >= SLOWNESS_REFRESH_MS {
+                    request_report_if_due(&core, &engine);
                 }
             }
         }
--- a/crates/direct/src/request/admit.rs
+++ b/crates/direct/src/request/admit.rs
@@ -38,7 +38,7 @@
     /// A new counter of this request's attempts at backend servers.
     pub(crate) fn attempts(&self, counted: CountedBackends) -> Attempts {
         let max_attempts = self.route.max_attempts as usize;
-        Attempts::new(self.route.reuse.may_repeat(), max_attempts, counted)
+        Attempts::new(self.route.kind.allows_retry(), max_attempts, counted)
     }
 
     pub(crate) fn id_text(&self) -> &str {
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -120,7 +120,7 @@
         }
     };
     let (summary, action) = match &admitted {
-        Ok(admitted) if admitted.route.reuse.is_stream() => {
+        Ok(admitted) if admitted.route.kind.is_stream() => {
             stream::relay(core, inbound, request, admitted, is_last_request)
                 .await
         }
--- a/crates/direct/src/request/interconnect.rs
+++ b/crates/direct/src/request/interconnect.rs
@@ -24,9 +24,9 @@
     pub(crate) fn utilisation(
         &self,
         peers: &PeerTable,
-        pipe_mbps: f64,
+        interconnect_mbps: f64,
     ) -> f64 {
-        let limits = limits(peers, pipe_mbps);
+        let limits = limits(peers, interconnect_mbps);
         let mut quota = self.quota.lock().expect("no holder panics");
         if !quota.has_remaining(&limits, now_ms()) {
             return 1.0;
@@ -41,10 +41,10 @@
     pub(crate) fn record(
         &self,
         peers: &PeerTable,
-        pipe_mbps: f64,
+        interconnect_mbps: f64,
         bytes: f64,
     ) {
-        let limits = limits(peers, pipe_mbps);
+        let limits = limits(peers, interconnect_mbps);
         let mut quota = self.quota.lock().expect("no holder panics");
         quota.consume(&limits, bytes, now_ms());
         drop(quota);
@@ -52,9 +52,9 @@
     }
 }
 
-fn limits(peers: &PeerTable, pipe_mbps: f64) -> InterconnectLimits {
+fn limits(peers: &PeerTable, interconnect_mbps: f64) -> InterconnectLimits {
     InterconnectLimits {
-        bytes_per_s: pipe_mbps.max(1.0) * 1e6 / 8.0,
+        bytes_per_s: interconnect_mbps.max(1.0) * 1e6 / 8.0,
         entries: peers.entry_count(),
         active_entries: peers.interconnect_user_count(now_ms()) + 1,
     }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -16,7 +16,7 @@
 use async_io::Timer;
 use chestnutreach_http::relay::{AnswerHead, Inbound, Outbound, RelayRequest};
 use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
-use chestnutreach_site::Reuse;
+use chestnutreach_site::RouteKind;
 use chestnutreach_telemetry::{Event, emit};
 use futures_lite::FutureExt as _;
 
@@ -301,7 +301,7 @@
 /// When an attempt times out: at the deadline, or earlier if another attempt
 /// may follow.
 fn attempt_timeout_at_ms(admitted: &AdmittedRequest, attempts: u32) -> u64 {
-    let is_repeatable = admitted.route.reuse == Reuse::Idempotent;
+    let is_repeatable = admitted.route.kind == RouteKind::Idempotent;
     if !is_repeatable || attempts >= admitted.route.max_attempts {
         return admitted.deadline_ms;
     }
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -72,7 +72,7 @@
             interconnect_utilisation: query.interconnect_utilisation,
             interconnect_prefill_ms: query
                 .model
-                .crossing_takes_ms(query.tokens),
+                .interconnect_prefill_ms(query.tokens),
             max_stages: MOST_PARTS,
         };
         let none = BTreeSet::new();
@@ -154,7 +154,7 @@
                 interconnect_utilisation: query.interconnect_utilisation,
                 interconnect_prefill_ms: query
                     .model
-                    .crossing_takes_ms(query.tokens),
+                    .interconnect_prefill_ms(query.tokens),
                 max_stages: MOST_PARTS.saturating_sub(kept_stages),
             };
             let replacement = self.search_layers(query, &request, &used)?;
@@ -303,12 +303,12 @@
     else {
         return unusable_holder(engine.data_centre);
     };
-    let total = query.model.token_layers_beside(kind, held.layer_count());
+    let total = query.model.token_layer_capacity(kind, held.layer_count());
     LayerHolder {
         data_centre: engine.data_centre,
         first_layer: retained.first_layer,
         end_layer: retained.end_layer,
-        layer_ms: query.model.step_part_ms(kind, 1) * state.slowness,
+        layer_ms: query.model.layers_step_ms(kind, 1) * state.slowness,
         used_token_layers: engine
             .estimated_token_layers(query.entries_without_report),
         prefill_share: engine.prefill_utilisation(query.now_ms)
--- a/crates/direct/src/request/stream/search.rs
+++ b/crates/direct/src/request/stream/search.rs
@@ -271,7 +271,7 @@
             interconnect_utilisation: self
                 .core
                 .interconnect
-                .utilisation(&self.core.peers, self.model.pipe_mbps),
+                .utilisation(&self.core.peers, self.model.interconnect_mbps),
             entries_without_report: self.core.entries_without_report(),
             excluded_first: &self.excluded_first,
             only_first: self.trial.as_ref().map(|trial| &trial.engine),
@@ -283,7 +283,11 @@
         let bytes_per_hop = self.tokens as f64 * self.model.activation_bytes;
         let bytes = hops as f64 * bytes_per_hop;
         let core = self.core;
-        core.interconnect.record(&core.peers, self.model.pipe_mbps, bytes);
+        core.interconnect.record(
+            &core.peers,
+            self.model.interconnect_mbps,
+            bytes,
+        );
     }
 
     /// Updates the metric of waiting requests.
--- a/crates/planner/tests/plan.rs
+++ b/crates/planner/tests/plan.rs
@@ -1,11 +1,13 @@
 //! Plans of small services.
 
-use chestnutreach_planner::{Kind, LayerRange, Reason, Server, Service, plan};
+use chestnutreach_planner::{
+    AcceleratorKind, LayerRange, Reason, Server, Service, plan,
+};
 
 const LAYERS: u32 = 24;
 
 fn kinds(service: Service) -> Service {
-    let kind = |tokens_per_s, price, max_layers| Kind {
+    let kind = |tokens_per_s, price, max_layers| AcceleratorKind {
         tokens_per_s,
         price_micros_per_hour: price,
         max_layers,
@@ -25,8 +27,8 @@
 }
 
 #[test]
-fn orders_follow_what_is_there() {
-    use Reason::{AddsCapacity, FillsGap};
+fn orders_follow_the_held_layers_and_the_demand() {
+    use Reason::{AddCapacity, FillGap};
     struct Case {
         name: &'static str,
         demand: u64,
@@ -51,11 +53,11 @@
             name: "nothing is held",
             demand: 1,
             servers: vec![Server::new("a", "half"), Server::new("b", "half")],
-            orders: &[("a", 0, 12, FillsGap), ("b", 12, 24, FillsGap)],
+            orders: &[("a", 0, 12, FillGap), ("b", 12, 24, FillGap)],
             capacity: 2_000,
         },
         Case {
-            name: "a failed stage is replaced where the gap is",
+            name: "a failed stage is replaced in place",
             demand: 2_000,
             servers: vec![
                 held("a", "half", 0, 12),
@@ -63,55 +65,55 @@
                 Server::new("c", "big"),
                 Server::new("d", "half"),
             ],
-            orders: &[("d", 12, 24, FillsGap)],
+            orders: &[("d", 12, 24, FillGap)],
             capacity: 2_000,
         },
         Case {
-            name: "the weaker half gets the new server",
+            name: "the half with less capacity gets the new server",
             demand: 4_000,
             servers: with(
                 chain(),
                 vec![held("c", "half", 0, 12), Server::new("d", "half")],
             ),
-            orders: &[("d", 12, 24, AddsCapacity)],
+            orders: &[("d", 12, 24, AddCapacity)],
             capacity: 4_000,
         },
         Case {
-            name: "a little more is had from a cheap one in each half",
+            name: "a cheap server in each half covers a small deficit",
             demand: 2_100,
             servers: with(
                 chain(),
                 ["c", "d"].map(|name| Server::new(name, "slow")).into(),
             ),
-            orders: &[("c", 0, 12, AddsCapacity), ("d", 12, 24, AddsCapacity)],
+            orders: &[("c", 0, 12, AddCapacity), ("d", 12, 24, AddCapacity)],
             capacity: 2_200,
         },
         Case {
-            name: "a half with too much gives one",
+            name: "a server moves from the half with spare capacity",
             demand: 4_000,
             servers: with(
                 chain(),
                 ["c", "d"].map(|name| held(name, "half", 0, 12)).into(),
             ),
-            orders: &[("a", 12, 24, AddsCapacity)],
+            orders: &[("a", 12, 24, AddCapacity)],
             capacity: 4_000,
         },
         Case {
-            name: "what is held leaves gaps that nothing fits",
+            name: "the held layers leave gaps that no server fits",
             demand: 1,
             servers: vec![held("a", "half", 6, 18), Server::new("b", "half")],
-            orders: &[("b", 0, 12, FillsGap), ("a", 12, 24, FillsGap)],
+            orders: &[("b", 0, 12, FillGap), ("a", 12, 24, FillGap)],
             capacity: 2_000,
         },
         Case {
-            name: "a stage that is one layer short grows by it",
+            name: "a stage is extended by one missing layer",
             demand: 1,
             servers: vec![held("a", "big", 0, 11), held("b", "half", 12, 24)],
-            orders: &[("a", 0, 12, FillsGap)],
+            orders: &[("a", 0, 12, FillGap)],
             capacity: 2_000,
         },
         Case {
-            name: "one more in one half only would add nothing",
+            name: "one more server in one half adds no capacity",
             demand: 4_000,
             servers: with(chain(), vec![Server::new("c", "half")]),
             orders: &[],
@@ -132,8 +134,8 @@
         let service =
             kinds(Service::new(LAYERS)).demand_tokens_per_s(case.demand);
         let service = case.servers.into_iter().fold(service, Service::server);
-        let made = plan(&service.try_build().unwrap());
-        let orders: Vec<_> = made
+        let planned = plan(&service.try_build().unwrap());
+        let orders: Vec<_> = planned
             .orders
             .iter()
             .map(|o| {
@@ -142,16 +144,20 @@
             })
             .collect();
         assert_eq!(orders, case.orders, "{}", case.name);
-        assert_eq!(made.capacity_tokens_per_s, case.capacity, "{}", case.name);
+        assert_eq!(
+            planned.capacity_tokens_per_s, case.capacity,
+            "{}",
+            case.name
+        );
         let unmet = case.demand.saturating_sub(case.capacity);
-        assert_eq!(made.unmet_tokens_per_s, unmet, "{}", case.name);
+        assert_eq!(planned.unmet_tokens_per_s, unmet, "{}", case.name);
     }
 }
 
-/// Ways that look cheaper at first take the servers that the rest needs.
+/// A cheap partial chain can use the servers that the rest of the chain needs.
 #[test]
-fn a_cheaper_way_does_not_hide_the_only_one() {
-    let kind = |max_layers, price| Kind {
+fn a_cheaper_partial_chain_does_not_hide_the_only_complete_one() {
+    let kind = |max_layers, price| AcceleratorKind {
         tokens_per_s: 1_000,
         price_micros_per_hour: price,
         max_layers,
@@ -162,15 +168,15 @@
         .kind("dear", kind(10, 99))
         .server(held("a", "cheap", 8, 16))
         .server(held("b", "dear", 0, 7));
-    let made = plan(&service.try_build().unwrap());
-    assert_eq!(made.orders.len(), 1, "{made:?}");
-    let order = &made.orders[0];
+    let planned = plan(&service.try_build().unwrap());
+    assert_eq!(planned.orders.len(), 1, "{planned:?}");
+    let order = &planned.orders[0];
     assert_eq!((order.server.as_str(), order.range), ("b", range(0, 8)));
     assert_eq!(order.loaded_layers, 1);
 }
 
 #[test]
-fn faults_are_told_together() {
+fn all_validation_problems_are_reported() {
     let error = kinds(Service::new(0))
         .server(held("a", "huge", 5, 5))
         .server(Server::new("a", "big"))
@@ -178,9 +184,9 @@
         .unwrap_err();
     let expected = [
         "layer_count is 0; it must be 1 or more",
-        "server a: no kind \"huge\"",
-        "server a: layers 5..5 are no range within 0..0",
-        "server a stands twice",
+        "server a: unknown kind \"huge\"",
+        "server a: layers 5..5 must be a non-empty range within 0..0",
+        "server a is listed twice",
     ];
     assert_eq!(error.findings, expected);
 }
--- a/crates/routing/src/throughput.rs
+++ b/crates/routing/src/throughput.rs
@@ -1,36 +1,37 @@
-//! The most tokens a second that the hardware allows.
+//! Upper bound on the tokens per second of a fleet.
 //!
 //! Layer boundaries are nodes, and each backend server is an edge from its
-//! first layer to its end layer with the tokens a second it can take. The
-//! maximum flow from layer 0 to `L` bounds what any choice of chains can
-//! reach, because a token in flight uses each edge of its chain once.
+//! first layer to its end layer whose capacity is its tokens per second. The
+//! maximum flow from layer 0 to `L` bounds the throughput of any choice of
+//! chains, because a token uses each edge of its chain once.
 //!
-//! Requests are a mix of prompt and output tokens, which run at different
-//! speeds; the bound counts both. It leaves out links and waiting, so it is
-//! never below what can be reached.
+//! The bound covers prompt and output tokens, which run at different speeds.
+//! It ignores links and queueing, so the achievable throughput is never above
+//! the bound.
 
 use crate::{
     cost::{output_tokens_per_ms, prompt_tokens_per_ms},
     fleet::{BackendIndex, Fleet},
     live_state::LiveState,
-    server::Server,
+    server_state::ServerState,
 };
 
 const MS_PER_S: f64 = 1_000.0;
-/// Flow below this is rounding.
+/// Flow below this is a rounding error.
 const EPSILON: f64 = 1e-9;
 
-/// What a typical request is made of.
+/// Tokens of a typical request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenMix {
-    /// Length of its prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// Length of its answer.
+    /// Length of the output.
     pub output_tokens: u32,
 }
 
-/// Most tokens a second, prompt and output together, over all chains. With
-/// `live`, at learned speeds and without servers that are not there.
+/// Upper bound on the tokens per second over all chains, counting prompt and
+/// output tokens. With `live`, the bound uses reported speeds and leaves out
+/// servers that are not present.
 pub fn throughput_bound(
     fleet: &Fleet,
     live: Option<&LiveState>,
@@ -44,8 +45,8 @@
     let mut graph = Graph::new(node_count);
     for boundary in 0..fleet.boundaries().len() {
         for &index in fleet.members(boundary) {
-            let next = fleet.facts(index).next_boundary as usize;
-            graph.add(boundary, next, capacity(index));
+            let next = fleet.cost_inputs(index).next_boundary as usize;
+            graph.add_capacity(boundary, next, capacity(index));
         }
     }
     graph.max_flow()
@@ -60,47 +61,48 @@
     if live.is_some_and(|live| !live.is_present(index)) {
         return 0.0;
     }
-    let facts = fleet.facts(index);
-    let reading = match live {
-        Some(live) => live.server(index).read(),
-        None => Server::new().read(),
+    let inputs = fleet.cost_inputs(index);
+    let snapshot = match live {
+        Some(live) => live.server(index).snapshot(),
+        None => ServerState::new().snapshot(),
     };
     let prompt = f64::from(mix.prompt_tokens);
     let output = f64::from(mix.output_tokens);
-    let busy_ms = prompt / prompt_tokens_per_ms(facts, &reading)
-        + output / output_tokens_per_ms(facts, &reading);
-    if busy_ms <= 0.0 {
+    let server_ms = prompt / prompt_tokens_per_ms(inputs, &snapshot)
+        + output / output_tokens_per_ms(inputs, &snapshot);
+    if server_ms <= 0.0 {
         return 0.0;
     }
-    (prompt + output) * MS_PER_S / busy_ms
+    (prompt + output) * MS_PER_S / server_ms
 }
 
-/// What is left of each edge, as a dense matrix: boundaries are few.
+/// Residual capacity of each edge. The matrix is dense because a fleet has
+/// few boundaries.
 struct Graph {
     node_count: usize,
-    left: Vec<f64>,
+    residual: Vec<f64>,
 }
 
 impl Graph {
     fn new(node_count: usize) -> Graph {
-        Graph { node_count, left: vec![0.0; node_count * node_count] }
+        Graph { node_count, residual: vec![0.0; node_count * node_count] }
     }
 
-    fn add(&mut self, from: usize, to: usize, capacity: f64) {
-        self.left[from * self.node_count + to] += capacity;
+    fn add_capacity(&mut self, from: usize, to: usize, capacity: f64) {
+        self.residual[from * self.node_count + to] += capacity;
     }
 
-    /// Augments shortest paths until none is left (Edmonds and Karp).
+    /// Augments shortest paths until none is left (Edmonds–Karp).
     fn max_flow(&mut self) -> f64 {
         let mut flow = 0.0;
         while let Some(path) = self.shortest_path() {
             let amount = path
                 .windows(2)
-                .map(|edge| self.left[edge[0] * self.node_count + edge[1]])
+                .map(|edge| self.residual[edge[0] * self.node_count + edge[1]])
                 .fold(f64::INFINITY, f64::min);
             for edge in path.windows(2) {
-                self.add(edge[0], edge[1], -amount);
-                self.add(edge[1], edge[0], amount);
+                self.add_capacity(edge[0], edge[1], -amount);
+                self.add_capacity(edge[1], edge[0], amount);
             }
             flow += amount;
         }
@@ -109,20 +111,20 @@
 
     fn shortest_path(&self) -> Option<Vec<usize>> {
         let sink = self.node_count - 1;
-        let mut before = vec![None; self.node_count];
+        let mut predecessor = vec![None; self.node_count];
         let mut queue = std::collections::VecDeque::from([0]);
         while let Some(node) = queue.pop_front() {
             let row = node * self.node_count;
-            let edges = &self.left[row..row + self.node_count];
-            for (next, &left) in edges.iter().enumerate().skip(1) {
-                if left > EPSILON && before[next].is_none() {
-                    before[next] = Some(node);
+            let edges = &self.residual[row..row + self.node_count];
+            for (next, &capacity) in edges.iter().enumerate().skip(1) {
+                if capacity > EPSILON && predecessor[next].is_none() {
+                    predecessor[next] = Some(node);
                     queue.push_back(next);
                 }
             }
         }
         let mut path = vec![sink];
-        while let Some(node) = before[*path.last()?] {
+        while let Some(node) = predecessor[*path.last()?] {
             path.push(node);
         }
         path.reverse();
--- a/crates/side/src/node.rs
+++ b/crates/side/src/node.rs
@@ -1,4 +1,4 @@
-//! The process as a whole: its backend servers, requests and links.
+//! The role `side` as a whole: its backend servers, requests and links.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
 use async_executor::Executor;
 use async_io::Async;
 use chestnutreach_config::{Manifest, settings::SideSettings};
-use chestnutreach_node::{Clock, Heard};
+use chestnutreach_node::{Clock, PeerReports};
 use chestnutreach_protocol::{
     Identity, LinkOptions, Links, RequestId,
     wire::{self, BackendLoad, FailureReason},
@@ -22,71 +22,70 @@
 use chestnutreach_telemetry::Metrics;
 
 use crate::{
-    backend::Backend, ended::EndedRuns, gate::Waiting, report::load_status,
-    run::Run, seat::Seat,
+    backend::Backend, ended::EndedRuns, report::load_status,
+    reservation::Reservation, run::Run, slot_queue::Waiting,
 };
 
-/// The role `side` of a process; clones are handles to the same one.
+/// The role `side` of a process; clones share the same state.
 #[derive(Clone)]
 pub struct Side {
     shared: Arc<Shared>,
 }
 
-/// What a side is made of.
+/// Components for [`Side::start`].
 pub struct SideParts {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: SideSettings,
-    /// Who it is.
+    /// Identity of the process towards its peers.
     pub identity: Identity,
-    /// Where it counts.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// What peers tell of the manifest.
-    pub heard: Arc<Heard>,
-    /// Runs its tasks.
+    /// Manifest generations that peers report.
+    pub peer_reports: Arc<PeerReports>,
+    /// Executor for the tasks of the role.
     pub executor: Arc<Executor<'static>>,
-    /// Where other processes of the system connect.
+    /// Listener for links of other processes of the system.
     pub inner: Async<TcpListener>,
 }
 
-/// What all parts of the process share.
+/// State shared by all tasks of the role.
 pub(crate) struct Shared {
     pub(crate) settings: SideSettings,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) heard: Arc<Heard>,
+    pub(crate) heard: Arc<PeerReports>,
     pub(crate) backends: BTreeMap<String, Arc<Backend>>,
     executor: Arc<Executor<'static>>,
     links: OnceLock<Links>,
     pub(crate) generation: AtomicU64,
-    pub(crate) rights: ArcSwap<Rights>,
+    pub(crate) permissions: ArcSwap<Permissions>,
     pub(crate) is_leaving: AtomicBool,
     runs: Mutex<BTreeMap<u128, Arc<Run>>>,
-    seats: Mutex<BTreeMap<(u128, u32), Arc<Seat>>>,
+    reservations: Mutex<BTreeMap<(u128, u32), Arc<Reservation>>>,
     ended: Mutex<EndedRuns>,
 }
 
-/// Which account may use which service.
-pub(crate) type Rights = BTreeMap<String, BTreeSet<String>>;
+/// Services that each client account may use.
+pub(crate) type Permissions = BTreeMap<String, BTreeSet<String>>;
 
-/// Work that a process still holds.
+/// Requests that a process has not finished yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct InFlight {
-    /// Requests whose first stage is here.
+    /// Requests whose first stage runs here.
     pub runs: usize,
-    /// Requests whose later stage is here.
-    pub seats: usize,
+    /// Reservations for requests of which a later stage runs here.
+    pub reservations: usize,
 }
 
 impl InFlight {
-    /// Whether nothing is left.
+    /// Whether no requests are left.
     pub fn is_empty(&self) -> bool {
-        self.runs == 0 && self.seats == 0
+        self.runs == 0 && self.reservations == 0
     }
 }
 
 impl Side {
-    /// Starts the role on an executor; it serves nothing until a manifest is
-    /// applied.
+    /// Starts the role. All requests are refused until a manifest is applied.
     pub fn start(parts: SideParts) -> Side {
         let SideParts { settings, metrics, executor, .. } = parts;
         let backends = settings
@@ -107,20 +106,20 @@
             settings,
             clock: Clock::new(),
             metrics,
-            heard: parts.heard,
+            heard: parts.peer_reports,
             backends,
             executor: executor.clone(),
             links: OnceLock::new(),
             generation: AtomicU64::new(0),
-            rights: ArcSwap::default(),
+            permissions: ArcSwap::default(),
             is_leaving: AtomicBool::new(false),
             runs: Mutex::default(),
-            seats: Mutex::default(),
+            reservations: Mutex::default(),
             ended: Mutex::default(),
         });
         let handler = {
             let shared = shared.clone();
-            Arc::new(move |event| shared.handle(event))
+            Arc::new(move |event| shared.handle_link_event(event))
         };
         let links = Links::new(parts.identity, options, executor, handler);
         shared.links.set(links.clone()).ok();
@@ -138,25 +137,26 @@
         for backend in shared.backends.values() {
             backend.apply(manifest);
         }
-        let rights = manifest
+        let permissions = manifest
             .accounts
             .iter()
             .map(|(name, account)| (name.clone(), account.services.clone()))
             .collect();
-        shared.rights.store(Arc::new(rights));
+        shared.permissions.store(Arc::new(permissions));
         shared.generation.store(generation, Ordering::Release);
         shared.links().set_generation(generation);
         shared.send_status();
     }
 
-    /// Takes no new work from now on, and says so on every link at once.
+    /// Sets whether the process is leaving and sends the new status on every
+    /// link. A leaving process accepts no new requests.
     pub fn set_leaving(&self, is_leaving: bool) {
         self.shared.is_leaving.store(is_leaving, Ordering::Release);
         self.shared.send_status();
     }
 
-    /// Likewise for one backend server; false when it is not beside this
-    /// process.
+    /// Sets whether one backend server is leaving. Returns false if this
+    /// process has no such backend server.
     pub fn set_backend_leaving(&self, name: &str, is_leaving: bool) -> bool {
         let Some(backend) = self.shared.backends.get(name) else {
             return false;
@@ -166,8 +166,9 @@
         true
     }
 
-    /// Ends all work that is still held, and tells who asked for it.
-    pub fn cut(&self) {
+    /// Aborts all requests and reports the failure to their entries and first
+    /// stages.
+    pub fn abort_requests(&self) {
         let shared = &self.shared;
         let detail = "the side process has stopped";
         let runs: Vec<Arc<Run>> =
@@ -176,19 +177,19 @@
             let backend = run.backend.name.clone();
             shared.stop(&run, FailureReason::Stopped, &backend, detail);
         }
-        shared.cut_seats(detail);
+        shared.abort_reservations(detail);
     }
 
-    /// Generation in force; 0 for none.
+    /// Manifest generation in force; 0 if there is none.
     pub fn generation(&self) -> u64 {
         self.shared.generation.load(Ordering::Acquire)
     }
 
-    /// Work still held.
+    /// Requests that are not finished yet.
     pub fn in_flight(&self) -> InFlight {
         InFlight {
             runs: self.shared.lock_runs().len(),
-            seats: self.shared.lock_seats().len(),
+            reservations: self.shared.lock_reservations().len(),
         }
     }
 
@@ -197,12 +198,12 @@
         self.shared.links()
     }
 
-    /// Loads of the backend servers at this moment.
+    /// Current loads of the backend servers.
     pub fn loads(&self) -> Vec<BackendLoad> {
         self.shared.loads()
     }
 
-    /// State of the process, for operators.
+    /// Status of the process, for operators.
     pub fn status(&self) -> serde_json::Value {
         let held = self.in_flight();
         let backends: Vec<serde_json::Value> =
@@ -214,12 +215,12 @@
             "generation": self.shared.generation.load(Ordering::Acquire),
             "is_leaving": self.is_leaving(None),
             "runs": held.runs,
-            "seats": held.seats,
+            "seats": held.reservations,
             "backends": backends,
         })
     }
 
-    /// Whether the process or the backend server is leaving.
+    /// Whether the process, or the given backend server, is leaving.
     pub fn is_leaving(&self, backend: Option<&str>) -> bool {
         let is_leaving = self.shared.is_leaving.load(Ordering::Acquire);
         let backend = backend.and_then(|n| self.shared.backends.get(n));
@@ -245,39 +246,39 @@
         self.runs.lock().expect("no holder panics")
     }
 
-    pub(crate) fn lock_seats(
+    pub(crate) fn lock_reservations(
         &self,
-    ) -> MutexGuard<'_, BTreeMap<(u128, u32), Arc<Seat>>> {
-        self.seats.lock().expect("no holder panics")
+    ) -> MutexGuard<'_, BTreeMap<(u128, u32), Arc<Reservation>>> {
+        self.reservations.lock().expect("no holder panics")
     }
 
     pub(crate) fn lock_ended(&self) -> MutexGuard<'_, EndedRuns> {
         self.ended.lock().expect("no holder panics")
     }
 
-    /// The open run of a request.
+    /// The active run of a request.
     pub(crate) fn find_run(&self, id: u128) -> Option<Arc<Run>> {
         self.lock_runs().get(&id).cloned()
     }
 
-    pub(crate) fn any_run(
+    pub(crate) fn find_run_by_wire_id(
         &self,
         request: Option<wire::RequestId>,
     ) -> Option<Arc<Run>> {
         self.find_run(RequestId::from(request?).as_u128())
     }
 
-    /// The open run of a request if it is this attempt.
+    /// The active run of a request if its attempt is `attempt`.
     pub(crate) fn current_run(
         &self,
         request: Option<wire::RequestId>,
         attempt: u32,
     ) -> Option<Arc<Run>> {
-        self.any_run(request).filter(|run| run.attempt == attempt)
+        self.find_run_by_wire_id(request).filter(|run| run.attempt == attempt)
     }
 
-    /// Forgets an open run, unless a newer attempt has its place.
-    pub(crate) fn forget_run(&self, run: &Arc<Run>) {
+    /// Removes an active run, unless a newer attempt has replaced it.
+    pub(crate) fn remove_run(&self, run: &Arc<Run>) {
         let mut runs = self.lock_runs();
         let is_current =
             runs.get(&run.id).is_some_and(|held| Arc::ptr_eq(held, run));
@@ -286,16 +287,18 @@
         }
     }
 
-    /// Gives a place back and lets what waited for it go on.
-    pub(crate) fn free_place(
+    /// Releases a slot and admits the next waiting request.
+    pub(crate) fn release_slot(
         self: &Arc<Self>,
         backend: &Backend,
         cost_tokens: u64,
     ) {
         let now_ms = self.clock.now_ms();
-        match backend.gate.give_back(cost_tokens, now_ms) {
+        match backend.slots.release(cost_tokens, now_ms) {
             Some(Waiting::Run(run)) => self.reserve(&run),
-            Some(Waiting::Seat(seat)) => self.seat_placed(&seat),
+            Some(Waiting::Reservation(reservation)) => {
+                self.reservation_admitted(&reservation)
+            }
             None => {}
         }
     }
--- a/crates/side/src/sweep.rs
+++ b/crates/side/src/sweep.rs
@@ -1,4 +1,4 @@
-//! What comes with time: deadlines, requests without an entry, load reports.
+//! Periodic work: deadlines, orphaned requests and load reports.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,65 +9,68 @@
 };
 
 use crate::{
-    gate::Waiting,
     node::Shared,
+    reservation::Reservation,
     run::{Phase, Run},
-    seat::Seat,
+    slot_queue::Waiting,
 };
 
-/// Time between two looks; a deadline may pass by this much.
-const INTERVAL: Duration = Duration::from_millis(20);
-/// Time past its deadline after which a place is freed unasked.
-const SEAT_GRACE_MS: u64 = 1_000;
-/// Looks between two load reports.
-const LOAD_EVERY: u32 = 10;
-/// Looks between two reports on links that carry requests. Their frames keep
-/// the other end from asking for a heartbeat, which would have the loads.
-const TELL_EVERY: u32 = 50;
+/// Interval of the sweeps; deadlines are enforced at most this much late.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
+/// Time past its deadline after which a reservation is released without a
+/// message from its first stage.
+const RESERVATION_GRACE_MS: u64 = 1_000;
+/// Sweeps per load report.
+const SWEEPS_PER_LOAD_REPORT: u32 = 10;
+/// Sweeps per status message on links with active requests. Frames on such
+/// links keep the peer from requesting heartbeats, which contain the loads.
+const SWEEPS_PER_STATUS: u32 = 50;
 
 impl Shared {
-    /// Looks at all requests again and again.
+    /// Runs the sweeps; never returns.
     pub(crate) async fn sweep(self: Arc<Self>) {
         let mut count: u32 = 0;
         loop {
-            Timer::after(INTERVAL).await;
+            Timer::after(SWEEP_INTERVAL).await;
             let now_ms = self.clock.now_ms();
             self.expire_queues(now_ms);
             self.expire_runs(now_ms);
-            self.expire_seats(now_ms);
+            self.expire_reservations(now_ms);
             self.lock_ended().expire(now_ms);
             count = count.wrapping_add(1);
-            if count.is_multiple_of(LOAD_EVERY) {
+            if count.is_multiple_of(SWEEPS_PER_LOAD_REPORT) {
                 self.links().set_loads(self.loads());
-                self.note_gauges();
+                self.update_gauges();
             }
-            if count.is_multiple_of(TELL_EVERY) {
-                self.tell_entries();
+            if count.is_multiple_of(SWEEPS_PER_STATUS) {
+                self.send_status_to_busy_entries();
             }
         }
     }
 
-    /// Tells the loads to entries that have requests here.
-    fn tell_entries(&self) {
+    /// Sends the loads to entries that have requests here.
+    fn send_status_to_busy_entries(&self) {
         let open = self.links().open();
-        let is_told =
+        let is_busy_entry =
             |link: &&Link| link.is_busy() && link.peer().role() == Role::Entry;
         let status = self.status();
-        for link in open.iter().filter(is_told) {
+        for link in open.iter().filter(is_busy_entry) {
             let _ = link.send(status.clone());
         }
     }
 
     fn expire_queues(self: &Arc<Self>, now_ms: u64) {
         for backend in self.backends.values() {
-            for waiting in backend.gate.expire(now_ms) {
+            for waiting in backend.slots.remove_expired(now_ms) {
                 match waiting {
                     Waiting::Run(run) => {
                         let reason = RefusalReason::TooLate;
-                        let retry_after_ms = backend.gate.retry_after_ms();
+                        let retry_after_ms = backend.slots.retry_after_ms();
                         self.refuse(&run, reason, "", retry_after_ms);
                     }
-                    Waiting::Seat(seat) => self.refuse_full(&seat),
+                    Waiting::Reservation(reservation) => {
+                        self.refuse_full(&reservation)
+                    }
                 }
             }
         }
@@ -80,29 +83,32 @@
                 let detail = "the deadline has passed";
                 self.stop(&run, FailureReason::Deadline, "", detail);
             } else if self.is_orphan(&run, now_ms) {
-                let detail = "its entry has gone";
+                let detail = "the entry has disconnected";
                 self.stop(&run, FailureReason::Cancelled, "", detail);
             }
         }
     }
 
-    /// Refuses later stages that waited too long, and frees places past their
-    /// deadline: the first stage has ended the request by then, and its
-    /// release may have been lost.
-    fn expire_seats(self: &Arc<Self>, now_ms: u64) {
-        let seats: Vec<Arc<Seat>> =
-            self.lock_seats().values().cloned().collect();
-        for seat in seats {
-            if now_ms >= seat.deadline_at_ms + SEAT_GRACE_MS {
-                self.release_seat(&seat);
-            } else if now_ms >= seat.wait_until_ms && seat.is_waiting() {
-                self.refuse_full(&seat);
+    /// Refuses reservations that waited too long for a slot, and releases
+    /// reservations past their deadline: the first stage has ended the request
+    /// by then, and its release message may have been lost.
+    fn expire_reservations(self: &Arc<Self>, now_ms: u64) {
+        let reservations: Vec<Arc<Reservation>> =
+            self.lock_reservations().values().cloned().collect();
+        for reservation in reservations {
+            if now_ms >= reservation.deadline_at_ms + RESERVATION_GRACE_MS {
+                self.release_reservation(&reservation);
+            } else if now_ms >= reservation.wait_until_ms
+                && reservation.is_waiting()
+            {
+                self.refuse_full(&reservation);
             }
         }
     }
 
-    /// Whether nobody has asked for a request in time. One that is kept runs
-    /// on once it has begun: its answer will be asked for by its key.
+    /// Whether no entry has attached to a request before the orphan limit. A
+    /// kept request continues once it has begun: a later query fetches its
+    /// output by key.
     fn is_orphan(&self, run: &Run, now_ms: u64) -> bool {
         let state = run.lock();
         let is_past = state.orphan_until_ms.is_some_and(|t| now_ms >= t);
--- a/crates/side/src/target.rs
+++ b/crates/side/src/target.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request means, and how its stages are reached.
+//! Target backend server of a request, and links to its stages.
 
 use std::{
     net::SocketAddr,
@@ -15,7 +15,7 @@
     node::Shared,
 };
 
-/// Which backend server a request means, and for whom.
+/// The stage that a request asks for, and its client account.
 pub(crate) struct Target<'a> {
     pub(crate) stage: &'a Stage,
     pub(crate) service: &'a str,
@@ -23,7 +23,8 @@
 }
 
 impl Shared {
-    /// The backend server that a request means, if it may run there.
+    /// Returns the target backend server of a request if the request may run
+    /// there.
     pub(crate) fn find_target(
         &self,
         target: &Target<'_>,
@@ -35,13 +36,13 @@
         }
         let backend = self.backends.get(&stage.backend);
         let backend = backend.ok_or(RefusalReason::WrongTarget)?;
-        let assigned =
-            backend.assigned().ok_or(RefusalReason::UnknownService)?;
-        if assigned.service != target.service || !self.may_use(target) {
+        let assignment =
+            backend.assignment().ok_or(RefusalReason::UnknownService)?;
+        if assignment.service != target.service || !self.may_use(target) {
             return Err(RefusalReason::UnknownService);
         }
-        let is_range = assigned.first_layer == stage.first_layer
-            && assigned.end_layer == stage.end_layer;
+        let is_range = assignment.first_layer == stage.first_layer
+            && assignment.end_layer == stage.end_layer;
         if !is_range {
             return Err(RefusalReason::WrongTarget);
         }
@@ -56,25 +57,28 @@
     }
 
     fn may_use(&self, target: &Target<'_>) -> bool {
-        let rights = self.rights.load();
-        let services = rights.get(target.account);
+        let permissions = self.permissions.load();
+        let services = permissions.get(target.account);
         services.is_some_and(|s| s.contains(target.service))
     }
 
-    /// When to come back after a refusal that no queue explains.
+    /// Time after which to retry a refusal that does not come from a queue.
     pub(crate) fn retry_after_ms(
         &self,
         stage: &Stage,
         reason: RefusalReason,
     ) -> u64 {
         match reason {
-            // Until the next looks at the backend server and the list.
+            // The times of the next health check and of the next poll of the
+            // VM list.
             RefusalReason::BackendDown => {
                 let backend = self.backends.get(&stage.backend);
-                let rest = backend.map(|backend| backend.rest.left());
-                let rest_ms = rest.unwrap_or_default().as_millis() as u64;
+                let cooldown =
+                    backend.map(|backend| backend.cooldown.remaining());
+                let cooldown_ms =
+                    cooldown.unwrap_or_default().as_millis() as u64;
                 let probe_ms = PROBE_INTERVAL.as_millis() as u64;
-                rest_ms + probe_ms + fastrand::u64(0..=2 * probe_ms)
+                cooldown_ms + probe_ms + fastrand::u64(0..=2 * probe_ms)
             }
             RefusalReason::Leaving => {
                 self.settings.node.platform.vm_list_poll_ms
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Open links to stages, if all are open.
+    /// Returns the links to stages if all of them are open.
     pub(crate) fn existing_links(
         &self,
         stages: &[Stage],
@@ -95,23 +99,24 @@
             .collect()
     }
 
-    /// Links to stages, dialled where need be.
+    /// Returns links to stages and connects those that are not open.
     ///
     /// # Errors
     ///
-    /// Name of the first backend server whose side process was not reached.
-    pub(crate) async fn dial_links(
+    /// Returns the name of the first backend server whose side process is
+    /// unreachable.
+    pub(crate) async fn connect_links(
         &self,
         stages: &[Stage],
     ) -> Result<Vec<Link>, String> {
-        let mut dialled = Vec::with_capacity(stages.len());
+        let mut links = Vec::with_capacity(stages.len());
         for stage in stages {
             let unreachable = || stage.backend.clone();
             let address: SocketAddr =
                 stage.side_address.parse().map_err(|_| unreachable())?;
             let link = self.links().connect(address).await;
-            dialled.push(link.map_err(|_| unreachable())?);
+            links.push(link.map_err(|_| unreachable())?);
         }
-        Ok(dialled)
+        Ok(links)
     }
 }
