--- a/crates/direct/src/request/room.rs
+++ b/crates/direct/src/request/running_tokens.rs
@@ -1,4 +1,4 @@
-//! What requests that run take of a service's room.
+//! Accounts for the capacity of a service that running requests use.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::{by_service::ByService, clock::now_ms};
 
-/// Tokens of a request that runs, until it is dropped.
+/// The tokens of a running request, which count until this value is dropped.
 pub(crate) struct RunningTokens {
     waits: Arc<ByService<CapacityWaits>>,
     service: String,
@@ -14,7 +14,7 @@
 }
 
 impl RunningTokens {
-    /// Counts that a request has found room.
+    /// Records that a request found capacity.
     pub(crate) fn begin(
         waits: &Arc<ByService<CapacityWaits>>,
         service: &str,
@@ -24,7 +24,7 @@
         let begin = |waits: &mut CapacityWaits| {
             waits.record_start(account, tokens, now_ms());
         };
-        waits.change(service, begin);
+        waits.update(service, begin);
         let (waits, service) = (waits.clone(), service.to_owned());
         RunningTokens { waits, service, tokens }
     }
@@ -33,6 +33,6 @@
 impl Drop for RunningTokens {
     fn drop(&mut self) {
         let end = |waits: &mut CapacityWaits| waits.record_end(self.tokens);
-        self.waits.change(&self.service, end);
+        self.waits.update(&self.service, end);
     }
 }
