--- a/crates/config/src/manifest/checks/accounts.rs
+++ b/crates/config/src/manifest/checks/accounts.rs
@@ -1,14 +1,13 @@
-//! Checks of client accounts.
+//! Validation of client accounts.
 //!
-//! Capacity is shared by weight, so a guaranteed share is no mechanism of
-//! its own: it is a promise that the weights must keep, and that is a matter
-//! of the manifest alone.
+//! Capacity is shared by weight. A guaranteed share has no mechanism of its
+//! own: the weights must yield the share, which is validated here.
 
-use super::{Checker, Users};
-use crate::manifest::{Account, tables::*};
+use super::{Checker, FirstUsers};
+use crate::manifest::{Account, schema::*};
 
-/// All of a service's capacity.
-const WHOLE_PERCENT: u64 = 100;
+/// Total capacity of a service.
+const FULL_CAPACITY_PERCENT: u64 = 100;
 
 impl Checker<'_> {
     pub(super) fn check_accounts(&mut self) {
@@ -21,20 +20,20 @@
 
     fn check_account_services(&mut self) {
         for (name, account) in &self.manifest.accounts {
-            let heading = format!("{ACCOUNT_WORD} {name}");
+            let heading = format!("{ACCOUNT_KEYWORD} {name}");
             for service in &account.services {
                 let key = SERVICES.key;
-                self.check_reference(&heading, key, SERVICE_WORD, service);
+                self.check_reference(&heading, key, SERVICE_KEYWORD, service);
             }
         }
     }
 
     fn check_key_digests(&mut self) {
-        let mut users = Users::default();
+        let mut users = FirstUsers::default();
         for (name, account) in &self.manifest.accounts {
             for digest in &account.key_digests {
-                if let Some(other) = users.add(digest, name) {
-                    let heading = format!("{ACCOUNT_WORD} {name}");
+                if let Some(other) = users.insert(digest, name) {
+                    let heading = format!("{ACCOUNT_KEYWORD} {name}");
                     let message =
                         format!("{digest} is also a key of [account {other}]");
                     self.report(&heading, KEY_DIGESTS.key, message);
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Whether the guaranteed shares leave room for each other.
+    /// Whether the guaranteed shares add up to at most the total capacity.
     fn check_guaranteed_sum(
         &mut self,
         service: &str,
@@ -68,14 +67,14 @@
         let shares =
             users.iter().map(|(_, user)| u64::from(user.guaranteed_percent));
         let sum: u64 = shares.sum();
-        if sum > WHOLE_PERCENT {
+        if sum > FULL_CAPACITY_PERCENT {
             let message = format!(
                 "guaranteed-percent of its accounts adds up to {sum} %; \
-                 it must be at most {WHOLE_PERCENT} %",
+                 it must be at most {FULL_CAPACITY_PERCENT} %",
             );
-            self.report(&format!("{SERVICE_WORD} {service}"), "", message);
+            self.report(&format!("{SERVICE_KEYWORD} {service}"), "", message);
         }
-        sum <= WHOLE_PERCENT
+        sum <= FULL_CAPACITY_PERCENT
     }
 
     fn check_share(
@@ -87,15 +86,16 @@
     ) {
         let weight = u64::from(account.weight);
         let guaranteed_percent = u64::from(account.guaranteed_percent);
-        if weight * WHOLE_PERCENT >= guaranteed_percent * total_weight {
+        if weight * FULL_CAPACITY_PERCENT >= guaranteed_percent * total_weight
+        {
             return;
         }
-        let given_percent = weight * WHOLE_PERCENT / total_weight;
+        let weighted_percent = weight * FULL_CAPACITY_PERCENT / total_weight;
         let message = format!(
-            "{guaranteed_percent} % is more than the {given_percent} % of \
+            "{guaranteed_percent} % is more than the {weighted_percent} % of \
              {service} that weight {weight} of {total_weight} gives",
         );
-        let heading = format!("{ACCOUNT_WORD} {name}");
+        let heading = format!("{ACCOUNT_KEYWORD} {name}");
         self.report(&heading, GUARANTEED_PERCENT.key, message);
     }
 }
--- a/crates/config/src/manifest/checks/servers.rs
+++ b/crates/config/src/manifest/checks/servers.rs
@@ -1,12 +1,12 @@
-//! Checks of backend servers.
+//! Validation of backend servers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     net::SocketAddr,
 };
 
-use super::{Checker, Users};
-use crate::manifest::{BackendServer, ServiceKind, layers, tables::*};
+use super::{Checker, FirstUsers};
+use crate::manifest::{BackendServer, ServiceKind, layer_coverage, schema::*};
 
 impl Checker<'_> {
     pub(super) fn check_servers(&mut self) {
@@ -25,13 +25,18 @@
         server: &BackendServer,
     ) {
         let key = BACKEND_SERVICE.key;
-        self.check_reference(heading, key, SERVICE_WORD, &server.service);
+        self.check_reference(heading, key, SERVICE_KEYWORD, &server.service);
         let key = BACKEND_DATA_CENTRE.key;
-        let word = DATA_CENTRE_WORD;
-        self.check_reference(heading, key, word, &server.data_centre);
+        let keyword = DATA_CENTRE_KEYWORD;
+        self.check_reference(heading, key, keyword, &server.data_centre);
         if let Some(accelerator) = &server.accelerator {
             let key = BACKEND_ACCELERATOR.key;
-            self.check_reference(heading, key, ACCELERATOR_WORD, accelerator);
+            self.check_reference(
+                heading,
+                key,
+                ACCELERATOR_KEYWORD,
+                accelerator,
+            );
         }
     }
 
@@ -52,23 +57,22 @@
         }
         if end > *layer_count {
             let message = format!(
-                "the layer range {first}..{end} is longer than the model, \
-                 0..{layer_count}",
+                "the layer range {first}..{end} exceeds the layers of the \
+                 model, 0..{layer_count}",
             );
             self.report(heading, END_LAYER.key, message);
         }
         let cache_tokens = server.cache_tokens;
         if cache_tokens < u64::from(*max_context_tokens) {
             let message = format!(
-                "{cache_tokens} tokens don't hold one request of \
+                "{cache_tokens} tokens cannot hold a request of \
                  max-context-tokens, {max_context_tokens} tokens",
             );
             self.report(heading, CACHE_TOKENS.key, message);
         }
     }
 
-    /// A side process may stand beside several backend servers, but it runs
-    /// on one VM.
+    /// A side process may serve several backend servers, but runs on one VM.
     fn check_side_addresses(&mut self) {
         let mut first: BTreeMap<SocketAddr, (&str, &str)> = BTreeMap::new();
         for (name, server) in &self.manifest.backend_servers {
@@ -87,9 +91,9 @@
     }
 
     fn check_vms(&mut self) {
-        let mut places = Users::default();
+        let mut data_centres = FirstUsers::default();
         for (name, server) in &self.manifest.backend_servers {
-            let other = places.add(&server.vm, &server.data_centre);
+            let other = data_centres.insert(&server.vm, &server.data_centre);
             if let Some(other) = other {
                 let message = format!(
                     "the VM {} is in {} here and elsewhere in {other}",
@@ -102,41 +106,41 @@
 
     pub(super) fn check_coverage(&mut self) {
         let servers = &self.manifest.backend_servers;
-        if !self.is_complete(BACKEND_SERVER_WORD, servers.len()) {
+        if !self.all_were_read(BACKEND_SERVER_KEYWORD, servers.len()) {
             return;
         }
         for (name, service) in &self.manifest.services {
             match &service.kind {
                 ServiceKind::Language { layer_count, .. } => {
-                    self.check_tiling(name, *layer_count);
+                    self.check_layer_coverage(name, *layer_count);
                 }
                 ServiceKind::Plain { .. } => self.check_is_served(name),
             }
         }
     }
 
-    fn check_tiling(&mut self, service: &str, layer_count: u32) {
+    fn check_layer_coverage(&mut self, service: &str, layer_count: u32) {
         let servers = self.manifest.backend_servers.values();
         let ranges: BTreeSet<(u32, u32)> = servers
             .filter(|server| server.service == service)
             .map(|server| (server.first_layer, server.end_layer))
             .filter(|(first, end)| first < end && *end <= layer_count)
             .collect();
-        for fault in layers::faults(&ranges, layer_count) {
-            let heading = format!("{SERVICE_WORD} {service}");
-            self.report(&heading, "", fault.to_string());
+        for error in layer_coverage::coverage_errors(&ranges, layer_count) {
+            let heading = format!("{SERVICE_KEYWORD} {service}");
+            self.report(&heading, "", error.to_string());
         }
     }
 
     fn check_is_served(&mut self, service: &str) {
         let mut servers = self.manifest.backend_servers.values();
         if !servers.any(|server| server.service == service) {
-            let message = "no backend server answers it".to_owned();
-            self.report(&format!("{SERVICE_WORD} {service}"), "", message);
+            let message = "no backend server provides this service".to_owned();
+            self.report(&format!("{SERVICE_KEYWORD} {service}"), "", message);
         }
     }
 }
 
 fn heading(name: &str) -> String {
-    format!("{BACKEND_SERVER_WORD} {name}")
+    format!("{BACKEND_SERVER_KEYWORD} {name}")
 }
--- a/crates/config/src/manifest/checks/services.rs
+++ b/crates/config/src/manifest/checks/services.rs
@@ -1,15 +1,15 @@
-//! Checks of services.
+//! Validation of services.
 
-use super::{Checker, Users};
-use crate::manifest::{Service, ServiceKind, tables::*};
+use super::{Checker, FirstUsers};
+use crate::manifest::{Service, ServiceKind, schema::*};
 
-/// Paths that entries answer themselves.
+/// URL paths that entries handle themselves.
 const RESERVED_PATHS: &[&str] = &["/v1"];
 
 impl Checker<'_> {
     pub(super) fn check_services(&mut self) {
         for (name, service) in &self.manifest.services {
-            let heading = format!("{SERVICE_WORD} {name}");
+            let heading = format!("{SERVICE_KEYWORD} {name}");
             self.check_deadlines(&heading, service);
         }
         self.check_models();
@@ -34,13 +34,13 @@
     }
 
     fn check_models(&mut self) {
-        let mut users = Users::default();
+        let mut users = FirstUsers::default();
         for (name, service) in &self.manifest.services {
             let ServiceKind::Language { model, .. } = &service.kind else {
                 continue;
             };
-            if let Some(other) = users.add(model, name) {
-                let heading = format!("{SERVICE_WORD} {name}");
+            if let Some(other) = users.insert(model, name) {
+                let heading = format!("{SERVICE_KEYWORD} {name}");
                 let message =
                     format!("{model} is also the model of [service {other}]");
                 self.report(&heading, MODEL.key, message);
@@ -49,13 +49,13 @@
     }
 
     fn check_plain_paths(&mut self) {
-        let mut seen: Vec<(&str, &str)> = Vec::new();
+        let mut checked: Vec<(&str, &str)> = Vec::new();
         for (name, service) in &self.manifest.services {
             let ServiceKind::Plain { path } = &service.kind else {
                 continue;
             };
-            self.check_plain_path(name, path, &seen);
-            seen.push((name, path));
+            self.check_plain_path(name, path, &checked);
+            checked.push((name, path));
         }
     }
 
@@ -63,9 +63,9 @@
         &mut self,
         name: &str,
         path: &str,
-        seen: &[(&str, &str)],
+        checked: &[(&str, &str)],
     ) {
-        let heading = format!("{SERVICE_WORD} {name}");
+        let heading = format!("{SERVICE_KEYWORD} {name}");
         for reserved in RESERVED_PATHS {
             if overlaps(path, reserved) {
                 let message =
@@ -73,7 +73,7 @@
                 self.report(&heading, PATH_PREFIX.key, message);
             }
         }
-        for (other, other_path) in seen {
+        for (other, other_path) in checked {
             if overlaps(path, other_path) {
                 let message = format!(
                     "{path} overlaps {other_path} of [service {other}]",
@@ -84,7 +84,7 @@
     }
 }
 
-/// Whether one path lies under the other.
+/// Whether the paths are equal or one is a prefix of the other.
 fn overlaps(a: &str, b: &str) -> bool {
     is_under(a, b) || is_under(b, a)
 }
--- a/crates/config/src/manifest/sections.rs
+++ b/crates/config/src/manifest/sections.rs
@@ -1,16 +1,16 @@
-//! A manifest as canonical sections.
+//! Conversion of a manifest to canonical sections.
 //!
-//! Every key is written, also one that has its default, so that a later
-//! change of a default doesn't change a stored manifest.
+//! All keys are written, including those with default values, so that a later
+//! change of a default does not change the meaning of a stored manifest.
 
 use std::{collections::BTreeMap, fmt::Display};
 
 use super::{
     Accelerator, Account, BackendServer, DataCentre, Deployment, Manifest,
-    NetworkPath, Objective, Service, ServiceKind, tables::*,
+    NetworkPath, Objective, Service, ServiceKind, schema::*,
 };
 
-/// Sections as one text.
+/// Concatenates sections to an INI text.
 pub fn sections_to_ini(sections: &BTreeMap<String, String>) -> String {
     let mut text = String::new();
     for (heading, body) in sections {
@@ -23,39 +23,43 @@
     text
 }
 
-/// The sections of a manifest.
+/// Converts a manifest to canonical sections.
 pub(super) fn from_manifest(manifest: &Manifest) -> BTreeMap<String, String> {
     let mut sections = BTreeMap::new();
     let deployment = deployment(&manifest.deployment);
-    sections.insert(DEPLOYMENT_WORD.to_owned(), deployment.text());
-    let mut add = |word: &str, names: &str, body: Body| {
-        sections.insert(format!("{word} {names}"), body.text());
+    sections.insert(DEPLOYMENT_KEYWORD.to_owned(), deployment.text());
+    let mut add = |keyword: &str, names: &str, body: Body| {
+        sections.insert(format!("{keyword} {names}"), body.text());
     };
     for (name, value) in &manifest.data_centres {
-        add(DATA_CENTRE_WORD, name, data_centre(value));
+        add(DATA_CENTRE_KEYWORD, name, data_centre(value));
     }
     for ((a, b), value) in &manifest.paths {
-        add(PATH_WORD, &format!("{a} {b}"), network_path(value));
+        add(PATH_KEYWORD, &format!("{a} {b}"), network_path(value));
     }
     for (name, value) in &manifest.accelerators {
-        add(ACCELERATOR_WORD, name, accelerator(value));
+        add(ACCELERATOR_KEYWORD, name, accelerator(value));
     }
     for (name, value) in &manifest.services {
-        add(SERVICE_WORD, name, service(value));
+        add(SERVICE_KEYWORD, name, service(value));
     }
     for (name, value) in &manifest.accounts {
-        add(ACCOUNT_WORD, name, account(value));
+        add(ACCOUNT_KEYWORD, name, account(value));
     }
     for ((service, class), value) in &manifest.objectives {
-        add(OBJECTIVE_WORD, &format!("{service} {class}"), objective(value));
+        add(
+            OBJECTIVE_KEYWORD,
+            &format!("{service} {class}"),
+            objective(value),
+        );
     }
     for (name, value) in &manifest.backend_servers {
-        add(BACKEND_SERVER_WORD, name, backend_server(value));
+        add(BACKEND_SERVER_KEYWORD, name, backend_server(value));
     }
     sections
 }
 
-/// Entries in the order of their keys.
+/// Entries of a section, sorted by key.
 #[derive(Default)]
 struct Body {
     entries: BTreeMap<&'static str, String>,
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -1,27 +1,27 @@
-//! The operators' pages say what the tables of keys say.
+//! The operators' pages match the schemas.
 
 use chestnutreach_config::{
-    fields::{Field, SectionTable},
+    fields::{Field, SectionSchema},
     manifest, settings,
 };
 
 #[test]
-fn pages_have_every_key() {
+fn pages_list_every_key_with_range_unit_and_default() {
     struct Case {
         page: &'static str,
         text: &'static str,
-        sections: &'static [SectionTable],
+        sections: &'static [SectionSchema],
     }
     let cases = [
         Case {
             page: "SETTINGS.md",
             text: include_str!("../../../docs/SETTINGS.md"),
-            sections: settings::tables::SECTIONS,
+            sections: settings::schema::SECTIONS,
         },
         Case {
             page: "MANIFEST.md",
             text: include_str!("../../../docs/MANIFEST.md"),
-            sections: manifest::tables::SECTIONS,
+            sections: manifest::schema::SECTIONS,
         },
     ];
     for case in cases {
@@ -33,19 +33,19 @@
     }
 }
 
-/// The rows under a heading, without the meaning.
+/// Table rows under a heading, without the description column.
 fn rows_of(page: &str, heading: &str) -> Vec<String> {
     let start = format!("## [{heading}]\n");
     let (_, rest) = page.split_once(&start).expect(heading);
     let section = rest.split("\n## ").next().unwrap();
     let rows = section.lines().filter(|line| line.starts_with("| `"));
-    rows.map(without_meaning).collect()
+    rows.map(without_description).collect()
 }
 
-fn without_meaning(row: &str) -> String {
+fn without_description(row: &str) -> String {
     let cells: Vec<&str> = row.split(" | ").collect();
-    let (meaning, cells) = cells.split_last().unwrap();
-    assert!(meaning.len() > " |".len(), "{row}");
+    let (description, cells) = cells.split_last().unwrap();
+    assert!(description.len() > " |".len(), "{row}");
     cells.join(" | ")
 }
 
--- a/crates/direct/src/cluster/feed_follower.rs
+++ b/crates/direct/src/cluster/feed_follower.rs
@@ -162,7 +162,7 @@
                 self.applied_version = Some(version);
                 FetchOutcome::Fresh
             }
-            Err(StoreError::HistoryGone) => {
+            Err(StoreError::HistoryExpired) => {
                 self.applied_version = None;
                 FetchOutcome::Fresh
             }
@@ -350,7 +350,7 @@
 }
 
 fn apply_configuration(core: &Core, row: &Row) {
-    if row.key != KEY || row.is_dropped {
+    if row.key != KEY || row.is_deleted {
         return;
     }
     match configuration::try_parse(&row.value) {
--- a/crates/direct/src/cluster/feed_health.rs
+++ b/crates/direct/src/cluster/feed_health.rs
@@ -33,7 +33,7 @@
         // A refused or reset call fails at once. After a timeout, the store
         // may have been unavailable since its last response.
         let since_ms = match error {
-            StoreError::Unanswered { is_timeout: true, .. } => {
+            StoreError::NoResponse { is_timeout: true, .. } => {
                 self.last_response_ms
             }
             _ => now_ms(),
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -49,7 +49,7 @@
     }
     let now_ms = now_ms();
     let values = response.head.values(notices::LIMIT);
-    let change = match notices::limit(values) {
+    let change = match notices::parse_limit(values) {
         LimitNotice::PerS(per_s) => {
             let announce = |limit: &mut ServerRateLimit| {
                 limit.record_announced(per_s, now_ms);
@@ -84,7 +84,7 @@
         match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
             RestNotice::None => return,
             RestNotice::Malformed => {
-                return core.metrics.malformed_rests.inc();
+                return core.metrics.malformed_cooldowns.inc();
             }
             RestNotice::For(cooldown) => cooldown,
         };
@@ -96,7 +96,7 @@
         state.cooldown_until_ms
     };
     core.fleet.record_cooldown(until_ms);
-    core.metrics.rests_asked.inc();
+    core.metrics.cooldowns_requested.inc();
     emit(
         Event::RestAsked,
         &[
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -217,5 +217,5 @@
     let Some(admitted) = admitted else { return };
     let service = core.metrics.service(&admitted.service.name);
     let elapsed = Duration::from_millis(elapsed_ms);
-    service.request_ended(summary.outcome, "", elapsed);
+    service.record_request_ended(summary.outcome, "", elapsed);
 }
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -9,7 +9,7 @@
 
 use std::{collections::BTreeSet, sync::Arc};
 
-use chestnutreach_adapter::engine::MOST_PARTS;
+use chestnutreach_adapter::engine::MAX_PATH_STAGES;
 use chestnutreach_routing::{LayerHolder, PathRequest, find_path};
 use chestnutreach_site::Model;
 
@@ -73,7 +73,7 @@
             interconnect_prefill_ms: query
                 .model
                 .interconnect_prefill_ms(query.tokens),
-            max_stages: MOST_PARTS,
+            max_stages: MAX_PATH_STAGES,
         };
         let none = BTreeSet::new();
         let path = self.search_layers(query, &request, &none);
@@ -155,7 +155,7 @@
                 interconnect_prefill_ms: query
                     .model
                     .interconnect_prefill_ms(query.tokens),
-                max_stages: MOST_PARTS.saturating_sub(kept_stages),
+                max_stages: MAX_PATH_STAGES.saturating_sub(kept_stages),
             };
             let replacement = self.search_layers(query, &request, &used)?;
             let added = replacement.stages.iter();
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -196,9 +196,9 @@
 
 /// Estimated tokens that a request holds in memory.
 fn needed_tokens(request: &RelayRequest, model: &Model) -> u64 {
-    let stated = request.header(clients::TOKENS);
+    let stated = request.header(clients::TOKEN_COUNT);
     let (prompt, max_tokens) = stated
-        .and_then(clients::tokens_of)
+        .and_then(clients::parse_token_counts)
         .unwrap_or((model.typical_prompt_tokens, model.typical_output_tokens));
     let length_hint = request.header(clients::LENGTH_HINT);
     let length_hint =
--- a/crates/direct/src/request/stream/supervise.rs
+++ b/crates/direct/src/request/stream/supervise.rs
@@ -314,7 +314,7 @@
                     return !self.can_change_first_engine();
                 }
                 Ok(Ok((_, body))) => {
-                    let refusing = engine::refused_address(&body)
+                    let refusing = engine::refusing_engine(&body)
                         .and_then(|at| self.core.fleet.by_address(at));
                     self.record_path_refused(
                         &path,
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,4 +1,4 @@
-//! A request that was let in, as its handler gets it.
+//! An authenticated and admitted request.
 
 use std::{sync::Arc, time::Instant};
 
@@ -6,16 +6,16 @@
 use chestnutreach_protocol::RequestId;
 
 use crate::{
-    terms::Terms,
+    request_options::RequestOptions,
     view::{AccountView, ServiceView},
 };
 
-/// What every handler gets.
+/// An authenticated and admitted request, as passed to its handler.
 pub(crate) struct Call {
     pub(crate) received: Received,
     pub(crate) account: Arc<AccountView>,
     pub(crate) service: Arc<ServiceView>,
-    pub(crate) terms: Terms,
+    pub(crate) options: RequestOptions,
     pub(crate) request: RequestId,
     pub(crate) arrived: Instant,
 }
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -1,32 +1,33 @@
 //! Requests with an idempotency key.
 //!
-//! The key is claimed in the platform's table before anything is sent, with
-//! the side process that will run the request named in the claim; the
-//! finished answer is kept for repeats, which may come to any entry. A repeat
-//! whose first entry has died asks the side process named in the claim and is
-//! never run again by guess.
+//! The key is claimed in the platform's table before anything is sent. The
+//! claim names the side process that will run the request. The finished
+//! response is stored for repeated requests, which may arrive at any entry.
+//! If the entry that made the claim has exited, a repeated request queries
+//! the side process named in the claim; it runs again only if the first run
+//! is known not to have happened.
 //!
-//! A keyed request is driven by a task of its own: a caller that hangs up
-//! does not end it, since the caller will ask for its answer by the key.
+//! A keyed request is driven by its own task and continues after the caller
+//! disconnects, because the caller will retry with the key.
 
 use std::sync::Arc;
 
 use chestnutreach_platform::claims::{
-    Claim, ClaimState, Owner, Repeat, decide,
+    Claim, ClaimState, OwnerStatus, RepeatAction, decide,
 };
 use chestnutreach_protocol::RequestId;
 use chestnutreach_state::{NotRunReason, Outcome};
 use chestnutreach_telemetry::metrics::ClaimResult;
 
 use crate::{
-    ending::Ending,
-    kept::{Recorder, replay},
-    key_hold::{KeyedRequest, in_progress_ms, unix_s},
+    failure::RequestFailure,
+    key_claim::{KeyedRequest, in_progress_retry_ms, unix_s},
     session::{Job, Progress, Session},
     shared::Shared,
+    stored_response::{ResponseRecorder, replay},
 };
 
-/// Starts a keyed request; what happens to it comes over the channel.
+/// Starts a keyed request and returns the channel of its progress.
 pub(crate) fn start(
     entry: &Arc<Shared>,
     job: Job,
@@ -48,33 +49,35 @@
     keyed: KeyedRequest,
     sender: &async_channel::Sender<Progress>,
 ) {
-    let _unsettled = entry.stop.enter_unsettled();
+    let _unsettled = entry.shutdown.count_unsettled_claim();
     let digest = keyed.digest();
     let mut session = Session::new(entry, job, Some(keyed));
-    let mut recorder = Recorder::default();
+    let mut recorder = ResponseRecorder::default();
     loop {
         let progress = session.next().await;
-        recorder.note(&progress);
+        recorder.record(&progress);
         let state = match &progress {
-            Progress::Held(claim) => {
+            Progress::KeyHeld(claim) => {
                 match resolve(entry, claim, &digest) {
-                    Resolved::Told(told) => {
-                        for progress in told {
+                    Resolution::Respond(events) => {
+                        for progress in events {
                             let _ = sender.try_send(progress);
                         }
                         return;
                     }
-                    Resolved::Run => session.take_over((**claim).clone()),
-                    Resolved::Ask => session.ask_for((**claim).clone()),
+                    Resolution::Run => session.take_over((**claim).clone()),
+                    Resolution::QuerySide => {
+                        session.query_earlier_run((**claim).clone())
+                    }
                 }
                 continue;
             }
-            Progress::Whole(finished) => {
-                let answer =
-                    std::mem::take(&mut recorder).into_answer(finished);
+            Progress::Finished(finished) => {
+                let answer = std::mem::take(&mut recorder)
+                    .into_stored_response(finished);
                 Some(ClaimState::Completed { answer })
             }
-            Progress::Ended(ending) => match ending.outcome {
+            Progress::Failed(failure) => match failure.outcome {
                 Outcome::NotRun { .. } => Some(ClaimState::NotRun),
                 Outcome::Failed => Some(ClaimState::Failed),
                 Outcome::Unknown | Outcome::Completed => None,
@@ -84,63 +87,73 @@
                 continue;
             }
         };
-        // The caller first: its answer does not depend on the store.
+        // The caller is served first: its response does not depend on the
+        // table service.
         let _ = sender.try_send(progress);
         sender.close();
         if let (Some(keyed), Some(state)) = (session.take_keyed(), state) {
-            keyed.finish(state).await;
+            keyed.record_outcome(state).await;
         }
         return;
     }
 }
 
-/// What a request does whose key is held.
-enum Resolved {
-    /// It ends with this.
-    Told(Vec<Progress>),
-    /// It runs, since the earlier one did not.
+/// How to continue a request whose key an earlier request holds.
+enum Resolution {
+    /// Respond with this progress, which ends the request.
+    Respond(Vec<Progress>),
+    /// Run the request, because the earlier request did not run.
     Run,
-    /// It asks the side process that the claim names.
-    Ask,
+    /// Query the side process that the claim names.
+    QuerySide,
 }
 
-fn resolve(entry: &Arc<Shared>, held: &Claim, digest: &[u8; 32]) -> Resolved {
+fn resolve(
+    entry: &Arc<Shared>,
+    held: &Claim,
+    digest: &[u8; 32],
+) -> Resolution {
     let identity = entry.links().identity();
-    let is_mine =
+    let is_own =
         held.entry_vm == identity.vm && held.entry_boot_id == identity.boot_id;
     let request = RequestId::from_u128(held.request);
-    let owner = match (is_mine, entry.is_registered(request)) {
-        (_, true) => Owner::Running,
-        (true, false) => Owner::NotRunning,
-        // Only the side process can tell whether the other entry still
-        // takes the answer.
-        (false, false) => Owner::Gone,
+    let owner = match (is_own, entry.is_registered(request)) {
+        (_, true) => OwnerStatus::Running,
+        (true, false) => OwnerStatus::NotRunning,
+        // Only the side process knows whether the other entry still
+        // receives the output.
+        (false, false) => OwnerStatus::Unavailable,
     };
-    let end = |reason, retry_after_ms, detail: &str| {
-        let ending = Ending::not_run(reason, retry_after_ms, detail);
-        Resolved::Told(vec![Progress::Ended(ending)])
+    let not_run = |reason, retry_after_ms, detail: &str| {
+        let failure = RequestFailure::not_run(reason, retry_after_ms, detail);
+        Resolution::Respond(vec![Progress::Failed(failure)])
     };
     match decide(held, digest, owner, unix_s()) {
-        Repeat::Answer(answer) => {
-            entry.metrics.claim(ClaimResult::Repeated);
-            Resolved::Told(replay(answer))
+        RepeatAction::Replay(answer) => {
+            entry.metrics.record_claim(ClaimResult::Repeated);
+            Resolution::Respond(replay(answer))
         }
-        Repeat::KeyReused => {
-            entry.metrics.claim(ClaimResult::KeyReused);
-            let detail = "the idempotency key was used for another request";
-            end(NotRunReason::KeyReused, None, detail)
+        RepeatAction::KeyReused => {
+            entry.metrics.record_claim(ClaimResult::KeyReused);
+            let detail =
+                "the idempotency key was used for a different request";
+            not_run(NotRunReason::KeyReused, None, detail)
         }
-        Repeat::InProgress => {
-            let detail = "a request with this idempotency key runs now";
-            end(NotRunReason::InProgress, Some(in_progress_ms()), detail)
+        RepeatAction::InProgress => {
+            let detail = "a request with this idempotency key is in progress";
+            not_run(
+                NotRunReason::InProgress,
+                Some(in_progress_retry_ms()),
+                detail,
+            )
         }
-        Repeat::Failed => {
+        RepeatAction::Failed => {
             let detail = "the request with this idempotency key failed \
-                          after it began";
-            let ending = Ending::failed(detail);
-            Resolved::Told(vec![Progress::Ended(ending)])
+                          after it started";
+            let failure = RequestFailure::failed(detail);
+            Resolution::Respond(vec![Progress::Failed(failure)])
         }
-        Repeat::Run => Resolved::Run,
-        Repeat::AskSide { .. } => Resolved::Ask,
+        RepeatAction::Run => Resolution::Run,
+        RepeatAction::QuerySide { .. } => Resolution::QuerySide,
     }
 }
--- a/crates/entry/src/openai/answer.rs
+++ b/crates/entry/src/openai/response.rs
@@ -1,7 +1,7 @@
-//! Whole answers and streamed chunks.
+//! Full responses and streamed chunks.
 //!
-//! Streamed chunks are written around the text with parts that are made once
-//! a request, since this runs for each token.
+//! The constant parts of streamed chunks are formatted once per request,
+//! because a chunk is encoded for each token.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -11,11 +11,11 @@
 
 use super::endpoint::Endpoint;
 
-/// Characters that JSON takes as they are but that client libraries which
-/// read events as lines of text may take for an end of line.
-const LINE_ENDS: [char; 3] = ['\u{85}', '\u{2028}', '\u{2029}'];
+/// Characters that are valid unescaped in JSON strings, but that client
+/// libraries may treat as line terminators when they split events into lines.
+const UNICODE_LINE_TERMINATORS: [char; 3] = ['\u{85}', '\u{2028}', '\u{2029}'];
 
-/// Tokens that a request took.
+/// Token usage of a request.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Usage {
     prompt_tokens: u32,
@@ -30,7 +30,8 @@
 }
 
 impl Usage {
-    /// Usage by counts of tokens; `cached` of the prompt's were in a cache.
+    /// Creates the usage from token counts; `cached` is the number of prompt
+    /// tokens that were in a cache.
     pub fn new(prompt: u32, cached: u32, completion: u32) -> Usage {
         Usage {
             prompt_tokens: prompt,
@@ -41,27 +42,27 @@
     }
 }
 
-/// Names of an answer, the same in all its parts.
-pub struct AnswerShape {
+/// The fields of a response that are the same in all its chunks.
+pub struct ResponseTemplate {
     endpoint: Endpoint,
     id: String,
     created: u64,
     model: String,
 }
 
-impl AnswerShape {
-    /// The names of an answer that is made now.
+impl ResponseTemplate {
+    /// Creates the template of a response, with the current time.
     pub fn new(
         endpoint: Endpoint,
         request: RequestId,
         model: &str,
-    ) -> AnswerShape {
+    ) -> ResponseTemplate {
         let prefix = match endpoint {
             Endpoint::Chat => "chatcmpl",
             Endpoint::Completions => "cmpl",
         };
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        AnswerShape {
+        ResponseTemplate {
             endpoint,
             id: format!("{prefix}-{request}"),
             created: now.map_or(0, |since| since.as_secs()),
@@ -69,14 +70,14 @@
         }
     }
 
-    /// The whole answer as one JSON object.
-    pub fn whole(
+    /// Builds the full response as one JSON object.
+    pub fn full_response(
         &self,
         text: &str,
         finish: FinishReason,
         usage: Usage,
     ) -> serde_json::Value {
-        let finish = finish_word(finish);
+        let finish = finish_reason(finish);
         let (object, choice) = match self.endpoint {
             Endpoint::Chat => (
                 "chat.completion",
@@ -111,8 +112,8 @@
         })
     }
 
-    /// The parts that streamed chunks are written with.
-    pub fn chunks(&self, includes_usage: bool) -> Chunks {
+    /// Creates the encoder of a streamed response.
+    pub fn chunk_encoder(&self, includes_usage: bool) -> ChunkEncoder {
         let object = match self.endpoint {
             Endpoint::Chat => "chat.completion.chunk",
             Endpoint::Completions => "text_completion",
@@ -124,24 +125,26 @@
             self.created,
             json_string(&self.model),
         );
-        // Published: with usage asked for, each chunk but the last has null.
+        // OpenAI API: if usage is requested, it is null in all chunks but the
+        // last.
         let tail =
             if includes_usage { "],\"usage\":null}\n\n" } else { "]}\n\n" };
-        Chunks { endpoint: self.endpoint, head, tail, includes_usage }
+        ChunkEncoder { endpoint: self.endpoint, head, tail, includes_usage }
     }
 }
 
-/// Writes streamed chunks, each one event of one line.
-pub struct Chunks {
+/// Encodes streamed chunks, each as one event on one line.
+pub struct ChunkEncoder {
     endpoint: Endpoint,
     head: String,
     tail: &'static str,
     includes_usage: bool,
 }
 
-impl Chunks {
-    /// The first chunk of a chat answer, which names the role.
-    pub fn opening(&self) -> Option<Vec<u8>> {
+impl ChunkEncoder {
+    /// Encodes the first chunk of a chat response, which sets the role; a
+    /// completion has none.
+    pub fn first_chunk(&self) -> Option<Vec<u8>> {
         match self.endpoint {
             Endpoint::Chat => {
                 let delta = "{\"role\":\"assistant\",\"content\":\"\"}";
@@ -151,8 +154,8 @@
         }
     }
 
-    /// A chunk with text.
-    pub fn text(&self, text: &str) -> Vec<u8> {
+    /// Encodes a chunk with text.
+    pub fn text_chunk(&self, text: &str) -> Vec<u8> {
         let text = json_string(text);
         let part = match self.endpoint {
             Endpoint::Chat => format!("\"delta\":{{\"content\":{text}}}"),
@@ -161,13 +164,14 @@
         self.chunk(&part, None)
     }
 
-    /// The last events: why it ended, the usage if asked for, the end mark.
-    pub fn closing(&self, finish: FinishReason, usage: Usage) -> Vec<u8> {
+    /// Encodes the last events: the finish reason, the usage if requested, and
+    /// the `[DONE]` marker.
+    pub fn final_events(&self, finish: FinishReason, usage: Usage) -> Vec<u8> {
         let part = match self.endpoint {
             Endpoint::Chat => "\"delta\":{}",
             Endpoint::Completions => "\"text\":\"\"",
         };
-        let mut out = self.chunk(part, Some(finish_word(finish)));
+        let mut out = self.chunk(part, Some(finish_reason(finish)));
         if self.includes_usage {
             let usage = json!(usage);
             let event = format!("{}],\"usage\":{usage}}}\n\n", self.head);
@@ -188,24 +192,25 @@
     }
 }
 
-/// The event that tells in a streamed answer that it will not be whole.
+/// Encodes the error event of a streamed response that stays incomplete.
 pub(crate) fn error_event(object: &serde_json::Value) -> Vec<u8> {
-    let object = escape_line_ends(object.to_string());
+    let object = escape_line_terminators(object.to_string());
     format!("data: {object}\n\n").into_bytes()
 }
 
 fn json_string(text: &str) -> String {
-    escape_line_ends(serde_json::Value::from(text).to_string())
+    escape_line_terminators(serde_json::Value::from(text).to_string())
 }
 
-/// Escapes [`LINE_ENDS`] in JSON, which has them only inside of strings.
-fn escape_line_ends(json: String) -> String {
-    if !json.contains(LINE_ENDS) {
+/// Escapes [`UNICODE_LINE_TERMINATORS`] in JSON, where they occur only inside
+/// strings.
+fn escape_line_terminators(json: String) -> String {
+    if !json.contains(UNICODE_LINE_TERMINATORS) {
         return json;
     }
     let mut escaped = String::with_capacity(json.len() + 8);
     for char in json.chars() {
-        if LINE_ENDS.contains(&char) {
+        if UNICODE_LINE_TERMINATORS.contains(&char) {
             escaped.push_str(&format!("\\u{:04x}", u32::from(char)));
         } else {
             escaped.push(char);
@@ -214,7 +219,7 @@
     escaped
 }
 
-fn finish_word(finish: FinishReason) -> &'static str {
+fn finish_reason(finish: FinishReason) -> &'static str {
     match finish {
         FinishReason::Length => "length",
         FinishReason::Stop | FinishReason::Unspecified => "stop",
--- a/crates/entry/src/recent.rs
+++ b/crates/entry/src/recent_requests.rs
@@ -1,10 +1,10 @@
-//! The routing choices of recent requests, for operators to ask about.
+//! Routing choices of recent requests, for queries by operators.
 //!
-//! A ring holds the last [`CAPACITY`] requests. A request takes the ring's
-//! lock once, when it begins; what it notes later goes under a lock of its
-//! own, which only someone who asks about it shares. Nothing is noted per
-//! token. Names are copied instead of keeping the view: a ring that lives
-//! over many generations would keep all their views alive.
+//! A ring buffer holds the last [`CAPACITY`] requests. A request locks the
+//! ring once, when it starts; later updates lock only its own record, so that
+//! they contend only with a query for that request. Nothing is recorded per
+//! token. Names are copied, because references would keep the views of many
+//! manifest generations alive.
 
 use std::{
     collections::VecDeque,
@@ -21,26 +21,26 @@
 
 use crate::{session::Job, view::ServiceView};
 
-/// Requests remembered.
+/// Maximum number of requests in the ring.
 const CAPACITY: usize = 4_096;
 
-/// The requests of late, oldest first.
+/// Ring buffer of recent requests, oldest first.
 #[derive(Default)]
-pub(crate) struct Recent {
-    ring: Mutex<VecDeque<Arc<Remembered>>>,
+pub(crate) struct RecentRequests {
+    ring: Mutex<VecDeque<Arc<RequestRecord>>>,
 }
 
-impl Recent {
-    /// Remembers a request from now on.
-    pub(crate) fn begin(&self, job: &Job) -> Choices {
-        let remembered = Arc::new(Remembered::new(job));
-        let oldest = self.push(remembered.clone());
-        // Freed outside of the lock.
+impl RecentRequests {
+    /// Adds a request and returns the recorder for its choices.
+    pub(crate) fn start(&self, job: &Job) -> ChoiceRecorder {
+        let record = Arc::new(RequestRecord::new(job));
+        let oldest = self.push(record.clone());
+        // The evicted record is freed outside the lock.
         drop(oldest);
-        Choices { service: job.service.clone(), remembered }
+        ChoiceRecorder { service: job.service.clone(), record }
     }
 
-    fn push(&self, new: Arc<Remembered>) -> Option<Arc<Remembered>> {
+    fn push(&self, new: Arc<RequestRecord>) -> Option<Arc<RequestRecord>> {
         let mut ring = self.lock();
         let is_full = ring.len() >= CAPACITY;
         let oldest = if is_full { ring.pop_front() } else { None };
@@ -48,42 +48,42 @@
         oldest
     }
 
-    /// What is remembered of a request, as JSON.
+    /// The record of a request, as JSON.
     pub(crate) fn explain(&self, request: RequestId) -> Option<String> {
         let found = {
             let ring = self.lock();
             ring.iter().rev().find(|r| r.request == request).cloned()
         };
-        found.map(|remembered| remembered.to_json())
+        found.map(|record| record.to_json())
     }
 
-    fn lock(&self) -> MutexGuard<'_, VecDeque<Arc<Remembered>>> {
+    fn lock(&self) -> MutexGuard<'_, VecDeque<Arc<RequestRecord>>> {
         self.ring.lock().expect("no holder panics")
     }
 }
 
-struct Remembered {
+struct RequestRecord {
     request: RequestId,
     service: String,
     account: String,
-    began: Instant,
-    notes: Mutex<Notes>,
+    started: Instant,
+    state: Mutex<RecordedState>,
 }
 
 #[derive(Clone, Default, Serialize)]
-struct Notes {
-    choices: Vec<NotedChoice>,
+struct RecordedState {
+    choices: Vec<ChoiceRecord>,
     outcome: Option<&'static str>,
     reason: Option<&'static str>,
     detail: String,
     elapsed_ms: Option<u64>,
 }
 
-/// One choice, and what became of its attempt.
+/// One routing choice and the outcome of its attempt.
 #[derive(Clone, Serialize)]
-struct NotedChoice {
+struct ChoiceRecord {
     at_ms: u64,
-    /// From layer 0 up.
+    /// Backend servers in the order of their layers.
     stages: Vec<String>,
     avoided: Vec<String>,
     prompt_tokens: u32,
@@ -93,7 +93,7 @@
     total_ms: u64,
     price_micros: u64,
     cost: f64,
-    /// None while it is under way, and where nothing was sent.
+    /// Outcome of the attempt; `None` while it runs, or if nothing was sent.
     ended: Option<&'static str>,
     at_fault: Option<String>,
 }
@@ -104,26 +104,26 @@
     service: &'a str,
     account: &'a str,
     #[serde(flatten)]
-    notes: &'a Notes,
+    state: &'a RecordedState,
 }
 
-impl Remembered {
-    fn new(job: &Job) -> Remembered {
-        Remembered {
+impl RequestRecord {
+    fn new(job: &Job) -> RequestRecord {
+        RequestRecord {
             request: job.request,
             service: job.service.name.clone(),
             account: job.account.clone(),
-            began: Instant::now(),
-            notes: Mutex::default(),
+            started: Instant::now(),
+            state: Mutex::default(),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Notes> {
-        self.notes.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, RecordedState> {
+        self.state.lock().expect("no holder panics")
     }
 
     fn elapsed_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
     fn to_json(&self) -> String {
@@ -131,29 +131,29 @@
             request: self.request.to_string(),
             service: &self.service,
             account: &self.account,
-            notes: &self.lock().clone(),
+            state: &self.lock().clone(),
         };
         serde_json::to_string(&report)
             .expect("reports of plain fields can be written")
     }
 }
 
-/// Where a request notes its choices.
-pub(crate) struct Choices {
+/// Records the choices and the outcome of one request.
+pub(crate) struct ChoiceRecorder {
     service: Arc<ServiceView>,
-    remembered: Arc<Remembered>,
+    record: Arc<RequestRecord>,
 }
 
-impl Choices {
-    /// A chain was chosen.
-    pub(crate) fn chosen(
+impl ChoiceRecorder {
+    /// Records a chosen chain.
+    pub(crate) fn record_choice(
         &self,
         choice: &Choice,
         shape: &RequestShape,
         avoid: &[BackendIndex],
     ) {
-        let noted = NotedChoice {
-            at_ms: self.remembered.elapsed_ms(),
+        let choice_record = ChoiceRecord {
+            at_ms: self.record.elapsed_ms(),
             stages: self.names(&choice.stages),
             avoided: self.names(avoid),
             prompt_tokens: shape.prompt_tokens,
@@ -166,40 +166,45 @@
             ended: None,
             at_fault: None,
         };
-        self.remembered.lock().choices.push(noted);
+        self.record.lock().choices.push(choice_record);
     }
 
-    /// The attempt on the chain chosen last has ended; one without stages
-    /// is an earlier request's, which was not chosen here.
-    pub(crate) fn attempt_ended(
+    /// Records the outcome of the attempt on the last chosen chain. An attempt
+    /// without stages belongs to an earlier request with the same key, whose
+    /// chain was not chosen here, and is ignored.
+    pub(crate) fn record_attempt_outcome(
         &self,
         stages: &[BackendIndex],
-        ended: &RequestOutcome,
+        outcome: &RequestOutcome,
         at_fault: Option<BackendIndex>,
     ) {
         if stages.is_empty() {
             return;
         }
         let at_fault = at_fault.map(|index| self.name(index));
-        if let Some(choice) = self.remembered.lock().choices.last_mut() {
-            choice.ended = Some(word(ended));
+        if let Some(choice) = self.record.lock().choices.last_mut() {
+            choice.ended = Some(outcome_name(outcome));
             choice.at_fault = at_fault;
         }
     }
 
-    /// The request has its outcome; none of its own when its caller hung up
-    /// or an earlier request with its key answers.
-    pub(crate) fn ended(&self, outcome: Option<Outcome>, detail: &str) {
-        let mut notes = self.remembered.lock();
-        if notes.elapsed_ms.is_some() {
+    /// Records the outcome of the request; `None` if the caller disconnected
+    /// or an earlier request with the same key provides the response.
+    pub(crate) fn record_outcome(
+        &self,
+        outcome: Option<Outcome>,
+        detail: &str,
+    ) {
+        let mut state = self.record.lock();
+        if state.elapsed_ms.is_some() {
             return;
         }
-        notes.elapsed_ms = Some(self.remembered.elapsed_ms());
-        notes.outcome = outcome.map(|outcome| outcome.as_str());
+        state.elapsed_ms = Some(self.record.elapsed_ms());
+        state.outcome = outcome.map(|outcome| outcome.as_str());
         if let Some(Outcome::NotRun { reason, .. }) = outcome {
-            notes.reason = Some(reason.as_str());
+            state.reason = Some(reason.as_str());
         }
-        detail.clone_into(&mut notes.detail);
+        detail.clone_into(&mut state.detail);
     }
 
     fn names(&self, indices: &[BackendIndex]) -> Vec<String> {
@@ -211,14 +216,14 @@
     }
 }
 
-impl Drop for Choices {
+impl Drop for ChoiceRecorder {
     fn drop(&mut self) {
-        self.ended(None, "");
+        self.record_outcome(None, "");
     }
 }
 
-fn word(ended: &RequestOutcome) -> &'static str {
-    match ended {
+fn outcome_name(outcome: &RequestOutcome) -> &'static str {
+    match outcome {
         RequestOutcome::Completed { .. } => "completed",
         RequestOutcome::Refused => "refused",
         RequestOutcome::Failed => "failed",
--- a/crates/entry/src/tally.rs
+++ b/crates/entry/src/request_tracker.rs
@@ -1,4 +1,4 @@
-//! What is counted and logged of one request.
+//! Metrics and log events of one request.
 
 use std::{
     sync::Arc,
@@ -14,12 +14,13 @@
 
 use crate::{
     call::Call,
-    session::Ending,
+    session::RequestFailure,
     shared::{InFlight, Shared},
 };
 
-/// Counts a request from its start to its one outcome.
-pub(crate) struct Tally {
+/// Records a request from its arrival to its outcome, which is recorded
+/// exactly once.
+pub(crate) struct RequestTracker {
     request: RequestId,
     service: String,
     account: String,
@@ -27,21 +28,21 @@
     account_metrics: Arc<AccountMetrics>,
     first_token_target: Duration,
     arrived: Instant,
-    first: Option<Instant>,
-    last: Option<Instant>,
+    first_delivery: Option<Instant>,
+    last_delivery: Option<Instant>,
     tokens: u32,
     has_ended: bool,
     _in_flight: InFlight,
 }
 
-impl Tally {
-    pub(crate) fn new(entry: &Arc<Shared>, call: &Call) -> Tally {
+impl RequestTracker {
+    pub(crate) fn new(entry: &Arc<Shared>, call: &Call) -> RequestTracker {
         let service_metrics = entry.metrics.service(&call.service.name);
         let account_metrics = entry.metrics.account(&call.account.name);
         service_metrics.requests_in_flight.inc();
         account_metrics.requests.inc();
         let target_ms = call.service.service.first_token_objective_ms;
-        Tally {
+        RequestTracker {
             request: call.request,
             service: call.service.name.clone(),
             account: call.account.name.clone(),
@@ -49,20 +50,20 @@
             account_metrics,
             first_token_target: Duration::from_millis(target_ms),
             arrived: call.arrived,
-            first: None,
-            last: None,
+            first_delivery: None,
+            last_delivery: None,
             tokens: 0,
             has_ended: false,
-            _in_flight: entry.enter(),
+            _in_flight: entry.count_request(),
         }
     }
 
-    /// A token, or a part of a plain answer, is handed to the caller.
-    pub(crate) fn part(&mut self, tokens: u32) {
+    /// Records the delivery of tokens, or of the head of a plain response.
+    pub(crate) fn record_delivery(&mut self, tokens: u32) {
         let now = Instant::now();
-        match self.last.replace(now) {
+        match self.last_delivery.replace(now) {
             None => {
-                self.first = Some(now);
+                self.first_delivery = Some(now);
                 let wait = now.saturating_duration_since(self.arrived);
                 let metric = &self.service_metrics.time_to_first_token;
                 metric.observe(wait.as_secs_f64());
@@ -78,54 +79,54 @@
         self.account_metrics.tokens_delivered.inc_by(tokens.into());
     }
 
-    /// The answer was whole.
-    pub(crate) fn completed(&mut self) {
-        let first = self.first.unwrap_or_else(Instant::now);
+    /// Records a complete response.
+    pub(crate) fn record_completed(&mut self) {
+        let first = self.first_delivery.unwrap_or_else(Instant::now);
         let wait = first.saturating_duration_since(self.arrived);
         if wait <= self.first_token_target {
             self.service_metrics.requests_within_target.inc();
         }
-        self.end(Outcome::Completed, "");
+        self.finish(Outcome::Completed, "");
     }
 
-    /// The request ended without a whole answer.
-    pub(crate) fn ended(&mut self, ending: &Ending) {
-        if ending.outcome == Outcome::Unknown {
+    /// Records a request that ended without a complete response.
+    pub(crate) fn record_failure(&mut self, failure: &RequestFailure) {
+        if failure.outcome == Outcome::Unknown {
             emit(
                 Event::OutcomeUnknown,
                 &[
                     ("request", &self.request),
                     ("service", &self.service),
                     ("account", &self.account),
-                    ("detail", &ending.note),
+                    ("detail", &failure.operator_detail),
                 ],
             );
         }
-        let why = match ending.note.as_str() {
-            "" => &ending.detail,
-            note => note,
+        let detail = match failure.operator_detail.as_str() {
+            "" => &failure.detail,
+            operator_detail => operator_detail,
         };
-        self.end(ending.outcome, why);
+        self.finish(failure.outcome, detail);
     }
 
-    /// The caller hung up.
-    pub(crate) fn caller_gone(&mut self) {
+    /// Records that the caller disconnected.
+    pub(crate) fn record_disconnect(&mut self) {
         emit(
             Event::CallerGone,
             &[("request", &self.request), ("position", &self.tokens)],
         );
-        self.end_as("caller-gone", "caller_gone", "");
+        self.finish_as("caller-gone", "caller_gone", "");
     }
 
-    fn end(&mut self, outcome: Outcome, detail: &str) {
+    fn finish(&mut self, outcome: Outcome, detail: &str) {
         let reason = match outcome {
             Outcome::NotRun { reason, .. } => reason.as_str(),
             _ => "",
         };
-        self.end_as(outcome.as_str(), reason, detail);
+        self.finish_as(outcome.as_str(), reason, detail);
     }
 
-    fn end_as(
+    fn finish_as(
         &mut self,
         outcome: &'static str,
         reason: &'static str,
@@ -136,8 +137,8 @@
         }
         let elapsed = self.arrived.elapsed();
         self.service_metrics.requests_in_flight.dec();
-        self.service_metrics.request_ended(outcome, reason, elapsed);
-        let why = if reason.is_empty() { detail } else { reason };
+        self.service_metrics.record_request_ended(outcome, reason, elapsed);
+        let logged_reason = if reason.is_empty() { detail } else { reason };
         emit(
             Event::RequestEnded,
             &[
@@ -145,7 +146,7 @@
                 ("service", &self.service),
                 ("account", &self.account),
                 ("outcome", &outcome),
-                ("reason", &why),
+                ("reason", &logged_reason),
                 ("tokens", &self.tokens),
                 ("elapsed_ms", &elapsed.as_millis()),
             ],
@@ -153,11 +154,11 @@
     }
 }
 
-impl Drop for Tally {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
-        // Its handler was dropped with the caller's connection.
+        // The handler was dropped together with the caller's connection.
         if !self.has_ended {
-            self.caller_gone();
+            self.record_disconnect();
         }
     }
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of the process share: view, open requests, links.
+//! State shared by all modules: view, open requests and links.
 
 use std::{
     collections::BTreeMap,
@@ -21,34 +21,35 @@
 use chestnutreach_telemetry::{Event, Metrics, emit};
 
 use crate::{
-    outage::Outage, peers::Peers, recent::Recent, session_event::SessionEvent,
-    stop::Stop, view::View,
+    outage::Outage, recent_requests::RecentRequests,
+    session_event::SessionEvent, shutdown::Shutdown,
+    side_registry::SideRegistry, view::View,
 };
 
-/// Parts of the map of open requests, each under a lock of its own.
+/// Shards of the map of open requests, each with its own lock.
 const SESSION_SHARDS: usize = 16;
 
-/// What all parts of the process share.
+/// State shared by all modules of the entry.
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    heard: Arc<PeerReports>,
+    peer_reports: Arc<PeerReports>,
     pub(crate) view: ArcSwap<View>,
-    pub(crate) peers: Peers,
+    pub(crate) side_registry: SideRegistry,
     pub(crate) claims: ClaimStore,
     pub(crate) store_outage: Outage,
-    pub(crate) recent: Recent,
+    pub(crate) recent_requests: RecentRequests,
     executor: Arc<Executor<'static>>,
     links: OnceLock<Links>,
     sessions: [Mutex<Sessions>; SESSION_SHARDS],
     in_flight: AtomicUsize,
-    pub(crate) stop: Stop,
+    pub(crate) shutdown: Shutdown,
 }
 
 type Sessions = BTreeMap<u128, async_channel::Sender<SessionEvent>>;
 
-/// Counts one request in flight until it is dropped.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
 }
@@ -60,11 +61,11 @@
 }
 
 impl Shared {
-    /// Before any link and any request.
+    /// Creates the state; the links must be set before anything is served.
     pub(crate) fn new(
         settings: EntrySettings,
         metrics: Arc<Metrics>,
-        heard: Arc<PeerReports>,
+        peer_reports: Arc<PeerReports>,
         claims: ClaimStore,
         executor: Arc<Executor<'static>>,
     ) -> Shared {
@@ -73,26 +74,26 @@
             settings,
             clock,
             store_outage: Outage::new(clock),
-            recent: Recent::default(),
+            recent_requests: RecentRequests::default(),
             metrics,
-            heard,
+            peer_reports,
             view: ArcSwap::from_pointee(View::empty()),
-            peers: Peers::default(),
+            side_registry: SideRegistry::default(),
             claims,
             executor,
             links: OnceLock::new(),
             sessions: std::array::from_fn(|_| Mutex::default()),
             in_flight: AtomicUsize::new(0),
-            stop: Stop::new(),
+            shutdown: Shutdown::new(),
         }
     }
 
-    /// Sets the links, once, before anything is served.
+    /// Sets the links. Must be called once, before anything is served.
     pub(crate) fn set_links(&self, links: Links) {
         self.links.set(links).ok();
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
@@ -108,27 +109,27 @@
         self.executor.spawn(task).detach();
     }
 
-    /// When to come back after a failure of which nothing else tells: by then
-    /// this process has heard anew of every backend server. Spread, so that
-    /// callers do not come back together.
-    pub(crate) fn come_back_ms(&self) -> u64 {
+    /// Retry delay for a failure that suggests none: on average one idle
+    /// interval, in which the backend servers report their state again. The
+    /// jitter keeps callers from retrying at the same time.
+    pub(crate) fn retry_after_ms(&self) -> u64 {
         let interval_ms = self.settings.node.links.idle_interval_ms;
         interval_ms / 2 + fastrand::u64(0..=interval_ms)
     }
 
-    /// Whether as many requests as allowed are in flight.
+    /// Whether the limit on requests in flight is reached.
     pub(crate) fn is_full(&self) -> bool {
         let limit = self.settings.max_requests_in_flight;
         self.in_flight() >= limit
     }
 
-    /// Counts a request until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> InFlight {
+    /// Counts a request as in flight until the guard is dropped.
+    pub(crate) fn count_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlight { shared: self.clone() }
     }
 
-    /// Sends the frames of a request to this channel.
+    /// Registers the channel that receives the events of a request.
     pub(crate) fn register(
         &self,
         request: RequestId,
@@ -137,7 +138,7 @@
         self.shard(request).insert(request.as_u128(), sender);
     }
 
-    /// Whether a request is under way here.
+    /// Whether this process has a session for the request.
     pub(crate) fn is_registered(&self, request: RequestId) -> bool {
         self.shard(request).contains_key(&request.as_u128())
     }
@@ -147,15 +148,15 @@
     }
 
     fn shard(&self, request: RequestId) -> MutexGuard<'_, Sessions> {
-        let at = request.as_u128() as usize % SESSION_SHARDS;
-        self.sessions[at].lock().expect("no holder panics")
+        let index = request.as_u128() as usize % SESSION_SHARDS;
+        self.sessions[index].lock().expect("no holder panics")
     }
 
-    /// Takes what comes over the links.
+    /// Handles an event of a link.
     pub(crate) fn handle(self: &Arc<Self>, event: LinkEvent) {
         match event {
             LinkEvent::Opened(link) => {
-                self.heard.record_hello(link.peer());
+                self.peer_reports.record_hello(link.peer());
                 emit(Event::LinkOpened, &[("peer_vm", &link.peer().vm)]);
             }
             LinkEvent::Frame(link, body) => self.handle_frame(&link, body),
@@ -168,43 +169,49 @@
     fn handle_frame(&self, link: &Link, body: Body) {
         let request = match &body {
             Body::Status(m) => {
-                self.heard.record_generation(m.generation);
-                return self.side_status(link, m);
+                self.peer_reports.record_generation(m.generation);
+                return self.handle_side_status(link, m);
             }
             Body::Heartbeat(m) => {
-                self.heard.record_generation(m.generation);
-                return self.side_loads(link, &m.loads);
+                self.peer_reports.record_generation(m.generation);
+                return self.apply_side_loads(link, &m.loads);
             }
             Body::Accepted(m) => m.request,
             Body::Output(m) => m.request,
             Body::Finished(m) => {
-                self.told_load(link, m.load.as_ref());
+                self.apply_final_load(link, m.load.as_ref());
                 m.request
             }
             Body::Failed(m) => m.request,
             Body::Refused(m) => {
-                self.told_load(link, m.load.as_ref());
+                self.apply_final_load(link, m.load.as_ref());
                 m.request
             }
             Body::QueryAnswer(m) => m.request,
-            // These are for side processes, or the link has dealt with them.
+            // Other frames are meant for side processes or were handled by
+            // the link.
             _ => return,
         };
         if let Some(request) = request {
-            self.route(request, link, body);
+            self.deliver_frame(request, link, body);
         }
     }
 
-    /// A load that came with the end of a request: a link over which frames
-    /// flow is never asked for a heartbeat.
-    fn told_load(&self, link: &Link, load: Option<&wire::BackendLoad>) {
+    /// Applies the load that arrives with the end of a request. Heartbeats
+    /// are requested only on idle links, so a busy link reports load this way.
+    fn apply_final_load(&self, link: &Link, load: Option<&wire::BackendLoad>) {
         if let Some(load) = load {
-            self.side_loads(link, std::slice::from_ref(load));
+            self.apply_side_loads(link, std::slice::from_ref(load));
         }
     }
 
-    /// Hands a frame to its request; one that has ended wants none.
-    fn route(&self, request: wire::RequestId, link: &Link, body: Body) {
+    /// Delivers a frame to its session; dropped if the request has ended.
+    fn deliver_frame(
+        &self,
+        request: wire::RequestId,
+        link: &Link,
+        body: Body,
+    ) {
         let request = RequestId::from(request);
         let sender = self.shard(request).get(&request.as_u128()).cloned();
         if let Some(sender) = sender {
@@ -215,13 +222,13 @@
     }
 
     fn link_closed(&self, link: &Link, reason: CloseReason) {
-        self.side_lost(link, reason);
+        self.handle_side_lost(link, reason);
         let link_id = link.id();
-        self.tell_sessions(|| SessionEvent::Closed { link_id });
+        self.notify_sessions(|| SessionEvent::LinkClosed { link_id });
     }
 
-    /// Sends an event to every open request.
-    pub(crate) fn tell_sessions(&self, event: impl Fn() -> SessionEvent) {
+    /// Sends an event to every session.
+    pub(crate) fn notify_sessions(&self, event: impl Fn() -> SessionEvent) {
         for shard in &self.sessions {
             let sessions = shard.lock().expect("no holder panics");
             for sender in sessions.values() {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,8 +1,9 @@
-//! The manifest in force, made ready for requests.
+//! The manifest in force, indexed for requests.
 //!
-//! A view never changes; a new generation makes a new one. What is learned
-//! of a backend server lives on in it, also while others of its service come
-//! and go, until the manifest puts another in its place.
+//! A view is immutable; each manifest generation gets a new one. The live
+//! state of a backend server is carried over to the new view, also when other
+//! servers of its service are added or removed, until the manifest replaces
+//! that server.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -14,7 +15,7 @@
     BackendIndex, BackendSpec, Fleet, LiveState, Network, Policy, RetryBudget,
 };
 
-/// A generation, ready for requests.
+/// One manifest generation, indexed for requests.
 pub(crate) struct View {
     pub(crate) generation: u64,
     accounts: BTreeMap<String, Arc<AccountView>>,
@@ -37,15 +38,15 @@
     pub(crate) fleet: Fleet,
     pub(crate) live: Arc<LiveState>,
     pub(crate) budget: Arc<RetryBudget>,
-    /// Side process of each backend server, by its index.
+    /// Address of the side process of each backend server, by index.
     pub(crate) sides: Vec<SocketAddr>,
-    /// Data centre of this entry, as the fleet counts them.
+    /// Index of this entry's data centre in the fleet.
     pub(crate) data_centre: u32,
     specs: Vec<BackendServer>,
 }
 
 impl View {
-    /// A view without services.
+    /// Returns a view without services.
     pub(crate) fn empty() -> View {
         View {
             generation: 0,
@@ -57,7 +58,8 @@
         }
     }
 
-    /// The view of a manifest, with what `old` has learned.
+    /// Builds the view of a manifest and carries over the live state and the
+    /// retry budgets of `old`.
     pub(crate) fn new(
         generation: u64,
         manifest: &Manifest,
@@ -78,14 +80,14 @@
                 view.accounts.insert(digest.clone(), account.clone());
             }
         }
-        let places = Places::new(manifest, data_centre);
+        let data_centres = DataCentres::new(manifest, data_centre);
         for (name, service) in &manifest.services {
             let old = old.services.get(name);
             let budget = old.map(|o| o.budget.clone()).unwrap_or_else(|| {
                 Arc::new(RetryBudget::new(retry_budget_percent))
             });
-            let service =
-                places.service_view(manifest, name, service, old, budget);
+            let service = data_centres
+                .service_view(manifest, name, service, old, budget);
             view.insert(Arc::new(service));
         }
         view
@@ -103,43 +105,47 @@
         self.services.insert(service.name.clone(), service);
     }
 
-    /// The account of a bearer key's digest.
+    /// Finds an account by the digest of its bearer key.
     pub(crate) fn account(&self, digest: &str) -> Option<&Arc<AccountView>> {
         self.accounts.get(digest)
     }
 
-    /// The service of a model.
+    /// Finds the service of a model.
     pub(crate) fn model(&self, model: &str) -> Option<&Arc<ServiceView>> {
         self.models.get(model)
     }
 
-    /// Models by name.
+    /// Iterates over the models by name.
     pub(crate) fn models(
         &self,
     ) -> impl Iterator<Item = (&String, &Arc<ServiceView>)> {
         self.models.iter()
     }
 
-    /// The plain service whose path holds this one, and the rest of it.
+    /// Finds the plain service whose path is a prefix of `path`, and returns
+    /// it with the remaining path.
     pub(crate) fn plain<'a>(
         &self,
         path: &'a str,
     ) -> Option<(&Arc<ServiceView>, &'a str)> {
         self.paths.iter().rev().find_map(|(prefix, service)| {
-            let rest = path.strip_prefix(prefix.as_str())?;
-            let is_whole = rest.is_empty() || rest.starts_with('/');
-            is_whole.then_some((service, rest))
+            let remaining_path = path.strip_prefix(prefix.as_str())?;
+            let is_segment_end =
+                remaining_path.is_empty() || remaining_path.starts_with('/');
+            is_segment_end.then_some((service, remaining_path))
         })
     }
 
-    /// Addresses of all side processes.
-    pub(crate) fn sides(&self) -> BTreeMap<SocketAddr, Vec<Beside>> {
-        let mut sides: BTreeMap<SocketAddr, Vec<Beside>> = BTreeMap::new();
+    /// Backend servers by the address of their side process.
+    pub(crate) fn backends_by_side(
+        &self,
+    ) -> BTreeMap<SocketAddr, Vec<BackendRef>> {
+        let mut sides: BTreeMap<SocketAddr, Vec<BackendRef>> = BTreeMap::new();
         for service in self.services.values() {
-            for (at, address) in service.sides.iter().enumerate() {
-                let index = BackendIndex(at as u32);
-                let beside = Beside { service: service.clone(), index };
-                sides.entry(*address).or_default().push(beside);
+            for (position, address) in service.sides.iter().enumerate() {
+                let index = BackendIndex(position as u32);
+                let backend = BackendRef { service: service.clone(), index };
+                sides.entry(*address).or_default().push(backend);
             }
         }
         sides
@@ -147,22 +153,27 @@
 }
 
 impl ServiceView {
-    /// What is known of the backend servers, for a new set of them.
-    fn carried(&self, to: &Fleet, specs: &[BackendServer]) -> Arc<LiveState> {
+    /// Live state for the new fleet `to`. The state is shared with this view
+    /// if no server changed, and otherwise copied for the unchanged servers.
+    fn carry_over_live(
+        &self,
+        to: &Fleet,
+        specs: &[BackendServer],
+    ) -> Arc<LiveState> {
         let is_same = |name: &str| {
-            let old = self.fleet.find(name).map(|i| &self.specs[at(i)]);
-            let new = to.find(name).map(|i| &specs[at(i)]);
+            let old = self.fleet.find(name).map(|i| &self.specs[position(i)]);
+            let new = to.find(name).map(|i| &specs[position(i)]);
             old.zip(new).is_some_and(|(old, new)| is_same_server(old, new))
         };
         let names = self.fleet.indices().map(|i| &self.fleet.spec(i).name);
-        let is_kept = to.len() == self.fleet.len();
-        if is_kept && names.into_iter().all(|name| is_same(name)) {
+        let is_same_size = to.len() == self.fleet.len();
+        if is_same_size && names.into_iter().all(|name| is_same(name)) {
             return self.live.clone();
         }
         Arc::new(self.live.carry_over_where(&self.fleet, to, is_same))
     }
 
-    /// Presence and circuit of each backend server, for operators.
+    /// Presence and circuit state of each backend server, as status JSON.
     pub(crate) fn status(&self, now_ms: u64) -> serde_json::Value {
         let backends: serde_json::Map<String, serde_json::Value> = self
             .fleet
@@ -183,12 +194,12 @@
     }
 }
 
-fn at(index: BackendIndex) -> usize {
+fn position(index: BackendIndex) -> usize {
     index.0 as usize
 }
 
-/// Whether what was learned of one holds of the other: the same process
-/// beside the same kind of accelerator with the same layers.
+/// Whether the live state of `old` applies to `new`: the same process next to
+/// the same kind of accelerator with the same layers.
 fn is_same_server(old: &BackendServer, new: &BackendServer) -> bool {
     old.side_address == new.side_address
         && old.vm == new.vm
@@ -197,38 +208,38 @@
         && (old.first_layer, old.end_layer) == (new.first_layer, new.end_layer)
 }
 
-/// A backend server beside a side process.
+/// A backend server of a service.
 #[derive(Clone)]
-pub(crate) struct Beside {
+pub(crate) struct BackendRef {
     pub(crate) service: Arc<ServiceView>,
     pub(crate) index: BackendIndex,
 }
 
-/// Data centres by the numbers that fleets use.
-struct Places {
-    numbers: BTreeMap<String, u32>,
+/// Data centres by the indices that fleets use.
+struct DataCentres {
+    indices: BTreeMap<String, u32>,
     network: Network,
-    here: u32,
+    local: u32,
 }
 
-impl Places {
-    fn new(manifest: &Manifest, data_centre: &str) -> Places {
+impl DataCentres {
+    fn new(manifest: &Manifest, data_centre: &str) -> DataCentres {
         let names = manifest.data_centres.keys();
-        let numbers: BTreeMap<String, u32> =
+        let indices: BTreeMap<String, u32> =
             names.zip(0..).map(|(name, n)| (name.clone(), n)).collect();
-        let mut network = Network::new(numbers.len() as u32);
+        let mut network = Network::new(indices.len() as u32);
         for ((a, b), path) in &manifest.paths {
             network.set_path(
-                numbers[a],
-                numbers[b],
+                indices[a],
+                indices[b],
                 path.latency_us,
                 path.bandwidth_mbit_per_s,
             );
         }
-        // An entry outside the manifest's data centres counts as in the
-        // first; the check of its settings cannot know the manifest.
-        let here = numbers.get(data_centre).copied().unwrap_or(0);
-        Places { numbers, network, here }
+        // An entry outside the manifest's data centres is assigned to the
+        // first one: validation of its settings does not see the manifest.
+        let local = indices.get(data_centre).copied().unwrap_or(0);
+        DataCentres { indices, network, local }
     }
 
     fn service_view(
@@ -259,7 +270,7 @@
             Fleet::try_new(layer_count, backends, self.network.clone())
                 .expect("an accepted manifest tiles its layers");
         let live = match old {
-            Some(old) => old.carried(&fleet, &specs),
+            Some(old) => old.carry_over_live(&fleet, &specs),
             None => Arc::new(LiveState::new(specs.len())),
         };
         ServiceView {
@@ -269,7 +280,7 @@
             live,
             budget,
             sides: servers.iter().map(|s| s.side_address).collect(),
-            data_centre: self.here,
+            data_centre: self.local,
             specs,
         }
     }
@@ -284,7 +295,7 @@
         let kind = kind.and_then(|k| manifest.accelerators.get(k));
         BackendSpec {
             name: name.to_owned(),
-            data_centre: self.numbers[&server.data_centre],
+            data_centre: self.indices[&server.data_centre],
             first_layer: server.first_layer,
             end_layer: server.end_layer,
             price_micros_per_hour: kind.map_or(0, |k| k.price_micros_per_hour),
--- a/crates/entry/tests/openai.rs
+++ b/crates/entry/tests/openai.rs
@@ -1,33 +1,33 @@
-//! Published shapes of requests and answers.
+//! OpenAI request and response formats.
 
 use chestnutreach_entry::openai::{
-    AnswerShape, Asked, Endpoint, Usage,
-    request::{DEFAULT_CHAT_TOKENS, DEFAULT_COMPLETION_TOKENS},
+    Endpoint, ParsedRequest, ResponseTemplate, Usage,
+    request::{DEFAULT_CHAT_MAX_TOKENS, DEFAULT_COMPLETION_MAX_TOKENS},
 };
 use chestnutreach_protocol::{RequestId, wire::FinishReason};
 use serde_json::{Value, json};
 
 use Endpoint::{Chat, Completions};
 
-/// A body that is refused, and the field that is named.
+/// A body that is refused, and the expected field and message.
 struct Refused {
     endpoint: Endpoint,
     body: &'static str,
     param: Option<&'static str>,
-    says: &'static str,
+    message: &'static str,
 }
 
 const fn refused(
     endpoint: Endpoint,
     body: &'static str,
     param: &'static str,
-    says: &'static str,
+    message: &'static str,
 ) -> Refused {
     let param = if param.is_empty() { None } else { Some(param) };
-    Refused { endpoint, body, param, says }
+    Refused { endpoint, body, param, message }
 }
 
-/// A chat request with one field more than it needs.
+/// A chat request with one additional field.
 macro_rules! chat {
     ($field:literal) => {
         concat!(
@@ -38,7 +38,7 @@
     };
 }
 
-/// A chat request with this message alone.
+/// A chat request with a single message.
 macro_rules! message {
     ($message:literal) => {
         concat!(r#"{"model":"m","messages":["#, $message, "]}")
@@ -123,7 +123,7 @@
         Chat,
         chat!(r#""stream_options":{"include_usage":true}"#),
         "stream_options",
-        "only for a streamed answer",
+        "only allowed for a streamed response",
     ),
     refused(
         Chat,
@@ -163,18 +163,18 @@
     ),
     refused(Chat, chat!(r#""seed":"x""#), "seed", "i64"),
     refused(Chat, chat!(r#""user":7"#), "user", "string"),
-    refused(Chat, chat!(r#""logprobs":true"#), "logprobs", "not served"),
+    refused(Chat, chat!(r#""logprobs":true"#), "logprobs", "not supported"),
     refused(
         Chat,
         chat!(r#""tools":[{"type":"function"}]"#),
         "tools",
-        "not served",
+        "not supported",
     ),
     refused(
         Chat,
         chat!(r#""modalities":["text","audio"]"#),
         "modalities",
-        "not served",
+        "not supported",
     ),
     refused(Completions, r#"{"prompt":"hi"}"#, "model", "missing"),
     refused(Completions, r#"{"model":"m"}"#, "prompt", "missing"),
@@ -195,13 +195,13 @@
         Completions,
         r#"{"model":"m","prompt":"hi","logprobs":0}"#,
         "logprobs",
-        "not served",
+        "not supported",
     ),
     refused(
         Completions,
         r#"{"model":"m","prompt":"hi","echo":true}"#,
         "echo",
-        "not served",
+        "not supported",
     ),
     refused(
         Completions,
@@ -213,38 +213,43 @@
         Completions,
         r#"{"model":"m","prompt":"hi","suffix":"x"}"#,
         "suffix",
-        "not served",
+        "not supported",
     ),
 ];
 
 #[test]
-fn wrong_bodies_are_refused_by_the_name_of_the_field() {
+fn invalid_bodies_are_refused_with_the_field_name() {
     for case in REFUSED {
-        let error = Asked::try_parse(case.endpoint, case.body.as_bytes())
-            .expect_err(case.body);
+        let error =
+            ParsedRequest::try_parse(case.endpoint, case.body.as_bytes())
+                .expect_err(case.body);
         let param = error.param.as_deref();
         assert_eq!(param, case.param, "{}: {error}", case.body);
-        assert!(error.message.contains(case.says), "{}: {error}", case.body);
+        assert!(
+            error.message.contains(case.message),
+            "{}: {error}",
+            case.body
+        );
     }
 }
 
 #[test]
-fn deep_and_foreign_bytes_are_refused() {
-    let deep = format!("{}{}", "[".repeat(5_000), "]".repeat(5_000));
+fn deeply_nested_json_and_invalid_utf8_are_refused() {
+    let nested = format!("{}{}", "[".repeat(5_000), "]".repeat(5_000));
     let in_field = chat(json!({"stop": null}))
-        .replace("\"stop\":null", &format!("\"stop\":{deep}"));
+        .replace("\"stop\":null", &format!("\"stop\":{nested}"));
     let cases: [&[u8]; 4] = [
-        deep.as_bytes(),
+        nested.as_bytes(),
         in_field.as_bytes(),
         b"\xff\xfe",
         b"{\"model\":\"\xff\"}",
     ];
     for body in cases {
-        assert!(Asked::try_parse(Chat, body).is_err());
+        assert!(ParsedRequest::try_parse(Chat, body).is_err());
     }
 }
 
-/// A body that is accepted, and what is read of it.
+/// A body that is accepted, and the expected result of parsing it.
 struct Accepted {
     endpoint: Endpoint,
     body: Value,
@@ -254,44 +259,46 @@
     includes_usage: bool,
 }
 
-/// A chat request with more fields.
-fn chat(more: Value) -> String {
+/// A chat request with additional fields.
+fn chat(extra_fields: Value) -> String {
     merged(
         json!({
             "model": "m",
             "messages": [{"role": "user", "content": "hi"}],
             "unknown_field": null,
         }),
-        more,
+        extra_fields,
     )
     .to_string()
 }
 
-fn merged(mut body: Value, more: Value) -> Value {
-    if let (Some(body), Value::Object(more)) = (body.as_object_mut(), more) {
-        body.extend(more);
+fn merged(mut body: Value, extra_fields: Value) -> Value {
+    if let (Some(body), Value::Object(extra_fields)) =
+        (body.as_object_mut(), extra_fields)
+    {
+        body.extend(extra_fields);
     }
     body
 }
 
 impl Accepted {
-    fn chat(more: Value) -> Accepted {
-        let body = serde_json::from_str(&chat(more)).unwrap();
+    fn chat(extra_fields: Value) -> Accepted {
+        let body = serde_json::from_str(&chat(extra_fields)).unwrap();
         Accepted {
             endpoint: Chat,
             body,
-            max_tokens: DEFAULT_CHAT_TOKENS,
+            max_tokens: DEFAULT_CHAT_MAX_TOKENS,
             max_tokens_field: None,
             is_stream: false,
             includes_usage: false,
         }
     }
 
-    fn completion(more: Value) -> Accepted {
+    fn completion(extra_fields: Value) -> Accepted {
         Accepted {
             endpoint: Completions,
-            body: merged(json!({"model": "m", "prompt": "hi"}), more),
-            max_tokens: DEFAULT_COMPLETION_TOKENS,
+            body: merged(json!({"model": "m", "prompt": "hi"}), extra_fields),
+            max_tokens: DEFAULT_COMPLETION_MAX_TOKENS,
             ..Accepted::chat(json!({}))
         }
     }
@@ -310,7 +317,7 @@
 }
 
 #[test]
-fn published_bodies_are_accepted() {
+fn valid_bodies_are_accepted() {
     let with_usage = json!({"include_usage": true});
     let nulls = json!({
         "max_tokens": null, "max_completion_tokens": null, "stop": null,
@@ -319,7 +326,7 @@
         "logprobs": null, "top_logprobs": null, "modalities": null,
         "presence_penalty": null, "frequency_penalty": null,
     });
-    let plenty = json!({
+    let many_fields = json!({
         "temperature": 2, "top_p": 0.5, "presence_penalty": -2.0, "n": 1,
         "frequency_penalty": 0, "seed": -4, "user": "clerk-7",
         "stop": ["\n", "END"], "logprobs": false, "top_logprobs": 0,
@@ -335,7 +342,7 @@
     let cases = [
         Accepted::chat(json!({})),
         Accepted::chat(nulls),
-        Accepted::chat(plenty),
+        Accepted::chat(many_fields),
         Accepted::chat(parts),
         Accepted::chat(json!({"stop": "END"})),
         Accepted::chat(json!({"max_tokens": 7})).limit(7, "max_tokens"),
@@ -354,63 +361,69 @@
     ];
     for case in cases {
         let text = case.body.to_string();
-        let asked = Asked::try_parse(case.endpoint, text.as_bytes());
-        let asked = asked.unwrap_or_else(|e| panic!("{text}: {e}"));
-        assert_eq!(asked.model, "m", "{text}");
-        assert_eq!(asked.max_tokens, case.max_tokens, "{text}");
-        assert_eq!(asked.max_tokens_field, case.max_tokens_field, "{text}");
-        assert_eq!(asked.is_stream, case.is_stream, "{text}");
-        assert_eq!(asked.includes_usage, case.includes_usage, "{text}");
-        assert!(asked.prompt_tokens_estimate > 0, "{text}");
+        let request = ParsedRequest::try_parse(case.endpoint, text.as_bytes());
+        let request = request.unwrap_or_else(|e| panic!("{text}: {e}"));
+        assert_eq!(request.model, "m", "{text}");
+        assert_eq!(request.max_tokens, case.max_tokens, "{text}");
+        assert_eq!(request.max_tokens_field, case.max_tokens_field, "{text}");
+        assert_eq!(request.is_stream, case.is_stream, "{text}");
+        assert_eq!(request.includes_usage, case.includes_usage, "{text}");
+        assert!(request.prompt_tokens_estimate > 0, "{text}");
     }
 }
 
-/// A limit, the model's context and what becomes of the limit.
-struct Fit {
-    more: Value,
+/// Additional fields, the context length of the model and the resulting limit
+/// or the refused field.
+struct ContextLimitCase {
+    extra_fields: Value,
     max_context_tokens: u32,
     expected: Result<u32, &'static str>,
 }
 
 #[test]
-fn limits_fit_the_context() {
+fn token_limits_are_checked_against_the_context_length() {
     let newer = "max_completion_tokens";
     let cases = [
-        Fit {
-            more: json!({}),
+        ContextLimitCase {
+            extra_fields: json!({}),
             max_context_tokens: 4_096,
-            expected: Ok(DEFAULT_CHAT_TOKENS),
+            expected: Ok(DEFAULT_CHAT_MAX_TOKENS),
         },
-        // A default is nobody's wish and gives way.
-        Fit { more: json!({}), max_context_tokens: 512, expected: Ok(511) },
-        Fit {
-            more: json!({"max_tokens": 511}),
+        // The default limit is reduced to fit the context.
+        ContextLimitCase {
+            extra_fields: json!({}),
             max_context_tokens: 512,
             expected: Ok(511),
         },
-        Fit {
-            more: json!({"max_tokens": 512}),
+        ContextLimitCase {
+            extra_fields: json!({"max_tokens": 511}),
+            max_context_tokens: 512,
+            expected: Ok(511),
+        },
+        ContextLimitCase {
+            extra_fields: json!({"max_tokens": 512}),
             max_context_tokens: 512,
             expected: Err("max_tokens"),
         },
-        Fit {
-            more: json!({newer: 512}),
+        ContextLimitCase {
+            extra_fields: json!({newer: 512}),
             max_context_tokens: 512,
             expected: Err(newer),
         },
     ];
     for case in cases {
-        let body = chat(case.more);
-        let mut asked = Asked::try_parse(Chat, body.as_bytes()).unwrap();
-        let fitted = asked.fit(case.max_context_tokens);
-        let fitted = fitted.map(|()| asked.max_tokens);
-        let param = fitted.map_err(|e| e.param.unwrap_or_default());
+        let body = chat(case.extra_fields);
+        let mut request =
+            ParsedRequest::try_parse(Chat, body.as_bytes()).unwrap();
+        let limited = request.limit_to_context(case.max_context_tokens);
+        let limited = limited.map(|()| request.max_tokens);
+        let param = limited.map_err(|e| e.param.unwrap_or_default());
         assert_eq!(param, case.expected.map_err(str::to_owned), "{body}");
     }
 }
 
-fn shape(endpoint: Endpoint) -> AnswerShape {
-    AnswerShape::new(endpoint, RequestId::from_u128(7), "desk \"llm\"")
+fn template(endpoint: Endpoint) -> ResponseTemplate {
+    ResponseTemplate::new(endpoint, RequestId::from_u128(7), "desk \"llm\"")
 }
 
 fn usage() -> Usage {
@@ -418,14 +431,16 @@
 }
 
 #[test]
-fn whole_answers_have_the_published_fields() {
-    let chat = shape(Chat).whole("a\"b", FinishReason::Length, usage());
+fn full_responses_have_the_fields_of_the_openai_api() {
+    let chat =
+        template(Chat).full_response("a\"b", FinishReason::Length, usage());
     let message =
         json!({"role": "assistant", "content": "a\"b", "refusal": null});
     assert_eq!(chat["object"], "chat.completion");
     assert_eq!(chat["choices"][0]["message"], message);
     assert_eq!(chat["choices"][0]["finish_reason"], "length");
-    let text = shape(Completions).whole("ab", FinishReason::Stop, usage());
+    let text =
+        template(Completions).full_response("ab", FinishReason::Stop, usage());
     assert_eq!(text["object"], "text_completion");
     assert_eq!(text["choices"][0]["text"], "ab");
     assert_eq!(text["choices"][0]["finish_reason"], "stop");
@@ -433,27 +448,27 @@
         "prompt_tokens": 5, "completion_tokens": 3, "total_tokens": 8,
         "prompt_tokens_details": {"cached_tokens": 2},
     });
-    for answer in [chat, text] {
-        assert_eq!(answer["usage"], expected);
-        assert_eq!(answer["model"], "desk \"llm\"");
-        assert!(answer["created"].as_u64() > Some(0));
-        assert_eq!(answer["choices"][0]["index"], 0);
-        assert!(answer["choices"][0]["logprobs"].is_null());
+    for response in [chat, text] {
+        assert_eq!(response["usage"], expected);
+        assert_eq!(response["model"], "desk \"llm\"");
+        assert!(response["created"].as_u64() > Some(0));
+        assert_eq!(response["choices"][0]["index"], 0);
+        assert!(response["choices"][0]["logprobs"].is_null());
     }
 }
 
-/// Events of a streamed answer with these texts.
+/// Events of a streamed response with the given texts.
 fn stream(
     endpoint: Endpoint,
     texts: &[&str],
     includes_usage: bool,
 ) -> Vec<Value> {
-    let chunks = shape(endpoint).chunks(includes_usage);
-    let mut bytes = chunks.opening().unwrap_or_default();
+    let chunks = template(endpoint).chunk_encoder(includes_usage);
+    let mut bytes = chunks.first_chunk().unwrap_or_default();
     for text in texts {
-        bytes.extend(chunks.text(text));
+        bytes.extend(chunks.text_chunk(text));
     }
-    bytes.extend(chunks.closing(FinishReason::Stop, usage()));
+    bytes.extend(chunks.final_events(FinishReason::Stop, usage()));
     let text = String::from_utf8(bytes).unwrap();
     let body = text.strip_suffix("data: [DONE]\n\n").unwrap();
     let events = body.split_terminator("\n\n");
@@ -462,7 +477,7 @@
 }
 
 #[test]
-fn streamed_chunks_have_the_published_fields() {
+fn streamed_chunks_have_the_fields_of_the_openai_api() {
     for endpoint in [Chat, Completions] {
         let events = stream(endpoint, &["a", "b"], true);
         let (last, chunks) = events.split_last().unwrap();
@@ -493,7 +508,7 @@
 }
 
 #[test]
-fn counts_that_make_no_sense_do_not_overflow() {
+fn implausible_token_counts_do_not_overflow() {
     let usage = json!(Usage::new(u32::MAX, 0, u32::MAX));
     assert_eq!(usage["total_tokens"], u32::MAX);
 }
--- a/crates/platform/src/claims/decide.rs
+++ b/crates/platform/src/claims/decide.rs
@@ -1,116 +1,122 @@
-//! What a repeated request gets.
+//! Decisions on repeated requests.
 //!
-//! A claim whose owner has gone says nothing of whether the request ran;
-//! only the side process named in it can tell, and it is asked. It is never
-//! run again by guess.
+//! If the owner of a claim is unavailable, the claim does not show whether the
+//! request ran. Only the side process named in the claim knows, and must be
+//! queried: a request is never run again on an assumption.
 
 use std::net::SocketAddr;
 
 use chestnutreach_state::RunState;
 
-use super::claim::{Claim, ClaimState, StoredAnswer};
+use super::claim::{Claim, ClaimState, StoredResponse};
 
 /// What is known of the entry that owns a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Owner {
-    /// It says that it runs the request.
+pub enum OwnerStatus {
+    /// The owner reports that it runs the request.
     Running,
-    /// It says that it does not.
+    /// The owner reports that it does not run the request.
     NotRunning,
-    /// It has gone, or restarted, or does not answer.
-    Gone,
+    /// The owner has exited, restarted or does not respond.
+    Unavailable,
 }
 
-/// What a repeated request gets.
+/// How to handle a repeated request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat<'a> {
-    /// The kept answer.
-    Answer(&'a StoredAnswer),
-    /// A refusal: the key belongs to another request.
+pub enum RepeatAction<'a> {
+    /// Send the stored response.
+    Replay(&'a StoredResponse),
+    /// Refuse: the key belongs to a different request.
     KeyReused,
-    /// A refusal: the same request runs at this moment.
+    /// Refuse: the same request is running.
     InProgress,
-    /// The word of the side process, see [`decide_by_side`].
-    AskSide {
-        /// Its address.
+    /// Query the side process, see [`decide_by_side_response`].
+    QuerySide {
+        /// Address of the side process.
         address: SocketAddr,
-        /// Boot id it must still have.
+        /// Expected boot id; another boot id means that the process restarted.
         boot_id: u64,
-        /// The request to ask for.
+        /// Id of the request to ask for.
         request: u128,
     },
-    /// A run of its own, once the claim has been replaced.
+    /// Run the request after replacing the claim.
     Run,
-    /// The news that it began and failed.
+    /// Report that the request started and failed.
     Failed,
 }
 
-/// Decides on a repeat of a claimed key.
+/// Decides how to handle a repeat of a claimed key.
 pub fn decide<'a>(
     held: &'a Claim,
     request_digest: &[u8; 32],
-    owner: Owner,
+    owner: OwnerStatus,
     now_unix_s: u64,
-) -> Repeat<'a> {
+) -> RepeatAction<'a> {
     if held.has_expired(now_unix_s) {
-        return Repeat::Run;
+        return RepeatAction::Run;
     }
     if held.request_digest != *request_digest {
-        return Repeat::KeyReused;
+        return RepeatAction::KeyReused;
     }
     match (&held.state, owner) {
-        (ClaimState::Completed { answer }, _) => Repeat::Answer(answer),
-        (ClaimState::NotRun, _) => Repeat::Run,
-        (ClaimState::Failed, _) => Repeat::Failed,
-        (ClaimState::Claimed, Owner::Running) => Repeat::InProgress,
-        (ClaimState::Claimed, Owner::NotRunning | Owner::Gone) => {
-            Repeat::AskSide {
-                address: held.side_address,
-                boot_id: held.side_boot_id,
-                request: held.request,
-            }
+        (ClaimState::Completed { answer }, _) => RepeatAction::Replay(answer),
+        (ClaimState::NotRun, _) => RepeatAction::Run,
+        (ClaimState::Failed, _) => RepeatAction::Failed,
+        (ClaimState::Claimed, OwnerStatus::Running) => {
+            RepeatAction::InProgress
         }
+        (
+            ClaimState::Claimed,
+            OwnerStatus::NotRunning | OwnerStatus::Unavailable,
+        ) => RepeatAction::QuerySide {
+            address: held.side_address,
+            boot_id: held.side_boot_id,
+            request: held.request,
+        },
     }
 }
 
-/// Answer of the side process named in a claim.
+/// Response of the side process named in a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SideAnswer {
-    /// What its run-once table holds. The question has fenced the request.
+pub enum SideResponse {
+    /// State in the process's run-once table. Unless the state is
+    /// [`RunState::CannotTell`], the query has also fenced the request: the
+    /// queried and older attempts are refused if they arrive later.
     State(RunState),
-    /// It is another incarnation, whose table begins empty.
+    /// The process has restarted, so its table has no earlier requests.
     OtherBoot,
-    /// It does not answer.
+    /// The process does not respond.
     Unreachable,
 }
 
-/// What a repeated request gets by the word of the side process.
+/// How to handle a repeated request after the side process responded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SideVerdict {
-    /// A run of its own, once the claim has been replaced.
+pub enum SideDecision {
+    /// Run the request after replacing the claim.
     Run,
-    /// A refusal: the same request runs at this moment.
+    /// Refuse: the same request is running.
     InProgress,
-    /// The answer that the side process keeps.
-    TakeAnswer,
-    /// The news that it began and failed.
+    /// Fetch the response that the side process keeps.
+    FetchResponse,
+    /// Report that the request started and failed.
     Failed,
-    /// The news that nobody can tell.
+    /// Report that the outcome is unknown.
     Unknown,
 }
 
-/// Decides on a repeat whose claim's owner has gone.
-pub fn decide_by_side(answer: SideAnswer) -> SideVerdict {
-    match answer {
-        SideAnswer::OtherBoot | SideAnswer::Unreachable => {
-            SideVerdict::Unknown
+/// Decides how to handle a repeat when the claim's owner does not run the
+/// request or is unavailable.
+pub fn decide_by_side_response(response: SideResponse) -> SideDecision {
+    match response {
+        SideResponse::OtherBoot | SideResponse::Unreachable => {
+            SideDecision::Unknown
         }
-        SideAnswer::State(state) => match state {
-            RunState::NeverSeen | RunState::Refused => SideVerdict::Run,
-            RunState::Admitted | RunState::Running => SideVerdict::InProgress,
-            RunState::CannotTell => SideVerdict::Unknown,
-            RunState::Finished => SideVerdict::TakeAnswer,
-            RunState::Failed => SideVerdict::Failed,
+        SideResponse::State(state) => match state {
+            RunState::NeverSeen | RunState::Refused => SideDecision::Run,
+            RunState::Admitted | RunState::Running => SideDecision::InProgress,
+            RunState::CannotTell => SideDecision::Unknown,
+            RunState::Finished => SideDecision::FetchResponse,
+            RunState::Failed => SideDecision::Failed,
         },
     }
 }
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -57,7 +57,7 @@
 
     /// Counts and logs a refused step.
     pub(crate) fn record_refused_step(&self, reason: &'static str) {
-        self.metrics.step_refused(reason);
+        self.metrics.record_step_refused(reason);
         emit(Event::StepRefused, &[("reason", &reason)]);
     }
 
--- a/crates/side/src/reservation/reserve.rs
+++ b/crates/side/src/reservation/reserve.rs
@@ -33,7 +33,7 @@
             Ok(reservation) => self.request_reservation_slot(&reservation),
             Err(refusal) => {
                 let reason = refusal.reason;
-                metrics.attempt_refused(reason.as_str_name());
+                metrics.record_attempt_refused(reason.as_str_name());
                 let _ = link.send(Body::Refused(wire::Refused {
                     request,
                     attempt,
