--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -259,7 +259,7 @@
         let core = core.clone();
         move || status(&core)
     };
-    let order = {
+    let command = {
         let core = core.clone();
         move |path: &str| end_quarantine(&core, path)
     };
@@ -267,7 +267,7 @@
         metrics: core.metrics.clone(),
         readiness: core.readiness.clone(),
         status: Box::new(status),
-        command: Box::new(order),
+        command: Box::new(command),
     })
 }
 
