--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -302,7 +302,9 @@
     let peer = link.peer();
     PeerStatus {
         vm: peer.vm.clone(),
-        address: link.dialled().map_or_else(String::new, |a| a.to_string()),
+        address: link
+            .dialled_address()
+            .map_or_else(String::new, |a| a.to_string()),
         data_centre: peer.data_centre.clone(),
         is_connected: !link.is_closed(),
         ..PeerStatus::default()
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -74,7 +74,7 @@
         Common {
             executor,
             identity: Identity::new(&node.vm, role, &node.data_centre)
-                .with_control(node.control_address),
+                .with_control_address(node.control_address),
             metrics,
             readiness: Arc::new(Readiness::new(&[NEEDS_MANIFEST])),
             heard: Arc::new(Heard::new()),
--- a/crates/direct/src/cluster/engine_watcher.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -108,7 +108,7 @@
         match Outbound::connect(engine.address, DIAL).await {
             Ok(connection) => {
                 probe::clear(&core, &engine);
-                connection.ended().await;
+                connection.closed().await;
                 // Idle for long, or its process has ended: the next dial
                 // shows.
             }
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -12,7 +12,8 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_http::{
-    Client, ClientOptions, Received, Response, ServerOptions, serve_connection,
+    Client, ClientOptions, ReceivedRequest, Response, ServerOptions,
+    serve_connection,
 };
 use chestnutreach_protocol::peers::FeedAnswer;
 use chestnutreach_telemetry::Port;
@@ -56,7 +57,7 @@
     }
 }
 
-async fn answer(core: &Core, received: Received) -> Response {
+async fn answer(core: &Core, received: ReceivedRequest) -> Response {
     let url = received.request.url();
     let number = |name: &str| {
         let mut pairs = url.query_pairs();
@@ -112,7 +113,7 @@
     pub(crate) fn new(address: SocketAddr) -> Asker {
         let options = ClientOptions::new()
             .connect_timeout(DIAL)
-            .max_answer_bytes(MAX_ANSWER_BYTES);
+            .max_response_bytes(MAX_ANSWER_BYTES);
         Asker { client: Client::new(address, options) }
     }
 
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -5,8 +5,8 @@
 
 use chestnutreach_adapter::notices::{self, LimitNotice};
 use chestnutreach_http::{
-    relay::AnswerHead,
-    rest::{self, RestNotice},
+    relay::ResponseHead,
+    retry_after::{self, RetryAfter},
 };
 use chestnutreach_protocol::peers::EngineNotice;
 use chestnutreach_routing::ServerRateLimit;
@@ -31,7 +31,7 @@
     pub(crate) request: &'a str,
     /// When the request was sent.
     pub(crate) sent_ms: u64,
-    pub(crate) head: &'a AnswerHead,
+    pub(crate) head: &'a ResponseHead,
 }
 
 /// Takes what an answer says of its server.
@@ -75,10 +75,13 @@
 /// Takes a rest that a server wants.
 fn take_rest(core: &Core, engine: &Engine, answered: &ResponseContext<'_>) {
     let head = answered.head;
-    let rest = match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
-        RestNotice::None => return,
-        RestNotice::Malformed => return core.metrics.malformed_rests.inc(),
-        RestNotice::For(rest) => rest,
+    let rest = match retry_after::parse(
+        head.status,
+        head.values(retry_after::RETRY_AFTER),
+    ) {
+        RetryAfter::Absent => return,
+        RetryAfter::Malformed => return core.metrics.malformed_rests.inc(),
+        RetryAfter::Delay(rest) => rest,
     };
     let now_ms = now_ms();
     let rest_ms = rest.as_millis() as u64;
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -11,7 +11,7 @@
 use async_executor::Executor;
 use async_io::{Async, Timer};
 use chestnutreach_http::{
-    Received, Response, ServerOptions, serve_connection,
+    ReceivedRequest, Response, ServerOptions, serve_connection,
 };
 use chestnutreach_routing::Fingerprint;
 use chestnutreach_site::NodeSettings;
@@ -231,7 +231,7 @@
         let serve = async move {
             let _slot = accepted.slot;
             let options = ServerOptions::new();
-            let answer = |_: Received| {
+            let answer = |_: ReceivedRequest| {
                 let status = match readiness.is_ready() {
                     true => 200,
                     false => 503,
--- a/crates/direct/src/request/answer.rs
+++ b/crates/direct/src/request/answer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use chestnutreach_adapter::{clients, engine, notices};
-use chestnutreach_http::relay::{AnswerHead, is_end_to_end, push_header};
+use chestnutreach_http::relay::{ResponseHead, is_end_to_end, push_header};
 use chestnutreach_routing::{CooldownWait, cooldown_wait};
 
 /// Time after which a client that was refused may come back where nothing
@@ -181,7 +181,7 @@
 
 /// The head of an engine's answer as the client gets it.
 pub(crate) fn passed_head(
-    head: &AnswerHead,
+    head: &ResponseHead,
     framing: Framing,
     is_last: bool,
 ) -> Vec<u8> {
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -54,13 +54,13 @@
         let idle = async {
             let idle_ms = limits.idle_timeout_ms;
             Timer::after(Duration::from_millis(idle_ms)).await;
-            Err(InboundError::Ended)
+            Err(InboundError::Closed)
         };
         let closing = async {
             // Nothing is ever sent over it.
             let _ = core.closing.recv().await;
             Timer::after(CLOSE_IDLE_AFTER).await;
-            Err(InboundError::Ended)
+            Err(InboundError::Closed)
         };
         let bytes = inbound.wait_for_bytes().or(idle).or(closing);
         if bytes.await.is_err() {
@@ -73,7 +73,7 @@
                 After::Keep => {}
                 after => return after,
             },
-            Err(InboundError::Ended) => return After::Cut,
+            Err(InboundError::Closed) => return After::Cut,
             Err(InboundError::Refused(why)) => {
                 let bytes = answer::refusal(why.status, &why.message);
                 // The client may have gone by now.
@@ -100,7 +100,7 @@
     request: &RelayRequest,
 ) -> After {
     let started_ms = crate::clock::now_ms();
-    let is_last = request.is_last || core.stopping_for_ms().is_some();
+    let is_last = request.wants_close || core.stopping_for_ms().is_some();
     let admitted = match core.stopping_for_ms() {
         Some(ms) if ms > TAKE_WHILE_STOPPING_MS => {
             let reason = Reason::Stopping;
--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use chestnutreach_adapter::{clients, engine};
 use chestnutreach_http::relay::{
-    AnswerHead, Outbound, OutboundError, RelayRequest, is_end_to_end,
+    Outbound, OutboundError, RelayRequest, ResponseHead, is_end_to_end,
     push_header,
 };
 use futures_lite::FutureExt as _;
@@ -83,7 +83,7 @@
 }
 
 /// Whether an answer states that the request was not run.
-pub(crate) fn is_not_run(head: &AnswerHead) -> bool {
+pub(crate) fn is_not_run(head: &ResponseHead) -> bool {
     head.status == 421 || head.header(engine::NOT_RUN).is_some()
 }
 
@@ -93,7 +93,7 @@
     connection: &mut Outbound,
     request_id: Option<&str>,
     method: &str,
-) -> Result<AnswerHead, OutboundError> {
+) -> Result<ResponseHead, OutboundError> {
     loop {
         let head = connection.read_head().await?;
         let answered = head.header(clients::REQUEST_ID);
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -13,7 +13,9 @@
 };
 
 use async_io::Timer;
-use chestnutreach_http::relay::{AnswerHead, Inbound, Outbound, RelayRequest};
+use chestnutreach_http::relay::{
+    Inbound, Outbound, RelayRequest, ResponseHead,
+};
 use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::Reuse;
 use chestnutreach_telemetry::{Event, emit};
@@ -57,7 +59,7 @@
 /// What one attempt gave.
 enum Attempt {
     /// A whole answer.
-    Answered(AnswerHead, Vec<u8>),
+    Answered(ResponseHead, Vec<u8>),
     /// It surely did not run.
     NotRun,
     /// It may have run.
@@ -78,7 +80,7 @@
     /// Backend servers that were tried, by incarnation.
     tried: BTreeSet<String>,
     /// The last answer of one.
-    kept: Option<(AnswerHead, Vec<u8>)>,
+    kept: Option<(ResponseHead, Vec<u8>)>,
     /// Tells it from others that want a permit.
     key: u64,
     /// Why it was not let wait, and when its client is to come back.
@@ -167,7 +169,7 @@
         };
         let caller = inbound.stream().clone();
         let gone = async {
-            caller.hung_up().await;
+            caller.peer_closed().await;
             Attempt::CallerGone
         };
         let work = attempt(self.core, self.request, self.admitted, &sent);
@@ -364,7 +366,7 @@
 fn answered(
     admitted: &Admitted,
     sent: &Sent<'_>,
-    head: AnswerHead,
+    head: ResponseHead,
     body: Vec<u8>,
 ) -> Attempt {
     let is_not_run = exchange::is_not_run(&head);
@@ -407,7 +409,7 @@
 async fn pass_on(
     inbound: &mut Inbound,
     request: &RelayRequest,
-    head: &AnswerHead,
+    head: &ResponseHead,
     body: &[u8],
     may_have_run: bool,
     is_last: bool,
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -12,7 +12,7 @@
 
 use chestnutreach_adapter::clients;
 use chestnutreach_http::relay::{
-    AnswerHead, Inbound, LAST_CHUNK, RelayRequest,
+    Inbound, LAST_CHUNK, RelayRequest, ResponseHead,
 };
 use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::Model;
@@ -68,7 +68,7 @@
     /// It broke off, or goes on elsewhere.
     Broken,
     /// The engine answered with a failure.
-    Failed(AnswerHead, Vec<u8>),
+    Failed(ResponseHead, Vec<u8>),
     TimeOver,
 }
 
@@ -199,7 +199,7 @@
         loop {
             let caller = inbound.stream().clone();
             let gone = async {
-                caller.hung_up().await;
+                caller.peer_closed().await;
                 None
             };
             let sought = async { Some(self.find_path().await) };
@@ -361,7 +361,7 @@
     async fn pass_failure(
         &mut self,
         inbound: &mut Inbound,
-        head: &AnswerHead,
+        head: &ResponseHead,
         body: &[u8],
     ) -> After {
         if self.attempts.may_have_run() && promises_not_run(head.status) {
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -4,7 +4,7 @@
 
 use chestnutreach_adapter::engine;
 use chestnutreach_http::relay::{
-    AnswerHead, Inbound, Outbound, OutboundError, push_chunk,
+    Inbound, Outbound, OutboundError, ResponseHead, push_chunk,
 };
 use chestnutreach_site::Reuse;
 use chestnutreach_telemetry::{Event, emit};
@@ -117,7 +117,7 @@
     async fn refused(
         &mut self,
         connection: &mut Outbound,
-        head: AnswerHead,
+        head: ResponseHead,
     ) -> AttemptEnd {
         let at = head.header(engine::REFUSED_AT).map(str::to_owned);
         let is_not_run = exchange::is_not_run(&head);
@@ -153,7 +153,7 @@
         inbound: &mut Inbound,
         watch: &mut Watch<'_>,
         connection: &mut Outbound,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) -> AttemptEnd {
         let mut splitter = EventSplitter::new();
         let mut body = head.body(&self.request.method);
@@ -162,7 +162,7 @@
             out = passed_head(head, Framing::Chunked, self.is_last);
         }
         loop {
-            let part = connection.next_part(&mut body);
+            let part = connection.next_bytes(&mut body);
             let waited = self.supervise(watch, part).await;
             let part = match self.sort(waited) {
                 Ok(Some(part)) => part,
--- a/crates/direct/src/request/stream/watch.rs
+++ b/crates/direct/src/request/stream/watch.rs
@@ -60,7 +60,7 @@
 impl Watch<'_> {
     pub(super) fn new(caller: &SharedStream) -> Watch<'_> {
         Watch {
-            gone: Box::pin(caller.hung_up()),
+            gone: Box::pin(caller.peer_closed()),
             timer: Timer::never(),
             look_at: None,
         }
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -11,7 +11,9 @@
 };
 
 use async_io::Timer;
-use chestnutreach_http::relay::{AnswerHead, Outbound, find, push_header};
+use chestnutreach_http::relay::{
+    Outbound, ResponseHead, find_header, push_header,
+};
 use futures_lite::FutureExt as _;
 
 use crate::{
@@ -302,8 +304,8 @@
     (end, None)
 }
 
-fn check_head(id: &str, head: &AnswerHead, reading: &mut Reading) {
-    let signed = find(&head.headers, "x-response-signature");
+fn check_head(id: &str, head: &ResponseHead, reading: &mut Reading) {
+    let signed = find_header(&head.headers, "x-response-signature");
     if signed != Some(signature(id).as_str()) {
         let text = format!("{id}: signature {signed:?}");
         reading.outcome.violations.push(text);
@@ -312,7 +314,7 @@
 
 async fn read_plain(
     wish: &Wish,
-    head: &AnswerHead,
+    head: &ResponseHead,
     connection: &mut Outbound,
     reading: &mut Reading,
 ) -> TryEnd {
@@ -332,14 +334,14 @@
 
 async fn read_stream(
     wish: &Wish,
-    head: &AnswerHead,
+    head: &ResponseHead,
     connection: &mut Outbound,
     reading: &mut Reading,
 ) -> TryEnd {
     let mut body = head.body("POST");
     let mut unread = Vec::new();
     loop {
-        let part = connection.next_part(&mut body);
+        let part = connection.next_bytes(&mut body);
         let part = match within_gap(wish, part).await {
             None => return TryEnd::Left,
             Some(Err(_)) => return TryEnd::Cut,
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use chestnutreach_http::{Client, ClientOptions, rest};
+use chestnutreach_http::{Client, ClientOptions, retry_after};
 use http_types::{Method, Request, Url};
 use serde::Serialize;
 
@@ -44,7 +44,8 @@
 impl EngineClient {
     /// A client without connections.
     pub fn new(address: SocketAddr, model: &str) -> EngineClient {
-        let options = ClientOptions::new().max_answer_bytes(MAX_ANSWER_BYTES);
+        let options =
+            ClientOptions::new().max_response_bytes(MAX_ANSWER_BYTES);
         let base_url = Url::parse(&format!("http://{address}"))
             .expect("an address makes a URL");
         let of_model = |rest: &[&str]| {
@@ -187,7 +188,11 @@
         }
         let (response, body) = self.http.send(request, timeout).await?;
         let status = response.status().into();
-        Ok(Answer { status, rest: rest::of(&response), body })
+        Ok(Answer {
+            status,
+            rest: retry_after::from_response(&response),
+            body,
+        })
     }
 }
 
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -8,7 +8,7 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_config::key_digest;
-use chestnutreach_http::{Received, ServerOptions, serve_connection};
+use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use chestnutreach_protocol::RequestId;
 use chestnutreach_state::NotRunReason;
 use chestnutreach_telemetry::{Event, emit};
@@ -81,7 +81,7 @@
     let options = ServerOptions::new()
         .max_body_bytes(entry.settings.max_body_bytes)
         .error_response(answer::http_refusal)
-        .closing(entry.stop.closing().clone());
+        .shutdown(entry.stop.closing().clone());
     entry.metrics.caller_connections.inc();
     let served = serve_connection(socket, &options, |received| {
         let entry = entry.clone();
@@ -94,7 +94,7 @@
     }
 }
 
-async fn respond(entry: &Arc<Shared>, received: Received) -> Response {
+async fn respond(entry: &Arc<Shared>, received: ReceivedRequest) -> Response {
     let arrival =
         Arrival { request: RequestId::random(), arrived: Instant::now() };
     let mut response = match route(entry, received, arrival).await {
@@ -122,7 +122,7 @@
 
 async fn route(
     entry: &Arc<Shared>,
-    received: Received,
+    received: ReceivedRequest,
     arrival: Arrival,
 ) -> Routed {
     let view = entry.view.load_full();
@@ -181,7 +181,7 @@
     view: &View,
     account: Arc<AccountView>,
     endpoint: Endpoint,
-    received: Received,
+    received: ReceivedRequest,
     arrival: Arrival,
 ) -> Routed {
     let mut asked = language::parse(endpoint, &received.body)?;
@@ -199,7 +199,7 @@
     entry: &Arc<Shared>,
     account: Arc<AccountView>,
     service: Arc<ServiceView>,
-    received: Received,
+    received: ReceivedRequest,
     arrival: Arrival,
 ) -> Result<Call, Box<Response>> {
     let limits = DeadlineLimits {
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Instant};
 
-use chestnutreach_http::Received;
+use chestnutreach_http::ReceivedRequest;
 use chestnutreach_protocol::RequestId;
 
 use crate::{
@@ -12,7 +12,7 @@
 
 /// What every handler gets.
 pub(crate) struct Call {
-    pub(crate) received: Received,
+    pub(crate) received: ReceivedRequest,
     pub(crate) account: Arc<AccountView>,
     pub(crate) service: Arc<ServiceView>,
     pub(crate) terms: Terms,
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -105,7 +105,7 @@
 type HangUp = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 fn hang_up(connection: SharedStream) -> HangUp {
-    Box::pin(async move { connection.hung_up().await })
+    Box::pin(async move { connection.peer_closed().await })
 }
 
 /// A request whose answer is being made.
@@ -259,7 +259,7 @@
     /// The next progress; none when the caller has gone.
     async fn next(&mut self) -> Option<Progress> {
         let unread = async {
-            self.writer.reader_gone().await;
+            self.writer.reader_dropped().await;
             None
         };
         self.answering.next().or(unread).await
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -71,7 +71,7 @@
     loop {
         let next = async { Some(source.next().await) };
         let gone = async {
-            connection.hung_up().await;
+            connection.peer_closed().await;
             None
         };
         match next.or(gone).await {
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -49,7 +49,7 @@
         self.attempt_number += 1;
         self.attempt_count += 1;
         let run = self.run_message(&chain);
-        let guard = link.busy();
+        let guard = link.track_request();
         if link.send(Body::Run(run)).is_err() {
             // A frame that the link did not take has reached nobody.
             self.avoid.push(stages[0]);
--- a/crates/entry/src/session/mod.rs
+++ b/crates/entry/src/session/mod.rs
@@ -34,7 +34,7 @@
 
 use async_io::Timer;
 use chestnutreach_platform::claims::Claim;
-use chestnutreach_protocol::{Link, RequestId, link::BusyGuard, wire};
+use chestnutreach_protocol::{Link, RequestId, link::RequestGuard, wire};
 use chestnutreach_routing::{
     Priority, fleet::BackendIndex, live_state::RequestOutcome,
 };
@@ -90,7 +90,7 @@
 struct Attempt {
     stages: Vec<BackendIndex>,
     chain: Vec<wire::Stage>,
-    link: Option<(Link, BusyGuard)>,
+    link: Option<(Link, RequestGuard)>,
     is_accepted: bool,
     cost_tokens: u32,
     started: Instant,
--- a/crates/entry/src/session/recover.rs
+++ b/crates/entry/src/session/recover.rs
@@ -89,7 +89,7 @@
             from_position: self.next_position,
             backend: first.backend.clone(),
         };
-        attempt.link = Some((link.clone(), link.busy()));
+        attempt.link = Some((link.clone(), link.track_request()));
         if link.send(Body::Query(query)).is_err() {
             return Asked::NoAnswer;
         }
--- a/crates/entry/src/sides.rs
+++ b/crates/entry/src/sides.rs
@@ -98,7 +98,7 @@
             Event::LinkLost,
             &[("peer_vm", &link.peer().vm), ("cause", &format!("{reason:?}"))],
         );
-        if let Some(address) = link.dialled() {
+        if let Some(address) = link.dialled_address() {
             self.set_presence(address, Presence::Absent);
             self.peers.forget_entry_count(address);
         }
@@ -106,7 +106,7 @@
 
     /// A side process tells its state.
     pub(crate) fn side_status(&self, link: &Link, status: &Status) {
-        if let Some(address) = link.dialled() {
+        if let Some(address) = link.dialled_address() {
             self.peers.note_entry_count(address, status.entry_count);
         }
         self.side_loads(link, &status.loads);
@@ -114,7 +114,7 @@
 
     /// A side process tells the load of its backend servers.
     pub(crate) fn side_loads(&self, link: &Link, loads: &[BackendLoad]) {
-        let Some(address) = link.dialled() else {
+        let Some(address) = link.dialled_address() else {
             return;
         };
         let beside = self.peers.beside(address).unwrap_or_default();
@@ -151,7 +151,7 @@
         for link in self.links().open() {
             let peer = link.peer();
             if fresh.contains(&peer.vm)
-                && let Some(address) = link.dialled()
+                && let Some(address) = link.dialled_address()
                 && self.peers.listed.is_leaving(peer)
             {
                 emit(Event::VmLeaving, &[("vm", &peer.vm)]);
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -74,7 +74,7 @@
     }
 
     /// Waits until the reader has gone.
-    pub async fn reader_gone(&self) {
+    pub async fn reader_dropped(&self) {
         std::future::poll_fn(|cx| {
             let mut state = self.shared.lock();
             if state.is_reader_gone {
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -19,7 +19,7 @@
 use http_types::{Method, Request, Response};
 
 use crate::{
-    head::{self, AnswerFacts, BodyFraming},
+    head::{self, BodyFraming, ResponseHeadInfo},
     message::{MessageError, MessageReader},
     stream::SharedStream,
 };
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
     connect_timeout: Duration,
-    max_answer_bytes: usize,
+    max_response_bytes: usize,
     idle_timeout: Duration,
 }
 
@@ -111,7 +111,7 @@
     fn default() -> ClientOptions {
         ClientOptions {
             connect_timeout: Duration::from_millis(500),
-            max_answer_bytes: 64 << 20,
+            max_response_bytes: 64 << 20,
             idle_timeout: Duration::from_secs(30),
         }
     }
@@ -130,8 +130,8 @@
     }
 
     /// Longest answer taken.
-    pub fn max_answer_bytes(mut self, limit: usize) -> ClientOptions {
-        self.max_answer_bytes = limit;
+    pub fn max_response_bytes(mut self, limit: usize) -> ClientOptions {
+        self.max_response_bytes = limit;
         self
     }
 
@@ -240,7 +240,7 @@
             .map_err(|e| self.lost(&e.to_string()))?;
         response.take_body();
         // Bytes that nobody asked for could pass for the next answer.
-        if !facts.is_last && !reader.has_unread() {
+        if !facts.wants_close && !reader.has_unread() {
             self.keep(stream);
         }
         Ok((response, body))
@@ -250,11 +250,11 @@
     async fn read_head(
         &self,
         reader: &mut MessageReader,
-    ) -> Result<(Vec<u8>, AnswerFacts), ClientError> {
+    ) -> Result<(Vec<u8>, ResponseHeadInfo), ClientError> {
         loop {
             let head = reader.read_head().await;
             let head = head.map_err(|e| self.broken(e))?;
-            let facts = head::check_answer(&head);
+            let facts = head::check_response(&head);
             let facts = facts.map_err(|e| self.lost(&e.message))?;
             if facts.status >= FIRST_FINAL_STATUS {
                 return Ok((head, facts));
@@ -266,12 +266,12 @@
         &self,
         reader: &mut MessageReader,
         method: Method,
-        facts: &AnswerFacts,
+        facts: &ResponseHeadInfo,
     ) -> Result<Vec<u8>, ClientError> {
         if method == Method::Head || matches!(facts.status, 204 | 304) {
             return Ok(Vec::new());
         }
-        let limit = self.options.max_answer_bytes;
+        let limit = self.options.max_response_bytes;
         let body = match facts.framing {
             None => return Err(self.lost("the answer states no length")),
             Some(BodyFraming::None) => Ok(Vec::new()),
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -24,13 +24,13 @@
 
 /// What a well-formed head says of its connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HeadFacts {
+pub struct RequestHeadInfo {
     /// How the body's end is known.
     pub framing: BodyFraming,
     /// The caller waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
     /// The caller wants the connection closed after the answer.
-    pub is_last: bool,
+    pub wants_close: bool,
 }
 
 /// A request that is refused unhandled.
@@ -63,7 +63,7 @@
 ///
 /// The head is malformed (400), of another HTTP version (505), or has a
 /// transfer coding that is not known (501).
-pub fn check(head: &[u8]) -> Result<HeadFacts, RequestError> {
+pub fn check_request(head: &[u8]) -> Result<RequestHeadInfo, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     check_parsed(request.parse(head), head)?;
@@ -78,24 +78,26 @@
     if found.host_count != 1 {
         return Err(malformed("exactly one host header is needed"));
     }
-    Ok(HeadFacts {
+    Ok(RequestHeadInfo {
         framing: found.framing()?.unwrap_or(BodyFraming::None),
         expects_continue: found.expects_continue,
-        is_last: found.is_last,
+        wants_close: found.wants_close,
     })
 }
 
 /// What a well-formed head of an answer says of its body and connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct AnswerFacts {
+pub(crate) struct ResponseHeadInfo {
     pub(crate) status: u16,
     /// None where only the end of the connection would end the body.
     pub(crate) framing: Option<BodyFraming>,
-    pub(crate) is_last: bool,
+    pub(crate) wants_close: bool,
 }
 
 /// Checks a whole head of an answer; the status of an error means nothing.
-pub(crate) fn check_answer(head: &[u8]) -> Result<AnswerFacts, RequestError> {
+pub(crate) fn check_response(
+    head: &[u8],
+) -> Result<ResponseHeadInfo, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut headers);
     check_parsed(answer.parse(head), head)?;
@@ -103,10 +105,10 @@
     for header in answer.headers.iter() {
         found.add(header)?;
     }
-    Ok(AnswerFacts {
+    Ok(ResponseHeadInfo {
         status: answer.code.unwrap_or_default(),
         framing: found.framing()?,
-        is_last: found.is_last,
+        wants_close: found.wants_close,
     })
 }
 
@@ -159,7 +161,7 @@
     length: Option<u64>,
     is_chunked: bool,
     expects_continue: bool,
-    is_last: bool,
+    wants_close: bool,
     host_count: usize,
 }
 
@@ -180,7 +182,7 @@
             "transfer-encoding" => self.add_coding(value)?,
             "host" => self.add_host(value)?,
             "expect" => self.expects_continue = is_continue(value)?,
-            "connection" => self.is_last |= has_token(value, "close"),
+            "connection" => self.wants_close |= has_token(value, "close"),
             _ => {}
         }
         Ok(())
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -13,16 +13,16 @@
 //! | [`body`] | bodies that are written while they are sent |
 //! | [`client`] | calls to one server over kept connections |
 //! | [`relay`] | requests and answers that are passed on as they came |
-//! | [`rest`] | for how long a server wants nothing |
+//! | [`retry_after`] | for how long a server wants nothing |
 //! | [`stream`] | the shared socket under both |
 //!
 //! # Example
 //!
 //! ```
-//! use chestnutreach_http::head::{BodyFraming, check};
+//! use chestnutreach_http::head::{BodyFraming, check_request};
 //!
 //! let head = b"POST /v1/x HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\n";
-//! let facts = check(head).unwrap();
+//! let facts = check_request(head).unwrap();
 //! assert_eq!(facts.framing, BodyFraming::Length(3));
 //! ```
 
@@ -31,12 +31,12 @@
 pub mod head;
 mod message;
 pub mod relay;
-pub mod rest;
+pub mod retry_after;
 pub mod server;
 pub mod stream;
 
 pub use http_types::Response;
 
 pub use client::{Client, ClientError, ClientOptions};
-pub use server::{Received, ServerOptions, serve_connection};
+pub use server::{ReceivedRequest, ServerOptions, serve_connection};
 pub use stream::SharedStream;
--- a/crates/http/src/relay.rs
+++ b/crates/http/src/relay.rs
@@ -14,7 +14,7 @@
 mod outbound;
 
 pub use inbound::{Inbound, InboundError, InboundLimits};
-pub use outbound::{AnswerBody, AnswerHead, Outbound, OutboundError};
+pub use outbound::{Outbound, OutboundError, ResponseBody, ResponseHead};
 
 /// Headers that concern only one connection.
 const PER_CONNECTION: [&str; 8] = [
@@ -49,13 +49,13 @@
     /// The whole body.
     pub body: Vec<u8>,
     /// The caller wants the connection closed after the answer.
-    pub is_last: bool,
+    pub wants_close: bool,
 }
 
 impl RelayRequest {
     /// The first value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
     /// The path without its query.
@@ -65,7 +65,7 @@
 }
 
 /// The first value of a header among header lines.
-pub fn find<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
+pub fn find_header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
     found.map(|h| h.value.as_str())
 }
--- a/crates/http/src/relay/inbound.rs
+++ b/crates/http/src/relay/inbound.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub enum InboundError {
     /// The caller closed, was idle too long, or the socket failed.
-    Ended,
+    Closed,
     /// The request is answered unhandled, and the connection ends.
     Refused(RequestError),
 }
@@ -48,7 +48,7 @@
 impl fmt::Display for InboundError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InboundError::Ended => f.write_str("the connection has ended"),
+            InboundError::Closed => f.write_str("the connection has ended"),
             InboundError::Refused(why) => why.fmt(f),
         }
     }
@@ -56,7 +56,7 @@
 
 impl From<io::Error> for InboundError {
     fn from(_: io::Error) -> InboundError {
-        InboundError::Ended
+        InboundError::Closed
     }
 }
 
@@ -69,7 +69,7 @@
 impl From<MessageError> for InboundError {
     fn from(e: MessageError) -> InboundError {
         let status = match e {
-            MessageError::Io(_) => return InboundError::Ended,
+            MessageError::Io(_) => return InboundError::Closed,
             MessageError::HeadTooLong(_) => 431,
             MessageError::BodyTooLong(_) => 413,
             MessageError::CutShort(_) | MessageError::BadChunk => 400,
@@ -111,7 +111,7 @@
             return Ok(());
         }
         match self.reader.fill().await? {
-            0 => Err(InboundError::Ended),
+            0 => Err(InboundError::Closed),
             _ => Ok(()),
         }
     }
@@ -129,7 +129,7 @@
         let until = Instant::now() + limits.head_timeout;
         let head = async { Ok(self.reader.read_head().await?) };
         let head = head.or(too_late(until)).await?;
-        let facts = head::check(&head)?;
+        let facts = head::check_request(&head)?;
         let length = match facts.framing {
             BodyFraming::Length(length) => length,
             BodyFraming::None | BodyFraming::Chunked => 0,
@@ -140,7 +140,7 @@
             );
         }
         let mut request = parse(&head)?;
-        request.is_last = facts.is_last;
+        request.wants_close = facts.wants_close;
         if facts.expects_continue {
             self.stream.write_all(CONTINUE).await?;
         }
@@ -214,6 +214,6 @@
         target: target.to_owned(),
         headers: header_lines(request.headers),
         body: Vec::new(),
-        is_last: false,
+        wants_close: false,
     })
 }
--- a/crates/http/src/relay/outbound.rs
+++ b/crates/http/src/relay/outbound.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use futures_lite::{AsyncWriteExt as _, FutureExt as _};
 
-use super::{Header, find, header_lines};
+use super::{Header, find_header, header_lines};
 use crate::{
     head::{self, BodyFraming, MAX_HEADERS},
     message::{MessageError, MessageReader, READ_BYTES},
@@ -46,20 +46,20 @@
 
 /// Head of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Its status.
     pub status: u16,
     /// Its headers, in their order.
     pub headers: Vec<Header>,
     /// The server closes the connection after it.
-    pub is_last: bool,
+    pub wants_close: bool,
     framing: Option<BodyFraming>,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// The first value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
     /// All values of a header, in their order.
@@ -73,24 +73,24 @@
     }
 
     /// The body that follows; a request of `HEAD` has none.
-    pub fn body(&self, method: &str) -> AnswerBody {
+    pub fn body(&self, method: &str) -> ResponseBody {
         if method == "HEAD" || matches!(self.status, 204 | 304) {
-            return AnswerBody::Ended;
+            return ResponseBody::Complete;
         }
         match self.framing {
-            Some(BodyFraming::None) => AnswerBody::Ended,
-            Some(BodyFraming::Length(left)) => AnswerBody::Length(left),
-            Some(BodyFraming::Chunked) => AnswerBody::Chunked,
-            None => AnswerBody::UntilClosed,
+            Some(BodyFraming::None) => ResponseBody::Complete,
+            Some(BodyFraming::Length(left)) => ResponseBody::Length(left),
+            Some(BodyFraming::Chunked) => ResponseBody::Chunked,
+            None => ResponseBody::UntilClosed,
         }
     }
 }
 
 /// What is left of an answer's body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Nothing: the answer is whole.
-    Ended,
+    Complete,
     /// So many bytes.
     Length(u64),
     /// Chunks up to the last.
@@ -127,8 +127,8 @@
     }
 
     /// Waits until the server closes or sends something unasked.
-    pub async fn ended(&self) {
-        self.stream.hung_up().await;
+    pub async fn closed(&self) {
+        self.stream.peer_closed().await;
     }
 
     /// Whether another request may be sent: the last answer was whole, and
@@ -152,10 +152,10 @@
     /// # Errors
     ///
     /// The connection broke or what came is no answer.
-    pub async fn read_head(&mut self) -> Result<AnswerHead, OutboundError> {
+    pub async fn read_head(&mut self) -> Result<ResponseHead, OutboundError> {
         loop {
             let head = self.reader.read_head().await?;
-            let facts = head::check_answer(&head)
+            let facts = head::check_response(&head)
                 .map_err(|e| OutboundError { detail: e.message })?;
             if facts.status < FIRST_FINAL_STATUS {
                 continue;
@@ -165,10 +165,10 @@
             answer
                 .parse(&head)
                 .map_err(|e| OutboundError { detail: e.to_string() })?;
-            return Ok(AnswerHead {
+            return Ok(ResponseHead {
                 status: facts.status,
                 headers: header_lines(answer.headers),
-                is_last: facts.is_last,
+                wants_close: facts.wants_close,
                 framing: facts.framing,
             });
         }
@@ -179,35 +179,35 @@
     /// # Errors
     ///
     /// The answer is not whole.
-    pub async fn next_part(
+    pub async fn next_bytes(
         &mut self,
-        body: &mut AnswerBody,
+        body: &mut ResponseBody,
     ) -> Result<Option<Vec<u8>>, OutboundError> {
         match *body {
-            AnswerBody::Ended => Ok(None),
-            AnswerBody::Chunked => {
+            ResponseBody::Complete => Ok(None),
+            ResponseBody::Chunked => {
                 let chunk = self.reader.next_chunk(usize::MAX).await?;
                 if chunk.is_none() {
-                    *body = AnswerBody::Ended;
+                    *body = ResponseBody::Complete;
                 }
                 Ok(chunk)
             }
-            AnswerBody::Length(left) => {
+            ResponseBody::Length(left) => {
                 let most = usize::try_from(left).unwrap_or(usize::MAX);
                 let part = self.reader.next_bytes(most).await?;
                 let part = part.ok_or_else(|| OutboundError {
                     detail: format!("the body lacks {left} bytes"),
                 })?;
                 *body = match left - part.len() as u64 {
-                    0 => AnswerBody::Ended,
-                    left => AnswerBody::Length(left),
+                    0 => ResponseBody::Complete,
+                    left => ResponseBody::Length(left),
                 };
                 Ok(Some(part))
             }
-            AnswerBody::UntilClosed => {
+            ResponseBody::UntilClosed => {
                 let part = self.reader.next_bytes(READ_BYTES).await?;
                 if part.is_none() {
-                    *body = AnswerBody::Ended;
+                    *body = ResponseBody::Complete;
                 }
                 Ok(part)
             }
@@ -221,11 +221,11 @@
     /// The answer is not whole, or longer.
     pub async fn read_body(
         &mut self,
-        mut body: AnswerBody,
+        mut body: ResponseBody,
         limit: usize,
     ) -> Result<Vec<u8>, OutboundError> {
         let mut all = Vec::new();
-        while let Some(part) = self.next_part(&mut body).await? {
+        while let Some(part) = self.next_bytes(&mut body).await? {
             all.extend_from_slice(&part);
             if all.len() > limit {
                 return Err(MessageError::BodyTooLong(limit).into());
@@ -235,8 +235,8 @@
     }
 
     /// Notes that an answer was whole, so that the connection may be kept.
-    pub fn finish(&mut self, head: &AnswerHead) {
-        self.is_usable = !head.is_last && head.framing.is_some();
+    pub fn finish(&mut self, head: &ResponseHead) {
+        self.is_usable = !head.wants_close && head.framing.is_some();
     }
 
     /// Ends the connection at once, so that the server stops its work.
--- a/crates/http/src/rest.rs
+++ b/crates/http/src/retry_after.rs
@@ -21,56 +21,57 @@
 
 /// What an answer says of a rest that its server wants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RestNotice {
+pub enum RetryAfter {
     /// Nothing: it wants none.
-    None,
+    Absent,
     /// For so long, an hour at most.
-    For(Duration),
+    Delay(Duration),
     /// Something that is no number of seconds.
     Malformed,
 }
 
 /// Reads the values of [`RETRY_AFTER`] in an answer with this status; of
 /// several the longest counts.
-pub fn rest<'a>(
+pub fn parse<'a>(
     status: u16,
     values: impl IntoIterator<Item = &'a str>,
-) -> RestNotice {
+) -> RetryAfter {
     if status != TURNED_AWAY {
-        return RestNotice::None;
+        return RetryAfter::Absent;
     }
-    values.into_iter().map(read).fold(RestNotice::None, longest)
+    values.into_iter().map(read).fold(RetryAfter::Absent, longest)
 }
 
-fn read(value: &str) -> RestNotice {
-    let seconds = decimal(value);
+fn read(value: &str) -> RetryAfter {
+    let seconds = parse_decimal(value);
     let rest = seconds.map(|s| Duration::from_secs_f64(s.min(MOST_REST_S)));
-    rest.map_or(RestNotice::Malformed, RestNotice::For)
+    rest.map_or(RetryAfter::Malformed, RetryAfter::Delay)
 }
 
-fn longest(a: RestNotice, b: RestNotice) -> RestNotice {
+fn longest(a: RetryAfter, b: RetryAfter) -> RetryAfter {
     match (a, b) {
-        (RestNotice::For(a), RestNotice::For(b)) => RestNotice::For(a.max(b)),
-        (rest @ RestNotice::For(_), _) | (_, rest @ RestNotice::For(_)) => {
-            rest
+        (RetryAfter::Delay(a), RetryAfter::Delay(b)) => {
+            RetryAfter::Delay(a.max(b))
         }
-        (RestNotice::None, other) => other,
+        (rest @ RetryAfter::Delay(_), _)
+        | (_, rest @ RetryAfter::Delay(_)) => rest,
+        (RetryAfter::Absent, other) => other,
         (malformed, _) => malformed,
     }
 }
 
 /// For how long the server of an answer wants nothing, if it says so.
-pub fn of(response: &Response) -> Option<Duration> {
+pub fn from_response(response: &Response) -> Option<Duration> {
     let values = response.header(RETRY_AFTER);
     let values = values.into_iter().flatten().map(|value| value.as_str());
-    match rest(response.status().into(), values) {
-        RestNotice::For(rest) => Some(rest),
-        RestNotice::None | RestNotice::Malformed => None,
+    match parse(response.status().into(), values) {
+        RetryAfter::Delay(rest) => Some(rest),
+        RetryAfter::Absent | RetryAfter::Malformed => None,
     }
 }
 
 /// Reads digits with at most one point: no sign, exponent or word.
-pub fn decimal(value: &str) -> Option<f64> {
+pub fn parse_decimal(value: &str) -> Option<f64> {
     let value = value.trim();
     let is_number = value.len() <= MAX_NUMBER_BYTES
         && value.starts_with(|c: char| c.is_ascii_digit())
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -15,7 +15,7 @@
 
 use self::head_stream::decode_head;
 use crate::{
-    head::{self, BodyFraming, HeadFacts, RequestError},
+    head::{self, BodyFraming, RequestError, RequestHeadInfo},
     message::{MessageError, MessageReader, READ_BYTES},
     stream::SharedStream,
 };
@@ -85,7 +85,7 @@
 
     /// Closes connections without a request once this channel has closed.
     /// One that has just been opened is given a moment for its first.
-    pub fn closing(
+    pub fn shutdown(
         mut self,
         closing: async_channel::Receiver<()>,
     ) -> ServerOptions {
@@ -107,7 +107,7 @@
 
 /// A whole request.
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedRequest {
     /// Method, target and headers; its body is empty.
     pub request: Request,
     /// The whole body.
@@ -128,7 +128,7 @@
     handler: H,
 ) -> io::Result<()>
 where
-    H: Fn(Received) -> F,
+    H: Fn(ReceivedRequest) -> F,
     F: Future<Output = Response>,
 {
     let stream = SharedStream::new(socket)?;
@@ -187,25 +187,26 @@
         handler: H,
     ) -> io::Result<()>
     where
-        H: Fn(Received) -> F,
+        H: Fn(ReceivedRequest) -> F,
         F: Future<Output = Response>,
     {
         loop {
-            let (received, is_last) = match self.receive(options).await {
-                Ok(Some(next)) => next,
-                Ok(None) => return Ok(()),
-                Err(ReceiveError::Io(e)) => return Err(e),
-                Err(ReceiveError::Refused(why)) => {
-                    let mut response = (options.error_response)(&why);
-                    response.insert_header("connection", "close");
-                    self.respond(response, Method::Get).await?;
-                    return self.linger().await;
-                }
-            };
+            let (received, caller_wants_close) =
+                match self.receive(options).await {
+                    Ok(Some(next)) => next,
+                    Ok(None) => return Ok(()),
+                    Err(ReceiveError::Io(e)) => return Err(e),
+                    Err(ReceiveError::Refused(why)) => {
+                        let mut response = (options.error_response)(&why);
+                        response.insert_header("connection", "close");
+                        self.respond(response, Method::Get).await?;
+                        return self.linger().await;
+                    }
+                };
             self.has_served = true;
             let method = received.request.method();
             let mut response = handler(received).await;
-            if is_last {
+            if caller_wants_close {
                 response.insert_header("connection", "close");
             }
             let wants_close = response
@@ -222,7 +223,7 @@
     async fn receive(
         &mut self,
         options: &ServerOptions,
-    ) -> Result<Option<(Received, bool)>, ReceiveError> {
+    ) -> Result<Option<(ReceivedRequest, bool)>, ReceiveError> {
         if !self.reader.has_unread() {
             let idle = after(options.idle_timeout);
             let closed = options.closed(self.has_served);
@@ -248,10 +249,10 @@
     async fn receive_rest(
         &mut self,
         options: &ServerOptions,
-    ) -> Result<(Received, bool), ReceiveError> {
+    ) -> Result<(ReceivedRequest, bool), ReceiveError> {
         let limit = options.max_body_bytes;
         let mut head = self.reader.read_head().await?;
-        let facts = head::check(&head)?;
+        let facts = head::check_request(&head)?;
         check_length(&facts, limit)?;
         head::blank_expect(&mut head);
         let request =
@@ -267,7 +268,7 @@
             BodyFraming::Chunked => self.reader.read_chunked(limit).await?,
         };
         let connection = self.stream.clone();
-        Ok((Received { request, body, connection }, facts.is_last))
+        Ok((ReceivedRequest { request, body, connection }, facts.wants_close))
     }
 
     async fn respond(
@@ -303,7 +304,10 @@
     }
 }
 
-fn check_length(facts: &HeadFacts, limit: usize) -> Result<(), ReceiveError> {
+fn check_length(
+    facts: &RequestHeadInfo,
+    limit: usize,
+) -> Result<(), ReceiveError> {
     match facts.framing {
         BodyFraming::Length(length) if length > limit as u64 => {
             Err(MessageError::BodyTooLong(limit).into())
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -53,7 +53,7 @@
 
     /// Waits until the other end has closed the connection. A half-closed
     /// connection counts as closed.
-    pub async fn hung_up(&self) {
+    pub async fn peer_closed(&self) {
         let mut byte = [0];
         loop {
             match self.socket.get_ref().peek(&mut byte) {
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -67,7 +67,7 @@
 }
 
 fn client(address: SocketAddr) -> Client {
-    let options = ClientOptions::new().max_answer_bytes(MAX_ANSWER_BYTES);
+    let options = ClientOptions::new().max_response_bytes(MAX_ANSWER_BYTES);
     Client::new(address, options)
 }
 
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -11,7 +11,7 @@
 use async_channel::Receiver;
 use async_io::block_on;
 use chestnutreach_http::{
-    Received, ServerOptions, SharedStream,
+    ReceivedRequest, ServerOptions, SharedStream,
     body::{self, BodyWriter},
 };
 use futures_lite::FutureExt as _;
@@ -36,11 +36,11 @@
 fn waiting_server() -> (Server, Receiver<()>, Receiver<()>) {
     let (send_begun, begun) = async_channel::unbounded();
     let (send_gone, gone) = async_channel::unbounded();
-    let wait = move |received: Received| -> Answer {
+    let wait = move |received: ReceivedRequest| -> Answer {
         let (begun, gone) = (send_begun.clone(), send_gone.clone());
         Box::pin(async move {
             begun.send(()).await.unwrap();
-            received.connection.hung_up().await;
+            received.connection.peer_closed().await;
             gone.send(()).await.unwrap();
             text_response("too late")
         })
@@ -51,7 +51,7 @@
 /// A server whose answers are written by the test.
 fn streaming_server() -> (Server, Receiver<(BodyWriter, SharedStream)>) {
     let (send_writer, writers) = async_channel::unbounded();
-    let stream = move |received: Received| -> Answer {
+    let stream = move |received: ReceivedRequest| -> Answer {
         let (writer, body) = body::channel();
         let connection = received.connection;
         send_writer.try_send((writer, connection)).ok().unwrap();
@@ -178,12 +178,12 @@
     socket.write_all(GET).unwrap();
     let (writer, connection) = next(&writers);
     drop(socket);
-    block_on(connection.hung_up());
+    block_on(connection.peer_closed());
     // A write to the closed connection fails, at the latest the second one.
     while writer.write(vec![b'x'; 1024]) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    block_on(writer.reader_gone());
+    block_on(writer.reader_dropped());
 }
 
 /// The end of the last answer shows at once, although the server reads on.
--- a/crates/http/tests/fuzz.rs
+++ b/crates/http/tests/fuzz.rs
@@ -139,7 +139,7 @@
 fn accepted_heads_are_read_the_same() {
     let agreed = Mutex::new(0);
     let outcome = runner().run(&mutated(head()), |head| {
-        if let Ok(facts) = head::check(&head)
+        if let Ok(facts) = head::check_request(&head)
             && let Some(framing) = decoded_framing(head)
         {
             prop_assert_eq!(facts.framing, framing);
@@ -157,7 +157,7 @@
     let bytes = proptest::collection::vec(any::<u8>(), 0..200);
     let outcome = runner().run(&bytes, |mut bytes| {
         bytes.extend_from_slice(b"\r\n\r\n");
-        let _ = head::check(&bytes);
+        let _ = head::check_request(&bytes);
         Ok(())
     });
     outcome.unwrap();
--- a/crates/http/tests/relay.rs
+++ b/crates/http/tests/relay.rs
@@ -60,7 +60,7 @@
     assert_eq!(request.headers[1].value, "a  b");
     assert_eq!(request.headers[2].name, "x-odd");
     assert_eq!(request.body, b"abc");
-    assert!(!request.is_last);
+    assert!(!request.wants_close);
 }
 
 #[test]
--- a/crates/http/tests/support/mod.rs
+++ b/crates/http/tests/support/mod.rs
@@ -12,7 +12,7 @@
 
 use async_executor::Executor;
 use async_io::{Async, block_on};
-use chestnutreach_http::{Received, ServerOptions, serve_connection};
+use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use http_types::{Response, StatusCode};
 
 /// How long any test waits before it counts as hung.
@@ -44,7 +44,7 @@
 
     pub fn start(
         options: ServerOptions,
-        handler: impl Fn(Received) -> Answer + Send + Sync + 'static,
+        handler: impl Fn(ReceivedRequest) -> Answer + Send + Sync + 'static,
     ) -> Server {
         let listener =
             Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
@@ -52,7 +52,7 @@
         let seen = Seen::default();
         let log = seen.clone();
         let (send_end, ended) = async_channel::unbounded();
-        let handler = Arc::new(move |received: Received| {
+        let handler = Arc::new(move |received: ReceivedRequest| {
             log.lock().unwrap().push(describe(&received));
             handler(received)
         });
@@ -111,7 +111,7 @@
     }
 }
 
-pub fn describe(received: &Received) -> String {
+pub fn describe(received: &ReceivedRequest) -> String {
     let request = &received.request;
     let body = String::from_utf8_lossy(&received.body);
     format!("{} {} {body}", request.method(), request.url().path())
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -11,5 +11,5 @@
         .connect_timeout(Duration::from_millis(settings.connect_timeout_ms))
         .busy_interval(Duration::from_millis(settings.busy_interval_ms))
         .idle_interval(Duration::from_millis(settings.idle_interval_ms))
-        .silence_limit(Duration::from_millis(settings.silence_limit_ms))
+        .silence_timeout(Duration::from_millis(settings.silence_limit_ms))
 }
--- a/crates/protocol/src/link/connection.rs
+++ b/crates/protocol/src/link/connection.rs
@@ -117,7 +117,7 @@
     }
 
     /// The address that was dialled; none for an accepted link.
-    pub fn dialled(&self) -> Option<SocketAddr> {
+    pub fn dialled_address(&self) -> Option<SocketAddr> {
         self.shared.dialled
     }
 
@@ -163,18 +163,18 @@
 
     /// Counts one more request in flight: the link is watched closely until
     /// the guard is dropped.
-    pub fn busy(&self) -> BusyGuard {
-        if !self.is_busy() {
+    pub fn track_request(&self) -> RequestGuard {
+        if !self.has_requests() {
             // Before the count, or the watcher would see a busy link that
             // seems to have been quiet for all its idle time.
             self.shared.note_waiting();
         }
         self.shared.busy.fetch_add(1, Ordering::AcqRel);
-        BusyGuard { link: self.clone() }
+        RequestGuard { link: self.clone() }
     }
 
     /// Whether a request is in flight on the link.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_requests(&self) -> bool {
         self.shared.busy.load(Ordering::Acquire) > 0
     }
 
@@ -338,11 +338,11 @@
 
 /// One request in flight on a link.
 #[derive(Debug)]
-pub struct BusyGuard {
+pub struct RequestGuard {
     link: Link,
 }
 
-impl Drop for BusyGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.link.shared.busy.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/protocol/src/link/mod.rs
+++ b/crates/protocol/src/link/mod.rs
@@ -30,7 +30,7 @@
 use futures_lite::AsyncReadExt as _;
 
 pub use self::{
-    connection::{BusyGuard, Link},
+    connection::{Link, RequestGuard},
     error::{CloseReason, LinkError},
     options::{Identity, LinkOptions},
     traffic::Traffic,
--- a/crates/protocol/src/link/options.rs
+++ b/crates/protocol/src/link/options.rs
@@ -32,7 +32,7 @@
     }
 
     /// The same identity with the address for control calls.
-    pub fn with_control(mut self, address: SocketAddr) -> Identity {
+    pub fn with_control_address(mut self, address: SocketAddr) -> Identity {
         self.control_address = Some(address);
         self
     }
@@ -58,7 +58,7 @@
     pub(crate) connect_timeout: Duration,
     pub(crate) busy_interval: Duration,
     pub(crate) idle_interval: Duration,
-    pub(crate) silence_limit: Duration,
+    pub(crate) silence_timeout: Duration,
     pub(crate) queue_limit_bytes: usize,
     pub(crate) max_frame_bytes: usize,
 }
@@ -69,7 +69,7 @@
             connect_timeout: Duration::from_millis(500),
             busy_interval: Duration::from_millis(200),
             idle_interval: Duration::from_millis(2_000),
-            silence_limit: Duration::from_millis(800),
+            silence_timeout: Duration::from_millis(800),
             queue_limit_bytes: 32 << 20,
             max_frame_bytes: 16 << 20,
         }
@@ -103,8 +103,8 @@
 
     /// How long a link with requests in flight may be quiet before it counts
     /// as lost. An idle link is given this time and two idle intervals more.
-    pub fn silence_limit(mut self, limit: Duration) -> LinkOptions {
-        self.silence_limit = limit;
+    pub fn silence_timeout(mut self, limit: Duration) -> LinkOptions {
+        self.silence_timeout = limit;
         self
     }
 
--- a/crates/protocol/src/link/watch.rs
+++ b/crates/protocol/src/link/watch.rs
@@ -20,10 +20,10 @@
 
     fn watch_one(&self, link: &Link) {
         let options = &self.shared.options;
-        let (interval, limit) = if link.is_busy() {
-            (options.busy_interval, options.silence_limit)
+        let (interval, limit) = if link.has_requests() {
+            (options.busy_interval, options.silence_timeout)
         } else {
-            let limit = options.idle_interval * 2 + options.silence_limit;
+            let limit = options.idle_interval * 2 + options.silence_timeout;
             (options.idle_interval, limit)
         };
         // A peer is asked within one and a half intervals; from then on it
--- a/crates/protocol/tests/links.rs
+++ b/crates/protocol/tests/links.rs
@@ -222,7 +222,7 @@
     let (address, peers) = greeting_peers();
     let link = node.connect(address);
     let mut peer = block_on(peers.recv()).unwrap();
-    let _guard = link.busy();
+    let _guard = link.track_request();
     assert_eq!(node.next_closed(), CloseReason::Silent);
     assert!(link.is_closed());
     assert!(node.links.open().is_empty());
@@ -242,7 +242,7 @@
     let start = Instant::now();
     while node.events.is_empty() {
         assert!(start.elapsed() < PATIENCE, "not given up");
-        let _guard = link.busy();
+        let _guard = link.track_request();
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(node.next_closed(), CloseReason::Silent);
@@ -258,10 +258,10 @@
     // Longer than the silence limit.
     thread::sleep(Duration::from_millis(1_000));
     for _ in 0..200 {
-        let _guard = link.busy();
+        let _guard = link.track_request();
         thread::yield_now();
     }
-    let _guard = link.busy();
+    let _guard = link.track_request();
     thread::sleep(Duration::from_millis(100));
     assert!(!link.is_closed());
 }
@@ -273,7 +273,7 @@
     let far = Node::new(options());
     let link = near.connect(far.listen());
     near.next_opened();
-    let _guard = link.busy();
+    let _guard = link.track_request();
     for _ in 0..HEARTBEATS {
         match near.next_event() {
             LinkEvent::Frame(_, Body::Heartbeat(heartbeat)) => {
--- a/crates/protocol/tests/support/mod.rs
+++ b/crates/protocol/tests/support/mod.rs
@@ -30,7 +30,7 @@
     LinkOptions::new()
         .connect_timeout(Duration::from_secs(2))
         .busy_interval(Duration::from_millis(40))
-        .silence_limit(Duration::from_millis(800))
+        .silence_timeout(Duration::from_millis(800))
         .idle_interval(NEVER)
         .queue_limit_bytes(64 * 1024)
         .max_frame_bytes(256 * 1024)
--- a/crates/side/src/plain.rs
+++ b/crates/side/src/plain.rs
@@ -2,7 +2,7 @@
 
 use std::{str::FromStr as _, sync::Arc};
 
-use chestnutreach_http::{ClientError, rest};
+use chestnutreach_http::{ClientError, retry_after};
 use chestnutreach_protocol::{
     RequestId,
     wire::{self, FailureReason, FinishReason, RefusalReason, output::Part},
@@ -59,7 +59,7 @@
         let timeout = self.clock.until(run.deadline_at_ms);
         match client.send(request, timeout).await {
             Ok((response, body)) => {
-                if let Some(rest) = rest::of(&response) {
+                if let Some(rest) = retry_after::from_response(&response) {
                     self.take_rest(&run.backend, rest);
                 }
                 self.pass_on(run, &response, &body);
--- a/crates/side/src/run/admit.rs
+++ b/crates/side/src/run/admit.rs
@@ -82,7 +82,7 @@
         let deadline_ms = u64::from(m.deadline_ms);
         let state = State {
             phase: Phase::Queued,
-            entry: Some((entry.clone(), entry.busy())),
+            entry: Some((entry.clone(), entry.track_request())),
             orphan_until_ms: None,
             stages: Vec::new(),
             reserved: 0,
@@ -203,7 +203,7 @@
                 return;
             }
             state.stages =
-                links.iter().map(|l| (l.clone(), l.busy())).collect();
+                links.iter().map(|l| (l.clone(), l.track_request())).collect();
         }
         self.send_reserve(run, 1);
     }
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -25,7 +25,7 @@
 use chestnutreach_engine::SequenceId;
 use chestnutreach_protocol::{
     Link, RequestId,
-    link::BusyGuard,
+    link::RequestGuard,
     wire::{self, FailureReason, Output, Stage, frame::Body},
 };
 use chestnutreach_routing::RequestShape;
@@ -78,11 +78,11 @@
 
 pub(crate) struct State {
     pub(crate) phase: Phase,
-    pub(crate) entry: Option<(Link, BusyGuard)>,
+    pub(crate) entry: Option<(Link, RequestGuard)>,
     /// When the request is given up unless an entry asks for it.
     pub(crate) orphan_until_ms: Option<u64>,
     /// Links to stages 1.. in order.
-    stages: Vec<(Link, BusyGuard)>,
+    stages: Vec<(Link, RequestGuard)>,
     /// Last stage that holds its reservation.
     reserved: u32,
     /// Positions of the first step: prompt and delivered tokens.
--- a/crates/side/src/run/query.rs
+++ b/crates/side/src/run/query.rs
@@ -113,7 +113,7 @@
             answer.is_attached =
                 m.is_attach && !state.is_taken_by_another(link);
             if answer.is_attached {
-                state.entry = Some((link.clone(), link.busy()));
+                state.entry = Some((link.clone(), link.track_request()));
                 state.orphan_until_ms = None;
                 answer.outputs = state.outputs_from(m.from_position);
             }
--- a/crates/side/src/seat/mod.rs
+++ b/crates/side/src/seat/mod.rs
@@ -23,7 +23,7 @@
 use chestnutreach_engine::SequenceId;
 use chestnutreach_protocol::{
     Link, RequestId,
-    link::BusyGuard,
+    link::RequestGuard,
     wire::{self, Stage},
 };
 use chestnutreach_routing::RequestShape;
@@ -47,7 +47,7 @@
     pub(crate) deadline_at_ms: u64,
     pub(crate) backend: Arc<Backend>,
     first: Link,
-    _first_guard: BusyGuard,
+    _first_guard: RequestGuard,
     is_released: AtomicBool,
     state: Mutex<State>,
 }
@@ -66,7 +66,7 @@
 struct State {
     place: Place,
     gate: StepGate,
-    next_link: Option<(Link, BusyGuard)>,
+    next_link: Option<(Link, RequestGuard)>,
     /// Sampling settings, handed to the engine with the first step.
     parameters_json: Vec<u8>,
 }
--- a/crates/side/src/seat/reserve.rs
+++ b/crates/side/src/seat/reserve.rs
@@ -99,7 +99,7 @@
             deadline_at_ms,
             backend,
             first: link.clone(),
-            _first_guard: link.busy(),
+            _first_guard: link.track_request(),
             is_released: AtomicBool::new(false),
             state: Mutex::new(state),
         });
@@ -199,7 +199,7 @@
     }
 
     fn set_next(self: &Arc<Self>, seat: &Arc<Seat>, link: &Link) {
-        seat.lock().next_link = Some((link.clone(), link.busy()));
+        seat.lock().next_link = Some((link.clone(), link.track_request()));
         self.confirm(seat);
     }
 
--- a/crates/side/src/sweep.rs
+++ b/crates/side/src/sweep.rs
@@ -50,8 +50,9 @@
     /// Tells the loads to entries that have requests here.
     fn tell_entries(&self) {
         let open = self.links().open();
-        let is_told =
-            |link: &&Link| link.is_busy() && link.peer().role() == Role::Entry;
+        let is_told = |link: &&Link| {
+            link.has_requests() && link.peer().role() == Role::Entry
+        };
         let status = self.status();
         for link in open.iter().filter(is_told) {
             let _ = link.send(status.clone());
--- a/crates/standins/src/engine/routes.rs
+++ b/crates/standins/src/engine/routes.rs
@@ -14,7 +14,7 @@
     order::{ErrorBody, LoadBody, ReleaseBody},
     wire,
 };
-use chestnutreach_http::Received;
+use chestnutreach_http::ReceivedRequest;
 use http_types::{Method, Response, StatusCode};
 use serde::Serialize;
 
@@ -75,7 +75,7 @@
         Engine { options, switches, scheduler, orders, reported }
     }
 
-    async fn handle(&self, received: Received) -> Reply {
+    async fn handle(&self, received: ReceivedRequest) -> Reply {
         let record = self.scheduler.record();
         if let Some(response) =
             serving::control(&received, &self.switches, record)
@@ -95,7 +95,7 @@
         }
     }
 
-    async fn call(&self, received: &Received) -> Response {
+    async fn call(&self, received: &ReceivedRequest) -> Response {
         let method = received.request.method();
         let path = received.request.url().path().trim_start_matches('/');
         let segments: Vec<&str> = path.split('/').collect();
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -14,7 +14,7 @@
 
 use async_executor::Executor;
 use async_io::{Async, Timer};
-use chestnutreach_http::Received;
+use chestnutreach_http::ReceivedRequest;
 use http_types::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
@@ -102,7 +102,7 @@
         }
     }
 
-    async fn handle(&self, received: Received) -> Reply {
+    async fn handle(&self, received: ReceivedRequest) -> Reply {
         let control =
             serving::control(&received, &self.switches, &self.record);
         if let Some(response) = control {
@@ -114,7 +114,7 @@
         serving::with_faults(&self.switches, self.run(&received)).await
     }
 
-    async fn run(&self, received: &Received) -> Response {
+    async fn run(&self, received: &ReceivedRequest) -> Response {
         self.switches.hold(HoldPoint::Before, &[CALL_POSITION]).await;
         let answer = self.count(received);
         let request_id = header(received, REQUEST_ID_HEADER).to_owned();
@@ -131,7 +131,7 @@
         serving::json(&answer)
     }
 
-    fn count(&self, received: &Received) -> PlainAnswer {
+    fn count(&self, received: &ReceivedRequest) -> PlainAnswer {
         let key = RunKey {
             method: received.request.method().to_string(),
             path: received.request.url().path().to_owned(),
@@ -150,6 +150,6 @@
     }
 }
 
-fn header<'a>(received: &'a Received, name: &str) -> &'a str {
+fn header<'a>(received: &'a ReceivedRequest, name: &str) -> &'a str {
     received.request.header(name).map_or("", |value| value.as_str())
 }
--- a/crates/standins/src/platform/objects.rs
+++ b/crates/standins/src/platform/objects.rs
@@ -9,7 +9,7 @@
 
 use async_executor::Executor;
 use async_io::Async;
-use chestnutreach_http::Received;
+use chestnutreach_http::ReceivedRequest;
 use http_types::Method;
 use serde::{Deserialize, Serialize};
 
@@ -56,11 +56,11 @@
 }
 
 impl Service for Objects {
-    fn is_write(&self, received: &Received) -> bool {
+    fn is_write(&self, received: &ReceivedRequest) -> bool {
         received.request.method() == Method::Put
     }
 
-    fn call(&self, received: &Received) -> Answer {
+    fn call(&self, received: &ReceivedRequest) -> Answer {
         let path = received.request.url().path();
         let mut state = self.state.lock().expect("no holder panics");
         match received.request.method() {
--- a/crates/standins/src/platform/serve.rs
+++ b/crates/standins/src/platform/serve.rs
@@ -9,7 +9,7 @@
 
 use async_executor::Executor;
 use async_io::{Async, Timer};
-use chestnutreach_http::{Received, ServerOptions, serve_connection};
+use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use http_types::{Method, Response, StatusCode};
 
 use super::faults::{Fate, Faults, HoldPoint};
@@ -50,10 +50,10 @@
 /// A service behind the connections.
 pub(super) trait Service: Send + Sync + 'static {
     /// Whether a call changes something.
-    fn is_write(&self, received: &Received) -> bool;
+    fn is_write(&self, received: &ReceivedRequest) -> bool;
 
     /// Answers a call.
-    fn call(&self, received: &Received) -> Answer;
+    fn call(&self, received: &ReceivedRequest) -> Answer;
 
     /// Answers `GET /stats`.
     fn stats(&self) -> Answer;
@@ -102,7 +102,7 @@
 impl Caller {
     async fn answer<S: Service>(
         &self,
-        received: Received,
+        received: ReceivedRequest,
         service: &S,
     ) -> Response {
         let path = received.request.url().path();
@@ -120,7 +120,7 @@
 
     async fn call<S: Service>(
         &self,
-        received: Received,
+        received: ReceivedRequest,
         service: &S,
     ) -> Response {
         Timer::after(self.faults.pause()).await;
--- a/crates/standins/src/platform/table.rs
+++ b/crates/standins/src/platform/table.rs
@@ -10,7 +10,7 @@
 
 use async_executor::Executor;
 use async_io::Async;
-use chestnutreach_http::Received;
+use chestnutreach_http::ReceivedRequest;
 use chestnutreach_platform::wire::{
     self, AttributeValue, BatchGetItemRequest, BatchGetItemResponse,
     CancellationReason, ConditionFields, ErrorBody, GetItemRequest,
@@ -78,11 +78,11 @@
 }
 
 impl Service for Table {
-    fn is_write(&self, received: &Received) -> bool {
+    fn is_write(&self, received: &ReceivedRequest) -> bool {
         target(received) == wire::TRANSACT_WRITE_ITEMS
     }
 
-    fn call(&self, received: &Received) -> Answer {
+    fn call(&self, received: &ReceivedRequest) -> Answer {
         let limits = self.faults.settings();
         let is_write = self.is_write(received);
         let mut state = self.state.lock().expect("no holder panics");
@@ -275,7 +275,7 @@
     }
 }
 
-fn target(received: &Received) -> &str {
+fn target(received: &ReceivedRequest) -> &str {
     let header = received.request.header(wire::TARGET_HEADER);
     header.map_or("", |values| values.as_str())
 }
--- a/crates/standins/src/platform/vm_list.rs
+++ b/crates/standins/src/platform/vm_list.rs
@@ -10,7 +10,7 @@
 
 use async_executor::Executor;
 use async_io::Async;
-use chestnutreach_http::Received;
+use chestnutreach_http::ReceivedRequest;
 use chestnutreach_platform::vm_list::{VM_LIST_PATH, VmEntry};
 use http_types::Method;
 use serde::{Deserialize, Serialize};
@@ -60,11 +60,11 @@
 }
 
 impl Service for VmList {
-    fn is_write(&self, received: &Received) -> bool {
+    fn is_write(&self, received: &ReceivedRequest) -> bool {
         received.request.method() == Method::Put
     }
 
-    fn call(&self, received: &Received) -> Answer {
+    fn call(&self, received: &ReceivedRequest) -> Answer {
         let lag = Duration::from_millis(self.faults.settings().lag_ms);
         let mut state = self.state.lock().expect("no holder panics");
         let request = &received.request;
--- a/crates/standins/src/serving.rs
+++ b/crates/standins/src/serving.rs
@@ -8,7 +8,7 @@
 use async_executor::Executor;
 use async_io::{Async, Timer};
 use chestnutreach_http::{
-    Received, ServerOptions, rest::RETRY_AFTER, serve_connection,
+    ReceivedRequest, ServerOptions, retry_after::RETRY_AFTER, serve_connection,
 };
 use futures_lite::FutureExt as _;
 use http_types::{Method, Response, StatusCode, mime};
@@ -42,7 +42,7 @@
     handle: H,
 ) -> io::Result<()>
 where
-    H: Fn(Received) -> F + Clone + Send + Sync + 'static,
+    H: Fn(ReceivedRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Reply> + Send,
 {
     loop {
@@ -67,18 +67,18 @@
 
 async fn answer<H, F>(
     handle: &H,
-    received: Received,
+    received: ReceivedRequest,
     cut: &async_channel::Sender<()>,
 ) -> Response
 where
-    H: Fn(Received) -> F,
+    H: Fn(ReceivedRequest) -> F,
     F: Future<Output = Reply>,
 {
     let connection = received.connection.clone();
     match handle(received).await {
         Reply::Answer(response) => return *response,
         Reply::Close => {}
-        Reply::StaySilent => connection.hung_up().await,
+        Reply::StaySilent => connection.peer_closed().await,
     }
     cut.close();
     future::pending().await
@@ -121,7 +121,7 @@
 
 /// Handles the paths that work whatever is switched on.
 pub(crate) fn control<T: Clone + Serialize>(
-    received: &Received,
+    received: &ReceivedRequest,
     switches: &FaultSwitches,
     record: &Record<T>,
 ) -> Option<Response> {
@@ -151,7 +151,7 @@
     }
 }
 
-fn query_number(received: &Received, name: &str) -> Option<u64> {
+fn query_number(received: &ReceivedRequest, name: &str) -> Option<u64> {
     let mut pairs = received.request.url().query_pairs();
     pairs.find(|(key, _)| key == name)?.1.parse().ok()
 }
--- a/crates/telemetry/src/ops.rs
+++ b/crates/telemetry/src/ops.rs
@@ -16,7 +16,7 @@
 
 use async_executor::Executor;
 use async_io::{Async, Timer};
-use chestnutreach_http::{Received, ServerOptions, serve_connection};
+use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use futures_lite::FutureExt as _;
 use http_types::{Method, Response, StatusCode};
 use serde_json::json;
@@ -108,7 +108,7 @@
     serving.or(limit).await
 }
 
-async fn answer(received: Received, ops: &OpsState) -> Response {
+async fn answer(received: ReceivedRequest, ops: &OpsState) -> Response {
     let path = received.request.url().path();
     let mut response = match received.request.method() {
         Method::Get | Method::Head => answer_path(path, ops),
