--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,9 +1,9 @@
-//! Bodies that are written while they are sent.
+//! Streamed bodies, written while they are sent.
 //!
-//! The writer may fail or be dropped before its end: the reader then gets an
-//! error and never an end of body, so that a broken answer cannot pass for a
-//! whole one. A reader that is dropped, because the caller has gone, shows at
-//! the writer.
+//! If the writer is dropped before it finishes the body, the reader gets an
+//! error instead of the end of the body, so that a truncated response cannot
+//! be mistaken for a complete one. If the reader is dropped because the caller
+//! disconnected, the writer learns of it.
 
 use std::{
     collections::VecDeque,
@@ -16,11 +16,11 @@
 use futures_lite::{AsyncBufRead, AsyncRead};
 use http_types::Body;
 
-/// A streamed body and the end that writes it.
+/// Creates a streamed body and the writer that fills it.
 pub fn channel() -> (BodyWriter, Body) {
     let shared = Arc::new(Shared::default());
     let writer = BodyWriter { shared: shared.clone() };
-    let reader = BodyReader { shared, current: Vec::new(), read: 0 };
+    let reader = BodyReader { shared, chunk: Vec::new(), consumed: 0 };
     (writer, Body::from_reader(reader, None))
 }
 
@@ -31,17 +31,17 @@
 
 #[derive(Default)]
 struct State {
-    parts: VecDeque<Vec<u8>>,
-    end: Option<End>,
-    is_reader_gone: bool,
+    chunks: VecDeque<Vec<u8>>,
+    end: Option<BodyEnd>,
+    is_reader_dropped: bool,
     reader_waker: Option<Waker>,
     writer_waker: Option<Waker>,
 }
 
 #[derive(Clone, Copy)]
-enum End {
-    Whole,
-    Broken,
+enum BodyEnd {
+    Complete,
+    Aborted,
 }
 
 impl Shared {
@@ -50,34 +50,34 @@
     }
 }
 
-/// The writing end; dropping it before [`BodyWriter::finish`] breaks the
-/// body.
+/// Writes a streamed body. Dropping the writer before [`BodyWriter::finish`]
+/// makes the reader fail.
 pub struct BodyWriter {
     shared: Arc<Shared>,
 }
 
 impl BodyWriter {
-    /// Adds bytes without waiting; false when the reader has gone.
+    /// Appends bytes without waiting. Returns false if the reader was dropped.
     pub fn write(&self, bytes: Vec<u8>) -> bool {
         let mut state = self.shared.lock();
-        if state.is_reader_gone {
+        if state.is_reader_dropped {
             return false;
         }
-        state.parts.push_back(bytes);
+        state.chunks.push_back(bytes);
         state.wake_reader();
         true
     }
 
-    /// Ends the body as whole.
+    /// Marks the body as complete.
     pub fn finish(self) {
-        self.shared.lock().end = Some(End::Whole);
+        self.shared.lock().end = Some(BodyEnd::Complete);
     }
 
-    /// Waits until the reader has gone.
+    /// Waits until the reader is dropped.
     pub async fn reader_dropped(&self) {
         std::future::poll_fn(|cx| {
             let mut state = self.shared.lock();
-            if state.is_reader_gone {
+            if state.is_reader_dropped {
                 return Poll::Ready(());
             }
             state.writer_waker = Some(cx.waker().clone());
@@ -90,7 +90,7 @@
 impl Drop for BodyWriter {
     fn drop(&mut self) {
         let mut state = self.shared.lock();
-        state.end.get_or_insert(End::Broken);
+        state.end.get_or_insert(BodyEnd::Aborted);
         state.wake_reader();
     }
 }
@@ -105,15 +105,17 @@
 
 struct BodyReader {
     shared: Arc<Shared>,
-    current: Vec<u8>,
-    read: usize,
+    /// The chunk that is being read.
+    chunk: Vec<u8>,
+    /// Bytes of `chunk` that were consumed.
+    consumed: usize,
 }
 
 impl Drop for BodyReader {
     fn drop(&mut self) {
         let mut state = self.shared.lock();
-        state.is_reader_gone = true;
-        state.parts.clear();
+        state.is_reader_dropped = true;
+        state.chunks.clear();
         if let Some(waker) = state.writer_waker.take() {
             waker.wake();
         }
@@ -126,18 +128,18 @@
         cx: &mut Context<'_>,
     ) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        while this.read == this.current.len() {
+        while this.consumed == this.chunk.len() {
             let mut state = this.shared.lock();
-            if let Some(part) = state.parts.pop_front() {
-                this.current = part;
-                this.read = 0;
+            if let Some(chunk) = state.chunks.pop_front() {
+                this.chunk = chunk;
+                this.consumed = 0;
                 continue;
             }
             match state.end {
-                Some(End::Whole) => return Poll::Ready(Ok(&[])),
-                Some(End::Broken) => {
-                    let broken = io::ErrorKind::ConnectionAborted.into();
-                    return Poll::Ready(Err(broken));
+                Some(BodyEnd::Complete) => return Poll::Ready(Ok(&[])),
+                Some(BodyEnd::Aborted) => {
+                    let aborted = io::ErrorKind::ConnectionAborted.into();
+                    return Poll::Ready(Err(aborted));
                 }
                 None => {
                     state.reader_waker = Some(cx.waker().clone());
@@ -145,11 +147,11 @@
                 }
             }
         }
-        Poll::Ready(Ok(&this.current[this.read..]))
+        Poll::Ready(Ok(&this.chunk[this.consumed..]))
     }
 
     fn consume(self: Pin<&mut Self>, amount: usize) {
-        self.get_mut().read += amount;
+        self.get_mut().consumed += amount;
     }
 }
 
@@ -159,13 +161,13 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let filled = match self.as_mut().poll_fill_buf(cx) {
-            Poll::Ready(Ok(filled)) => filled,
+        let available = match self.as_mut().poll_fill_buf(cx) {
+            Poll::Ready(Ok(available)) => available,
             Poll::Ready(Err(e)) => return Poll::Ready(Err(e)),
             Poll::Pending => return Poll::Pending,
         };
-        let count = filled.len().min(buf.len());
-        buf[..count].copy_from_slice(&filled[..count]);
+        let count = available.len().min(buf.len());
+        buf[..count].copy_from_slice(&available[..count]);
         self.consume(count);
         Poll::Ready(Ok(count))
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,10 +1,10 @@
-//! Calls to one server over kept connections.
+//! HTTP client for one server, with a pool of idle connections.
 //!
-//! An answer is whole only when it ends as the server stated, by its length
-//! or its last chunk; `async-h1` alone takes a shorter one without an error.
-//! An answer that only the closed connection would end is never whole. An
-//! error says whether the server may have got the request, which decides
-//! whether a non-idempotent call may be made again.
+//! A response is complete only if its body ends as the server stated, by its
+//! length or by its last chunk; `async-h1` alone accepts a shorter body
+//! without an error. A response whose body ends only when the connection
+//! closes is an error. Errors tell whether the server may have received the
+//! request, which decides whether a non-idempotent call may be retried.
 
 use std::{
     error, fmt, io,
@@ -24,47 +24,49 @@
     stream::SharedStream,
 };
 
-/// Idle connections kept to one server.
-const MAX_IDLE: usize = 64;
-/// Statuses below it are interim answers.
+/// Idle connections that the pool keeps.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Lower statuses belong to interim responses.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why a call has no answer.
+/// Why a call has no complete response.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum ClientError {
-    /// The server was not reached: it did not get the request.
+    /// The connection failed, so the server did not receive the request.
     NotSent {
         /// Address of the server.
         address: SocketAddr,
-        /// What went wrong.
+        /// Error of the connection attempt.
         source: io::Error,
     },
-    /// The connection broke after the request was sent: it may have run.
+    /// The connection or the response failed after the request was sent; the
+    /// request may have run.
     Lost {
         /// Address of the server.
         address: SocketAddr,
-        /// What went wrong.
+        /// Description of the failure.
         detail: String,
     },
-    /// No whole answer came in time; the request may have run.
+    /// No complete response arrived before the timeout; the request may have
+    /// run.
     Timeout {
         /// Address of the server.
         address: SocketAddr,
-        /// Time given, in milliseconds.
+        /// Timeout of the call, in milliseconds.
         limit_ms: u64,
     },
-    /// The answer is longer than the limit.
+    /// The response body is longer than the limit.
     TooLong {
         /// Address of the server.
         address: SocketAddr,
-        /// Longest answer taken, in bytes.
+        /// Longest accepted body, in bytes.
         limit_bytes: usize,
     },
 }
 
 impl ClientError {
-    /// Whether the server may have got the request.
+    /// Whether the server may have received the request.
     pub fn may_have_run(&self) -> bool {
         !matches!(self, ClientError::NotSent { .. })
     }
@@ -74,17 +76,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ClientError::NotSent { address, source } => {
-                write!(f, "{address} was not reached: {source}")
+                write!(f, "cannot connect to {address}: {source}")
             }
             ClientError::Lost { address, detail } => {
-                write!(f, "{address} gave no whole answer: {detail}")
+                write!(f, "no complete response from {address}: {detail}")
             }
             ClientError::Timeout { address, limit_ms } => {
-                write!(f, "{address} gave no answer within {limit_ms} ms")
+                write!(f, "no response from {address} within {limit_ms} ms")
             }
             ClientError::TooLong { address, limit_bytes } => write!(
                 f,
-                "the answer of {address} is longer than {limit_bytes} bytes"
+                "response of {address} is longer than {limit_bytes} bytes"
             ),
         }
     }
@@ -118,31 +120,31 @@
 }
 
 impl ClientOptions {
-    /// The shipped settings.
+    /// The default limits.
     pub fn new() -> ClientOptions {
         ClientOptions::default()
     }
 
-    /// How long dialling may take.
+    /// How long connecting may take.
     pub fn connect_timeout(mut self, timeout: Duration) -> ClientOptions {
         self.connect_timeout = timeout;
         self
     }
 
-    /// Longest answer taken.
+    /// Longest accepted response body, in bytes.
     pub fn max_response_bytes(mut self, limit: usize) -> ClientOptions {
         self.max_response_bytes = limit;
         self
     }
 
-    /// How long an idle connection is kept.
+    /// How long an idle connection stays in the pool.
     pub fn idle_timeout(mut self, timeout: Duration) -> ClientOptions {
         self.idle_timeout = timeout;
         self
     }
 }
 
-/// A client of one server.
+/// HTTP client for one server.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -151,31 +153,31 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(address: SocketAddr, options: ClientOptions) -> Client {
         Client { address, options, idle: Mutex::default() }
     }
 
-    /// The server's address.
+    /// Address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A request that reads a target ("/path?query").
+    /// Builds a GET request for a target ("/path?query").
     ///
     /// # Errors
     ///
-    /// The target is no path.
+    /// The target is not an absolute path.
     pub fn get(&self, target: &str) -> Result<Request, String> {
         let url = self.url(target).map_err(|e| e.to_string())?;
         Ok(Request::new(Method::Get, url))
     }
 
-    /// A request that posts JSON to a target.
+    /// Builds a POST request with a JSON body for a target ("/path?query").
     ///
     /// # Errors
     ///
-    /// The target is no path.
+    /// The target is not an absolute path.
     pub fn post_json(
         &self,
         target: &str,
@@ -188,12 +190,12 @@
         Ok(request)
     }
 
-    /// Sends a request and takes the whole answer. Build the request with
-    /// [`Client::url`].
+    /// Sends a request and returns the complete response: its head, and the
+    /// body. Build the request with [`Client::url`].
     ///
     /// # Errors
     ///
-    /// See [`ClientError`]; any HTTP status is an answer, not an error.
+    /// See [`ClientError`]; a response of any HTTP status is not an error.
     pub async fn send(
         &self,
         request: Request,
@@ -202,7 +204,7 @@
         let deadline = Instant::now() + timeout;
         let stream = match self.take_idle() {
             Some(stream) => stream,
-            None => self.dial(timeout).await?,
+            None => self.connect(timeout).await?,
         };
         let call = self.exchange(stream, request);
         let limit = async {
@@ -213,11 +215,11 @@
         call.or(limit).await
     }
 
-    /// The URL of a target ("/path?query") at the server.
+    /// The URL of a target ("/path?query") on the server.
     ///
     /// # Errors
     ///
-    /// The target is no path.
+    /// The target is not an absolute path.
     pub fn url(&self, target: &str) -> Result<http_types::Url, url::Error> {
         url::parse(self.address, target)
     }
@@ -232,32 +234,32 @@
             .await
             .map_err(|e| self.lost(&e.to_string()))?;
         let mut reader = MessageReader::new(stream.clone());
-        let (head, facts) = self.read_head(&mut reader).await?;
-        let body = self.read_body(&mut reader, method, &facts).await?;
+        let (head, info) = self.read_head(&mut reader).await?;
+        let body = self.read_body(&mut reader, method, &info).await?;
         let head = futures_lite::io::Cursor::new(head);
         let mut response = async_h1::client::decode(head)
             .await
             .map_err(|e| self.lost(&e.to_string()))?;
         response.take_body();
-        // Bytes that nobody asked for could pass for the next answer.
-        if !facts.wants_close && !reader.has_unread() {
-            self.keep(stream);
+        // Surplus bytes would be read as the response to the next request.
+        if !info.wants_close && !reader.has_unread() {
+            self.keep_idle(stream);
         }
         Ok((response, body))
     }
 
-    /// The head of the final answer; interim ones are passed over.
+    /// Reads the head of the final response and skips interim responses.
     async fn read_head(
         &self,
         reader: &mut MessageReader,
     ) -> Result<(Vec<u8>, ResponseHeadInfo), ClientError> {
         loop {
             let head = reader.read_head().await;
-            let head = head.map_err(|e| self.broken(e))?;
-            let facts = head::check_response(&head);
-            let facts = facts.map_err(|e| self.lost(&e.message))?;
-            if facts.status >= FIRST_FINAL_STATUS {
-                return Ok((head, facts));
+            let head = head.map_err(|e| self.read_error(e))?;
+            let info = head::check_response(&head);
+            let info = info.map_err(|e| self.lost(&e.message))?;
+            if info.status >= FIRST_FINAL_STATUS {
+                return Ok((head, info));
             }
         }
     }
@@ -266,14 +268,18 @@
         &self,
         reader: &mut MessageReader,
         method: Method,
-        facts: &ResponseHeadInfo,
+        info: &ResponseHeadInfo,
     ) -> Result<Vec<u8>, ClientError> {
-        if method == Method::Head || matches!(facts.status, 204 | 304) {
+        if method == Method::Head || matches!(info.status, 204 | 304) {
             return Ok(Vec::new());
         }
         let limit = self.options.max_response_bytes;
-        let body = match facts.framing {
-            None => return Err(self.lost("the answer states no length")),
+        let body = match info.framing {
+            None => {
+                return Err(self.lost(
+                    "the response has neither a content length nor chunks",
+                ));
+            }
             Some(BodyFraming::None) => Ok(Vec::new()),
             Some(BodyFraming::Length(length)) if length > limit as u64 => {
                 Err(MessageError::BodyTooLong(limit))
@@ -283,29 +289,29 @@
             }
             Some(BodyFraming::Chunked) => reader.read_chunked(limit).await,
         };
-        body.map_err(|e| self.broken(e))
+        body.map_err(|e| self.read_error(e))
     }
 
-    async fn dial(
+    async fn connect(
         &self,
         timeout: Duration,
     ) -> Result<SharedStream, ClientError> {
-        let dial = SharedStream::connect(self.address);
+        let connect = SharedStream::connect(self.address);
         let limit = async {
             Timer::after(self.options.connect_timeout.min(timeout)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        dial.or(limit).await.map_err(|source| ClientError::NotSent {
+        connect.or(limit).await.map_err(|source| ClientError::NotSent {
             address: self.address,
             source,
         })
     }
 
-    /// A kept connection that still looks open.
+    /// Takes an idle connection that still looks open from the pool.
     fn take_idle(&self) -> Option<SharedStream> {
         let mut idle = self.idle.lock().expect("no holder panics");
-        while let Some((stream, since)) = idle.pop() {
-            let is_fresh = since.elapsed() < self.options.idle_timeout;
+        while let Some((stream, idle_since)) = idle.pop() {
+            let is_fresh = idle_since.elapsed() < self.options.idle_timeout;
             if is_fresh && stream.is_idle() {
                 return Some(stream);
             }
@@ -313,14 +319,14 @@
         None
     }
 
-    fn keep(&self, stream: SharedStream) {
+    fn keep_idle(&self, stream: SharedStream) {
         let mut idle = self.idle.lock().expect("no holder panics");
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push((stream, Instant::now()));
         }
     }
 
-    fn broken(&self, e: MessageError) -> ClientError {
+    fn read_error(&self, e: MessageError) -> ClientError {
         match e {
             MessageError::BodyTooLong(limit_bytes) => {
                 ClientError::TooLong { address: self.address, limit_bytes }
@@ -336,7 +342,7 @@
 }
 
 mod url {
-    //! Targets at a server.
+    //! URLs of targets on a server.
 
     use std::net::SocketAddr;
 
@@ -351,7 +357,7 @@
         if !target.starts_with('/') {
             return Err(Error::RelativeUrlWithoutBase);
         }
-        // Joining would take "//name" for another server.
+        // `Url::join` would interpret "//name" as another host.
         Url::parse(&format!("http://{address}{target}"))
     }
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,49 +1,49 @@
-//! Checks of a request head before it is handled.
+//! Validation of HTTP heads.
 //!
-//! `async-h1` closes the connection on a malformed head without an answer
-//! and takes the last of two different lengths. Both are refused here, with
-//! the published status, before the library sees the request.
+//! `async-h1` closes the connection on a malformed head without a response,
+//! and uses the last of two different lengths. This module rejects both with
+//! the documented status before the library reads the request.
 
 use std::{error, fmt};
 
-/// Longest head taken, in bytes; `async-h1` refuses 8192 without an answer.
+/// Longest accepted head; `async-h1` refuses 8192 bytes without a response.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
-/// Most header lines taken; the limit of `async-h1`.
+/// Limit of `async-h1` on header lines.
 pub const MAX_HEADERS: usize = 128;
 
-/// How the end of a request's body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyFraming {
-    /// There is no body.
+    /// The message has no body.
     None,
-    /// The body has this many bytes.
+    /// The body has this length, in bytes.
     Length(u64),
-    /// The body comes in chunks.
+    /// The body uses the chunked transfer coding.
     Chunked,
 }
 
-/// What a well-formed head says of its connection.
+/// Body framing and connection options of a valid request head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestHeadInfo {
-    /// How the body's end is known.
+    /// How the end of the body is determined.
     pub framing: BodyFraming,
     /// The caller waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// The caller wants the connection closed after the answer.
+    /// The caller asked to close the connection after the response.
     pub wants_close: bool,
 }
 
-/// A request that is refused unhandled.
+/// A request that is rejected before a handler sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestError {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: u16,
-    /// What was wrong, for the caller.
+    /// Error message for the caller.
     pub message: String,
 }
 
 impl RequestError {
-    /// A request refused with this status.
+    /// Creates an error with a status and a message.
     pub fn new(status: u16, message: &str) -> RequestError {
         RequestError { status, message: message.to_owned() }
     }
@@ -57,12 +57,13 @@
 
 impl error::Error for RequestError {}
 
-/// Checks a whole head, up to and with its empty line.
+/// Checks a complete request head, including its final empty line.
 ///
 /// # Errors
 ///
-/// The head is malformed (400), of another HTTP version (505), or has a
-/// transfer coding that is not known (501).
+/// The head is malformed (400) or has too many header lines (431), another
+/// HTTP version (505), an unknown transfer coding (501) or an unknown
+/// expectation (417).
 pub fn check_request(head: &[u8]) -> Result<RequestHeadInfo, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -71,54 +72,54 @@
         let message = "only HTTP/1.1 is served here";
         return Err(RequestError::new(505, message));
     }
-    let mut found = Found::default();
+    let mut framing = FramingHeaders::default();
     for header in request.headers.iter() {
-        found.add(header)?;
+        framing.add(header)?;
     }
-    if found.host_count != 1 {
+    if framing.host_count != 1 {
         return Err(malformed("exactly one host header is needed"));
     }
     Ok(RequestHeadInfo {
-        framing: found.framing()?.unwrap_or(BodyFraming::None),
-        expects_continue: found.expects_continue,
-        wants_close: found.wants_close,
+        framing: framing.framing()?.unwrap_or(BodyFraming::None),
+        expects_continue: framing.expects_continue,
+        wants_close: framing.wants_close,
     })
 }
 
-/// What a well-formed head of an answer says of its body and connection.
+/// Body framing and connection options of a valid response head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct ResponseHeadInfo {
     pub(crate) status: u16,
-    /// None where only the end of the connection would end the body.
+    /// None if the body ends only when the connection closes.
     pub(crate) framing: Option<BodyFraming>,
     pub(crate) wants_close: bool,
 }
 
-/// Checks a whole head of an answer; the status of an error means nothing.
+/// Checks a complete response head. The status of an error is meaningless.
 pub(crate) fn check_response(
     head: &[u8],
 ) -> Result<ResponseHeadInfo, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut answer = httparse::Response::new(&mut headers);
-    check_parsed(answer.parse(head), head)?;
-    let mut found = Found::default();
-    for header in answer.headers.iter() {
-        found.add(header)?;
+    let mut response = httparse::Response::new(&mut headers);
+    check_parsed(response.parse(head), head)?;
+    let mut framing = FramingHeaders::default();
+    for header in response.headers.iter() {
+        framing.add(header)?;
     }
     Ok(ResponseHeadInfo {
-        status: answer.code.unwrap_or_default(),
-        framing: found.framing()?,
-        wants_close: found.wants_close,
+        status: response.code.unwrap_or_default(),
+        framing: framing.framing()?,
+        wants_close: framing.wants_close,
     })
 }
 
-/// Whether a list of tokens, as in `Connection`, has this one.
+/// Whether a comma-separated list, as in `Connection`, contains a token.
 pub(crate) fn has_token(value: &str, token: &str) -> bool {
-    value.split(',').any(|part| part.trim().eq_ignore_ascii_case(token))
+    value.split(',').any(|item| item.trim().eq_ignore_ascii_case(token))
 }
 
-/// The head must end where the parser ends it: the parser also takes bare
-/// line feeds, and would leave what follows an empty line unread.
+/// Checks that the parser consumed the whole head. The parser also accepts
+/// bare line feeds, and ignores the bytes after an empty line that ends so.
 fn check_parsed(
     parsed: httparse::Result<usize>,
     head: &[u8],
@@ -134,8 +135,9 @@
     }
 }
 
-/// Overwrites the value of each `Expect` header by blanks. `async-h1` would
-/// answer it from an executor of its own; the server answers it itself.
+/// Overwrites the value of each `Expect` header with blanks. `async-h1` would
+/// respond to the header on an executor of its own; the server sends the
+/// interim response instead.
 pub(crate) fn blank_expect(head: &mut [u8]) {
     let mut line_start = 0;
     for index in 0..head.len() {
@@ -155,9 +157,9 @@
     }
 }
 
-/// The headers that matter for framing, as they are met.
+/// Headers that determine the body framing and the connection options.
 #[derive(Default)]
-struct Found {
+struct FramingHeaders {
     length: Option<u64>,
     is_chunked: bool,
     expects_continue: bool,
@@ -165,7 +167,7 @@
     host_count: usize,
 }
 
-impl Found {
+impl FramingHeaders {
     fn add(
         &mut self,
         header: &httparse::Header<'_>,
@@ -179,17 +181,17 @@
         })?;
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => self.add_length(value)?,
-            "transfer-encoding" => self.add_coding(value)?,
+            "transfer-encoding" => self.add_transfer_coding(value)?,
             "host" => self.add_host(value)?,
-            "expect" => self.expects_continue = is_continue(value)?,
+            "expect" => self.expects_continue = parse_expectation(value)?,
             "connection" => self.wants_close |= has_token(value, "close"),
             _ => {}
         }
         Ok(())
     }
 
-    /// `async-h1` makes a URL of the host and the path, in which some
-    /// characters of the host would count as path or query.
+    /// `async-h1` builds a URL from the host and the path, so delimiters in the
+    /// host would become part of the path or the query.
     fn add_host(&mut self, value: &str) -> Result<(), RequestError> {
         let is_delimiter = |c: char| "/?#@\\".contains(c);
         if value.is_empty() || value.contains(is_delimiter) {
@@ -200,7 +202,7 @@
     }
 
     fn add_length(&mut self, value: &str) -> Result<(), RequestError> {
-        // `parse` alone would take a sign.
+        // `parse` alone accepts a sign.
         let is_digits = value.bytes().all(|b| b.is_ascii_digit());
         let length = value.parse().ok().filter(|_| is_digits);
         let length = length.ok_or_else(|| {
@@ -213,7 +215,10 @@
         Ok(())
     }
 
-    fn add_coding(&mut self, value: &str) -> Result<(), RequestError> {
+    fn add_transfer_coding(
+        &mut self,
+        value: &str,
+    ) -> Result<(), RequestError> {
         if self.is_chunked || !value.eq_ignore_ascii_case("chunked") {
             let message = format!("transfer coding {value:?} is not known");
             return Err(RequestError::new(501, &message));
@@ -235,7 +240,7 @@
     }
 }
 
-fn is_continue(value: &str) -> Result<bool, RequestError> {
+fn parse_expectation(value: &str) -> Result<bool, RequestError> {
     if value.eq_ignore_ascii_case("100-continue") {
         return Ok(true);
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,20 +1,20 @@
-//! HTTP/1.1 at the edges of a process, over `async-h1`.
+//! HTTP/1.1 server, client and relay on top of `async-h1`.
 //!
-//! `async-h1` reads heads and writes messages; this crate closes the gaps
-//! that were measured in it and finds the ends of bodies itself. A body that
-//! is cut short is an error on both sides, conflicting lengths and malformed
-//! heads get an answer, a caller that hangs up is noticed while the handler
-//! works, and a streamed body that fails ends without the last chunk.
+//! `async-h1` parses heads and encodes messages. This crate adds what
+//! `async-h1` lacks, and determines the ends of bodies itself: a truncated
+//! body is an error on both sides, conflicting lengths and malformed heads get
+//! a response, a caller that disconnects is detected while the handler runs,
+//! and a streamed body that fails ends without the last chunk.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`server`] | serving one accepted connection |
-//! | [`head`] | checks of a request head before it is handled |
-//! | [`body`] | bodies that are written while they are sent |
-//! | [`client`] | calls to one server over kept connections |
-//! | [`relay`] | requests and answers that are passed on as they came |
-//! | [`retry_after`] | for how long a server wants nothing |
-//! | [`stream`] | the shared socket under both |
+//! | [`server`] | serves one accepted connection |
+//! | [`head`] | validation of heads |
+//! | [`body`] | streamed bodies |
+//! | [`client`] | client for one server, with a connection pool |
+//! | [`relay`] | requests and responses that are forwarded unchanged |
+//! | [`retry_after`] | parses the `Retry-After` header |
+//! | [`stream`] | a socket shared by several tasks |
 //!
 //! # Example
 //!
@@ -22,8 +22,8 @@
 //! use chestnutreach_http::head::{BodyFraming, check_request};
 //!
 //! let head = b"POST /v1/x HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\n";
-//! let facts = check_request(head).unwrap();
-//! assert_eq!(facts.framing, BodyFraming::Length(3));
+//! let info = check_request(head).unwrap();
+//! assert_eq!(info.framing, BodyFraming::Length(3));
 //! ```
 
 pub mod body;
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,9 +1,9 @@
-//! Taking whole messages from a connection.
+//! Reads complete messages from a connection.
 //!
-//! The ends of bodies are found here and not by `async-h1`, whose decoder of
-//! chunks takes an empty size line for the last chunk and a connection that
-//! closes before the final empty line for the end of the body, and loses
-//! bytes that follow it.
+//! This module determines the ends of bodies instead of `async-h1`. The chunk
+//! decoder of `async-h1` accepts an empty size line as the last chunk, accepts
+//! a connection that closes before the final empty line as the end of the
+//! body, and loses the bytes after the body.
 
 use std::io;
 
@@ -11,22 +11,22 @@
 
 use crate::{head::MAX_HEAD_BYTES, stream::SharedStream};
 
-/// Bytes read from a socket at once.
+/// Size of a read from a socket.
 pub(crate) const READ_BYTES: usize = 16 * 1024;
-/// Longest line that states the size of a chunk, with its extensions.
+/// Longest line with the size of a chunk and its extensions.
 const MAX_SIZE_LINE_BYTES: usize = 1024;
-/// Longest trailers; they are read and dropped.
+/// Limit on trailers, which are discarded.
 const MAX_TRAILER_BYTES: usize = MAX_HEAD_BYTES;
-/// Most bytes reserved for a body before any of it has arrived.
+/// Limit on the memory allocated for a body before the body arrives.
 const MAX_RESERVED_BYTES: usize = 1 << 20;
 
-/// Why no whole message was taken.
+/// Why a message could not be read.
 #[derive(Debug)]
 pub(crate) enum MessageError {
     /// The socket failed.
     Io(io::Error),
     /// The connection ended within the message.
-    CutShort(String),
+    Truncated(String),
     /// The head is longer than its limit, in bytes.
     HeadTooLong(usize),
     /// The body is longer than its limit, in bytes.
@@ -42,11 +42,11 @@
 }
 
 impl MessageError {
-    /// What was wrong, for the other end or for logs.
+    /// Error message for the peer or for logs.
     pub(crate) fn message(&self) -> String {
         match self {
             MessageError::Io(e) => e.to_string(),
-            MessageError::CutShort(what) => what.clone(),
+            MessageError::Truncated(what) => what.clone(),
             MessageError::HeadTooLong(limit) => {
                 format!("the head is longer than {limit} bytes")
             }
@@ -58,14 +58,14 @@
     }
 }
 
-/// Reads messages one after another; bytes of the next one are kept.
+/// Reads messages one after another, and buffers bytes of the next message.
 pub(crate) struct MessageReader {
     stream: SharedStream,
-    unread: Vec<u8>,
-    /// Bytes of `unread` that were taken.
-    taken: usize,
+    buffer: Vec<u8>,
+    /// Bytes of `buffer` that were consumed.
+    consumed: usize,
     chunk: Vec<u8>,
-    /// Whether the last read took all that had arrived.
+    /// Whether the last read emptied the socket's receive buffer.
     is_drained: bool,
     max_head_bytes: usize,
 }
@@ -74,39 +74,39 @@
     pub(crate) fn new(stream: SharedStream) -> MessageReader {
         MessageReader {
             stream,
-            unread: Vec::new(),
-            taken: 0,
+            buffer: Vec::new(),
+            consumed: 0,
             chunk: vec![0; READ_BYTES],
             is_drained: false,
             max_head_bytes: MAX_HEAD_BYTES,
         }
     }
 
-    /// Sets the longest head taken.
+    /// Sets the longest accepted head, in bytes.
     pub(crate) fn set_max_head_bytes(&mut self, limit: usize) {
         self.max_head_bytes = limit;
     }
 
-    /// Whether bytes have arrived that no message took.
+    /// Whether the buffer holds bytes beyond the messages read so far.
     pub(crate) fn has_unread(&self) -> bool {
         !self.unread().is_empty()
     }
 
     /// Reads once from the socket; 0 at the end of the stream.
     pub(crate) async fn fill(&mut self) -> io::Result<usize> {
-        self.unread.drain(..self.taken);
-        self.taken = 0;
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
         if self.is_drained {
-            // Saves a read that finds nothing for each event of a stream.
+            // Saves a read that would block, once for each event of a stream.
             self.stream.readable().await?;
         }
         let count = self.stream.read(&mut self.chunk).await?;
         self.is_drained = count < self.chunk.len();
-        self.unread.extend_from_slice(&self.chunk[..count]);
+        self.buffer.extend_from_slice(&self.chunk[..count]);
         Ok(count)
     }
 
-    /// Takes the bytes up to and with the empty line.
+    /// Reads the head, including its final empty line.
     pub(crate) async fn read_head(&mut self) -> Result<Vec<u8>, MessageError> {
         let mut searched: usize = 0;
         loop {
@@ -125,11 +125,11 @@
                 let limit = self.max_head_bytes;
                 return Err(MessageError::HeadTooLong(limit));
             }
-            self.fill_or("the head was cut short").await?;
+            self.fill_or_truncated("the head was cut short").await?;
         }
     }
 
-    /// Takes a body of this many bytes.
+    /// Reads a body of `length` bytes.
     pub(crate) async fn read_length(
         &mut self,
         length: usize,
@@ -138,27 +138,28 @@
         loop {
             let missing = length - body.len();
             self.take_into(&mut body, missing);
-            let got = body.len();
-            if got == length {
+            let received = body.len();
+            if received == length {
                 return Ok(body);
             }
             if self.fill().await? == 0 {
-                let what =
-                    format!("the body ended after {got} of {length} bytes");
-                return Err(MessageError::CutShort(what));
+                let what = format!(
+                    "the body ended after {received} of {length} bytes"
+                );
+                return Err(MessageError::Truncated(what));
             }
         }
     }
 
-    /// Takes a chunked body, with its last chunk and trailers.
+    /// Reads a chunked body, including its last chunk and trailers.
     pub(crate) async fn read_chunked(
         &mut self,
         limit: usize,
     ) -> Result<Vec<u8>, MessageError> {
         let mut body = Vec::new();
         loop {
-            let room = limit - body.len();
-            match self.next_chunk(room).await {
+            let remaining = limit - body.len();
+            match self.next_chunk(remaining).await {
                 Ok(Some(mut chunk)) => body.append(&mut chunk),
                 Ok(None) => return Ok(body),
                 Err(MessageError::BodyTooLong(_)) => {
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Takes the next chunk; none after the last one and its trailers.
+    /// Reads the next chunk. Returns None after the last chunk and the
+    /// trailers.
     pub(crate) async fn next_chunk(
         &mut self,
         limit: usize,
@@ -187,22 +189,22 @@
         Ok(Some(chunk))
     }
 
-    /// Takes what has arrived, up to `most` bytes; none at the end of the
-    /// connection.
+    /// Returns the bytes that have arrived, up to `max` bytes, or None at the
+    /// end of the connection. Waits if there are none yet.
     pub(crate) async fn next_bytes(
         &mut self,
-        most: usize,
+        max: usize,
     ) -> io::Result<Option<Vec<u8>>> {
         if !self.has_unread() && self.fill().await? == 0 {
             return Ok(None);
         }
-        let count = self.unread().len().min(most);
+        let count = self.unread().len().min(max);
         Ok(Some(self.take(count)))
     }
 
     async fn read_chunk_size(&mut self) -> Result<u64, MessageError> {
         let line = self.read_line(MAX_SIZE_LINE_BYTES).await?;
-        // The parser takes a line without digits for size 0.
+        // The parser reads a line without digits as size 0.
         let has_digit = line.first().is_some_and(u8::is_ascii_hexdigit);
         match httparse::parse_chunk_size(&line) {
             Ok(httparse::Status::Complete((read, size)))
@@ -220,17 +222,17 @@
     }
 
     async fn skip_trailers(&mut self) -> Result<(), MessageError> {
-        let mut room = MAX_TRAILER_BYTES;
+        let mut remaining = MAX_TRAILER_BYTES;
         loop {
-            let line = self.read_line(room).await?;
+            let line = self.read_line(remaining).await?;
             if line == b"\r\n" {
                 return Ok(());
             }
-            room -= line.len();
+            remaining -= line.len();
         }
     }
 
-    /// Takes the bytes up to and with the next line feed.
+    /// Reads a line, including its line feed.
     async fn read_line(
         &mut self,
         limit: usize,
@@ -244,31 +246,34 @@
             if unread.len() >= limit {
                 return Err(MessageError::BadChunk);
             }
-            self.fill_or("the chunked body was cut short").await?;
+            self.fill_or_truncated("the chunked body was cut short").await?;
         }
     }
 
-    async fn fill_or(&mut self, what: &str) -> Result<(), MessageError> {
+    async fn fill_or_truncated(
+        &mut self,
+        what: &str,
+    ) -> Result<(), MessageError> {
         match self.fill().await? {
-            0 => Err(MessageError::CutShort(what.to_owned())),
+            0 => Err(MessageError::Truncated(what.to_owned())),
             _ => Ok(()),
         }
     }
 
     fn unread(&self) -> &[u8] {
-        &self.unread[self.taken..]
+        &self.buffer[self.consumed..]
     }
 
     fn take(&mut self, count: usize) -> Vec<u8> {
         let bytes = self.unread()[..count].to_vec();
-        self.taken += count;
+        self.consumed += count;
         bytes
     }
 
-    fn take_into(&mut self, body: &mut Vec<u8>, most: usize) {
-        let count = self.unread().len().min(most);
+    fn take_into(&mut self, body: &mut Vec<u8>, max: usize) {
+        let count = self.unread().len().min(max);
         body.extend_from_slice(&self.unread()[..count]);
-        self.taken += count;
+        self.consumed += count;
     }
 }
 
--- a/crates/http/src/relay.rs
+++ b/crates/http/src/relay.rs
@@ -1,11 +1,11 @@
-//! Requests and answers that are passed on as they came.
+//! Requests and responses that are forwarded unchanged.
 //!
-//! A router that answers for others must not change a byte of a path, a
-//! header or a body, and takes heads longer than `async-h1` does. So heads
-//! are kept as lines here. The checks of heads and the ends of bodies are
-//! those of the rest of this crate.
+//! A reverse proxy must not change a byte of a path, a header or a body, and
+//! accepts longer heads than `async-h1` does. This module therefore keeps
+//! heads as header lines. It shares the validation of heads and the detection
+//! of body ends with the rest of this crate.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | `inbound` | the connection of a caller |
 //! | `outbound` | a connection to a server |
@@ -16,8 +16,8 @@
 pub use inbound::{Inbound, InboundError, InboundLimits};
 pub use outbound::{Outbound, OutboundError, ResponseBody, ResponseHead};
 
-/// Headers that concern only one connection.
-const PER_CONNECTION: [&str; 8] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -31,24 +31,24 @@
 /// One header line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Header {
-    /// Its name, as it came.
+    /// Header name, as received.
     pub name: String,
-    /// Its value.
+    /// Header value.
     pub value: String,
 }
 
-/// A request as it came.
+/// A request as received.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RelayRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Its headers, in their order.
+    /// Headers in the order received.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// The caller wants the connection closed after the answer.
+    /// The caller asked to close the connection after the response.
     pub wants_close: bool,
 }
 
@@ -64,15 +64,15 @@
     }
 }
 
-/// The first value of a header among header lines.
+/// The first value of a header in a list of header lines.
 pub fn find_header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
-    let found = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-    found.map(|h| h.value.as_str())
+    let header = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+    header.map(|h| h.value.as_str())
 }
 
-/// Whether a header may be passed on, given the values of `connection`.
+/// Whether a header may be forwarded, given the value of `Connection`.
 pub fn is_end_to_end(name: &str, connection: Option<&str>) -> bool {
-    if PER_CONNECTION.iter().any(|other| name.eq_ignore_ascii_case(other)) {
+    if HOP_BY_HOP_HEADERS.iter().any(|h| name.eq_ignore_ascii_case(h)) {
         return false;
     }
     !connection.is_some_and(|v| crate::head::has_token(v, name))
@@ -86,20 +86,20 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a chunk of a body.
+/// Appends a chunk of a chunked body.
 pub fn push_chunk(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
     out.extend_from_slice(bytes);
     out.extend_from_slice(b"\r\n");
 }
 
-/// The last chunk of a body.
+/// The last chunk of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 fn header_lines(parsed: &[httparse::Header<'_>]) -> Vec<Header> {
     let line = |h: &httparse::Header<'_>| Header {
         name: h.name.to_owned(),
-        // Heads are checked to be ASCII before.
+        // The head was checked to be ASCII before.
         value: String::from_utf8_lossy(h.value).into_owned(),
     };
     parsed.iter().map(line).collect()
--- a/crates/http/src/relay/inbound.rs
+++ b/crates/http/src/relay/inbound.rs
@@ -16,19 +16,19 @@
     stream::SharedStream,
 };
 
-/// Answer to a caller that waits before it sends its body.
+/// Interim response to a caller that waits before it sends the body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// How long the caller's bytes are read on after the last answer.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long the server drains the connection after the last response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of a caller's requests.
 #[derive(Clone, Copy, Debug)]
 pub struct InboundLimits {
-    /// Longest head.
+    /// Longest head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body.
+    /// Longest body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head, once it has begun.
+    /// Longest time for a head after its first byte.
     pub head_timeout: Duration,
     /// Longest time for a body.
     pub body_timeout: Duration,
@@ -36,19 +36,20 @@
     pub idle_timeout: Duration,
 }
 
-/// Why no request was taken.
+/// Why no request was received.
 #[derive(Debug)]
 pub enum InboundError {
-    /// The caller closed, was idle too long, or the socket failed.
+    /// The caller closed the connection or was idle too long, or the socket
+    /// failed.
     Closed,
-    /// The request is answered unhandled, and the connection ends.
+    /// The request is rejected before it is handled, and the connection closes.
     Refused(RequestError),
 }
 
 impl fmt::Display for InboundError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InboundError::Closed => f.write_str("the connection has ended"),
+            InboundError::Closed => f.write_str("the connection was closed"),
             InboundError::Refused(why) => why.fmt(f),
         }
     }
@@ -72,7 +73,7 @@
             MessageError::Io(_) => return InboundError::Closed,
             MessageError::HeadTooLong(_) => 431,
             MessageError::BodyTooLong(_) => 413,
-            MessageError::CutShort(_) | MessageError::BadChunk => 400,
+            MessageError::Truncated(_) | MessageError::BadChunk => 400,
         };
         InboundError::Refused(RequestError::new(status, &e.message()))
     }
@@ -85,27 +86,27 @@
 }
 
 impl Inbound {
-    /// Takes an accepted connection.
+    /// Wraps an accepted connection.
     ///
     /// # Errors
     ///
-    /// The socket does not take its options.
+    /// The socket options cannot be set.
     pub fn new(socket: Async<TcpStream>) -> io::Result<Inbound> {
         let stream = SharedStream::new(socket)?;
         let reader = MessageReader::new(stream.clone());
         Ok(Inbound { stream, reader })
     }
 
-    /// The socket, to notice that the caller hangs up.
+    /// The socket, which shows when the caller disconnects.
     pub fn stream(&self) -> &SharedStream {
         &self.stream
     }
 
-    /// Waits until bytes of a next request are there.
+    /// Waits for the first bytes of the next request.
     ///
     /// # Errors
     ///
-    /// The caller has closed.
+    /// The caller closed the connection.
     pub async fn wait_for_bytes(&mut self) -> Result<(), InboundError> {
         if self.reader.has_unread() {
             return Ok(());
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Takes a request whose first bytes are there.
+    /// Reads a request whose first bytes have arrived.
     ///
     /// # Errors
     ///
@@ -126,11 +127,11 @@
         limits: &InboundLimits,
     ) -> Result<RelayRequest, InboundError> {
         self.reader.set_max_head_bytes(limits.max_head_bytes);
-        let until = Instant::now() + limits.head_timeout;
+        let deadline = Instant::now() + limits.head_timeout;
         let head = async { Ok(self.reader.read_head().await?) };
-        let head = head.or(too_late(until)).await?;
-        let facts = head::check_request(&head)?;
-        let length = match facts.framing {
+        let head = head.or(timeout_at(deadline)).await?;
+        let info = head::check_request(&head)?;
+        let length = match info.framing {
             BodyFraming::Length(length) => length,
             BodyFraming::None | BodyFraming::Chunked => 0,
         };
@@ -139,14 +140,14 @@
                 MessageError::BodyTooLong(limits.max_body_bytes).into()
             );
         }
-        let mut request = parse(&head)?;
-        request.wants_close = facts.wants_close;
-        if facts.expects_continue {
+        let mut request = parse_head(&head)?;
+        request.wants_close = info.wants_close;
+        if info.expects_continue {
             self.stream.write_all(CONTINUE).await?;
         }
-        let until = Instant::now() + limits.body_timeout;
-        let body = self.read_body(facts.framing, limits.max_body_bytes);
-        request.body = body.or(too_late(until)).await?;
+        let deadline = Instant::now() + limits.body_timeout;
+        let body = self.read_body(info.framing, limits.max_body_bytes);
+        request.body = body.or(timeout_at(deadline)).await?;
         Ok(request)
     }
 
@@ -164,22 +165,23 @@
         })
     }
 
-    /// Sends bytes of an answer.
+    /// Sends bytes of a response.
     ///
     /// # Errors
     ///
-    /// The caller has gone.
+    /// The caller has disconnected.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Ends the connection at once, also for a body that is not whole.
+    /// Closes the connection at once, even within a body.
     pub fn abort(&self) {
         self.stream.shut_down();
     }
 
-    /// Closes after the last answer, reading on for a moment: closing with
-    /// unread bytes would reset the connection and lose the answer.
+    /// Closes the connection after the last response and drains it briefly.
+    /// Closing with unread bytes would reset the connection and could lose
+    /// the response.
     pub async fn close(&mut self) {
         if self.stream.close().await.is_err() {
             return;
@@ -189,19 +191,19 @@
             while matches!(self.stream.read(&mut chunk).await, Ok(1..)) {}
         };
         let limit = async {
-            Timer::after(LINGER).await;
+            Timer::after(LINGER_TIMEOUT).await;
         };
         drain.or(limit).await;
     }
 }
 
-async fn too_late<T>(until: Instant) -> Result<T, InboundError> {
-    Timer::at(until).await;
+async fn timeout_at<T>(deadline: Instant) -> Result<T, InboundError> {
+    Timer::at(deadline).await;
     let message = "the request did not arrive in its time";
     Err(RequestError::new(408, message).into())
 }
 
-fn parse(head: &[u8]) -> Result<RelayRequest, RequestError> {
+fn parse_head(head: &[u8]) -> Result<RelayRequest, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let parsed = request.parse(head);
--- a/crates/http/src/relay/outbound.rs
+++ b/crates/http/src/relay/outbound.rs
@@ -1,7 +1,8 @@
 //! A connection to a server.
 //!
-//! The answer is taken in parts. An error says that the answer is not whole;
-//! an answer without a length is whole when its connection ends in order.
+//! The body of a response is read piece by piece. An error means that the
+//! response is incomplete. A response without a length is complete when the
+//! connection closes without an error.
 
 use std::{error, fmt, io, net::SocketAddr, time::Duration};
 
@@ -15,10 +16,10 @@
     stream::SharedStream,
 };
 
-/// Statuses below it are interim answers.
+/// Lower statuses belong to interim responses.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why an answer is not whole.
+/// Why a response is incomplete.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OutboundError {
     detail: String,
@@ -44,14 +45,14 @@
     }
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ResponseHead {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Its headers, in their order.
+    /// Headers in the order received.
     pub headers: Vec<Header>,
-    /// The server closes the connection after it.
+    /// The server closes the connection after the response.
     pub wants_close: bool,
     framing: Option<BodyFraming>,
 }
@@ -62,7 +63,7 @@
         find_header(&self.headers, name)
     }
 
-    /// All values of a header, in their order.
+    /// All values of a header, in the order received.
     pub fn values<'a>(
         &'a self,
         name: &'a str,
@@ -72,30 +73,30 @@
         named.map(|h| h.value.as_str())
     }
 
-    /// The body that follows; a request of `HEAD` has none.
+    /// The body that follows; none for a `HEAD` request.
     pub fn body(&self, method: &str) -> ResponseBody {
         if method == "HEAD" || matches!(self.status, 204 | 304) {
             return ResponseBody::Complete;
         }
         match self.framing {
             Some(BodyFraming::None) => ResponseBody::Complete,
-            Some(BodyFraming::Length(left)) => ResponseBody::Length(left),
+            Some(BodyFraming::Length(length)) => ResponseBody::Length(length),
             Some(BodyFraming::Chunked) => ResponseBody::Chunked,
             None => ResponseBody::UntilClosed,
         }
     }
 }
 
-/// What is left of an answer's body.
+/// The unread rest of a response body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ResponseBody {
-    /// Nothing: the answer is whole.
+    /// Nothing; the response is complete.
     Complete,
-    /// So many bytes.
+    /// This number of bytes.
     Length(u64),
-    /// Chunks up to the last.
+    /// Chunks up to the last chunk.
     Chunked,
-    /// All bytes until the connection ends.
+    /// All bytes until the connection closes.
     UntilClosed,
 }
 
@@ -107,32 +108,33 @@
 }
 
 impl Outbound {
-    /// Dials a server.
+    /// Connects to a server.
     ///
     /// # Errors
     ///
-    /// The server was not reached in time.
+    /// The connection failed or timed out.
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
     ) -> io::Result<Outbound> {
-        let dial = SharedStream::connect(address);
+        let connect = SharedStream::connect(address);
         let limit = async {
             Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let stream = dial.or(limit).await?;
+        let stream = connect.or(limit).await?;
         let reader = MessageReader::new(stream.clone());
         Ok(Outbound { stream, reader, is_usable: true })
     }
 
-    /// Waits until the server closes or sends something unasked.
+    /// Waits until the server closes the connection.
     pub async fn closed(&self) {
         self.stream.peer_closed().await;
     }
 
-    /// Whether another request may be sent: the last answer was whole, and
-    /// the server has neither closed nor sent more than it.
+    /// Whether another request may be sent: the last response was complete,
+    /// and the server has neither closed the connection nor sent surplus
+    /// bytes.
     pub fn is_reusable(&self) -> bool {
         self.is_usable && !self.reader.has_unread() && self.stream.is_idle()
     }
@@ -141,44 +143,45 @@
     ///
     /// # Errors
     ///
-    /// The connection broke; the request may have arrived.
+    /// The connection failed; the request may have arrived.
     pub async fn send(&mut self, bytes: &[u8]) -> Result<(), OutboundError> {
         self.is_usable = false;
         Ok(self.stream.write_all(bytes).await?)
     }
 
-    /// Takes the head of the final answer; interim ones are passed over.
+    /// Reads the head of the final response and skips interim responses.
     ///
     /// # Errors
     ///
-    /// The connection broke or what came is no answer.
+    /// The connection failed or the head is malformed.
     pub async fn read_head(&mut self) -> Result<ResponseHead, OutboundError> {
         loop {
             let head = self.reader.read_head().await?;
-            let facts = head::check_response(&head)
+            let info = head::check_response(&head)
                 .map_err(|e| OutboundError { detail: e.message })?;
-            if facts.status < FIRST_FINAL_STATUS {
+            if info.status < FIRST_FINAL_STATUS {
                 continue;
             }
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-            let mut answer = httparse::Response::new(&mut headers);
-            answer
+            let mut response = httparse::Response::new(&mut headers);
+            response
                 .parse(&head)
                 .map_err(|e| OutboundError { detail: e.to_string() })?;
             return Ok(ResponseHead {
-                status: facts.status,
-                headers: header_lines(answer.headers),
-                wants_close: facts.wants_close,
-                framing: facts.framing,
+                status: info.status,
+                headers: header_lines(response.headers),
+                wants_close: info.wants_close,
+                framing: info.framing,
             });
         }
     }
 
-    /// Takes the next part of a body; none once the answer is whole.
+    /// Reads the next bytes of a body. Returns None when the response is
+    /// complete.
     ///
     /// # Errors
     ///
-    /// The answer is not whole.
+    /// The response is incomplete.
     pub async fn next_bytes(
         &mut self,
         body: &mut ResponseBody,
@@ -192,54 +195,55 @@
                 }
                 Ok(chunk)
             }
-            ResponseBody::Length(left) => {
-                let most = usize::try_from(left).unwrap_or(usize::MAX);
-                let part = self.reader.next_bytes(most).await?;
-                let part = part.ok_or_else(|| OutboundError {
-                    detail: format!("the body lacks {left} bytes"),
+            ResponseBody::Length(remaining) => {
+                let max = usize::try_from(remaining).unwrap_or(usize::MAX);
+                let bytes = self.reader.next_bytes(max).await?;
+                let bytes = bytes.ok_or_else(|| OutboundError {
+                    detail: format!("the body ended {remaining} bytes early"),
                 })?;
-                *body = match left - part.len() as u64 {
+                *body = match remaining - bytes.len() as u64 {
                     0 => ResponseBody::Complete,
-                    left => ResponseBody::Length(left),
+                    remaining => ResponseBody::Length(remaining),
                 };
-                Ok(Some(part))
+                Ok(Some(bytes))
             }
             ResponseBody::UntilClosed => {
-                let part = self.reader.next_bytes(READ_BYTES).await?;
-                if part.is_none() {
+                let bytes = self.reader.next_bytes(READ_BYTES).await?;
+                if bytes.is_none() {
                     *body = ResponseBody::Complete;
                 }
-                Ok(part)
+                Ok(bytes)
             }
         }
     }
 
-    /// Takes the rest of a body, up to a limit.
+    /// Reads the rest of a body, up to a limit in bytes.
     ///
     /// # Errors
     ///
-    /// The answer is not whole, or longer.
+    /// The response is incomplete or the body is longer than the limit.
     pub async fn read_body(
         &mut self,
         mut body: ResponseBody,
         limit: usize,
     ) -> Result<Vec<u8>, OutboundError> {
-        let mut all = Vec::new();
-        while let Some(part) = self.next_bytes(&mut body).await? {
-            all.extend_from_slice(&part);
-            if all.len() > limit {
+        let mut content = Vec::new();
+        while let Some(bytes) = self.next_bytes(&mut body).await? {
+            content.extend_from_slice(&bytes);
+            if content.len() > limit {
                 return Err(MessageError::BodyTooLong(limit).into());
             }
         }
-        Ok(all)
+        Ok(content)
     }
 
-    /// Notes that an answer was whole, so that the connection may be kept.
+    /// Records that the response was complete, so that the connection may be
+    /// reused.
     pub fn finish(&mut self, head: &ResponseHead) {
         self.is_usable = !head.wants_close && head.framing.is_some();
     }
 
-    /// Ends the connection at once, so that the server stops its work.
+    /// Closes the connection at once, so that the server stops its work.
     pub fn abort(&self) {
         self.stream.shut_down();
     }
--- a/crates/http/src/retry_after.rs
+++ b/crates/http/src/retry_after.rs
@@ -1,51 +1,52 @@
-//! For how long a server that turns a call away wants nothing.
+//! Parses `Retry-After`, by which a server requests a cooldown.
 //!
-//! A server says so by `Retry-After` beside 503, in seconds. Both ways to run
-//! read it here. A date says nothing: clocks of two machines differ by more
-//! than what servers ask for.
+//! The header counts only in a response with status 503, as a number of
+//! seconds. Both operating modes use this parser. A date is rejected, because
+//! the clocks of two machines differ by more than the usual cooldown.
 
 use std::time::Duration;
 
 use http_types::Response;
 
-/// Header that says so.
+/// Header that requests a cooldown.
 pub const RETRY_AFTER: &str = "retry-after";
 
-/// Status with which it may be said.
-const TURNED_AWAY: u16 = 503;
-/// Longest rest that is kept: a server that asked for more is asked again
-/// after this time.
-const MOST_REST_S: f64 = 3_600.0;
-/// Longest number that is read.
+/// Status in which the header counts.
+const SERVICE_UNAVAILABLE: u16 = 503;
+/// Longest cooldown. A server that requests more gets requests again after
+/// this time.
+const MAX_COOLDOWN_S: f64 = 3_600.0;
+/// Longest number that the parser accepts.
 const MAX_NUMBER_BYTES: usize = 32;
 
-/// What an answer says of a rest that its server wants.
+/// The cooldown that a response requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryAfter {
-    /// Nothing: it wants none.
+    /// The response requests no cooldown.
     Absent,
-    /// For so long, an hour at most.
+    /// A cooldown of this time, an hour at most.
     Delay(Duration),
-    /// Something that is no number of seconds.
+    /// The header is not a number of seconds.
     Malformed,
 }
 
-/// Reads the values of [`RETRY_AFTER`] in an answer with this status; of
-/// several the longest counts.
+/// Parses the values of [`RETRY_AFTER`] in a response with this status. The
+/// longest of several values counts.
 pub fn parse<'a>(
     status: u16,
     values: impl IntoIterator<Item = &'a str>,
 ) -> RetryAfter {
-    if status != TURNED_AWAY {
+    if status != SERVICE_UNAVAILABLE {
         return RetryAfter::Absent;
     }
-    values.into_iter().map(read).fold(RetryAfter::Absent, longest)
+    values.into_iter().map(parse_value).fold(RetryAfter::Absent, longest)
 }
 
-fn read(value: &str) -> RetryAfter {
+fn parse_value(value: &str) -> RetryAfter {
     let seconds = parse_decimal(value);
-    let rest = seconds.map(|s| Duration::from_secs_f64(s.min(MOST_REST_S)));
-    rest.map_or(RetryAfter::Malformed, RetryAfter::Delay)
+    let delay =
+        seconds.map(|s| Duration::from_secs_f64(s.min(MAX_COOLDOWN_S)));
+    delay.map_or(RetryAfter::Malformed, RetryAfter::Delay)
 }
 
 fn longest(a: RetryAfter, b: RetryAfter) -> RetryAfter {
@@ -53,24 +54,24 @@
         (RetryAfter::Delay(a), RetryAfter::Delay(b)) => {
             RetryAfter::Delay(a.max(b))
         }
-        (rest @ RetryAfter::Delay(_), _)
-        | (_, rest @ RetryAfter::Delay(_)) => rest,
+        (delay @ RetryAfter::Delay(_), _)
+        | (_, delay @ RetryAfter::Delay(_)) => delay,
         (RetryAfter::Absent, other) => other,
         (malformed, _) => malformed,
     }
 }
 
-/// For how long the server of an answer wants nothing, if it says so.
+/// The cooldown that a response requests, if any.
 pub fn from_response(response: &Response) -> Option<Duration> {
     let values = response.header(RETRY_AFTER);
     let values = values.into_iter().flatten().map(|value| value.as_str());
     match parse(response.status().into(), values) {
-        RetryAfter::Delay(rest) => Some(rest),
+        RetryAfter::Delay(delay) => Some(delay),
         RetryAfter::Absent | RetryAfter::Malformed => None,
     }
 }
 
-/// Reads digits with at most one point: no sign, exponent or word.
+/// Parses digits with at most one decimal point; no sign, exponent or word.
 pub fn parse_decimal(value: &str) -> Option<f64> {
     let value = value.trim();
     let is_number = value.len() <= MAX_NUMBER_BYTES
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,8 +1,8 @@
-//! Serving one accepted connection.
+//! Serves one accepted connection.
 //!
-//! The body of a request is read whole, within a limit, before the handler
-//! sees it: a request that is cut short must not run, and that is only known
-//! at its end. Answers may be streamed.
+//! The server reads the complete body of a request, within a limit, before it
+//! calls the handler: a truncated request must not run, and truncation shows
+//! only at the end of the body. Responses may be streamed.
 
 mod head_stream;
 
@@ -20,13 +20,13 @@
     stream::SharedStream,
 };
 
-/// Answer to a caller that waits before it sends its body.
+/// Interim response to a caller that waits before it sends the body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// How long a new connection may wait for its first request while the
-/// server closes.
-const FIRST_REQUEST: Duration = Duration::from_secs(1);
-/// How long the caller's bytes are read on after the last answer.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long a new connection may wait for its first request during a
+/// shutdown.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long the server drains the connection after the last response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Limits of a server, set by chained methods.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     idle_timeout: Duration,
     read_timeout: Duration,
     error_response: fn(&RequestError) -> Response,
-    closing: Option<async_channel::Receiver<()>>,
+    shutdown: Option<async_channel::Receiver<()>>,
 }
 
 impl Default for ServerOptions {
@@ -44,19 +44,19 @@
             max_body_bytes: 1 << 20,
             idle_timeout: Duration::from_secs(75),
             read_timeout: Duration::from_secs(10),
-            error_response: plain_error,
-            closing: None,
+            error_response: plain_text_error,
+            shutdown: None,
         }
     }
 }
 
 impl ServerOptions {
-    /// The shipped settings.
+    /// The default limits.
     pub fn new() -> ServerOptions {
         ServerOptions::default()
     }
 
-    /// Longest body taken; a longer one is answered 413.
+    /// Longest accepted body, in bytes; a longer body gets status 413.
     pub fn max_body_bytes(mut self, limit: usize) -> ServerOptions {
         self.max_body_bytes = limit;
         self
@@ -74,7 +74,7 @@
         self
     }
 
-    /// Makes the answer to a request that is refused unhandled.
+    /// Sets the function that builds the response to a rejected request.
     pub fn error_response(
         mut self,
         make: fn(&RequestError) -> Response,
@@ -83,45 +83,46 @@
         self
     }
 
-    /// Closes connections without a request once this channel has closed.
-    /// One that has just been opened is given a moment for its first.
+    /// Closes idle connections once this channel is closed. A new connection
+    /// gets a short time for its first request.
     pub fn shutdown(
         mut self,
-        closing: async_channel::Receiver<()>,
+        shutdown: async_channel::Receiver<()>,
     ) -> ServerOptions {
-        self.closing = Some(closing);
+        self.shutdown = Some(shutdown);
         self
     }
 
-    /// Waits until a connection without a request is to be closed.
-    async fn closed(&self, has_served: bool) -> io::Result<usize> {
-        let Some(closing) = &self.closing else {
+    /// Waits until the shutdown closes an idle connection, then times out.
+    async fn idle_shutdown(&self, has_served: bool) -> io::Result<usize> {
+        let Some(shutdown) = &self.shutdown else {
             return std::future::pending().await;
         };
-        // Nothing is ever sent over it.
-        let _ = closing.recv().await;
-        let wait = if has_served { Duration::ZERO } else { FIRST_REQUEST };
-        after(wait).await
+        // The channel carries no messages; it only closes.
+        let _ = shutdown.recv().await;
+        let wait =
+            if has_served { Duration::ZERO } else { FIRST_REQUEST_TIMEOUT };
+        time_out_after(wait).await
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct ReceivedRequest {
     /// Method, target and headers; its body is empty.
     pub request: Request,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// The caller's connection, to notice that it hangs up.
+    /// The caller's connection, which shows when the caller disconnects.
     pub connection: SharedStream,
 }
 
-/// Serves requests one after another until the caller closes, an answer
-/// breaks, or the idle timeout passes.
+/// Serves requests one after another until the caller closes the connection,
+/// a response body fails, or the idle timeout passes.
 ///
 /// # Errors
 ///
-/// The socket failed. A request that is refused is no error.
+/// The socket or a response body failed. A rejected request is not an error.
 pub async fn serve_connection<H, F>(
     socket: Async<TcpStream>,
     options: &ServerOptions,
@@ -135,8 +136,8 @@
     let reader = MessageReader::new(stream.clone());
     let mut connection = Connection { stream, reader, has_served: false };
     let outcome = connection.serve(options, handler).await;
-    // The handler's tasks may still hold the stream: without this the caller
-    // of a broken answer would wait for its end.
+    // Tasks of the handler may still hold the stream. Without the shutdown the
+    // caller would wait for the rest of an aborted response.
     connection.stream.shut_down();
     outcome
 }
@@ -164,7 +165,7 @@
             MessageError::Io(e) => return ReceiveError::Io(e),
             MessageError::HeadTooLong(_) => 431,
             MessageError::BodyTooLong(_) => 413,
-            MessageError::CutShort(_) | MessageError::BadChunk => 400,
+            MessageError::Truncated(_) | MessageError::BadChunk => 400,
         };
         refused(status, &e.message())
     }
@@ -219,16 +220,17 @@
         }
     }
 
-    /// The next request and whether the connection ends after it.
+    /// Receives the next request, and whether the caller wants to close the
+    /// connection after it.
     async fn receive(
         &mut self,
         options: &ServerOptions,
     ) -> Result<Option<(ReceivedRequest, bool)>, ReceiveError> {
         if !self.reader.has_unread() {
-            let idle = after(options.idle_timeout);
-            let closed = options.closed(self.has_served);
-            // A request that has come goes before the close.
-            let first = self.reader.fill().or(idle).or(closed);
+            let idle = time_out_after(options.idle_timeout);
+            let shutdown = options.idle_shutdown(self.has_served);
+            // A request that has arrived takes precedence over the shutdown.
+            let first = self.reader.fill().or(idle).or(shutdown);
             match first.await {
                 Ok(0) => return Ok(None),
                 Ok(_) => {}
@@ -238,29 +240,29 @@
                 Err(e) => return Err(e.into()),
             }
         }
-        let rest = self.receive_rest(options);
+        let request = self.read_request(options);
         let timeout = async {
             Timer::after(options.read_timeout).await;
             Err(refused(408, "the request did not arrive in its time"))
         };
-        rest.or(timeout).await.map(Some)
+        request.or(timeout).await.map(Some)
     }
 
-    async fn receive_rest(
+    async fn read_request(
         &mut self,
         options: &ServerOptions,
     ) -> Result<(ReceivedRequest, bool), ReceiveError> {
         let limit = options.max_body_bytes;
         let mut head = self.reader.read_head().await?;
-        let facts = head::check_request(&head)?;
-        check_length(&facts, limit)?;
+        let info = head::check_request(&head)?;
+        check_length(&info, limit)?;
         head::blank_expect(&mut head);
         let request =
             decode_head(head).await.map_err(|why| refused(400, &why))?;
-        if facts.expects_continue {
+        if info.expects_continue {
             self.stream.write_all(CONTINUE).await?;
         }
-        let body = match facts.framing {
+        let body = match info.framing {
             BodyFraming::None => Vec::new(),
             BodyFraming::Length(length) => {
                 self.reader.read_length(length as usize).await?
@@ -268,7 +270,7 @@
             BodyFraming::Chunked => self.reader.read_chunked(limit).await?,
         };
         let connection = self.stream.clone();
-        Ok((ReceivedRequest { request, body, connection }, facts.wants_close))
+        Ok((ReceivedRequest { request, body, connection }, info.wants_close))
     }
 
     async fn respond(
@@ -287,8 +289,9 @@
         }
     }
 
-    /// Closes after the last answer, reading on for a moment: closing with
-    /// unread bytes would reset the connection and lose the answer.
+    /// Closes the connection after the last response and drains it briefly.
+    /// Closing with unread bytes would reset the connection and could lose
+    /// the response.
     async fn linger(&mut self) -> io::Result<()> {
         self.stream.close().await?;
         let drain = async {
@@ -297,7 +300,7 @@
             Ok(())
         };
         let limit = async {
-            Timer::after(LINGER).await;
+            Timer::after(LINGER_TIMEOUT).await;
             Ok(())
         };
         drain.or(limit).await
@@ -305,10 +308,10 @@
 }
 
 fn check_length(
-    facts: &RequestHeadInfo,
+    info: &RequestHeadInfo,
     limit: usize,
 ) -> Result<(), ReceiveError> {
-    match facts.framing {
+    match info.framing {
         BodyFraming::Length(length) if length > limit as u64 => {
             Err(MessageError::BodyTooLong(limit).into())
         }
@@ -316,12 +319,12 @@
     }
 }
 
-async fn after(timeout: Duration) -> io::Result<usize> {
+async fn time_out_after(timeout: Duration) -> io::Result<usize> {
     Timer::after(timeout).await;
     Err(io::ErrorKind::TimedOut.into())
 }
 
-fn plain_error(error: &RequestError) -> Response {
+fn plain_text_error(error: &RequestError) -> Response {
     let status =
         StatusCode::try_from(error.status).unwrap_or(StatusCode::BadRequest);
     let mut response = Response::new(status);
--- a/crates/http/src/server/head_stream.rs
+++ b/crates/http/src/server/head_stream.rs
@@ -1,4 +1,4 @@
-//! A request's head as the stream that the decoder wants.
+//! Presents the bytes of a head as a stream to the decoder of `async-h1`.
 
 use std::{
     io,
@@ -10,11 +10,11 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use http_types::Request;
 
-/// Has `async-h1` read a whole head; the body is not its concern.
+/// Parses a complete head with `async-h1`, without the body.
 ///
 /// # Errors
 ///
-/// Why it refuses the head.
+/// The reason why `async-h1` rejects the head.
 pub(super) async fn decode_head(head: Vec<u8>) -> Result<Request, String> {
     let bytes = Arc::new(Mutex::new(io::Cursor::new(head)));
     match async_h1::server::decode(HeadStream { bytes }).await {
@@ -43,7 +43,8 @@
     }
 }
 
-/// The decoder writes only to answer `Expect`, which is blanked.
+/// Discards writes. The decoder writes only in response to `Expect`, whose
+/// value is blank.
 impl AsyncWrite for HeadStream {
     fn poll_write(
         self: Pin<&mut Self>,
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP socket that several tasks may hold.
+//! A TCP socket shared by several tasks.
 
 use std::{
     io,
@@ -13,10 +13,10 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-/// How often a connection with unread bytes is looked at again for its end.
-const HANG_UP_POLL: Duration = Duration::from_millis(100);
+/// How often a connection with unread bytes is polled for a close by the peer.
+const PEER_CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A handle to a connection; clones read and write the same socket.
+/// A handle to a connection. Clones read and write the same socket.
 #[derive(Clone, Debug)]
 pub struct SharedStream {
     socket: Arc<Async<TcpStream>>,
@@ -27,76 +27,78 @@
     ///
     /// # Errors
     ///
-    /// The socket does not take the option.
+    /// The socket option cannot be set.
     pub fn new(socket: Async<TcpStream>) -> io::Result<SharedStream> {
         socket.get_ref().set_nodelay(true)?;
         Ok(SharedStream { socket: Arc::new(socket) })
     }
 
-    /// Dials an address.
+    /// Connects to an address.
     ///
     /// # Errors
     ///
-    /// The address cannot be reached.
+    /// The connection fails.
     pub async fn connect(address: SocketAddr) -> io::Result<SharedStream> {
         SharedStream::new(Async::<TcpStream>::connect(address).await?)
     }
 
-    /// The address of the other end.
+    /// The address of the peer.
     ///
     /// # Errors
     ///
-    /// The connection has ended.
+    /// The connection is closed.
     pub fn peer_address(&self) -> io::Result<SocketAddr> {
         self.socket.get_ref().peer_addr()
     }
 
-    /// Waits until the other end has closed the connection. A half-closed
+    /// Waits until the peer has closed the connection. A half-closed
     /// connection counts as closed.
     pub async fn peer_closed(&self) {
         let mut byte = [0];
         loop {
             match self.socket.get_ref().peek(&mut byte) {
-                // `Async::peek` would look again whenever its task runs.
+                // `Async::peek` would peek again on each wake of the task.
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if self.readable().await.is_err() {
                         return;
                     }
                 }
                 Ok(0) | Err(_) => return,
-                // Unread bytes of a next request stand before the end.
-                Ok(_) if self.has_ended() => return,
+                // Unread bytes of the next request precede the end of the
+                // stream.
+                Ok(_) if self.is_closed_by_peer() => return,
                 Ok(_) => {
-                    Timer::after(HANG_UP_POLL).await;
+                    Timer::after(PEER_CLOSE_POLL_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Waits until bytes or the end of the connection can be read.
+    /// Waits until bytes or the end of the stream can be read.
     pub(crate) async fn readable(&self) -> io::Result<()> {
         self.socket.readable().await
     }
 
-    /// Ends the connection for all who hold it.
+    /// Closes the connection for all handles.
     pub(crate) fn shut_down(&self) {
-        // An error means that it has ended before.
+        // An error means that the connection is closed already.
         let _ = self.socket.get_ref().shutdown(Shutdown::Both);
     }
 
-    /// Whether the other end has closed, also when unread bytes are left.
-    fn has_ended(&self) -> bool {
-        let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    /// Whether the peer has closed the connection, even if unread bytes are
+    /// left.
+    fn is_closed_by_peer(&self) -> bool {
+        let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut polled = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
-        let at_once = Timespec::default();
-        match poll(&mut polled, Some(&at_once)) {
-            Ok(_) => polled[0].revents().intersects(ended),
+        let no_wait = Timespec::default();
+        match poll(&mut polled, Some(&no_wait)) {
+            Ok(_) => polled[0].revents().intersects(closed),
             Err(_) => false,
         }
     }
 
-    /// Whether an idle connection can still be used: it has neither ended nor
-    /// has the other end sent something unasked.
+    /// Whether an idle connection can be used again: the peer has neither
+    /// closed the connection nor sent surplus bytes.
     pub(crate) fn is_idle(&self) -> bool {
         let mut byte = [0];
         match self.socket.get_ref().peek(&mut byte) {
@@ -132,7 +134,7 @@
         Pin::new(&mut &*self.socket).poll_flush(cx)
     }
 
-    /// Ends the writing side; `Async` itself would only flush.
+    /// Shuts down the writing side; `Async` itself would only flush.
     fn poll_close(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
