--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,4 +1,4 @@
-//! What a client makes of answers, whole and broken.
+//! The client's handling of complete and broken responses.
 
 mod support;
 
@@ -18,15 +18,16 @@
 use http_types::{Method, Request};
 use rstest::rstest;
 
-use support::{PATIENCE, Server};
+use support::{Server, TEST_TIMEOUT};
 
-const MAX_ANSWER_BYTES: usize = 16;
+const MAX_RESPONSE_BYTES: usize = 16;
 
-/// Answers each request of each connection with the same bytes; closes after
-/// `answers_per_connection`.
+/// Starts a server that responds to each request with the same bytes and
+/// closes a connection after `responses_per_connection`. Also returns the
+/// count of accepted connections.
 fn scripted(
-    answer: &'static [u8],
-    answers_per_connection: usize,
+    response: &'static [u8],
+    responses_per_connection: usize,
 ) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -36,9 +37,9 @@
         for socket in listener.incoming() {
             count.fetch_add(1, Ordering::SeqCst);
             let mut socket = socket.unwrap();
-            for _ in 0..answers_per_connection {
+            for _ in 0..responses_per_connection {
                 read_head(&mut socket);
-                let _ = socket.write_all(answer);
+                let _ = socket.write_all(response);
             }
         }
     });
@@ -67,14 +68,14 @@
 }
 
 fn client(address: SocketAddr) -> Client {
-    let options = ClientOptions::new().max_response_bytes(MAX_ANSWER_BYTES);
+    let options = ClientOptions::new().max_response_bytes(MAX_RESPONSE_BYTES);
     Client::new(address, options)
 }
 
-/// What a call came to.
+/// Outcome of a call.
 #[derive(Debug, Eq, PartialEq)]
 enum Outcome {
-    Answer(u16, &'static str),
+    Response(u16, &'static str),
     NotSent,
     Lost,
     Timeout,
@@ -86,7 +87,7 @@
     result: &Result<(u16, String), ClientError>,
 ) -> bool {
     match (outcome, result) {
-        (Outcome::Answer(status, body), Ok((s, b))) => {
+        (Outcome::Response(status, body), Ok((s, b))) => {
             s == status && b == body
         }
         (Outcome::NotSent, Err(ClientError::NotSent { .. })) => true,
@@ -99,108 +100,108 @@
 
 struct Case {
     method: Method,
-    answer: &'static [u8],
+    response: &'static [u8],
     outcome: Outcome,
 }
 
 #[rstest]
-#[case::whole(Case {
+#[case::complete(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc",
-    outcome: Outcome::Answer(200, "abc"),
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc",
+    outcome: Outcome::Response(200, "abc"),
 })]
-#[case::any_status_is_an_answer(Case {
+#[case::error_status_is_a_response(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n",
-    outcome: Outcome::Answer(503, ""),
+    response: b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n",
+    outcome: Outcome::Response(503, ""),
 })]
 #[case::chunked(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
+    response: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
         3\r\nabc\r\n0\r\n\r\n",
-    outcome: Outcome::Answer(200, "abc"),
+    outcome: Outcome::Response(200, "abc"),
 })]
 #[case::no_content(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 204 No Content\r\n\r\n",
-    outcome: Outcome::Answer(204, ""),
+    response: b"HTTP/1.1 204 No Content\r\n\r\n",
+    outcome: Outcome::Response(204, ""),
 })]
 #[case::head_has_no_body(Case {
     method: Method::Head,
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n",
-    outcome: Outcome::Answer(200, ""),
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n",
+    outcome: Outcome::Response(200, ""),
 })]
-#[case::interim_answer_first(Case {
+#[case::interim_response_first(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 100 Continue\r\n\r\n\
+    response: b"HTTP/1.1 100 Continue\r\n\r\n\
         HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc",
-    outcome: Outcome::Answer(200, "abc"),
+    outcome: Outcome::Response(200, "abc"),
 })]
-#[case::short(Case {
+#[case::body_shorter_than_stated(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc",
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc",
     outcome: Outcome::Lost,
 })]
-#[case::chunks_cut_short(Case {
+#[case::truncated_chunks(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
+    response: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
         3\r\nabc\r\n",
     outcome: Outcome::Lost,
 })]
 #[case::chunk_without_size(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
+    response: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
         3\r\nabc\r\n\r\n\r\n",
     outcome: Outcome::Lost,
 })]
-#[case::end_only_by_closing(Case {
+#[case::body_without_length(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nabc",
+    response: b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nabc",
     outcome: Outcome::Lost,
 })]
 #[case::two_lengths(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\
         content-length: 3\r\n\r\nabcd",
     outcome: Outcome::Lost,
 })]
 #[case::length_and_chunked(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\
         transfer-encoding: chunked\r\n\r\n0\r\n\r\n",
     outcome: Outcome::Lost,
 })]
 #[case::header_not_ascii(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\
         x: \xc3\xa9\r\n\r\nabc",
     outcome: Outcome::Lost,
 })]
 #[case::malformed(Case {
     method: Method::Get,
-    answer: b"hello there\r\n\r\n",
+    response: b"hello there\r\n\r\n",
     outcome: Outcome::Lost,
 })]
-#[case::no_answer(Case {
+#[case::no_response(Case {
     method: Method::Get,
-    answer: b"",
+    response: b"",
     outcome: Outcome::Lost,
 })]
 #[case::too_long(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 17\r\n\r\n\
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 17\r\n\r\n\
         12345678901234567",
     outcome: Outcome::TooLong,
 })]
 #[case::chunks_too_long(Case {
     method: Method::Get,
-    answer: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
+    response: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
         9\r\n123456789\r\n9\r\n123456789\r\n0\r\n\r\n",
     outcome: Outcome::TooLong,
 })]
-fn answer_is_whole_or_an_error(#[case] case: Case) {
-    let (address, _) = scripted(case.answer, 1);
-    let result = call(&client(address), case.method, PATIENCE);
+fn incomplete_response_is_an_error(#[case] case: Case) {
+    let (address, _) = scripted(case.response, 1);
+    let result = call(&client(address), case.method, TEST_TIMEOUT);
     assert!(matches(&case.outcome, &result), "{result:?}");
     if let Err(e) = result {
         assert!(e.may_have_run(), "{e}");
@@ -212,17 +213,18 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let result = call(&client(address), Method::Post, PATIENCE);
+    let result = call(&client(address), Method::Post, TEST_TIMEOUT);
     assert!(matches(&Outcome::NotSent, &result), "{result:?}");
     assert!(!result.unwrap_err().may_have_run());
 }
 
-/// A time that ends while dialling leaves nothing sent. The address is one
-/// that answers no packet (TEST-NET-1), or that the system refuses at once.
+/// A timeout during the connection attempt means that nothing was sent. The
+/// address either responds to no packet (TEST-NET-1) or is refused by the
+/// system at once.
 #[rstest]
-#[case::by_the_connect_timeout(Duration::from_millis(50), PATIENCE)]
-#[case::by_the_call_timeout(PATIENCE, Duration::from_millis(50))]
-fn unanswered_dial_is_not_sent(
+#[case::by_the_connect_timeout(Duration::from_millis(50), TEST_TIMEOUT)]
+#[case::by_the_call_timeout(TEST_TIMEOUT, Duration::from_millis(50))]
+fn connect_timeout_is_not_sent(
     #[case] connect_timeout: Duration,
     #[case] timeout: Duration,
 ) {
@@ -234,7 +236,7 @@
 
 #[test]
 fn silent_server_times_out() {
-    // The listener's backlog takes the connection, and nobody answers.
+    // The connection stays in the listener's backlog without a response.
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let timeout = Duration::from_millis(50);
@@ -244,53 +246,53 @@
 }
 
 #[test]
-fn whole_answers_share_a_connection() {
+fn complete_responses_share_a_connection() {
     let server = Server::echo(ServerOptions::new());
     let client = client(server.address);
     for _ in 0..3 {
-        let (status, body) = call(&client, Method::Get, PATIENCE).unwrap();
+        let (status, body) = call(&client, Method::Get, TEST_TIMEOUT).unwrap();
         assert_eq!((status, body.as_str()), (200, "GET /a "));
     }
     assert!(server.ended.is_empty());
 }
 
 struct ReuseCase {
-    answer: &'static [u8],
-    answers_per_connection: usize,
+    response: &'static [u8],
+    responses_per_connection: usize,
     connections: usize,
 }
 
 #[rstest]
-#[case::kept(ReuseCase {
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na",
-    answers_per_connection: 3,
+#[case::reused(ReuseCase {
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na",
+    responses_per_connection: 3,
     connections: 1,
 })]
-#[case::closed_as_told(ReuseCase {
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\
+#[case::close_requested(ReuseCase {
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\
         connection: close\r\n\r\na",
-    answers_per_connection: 1,
+    responses_per_connection: 1,
     connections: 3,
 })]
-#[case::closed_as_told_in_a_list(ReuseCase {
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\
+#[case::close_requested_in_a_list(ReuseCase {
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\
         connection: x, Close\r\n\r\na",
-    answers_per_connection: 3,
+    responses_per_connection: 3,
     connections: 3,
 })]
-#[case::something_unasked(ReuseCase {
-    answer: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na\
+#[case::surplus_bytes(ReuseCase {
+    response: b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na\
         HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb",
-    answers_per_connection: 3,
+    responses_per_connection: 3,
     connections: 3,
 })]
-fn connection_is_kept_while_it_is_clean(#[case] case: ReuseCase) {
-    let per_connection = case.answers_per_connection;
-    let (address, accepted) = scripted(case.answer, per_connection);
+fn only_clean_connection_is_reused(#[case] case: ReuseCase) {
+    let per_connection = case.responses_per_connection;
+    let (address, accepted) = scripted(case.response, per_connection);
     let client = client(address);
     for _ in 0..3 {
-        let answer = call(&client, Method::Get, PATIENCE).unwrap();
-        assert_eq!(answer, (200, "a".to_owned()));
+        let response = call(&client, Method::Get, TEST_TIMEOUT).unwrap();
+        assert_eq!(response, (200, "a".to_owned()));
     }
     assert_eq!(accepted.load(Ordering::SeqCst), case.connections);
 }
@@ -307,7 +309,7 @@
 #[case::relative(UrlCase { target: "a", path: None })]
 #[case::empty(UrlCase { target: "", path: None })]
 #[case::user(UrlCase { target: "@x/a", path: None })]
-fn url_stays_at_the_server(#[case] case: UrlCase) {
+fn target_cannot_change_the_host(#[case] case: UrlCase) {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 8080));
     let url = client(address).url(case.target).ok();
     assert_eq!(url.as_ref().map(|url| url.path()), case.path);
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections over their life: reuse, hanging up, streamed answers.
+//! Lifecycle of connections: reuse, disconnects, streamed responses.
 
 mod support;
 
@@ -18,40 +18,43 @@
 use http_types::{Response, StatusCode};
 use rstest::rstest;
 
-use support::{Answer, PATIENCE, Server, read_until, text_response};
+use support::{
+    ResponseFuture, Server, TEST_TIMEOUT, read_until, text_response,
+};
 
 const GET: &[u8] = b"GET /a HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// The next item, or a panic when none comes.
+/// Returns the next item; panics on a timeout.
 fn next<T>(items: &Receiver<T>) -> T {
-    let give_up = async {
-        async_io::Timer::after(PATIENCE).await;
-        panic!("nothing came")
+    let timeout = async {
+        async_io::Timer::after(TEST_TIMEOUT).await;
+        panic!("nothing was received")
     };
-    block_on(items.recv().or(give_up)).unwrap()
+    block_on(items.recv().or(timeout)).unwrap()
 }
 
-/// A server that hands the connection of each request to the test and
-/// answers only when that has hung up.
+/// A server that responds to a request only after the caller has
+/// disconnected. The channels signal the start of each request and the
+/// disconnect.
 fn waiting_server() -> (Server, Receiver<()>, Receiver<()>) {
-    let (send_begun, begun) = async_channel::unbounded();
-    let (send_gone, gone) = async_channel::unbounded();
-    let wait = move |received: ReceivedRequest| -> Answer {
-        let (begun, gone) = (send_begun.clone(), send_gone.clone());
+    let (send_started, started) = async_channel::unbounded();
+    let (send_closed, closed) = async_channel::unbounded();
+    let wait = move |received: ReceivedRequest| -> ResponseFuture {
+        let (started, closed) = (send_started.clone(), send_closed.clone());
         Box::pin(async move {
-            begun.send(()).await.unwrap();
+            started.send(()).await.unwrap();
             received.connection.peer_closed().await;
-            gone.send(()).await.unwrap();
+            closed.send(()).await.unwrap();
             text_response("too late")
         })
     };
-    (Server::start(ServerOptions::new(), wait), begun, gone)
+    (Server::start(ServerOptions::new(), wait), started, closed)
 }
 
-/// A server whose answers are written by the test.
+/// A server whose response bodies the test writes.
 fn streaming_server() -> (Server, Receiver<(BodyWriter, SharedStream)>) {
     let (send_writer, writers) = async_channel::unbounded();
-    let stream = move |received: ReceivedRequest| -> Answer {
+    let stream = move |received: ReceivedRequest| -> ResponseFuture {
         let (writer, body) = body::channel();
         let connection = received.connection;
         send_writer.try_send((writer, connection)).ok().unwrap();
@@ -63,13 +66,13 @@
 }
 
 #[test]
-fn connection_is_used_again() {
+fn connection_is_reused() {
     let server = Server::echo(ServerOptions::new());
     let mut socket = server.connect();
     for count in 1..=3 {
         socket.write_all(GET).unwrap();
         read_until(&mut socket, "GET /a ");
-        assert_eq!(server.seen().len(), count);
+        assert_eq!(server.handled().len(), count);
     }
     socket.shutdown(Shutdown::Write).unwrap();
     let mut rest = Vec::new();
@@ -87,57 +90,57 @@
 }
 
 #[test]
-fn slow_request_is_answered_408() {
+fn slow_request_gets_status_408() {
     let options = ServerOptions::new().read_timeout(Duration::from_millis(50));
     let server = Server::echo(options);
     let part = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nab";
-    let answer = server.exchange(&[part], false);
-    assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
-    assert!(server.seen().is_empty());
+    let response = server.exchange(&[part], false);
+    assert!(response.starts_with("HTTP/1.1 408 "), "{response}");
+    assert!(server.handled().is_empty());
 }
 
 #[derive(Clone, Copy)]
-enum HangUp {
+enum Disconnect {
     Close,
     HalfClose,
-    /// The next request follows before the caller goes.
-    CloseAfterMore,
+    /// The caller sends the next request before it disconnects.
+    CloseAfterRequest,
 }
 
 #[rstest]
-#[case::close(HangUp::Close)]
-#[case::half_close(HangUp::HalfClose)]
-#[case::close_after_more(HangUp::CloseAfterMore)]
-fn hang_up_is_noticed(#[case] how: HangUp) {
-    let (server, begun, gone) = waiting_server();
+#[case::close(Disconnect::Close)]
+#[case::half_close(Disconnect::HalfClose)]
+#[case::close_after_request(Disconnect::CloseAfterRequest)]
+fn disconnect_of_the_caller_is_detected(#[case] how: Disconnect) {
+    let (server, started, closed) = waiting_server();
     let mut socket = server.connect();
     socket.write_all(GET).unwrap();
-    next(&begun);
-    assert!(gone.is_empty());
+    next(&started);
+    assert!(closed.is_empty());
     match how {
-        HangUp::Close => drop(socket),
-        HangUp::HalfClose => socket.shutdown(Shutdown::Write).unwrap(),
-        HangUp::CloseAfterMore => {
+        Disconnect::Close => drop(socket),
+        Disconnect::HalfClose => socket.shutdown(Shutdown::Write).unwrap(),
+        Disconnect::CloseAfterRequest => {
             socket.write_all(GET).unwrap();
             drop(socket);
         }
     }
-    next(&gone);
+    next(&closed);
 }
 
 #[test]
-fn waiting_caller_has_not_hung_up() {
-    let (server, begun, gone) = waiting_server();
+fn pipelined_request_does_not_count_as_disconnect() {
+    let (server, started, closed) = waiting_server();
     let mut socket = server.connect();
     socket.write_all(GET).unwrap();
-    next(&begun);
+    next(&started);
     socket.write_all(GET).unwrap();
     std::thread::sleep(Duration::from_millis(300));
-    assert!(gone.is_empty());
+    assert!(closed.is_empty());
 }
 
 #[test]
-fn streamed_parts_arrive_as_written() {
+fn streamed_chunks_arrive_as_written() {
     let (server, writers) = streaming_server();
     let mut socket = server.connect();
     socket.write_all(GET).unwrap();
@@ -148,15 +151,16 @@
     read_until(&mut socket, "6\r\nsecond\r\n");
     writer.finish();
     read_until(&mut socket, "0\r\n\r\n");
-    // The connection goes on.
+    // The connection stays open.
     socket.write_all(GET).unwrap();
     next(&writers).0.finish();
     read_until(&mut socket, "0\r\n\r\n");
 }
 
-/// Also when another task holds the connection to watch for a hang-up.
+/// The connection closes even if another task holds the connection to detect
+/// a disconnect.
 #[test]
-fn dropped_body_ends_without_last_chunk() {
+fn dropped_body_closes_the_connection_without_last_chunk() {
     let (server, writers) = streaming_server();
     let mut socket = server.connect();
     socket.write_all(GET).unwrap();
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn writer_hears_that_the_caller_has_gone() {
+fn writer_detects_disconnect_of_the_caller() {
     let (server, writers) = streaming_server();
     let mut socket = server.connect();
     socket.write_all(GET).unwrap();
@@ -186,23 +190,24 @@
     block_on(writer.reader_dropped());
 }
 
-/// The end of the last answer shows at once, although the server reads on.
+/// The caller sees the end of the last response at once, although the server
+/// still drains the connection.
 #[test]
-fn refused_caller_sees_the_end_at_once() {
-    const REFUSALS: u32 = 20;
+fn rejected_caller_sees_the_end_of_the_response_at_once() {
+    const REJECTED_REQUESTS: u32 = 20;
     let server = Server::echo(ServerOptions::new());
     let start = Instant::now();
-    for _ in 0..REFUSALS {
+    for _ in 0..REJECTED_REQUESTS {
         server.exchange(&[b"GET\r\n\r\n"], false);
     }
-    // Half a second for each would be ten seconds.
+    // Waiting half a second for each would take ten seconds.
     assert!(start.elapsed() < Duration::from_secs(5));
 }
 
-/// A request that follows the last answered one must not reset the
-/// connection before the answer is read.
+/// A request after the last response must not reset the connection before the
+/// caller has read the response.
 #[test]
-fn last_answer_survives_what_follows() {
+fn last_response_arrives_despite_another_request() {
     let server = Server::start(ServerOptions::new(), |_| {
         let mut response = text_response(&"x".repeat(100_000));
         response.insert_header("connection", "close");
--- a/crates/http/tests/fuzz.rs
+++ b/crates/http/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Arbitrary and almost whole requests, with fixed seeds.
+//! Arbitrary and nearly valid requests, with fixed seeds.
 //!
 //! `PROPTEST_CASES` sets the number of cases.
 
@@ -23,7 +23,7 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 
-use support::{PATIENCE, Server};
+use support::{Server, TEST_TIMEOUT};
 
 fn runner() -> TestRunner {
     let config = Config { failure_persistence: None, ..Config::default() };
@@ -31,7 +31,7 @@
     TestRunner::new_with_rng(config, seed)
 }
 
-/// A head of lines that are mostly well-formed.
+/// A head whose lines are mostly valid.
 fn head() -> impl Strategy<Value = Vec<u8>> {
     let request_line = select(vec![
         "GET /a?b=c HTTP/1.1",
@@ -81,14 +81,14 @@
     let line = (name, select(vec![":", ": ", " :", ""]), value, end).prop_map(
         |(name, colon, value, end)| format!("{name}{colon}{value}{end}"),
     );
-    let sound = select(vec![
+    let valid_line = select(vec![
         "x: a\r\n",
         "connection: close\r\n",
         "content-length: 0\r\n",
         "content-length: 3\r\n",
         "transfer-encoding: chunked\r\n",
     ]);
-    let line = prop_oneof![4 => sound.prop_map(str::to_owned), 1 => line];
+    let line = prop_oneof![4 => valid_line.prop_map(str::to_owned), 1 => line];
     let lines = proptest::collection::vec(line, 0..4);
     let has_host = proptest::bool::weighted(0.9);
     (request_line, has_host, lines).prop_map(
@@ -100,7 +100,7 @@
     )
 }
 
-/// Overwrites some bytes.
+/// Overwrites up to two bytes.
 fn mutated(
     bytes: impl Strategy<Value = Vec<u8>>,
 ) -> impl Strategy<Value = Vec<u8>> {
@@ -120,7 +120,8 @@
     })
 }
 
-/// How `async-h1` would find the body's end; none if it refuses the head.
+/// The body framing that `async-h1` determines, or None if `async-h1` rejects
+/// the head.
 fn decoded_framing(head: Vec<u8>) -> Option<BodyFraming> {
     let stream = HeadStream(Arc::new(Mutex::new(io::Cursor::new(head))));
     let decoded = block_on(async_h1::server::decode(stream)).ok()??;
@@ -136,13 +137,13 @@
 }
 
 #[test]
-fn accepted_heads_are_read_the_same() {
+fn accepted_heads_have_the_framing_of_async_h1() {
     let agreed = Mutex::new(0);
     let outcome = runner().run(&mutated(head()), |head| {
-        if let Ok(facts) = head::check_request(&head)
+        if let Ok(info) = head::check_request(&head)
             && let Some(framing) = decoded_framing(head)
         {
-            prop_assert_eq!(facts.framing, framing);
+            prop_assert_eq!(info.framing, framing);
             *agreed.lock().unwrap() += 1;
         }
         Ok(())
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn any_bytes_are_checked_without_a_panic() {
+fn arbitrary_head_does_not_panic() {
     let bytes = proptest::collection::vec(any::<u8>(), 0..200);
     let outcome = runner().run(&bytes, |mut bytes| {
         bytes.extend_from_slice(b"\r\n\r\n");
@@ -163,8 +164,8 @@
     outcome.unwrap();
 }
 
-/// A whole request and what the handler is to see of it.
-fn whole() -> impl Strategy<Value = (Vec<u8>, String)> {
+/// A complete request, and what the handler should receive.
+fn complete_request() -> impl Strategy<Value = (Vec<u8>, String)> {
     let part = || proptest::collection::vec(b'a'..=b'z', 1..9);
     let sized = part().prop_map(|body| {
         let body = String::from_utf8(body).unwrap();
@@ -196,24 +197,24 @@
     prop_oneof![sized, chunked, bare]
 }
 
-/// Waits until the server has ended the connection.
+/// Waits until the server has closed the connection.
 fn await_end(server: &Server) {
-    let give_up = async {
-        async_io::Timer::after(PATIENCE).await;
-        panic!("the connection does not end")
+    let timeout = async {
+        async_io::Timer::after(TEST_TIMEOUT).await;
+        panic!("the connection stays open")
     };
-    let _ = block_on(server.ended.recv().or(give_up)).unwrap();
+    let _ = block_on(server.ended.recv().or(timeout)).unwrap();
 }
 
-/// However the stream is cut, the handler sees the whole requests before the
-/// cut and nothing of the broken one.
+/// Wherever the stream is truncated, the handler receives the complete
+/// requests before that point and nothing of the truncated request.
 #[test]
-fn handler_sees_whole_requests_only() {
+fn handler_receives_only_complete_requests() {
     let server = Server::echo(ServerOptions::new());
-    let requests = proptest::collection::vec(whole(), 1..4);
+    let requests = proptest::collection::vec(complete_request(), 1..4);
     let cases = (requests, any::<prop::sample::Index>());
     let outcome = runner().run(&cases, |(requests, cut)| {
-        server.seen.lock().unwrap().clear();
+        server.handled.lock().unwrap().clear();
         let mut sent = Vec::new();
         let mut ends = Vec::new();
         for (bytes, _) in &requests {
@@ -223,39 +224,39 @@
         let cut = cut.index(sent.len() + 1);
         server.exchange(&[&sent[..cut]], true);
         await_end(&server);
-        let whole_count = ends.iter().filter(|end| **end <= cut).count();
-        let expected: Vec<String> = requests[..whole_count]
+        let complete_count = ends.iter().filter(|end| **end <= cut).count();
+        let expected: Vec<String> = requests[..complete_count]
             .iter()
-            .map(|(_, seen)| seen.clone())
+            .map(|(_, handled)| handled.clone())
             .collect();
-        prop_assert_eq!(server.seen(), expected);
+        prop_assert_eq!(server.handled(), expected);
         Ok(())
     });
     outcome.unwrap();
 }
 
 #[test]
-fn any_stream_ends() {
+fn arbitrary_stream_ends_the_connection() {
     let server = Server::echo(ServerOptions::new());
     let random = proptest::collection::vec(any::<u8>(), 0..300);
-    let requests = proptest::collection::vec(whole(), 1..4);
-    let spoilt = mutated(requests.prop_map(|requests| {
+    let requests = proptest::collection::vec(complete_request(), 1..4);
+    let corrupted = mutated(requests.prop_map(|requests| {
         requests.into_iter().flat_map(|(bytes, _)| bytes).collect()
     }));
-    let streams = prop_oneof![random, spoilt, mutated(head())];
+    let streams = prop_oneof![random, corrupted, mutated(head())];
     let outcome = runner().run(&streams, |stream| {
         let mut socket = server.connect();
         io::Write::write_all(&mut socket, &stream).unwrap();
         let _ = socket.shutdown(std::net::Shutdown::Write);
-        let mut answer = Vec::new();
-        io::Read::read_to_end(&mut socket, &mut answer).unwrap();
+        let mut response = Vec::new();
+        io::Read::read_to_end(&mut socket, &mut response).unwrap();
         await_end(&server);
         Ok(())
     });
     outcome.unwrap();
 }
 
-/// Bytes as the stream that `async-h1` wants.
+/// Presents bytes as a stream to `async-h1`.
 #[derive(Clone)]
 struct HeadStream(Arc<Mutex<io::Cursor<Vec<u8>>>>);
 
--- a/crates/http/tests/relay.rs
+++ b/crates/http/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Requests and answers that are passed on as they came.
+//! Requests and responses that are forwarded unchanged.
 
 use std::{
     io::{Read as _, Write as _},
@@ -23,14 +23,14 @@
     idle_timeout: Duration::from_secs(5),
 };
 
-/// Sends bytes and closes; what the server makes of them.
+/// Sends bytes, closes the connection and returns what the server received.
 fn receive(bytes: &[u8]) -> Result<RelayRequest, InboundError> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let bytes = bytes.to_vec();
     let caller = thread::spawn(move || {
         let mut stream = TcpStream::connect(address).unwrap();
-        // The server may have answered and closed by then.
+        // The server may have responded and closed the connection already.
         let _ = stream.write_all(&bytes);
         let _ = stream.shutdown(Shutdown::Write);
         let mut rest = Vec::new();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_is_kept_as_it_came() {
+fn request_is_received_unchanged() {
     let request = receive(
         b"POST /a%20b/?x=1 HTTP/1.1\r\nHost: h.example\r\nX-Odd: a  b\r\n\
           x-odd: c\r\nContent-Length: 3\r\n\r\nabc",
@@ -64,74 +64,74 @@
 }
 
 #[test]
-fn a_long_head_within_the_limit_is_taken() {
+fn long_head_within_the_limit_is_accepted() {
     let long = "y".repeat(12 << 10);
     let head = format!("GET / HTTP/1.1\r\nHost: h\r\nX: {long}\r\n\r\n");
     let request = receive(head.as_bytes()).unwrap();
     assert_eq!(request.header("x").unwrap().len(), 12 << 10);
 }
 
-struct Refused {
+struct Rejected {
     bytes: &'static [u8],
     status: u16,
 }
 
 #[rstest]
-#[case(Refused {
+#[case(Rejected {
     bytes: b"GET / HTTP/1.0\r\nHost: h\r\n\r\n", status: 505
 })]
-#[case(Refused { bytes: b"GET / HTTP/1.1\r\n\r\n", status: 400 })]
-#[case(Refused {
+#[case(Rejected { bytes: b"GET / HTTP/1.1\r\n\r\n", status: 400 })]
+#[case(Rejected {
     bytes: b"GET h HTTP/1.1\r\nHost: h\r\n\r\n", status: 400
 })]
-#[case(Refused {
+#[case(Rejected {
     bytes: b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9999\r\n\r\n",
     status: 413,
 })]
-#[case(Refused {
+#[case(Rejected {
     bytes: b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc",
     status: 400,
 })]
-#[case(Refused {
+#[case(Rejected {
     bytes: b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip\r\n\r\n",
     status: 501,
 })]
-fn what_is_malformed_has_its_status(#[case] refused: Refused) {
-    match receive(refused.bytes) {
+fn malformed_request_gets_its_status(#[case] rejected: Rejected) {
+    match receive(rejected.bytes) {
         Err(InboundError::Refused(why)) => {
-            assert_eq!(why.status, refused.status, "{why}");
+            assert_eq!(why.status, rejected.status, "{why}");
         }
         other => panic!("{other:?}"),
     }
 }
 
-/// How a server ends its connection after its bytes.
+/// How a server ends the connection after the response.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum ConnectionEnd {
     Closes,
     Resets,
 }
 
-/// A server that reads a request and sends these bytes.
-fn server(bytes: &'static [u8], end: End) -> SocketAddr {
+/// Starts a server that responds to one request with these bytes.
+fn server(bytes: &'static [u8], end: ConnectionEnd) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        if matches!(end, End::Closes) {
+        if matches!(end, ConnectionEnd::Closes) {
             let mut request = [0; 64];
             let _ = stream.read(&mut request);
         }
         let _ = stream.write_all(bytes);
         // Closing with an unread request resets the connection.
-        if matches!(end, End::Resets) {
+        if matches!(end, ConnectionEnd::Resets) {
             thread::sleep(Duration::from_millis(100));
         }
     });
     address
 }
 
-fn ask(address: SocketAddr) -> Result<(u16, Vec<u8>, bool), String> {
+fn fetch(address: SocketAddr) -> Result<(u16, Vec<u8>, bool), String> {
     async_io::block_on(async {
         let mut connection =
             Outbound::connect(address, Duration::from_secs(1))
@@ -147,58 +147,59 @@
     })
 }
 
-struct Answer {
+struct Case {
     bytes: &'static [u8],
-    end: End,
+    end: ConnectionEnd,
     body: Option<&'static [u8]>,
 }
 
 #[rstest]
-#[case::length(Answer {
+#[case::length(Case {
     bytes: b"HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nab",
-    end: End::Closes, body: Some(b"ab"),
+    end: ConnectionEnd::Closes, body: Some(b"ab"),
 })]
-#[case::chunks(Answer {
+#[case::chunks(Case {
     bytes: b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n\
              1\r\na\r\n1\r\nb\r\n0\r\n\r\n",
-    end: End::Closes, body: Some(b"ab"),
+    end: ConnectionEnd::Closes, body: Some(b"ab"),
 })]
-#[case::until_closed(Answer {
-    bytes: b"HTTP/1.1 200 x\r\n\r\nab", end: End::Closes, body: Some(b"ab"),
+#[case::until_closed(Case {
+    bytes: b"HTTP/1.1 200 x\r\n\r\nab", end: ConnectionEnd::Closes, body: Some(b"ab"),
 })]
-#[case::until_closed_and_reset(Answer {
-    bytes: b"HTTP/1.1 200 x\r\n\r\nab", end: End::Resets, body: None,
+#[case::until_closed_and_reset(Case {
+    bytes: b"HTTP/1.1 200 x\r\n\r\nab", end: ConnectionEnd::Resets, body: None,
 })]
-#[case::interim_first(Answer {
+#[case::interim_first(Case {
     bytes: b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 200 x\r\n\
              Content-Length: 2\r\n\r\nab",
-    end: End::Closes, body: Some(b"ab"),
+    end: ConnectionEnd::Closes, body: Some(b"ab"),
 })]
-#[case::short(Answer {
+#[case::body_shorter_than_stated(Case {
     bytes: b"HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\nab",
-    end: End::Closes, body: None,
+    end: ConnectionEnd::Closes, body: None,
 })]
-#[case::no_last_chunk(Answer {
+#[case::no_last_chunk(Case {
     bytes: b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n\
              1\r\na\r\n",
-    end: End::Closes, body: None,
+    end: ConnectionEnd::Closes, body: None,
 })]
-#[case::no_answer(Answer {
-    bytes: b"what is this\r\n\r\n", end: End::Closes, body: None,
+#[case::malformed_response(Case {
+    bytes: b"what is this\r\n\r\n", end: ConnectionEnd::Closes, body: None,
 })]
-#[case::nothing(Answer { bytes: b"", end: End::Closes, body: None })]
-fn an_answer_is_whole_or_an_error(#[case] answer: Answer) {
-    let result = ask(server(answer.bytes, answer.end));
-    match answer.body {
+#[case::empty_response(Case { bytes: b"", end: ConnectionEnd::Closes, body: None })]
+fn incomplete_response_is_an_error(#[case] case: Case) {
+    let result = fetch(server(case.bytes, case.end));
+    match case.body {
         Some(body) => assert_eq!(result.unwrap().1, body),
         None => assert!(result.is_err(), "{result:?}"),
     }
 }
 
 #[test]
-fn a_connection_with_unasked_bytes_is_not_used_again() {
+fn connection_with_surplus_bytes_is_not_reused() {
     let bytes = b"HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nabHTTP/1.1";
-    let (_, body, is_reusable) = ask(server(bytes, End::Closes)).unwrap();
+    let (_, body, is_reusable) =
+        fetch(server(bytes, ConnectionEnd::Closes)).unwrap();
     assert_eq!(body, b"ab");
     assert!(!is_reusable);
 }
@@ -209,22 +210,22 @@
 #[case("transfer-encoding", None, false)]
 #[case("X-Hop", Some("close, x-hop"), false)]
 #[case("X-Hop", Some("close"), true)]
-fn headers_of_one_connection_are_not_passed_on(
+fn hop_by_hop_headers_are_not_forwarded(
     #[case] name: &str,
     #[case] connection: Option<&str>,
-    #[case] is_passed: bool,
+    #[case] is_forwarded: bool,
 ) {
-    assert_eq!(is_end_to_end(name, connection), is_passed);
+    assert_eq!(is_end_to_end(name, connection), is_forwarded);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(60))]
 
     #[test]
-    fn no_bytes_of_a_client_do_harm(
+    fn arbitrary_bytes_are_received_rejected_or_closed(
         bytes in prop::collection::vec(any::<u8>(), 1..300),
     ) {
-        // It is taken, refused with a status, or ended.
+        // A rejected request has an error status.
         if let Err(InboundError::Refused(why)) = receive(&bytes) {
             prop_assert!((400..600).contains(&why.status));
         }
--- a/crates/http/tests/requests.rs
+++ b/crates/http/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused or served, over a real socket.
+//! Requests over a real socket that are served or rejected.
 
 mod support;
 
@@ -10,13 +10,13 @@
 const MAX_BODY_BYTES: usize = 64;
 
 struct Case {
-    /// Bytes sent, in parts that arrive apart.
+    /// Bytes sent, in parts that the server reads separately.
     sent: &'static [&'static [u8]],
-    /// The caller closes its sending side after them.
+    /// Whether the caller then closes its sending side.
     is_half_closed: bool,
-    /// Statuses of the answers, in order.
+    /// Statuses of the responses, in order.
     statuses: &'static [u16],
-    /// What the handler got.
+    /// Requests that the handler received.
     handled: &'static [&'static str],
 }
 
@@ -24,7 +24,7 @@
     Case { sent: &[], is_half_closed: false, statuses: &[], handled: &[] };
 
 #[rstest]
-#[case::whole(Case {
+#[case::complete(Case {
     sent: &[b"POST /a HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\
         content-length: 3\r\n\r\nabc"],
     statuses: &[200],
@@ -44,7 +44,7 @@
     handled: &["GET /a "],
     ..CASE
 })]
-#[case::no_http(Case {
+#[case::not_http(Case {
     sent: &[b"hello there\r\n\r\n"],
     statuses: &[400],
     ..CASE
@@ -99,7 +99,7 @@
     statuses: &[400],
     ..CASE
 })]
-#[case::head_cut_short(Case {
+#[case::truncated_head(Case {
     sent: &[b"GET / HTTP/1.1\r\nhost: a\r\n"],
     is_half_closed: true,
     statuses: &[400],
@@ -133,7 +133,7 @@
     statuses: &[400],
     ..CASE
 })]
-#[case::endless_length(Case {
+#[case::length_overflow(Case {
     sent: &[b"POST / HTTP/1.1\r\nhost: a\r\n\
         content-length: 99999999999999999999\r\n\r\n"],
     statuses: &[400],
@@ -151,7 +151,7 @@
     statuses: &[400],
     ..CASE
 })]
-#[case::body_cut_short(Case {
+#[case::truncated_body(Case {
     sent: &[b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nabc"],
     is_half_closed: true,
     statuses: &[400],
@@ -168,7 +168,7 @@
     statuses: &[413],
     ..CASE
 })]
-#[case::older_version(Case {
+#[case::http_1_0(Case {
     sent: &[b"GET / HTTP/1.0\r\nhost: a\r\n\r\n"],
     statuses: &[505],
     ..CASE
@@ -211,14 +211,14 @@
     handled: &["POST /a abc", "GET /b ", "GET /c "],
     ..CASE
 })]
-#[case::nothing_after_the_last(Case {
+#[case::request_after_the_last(Case {
     sent: &[b"GET /a HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n\
         GET /b HTTP/1.1\r\nhost: a\r\n\r\n"],
     statuses: &[200],
     handled: &["GET /a "],
     ..CASE
 })]
-#[case::broken_after_a_whole_one(Case {
+#[case::malformed_after_a_complete_request(Case {
     sent: &[b"GET /a HTTP/1.1\r\nhost: a\r\n\r\nGET\r\n\r\n"],
     statuses: &[200, 400],
     handled: &["GET /a "],
@@ -255,7 +255,7 @@
     handled: &["POST /a abc", "GET /b "],
     ..CASE
 })]
-#[case::chunks_cut_short(Case {
+#[case::truncated_chunks(Case {
     sent: &[b"POST /a HTTP/1.1\r\nhost: a\r\n\
         transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n"],
     is_half_closed: true,
@@ -282,38 +282,38 @@
     statuses: &[400],
     ..CASE
 })]
-fn is_served_or_refused(#[case] case: Case) {
+fn valid_requests_are_served_and_others_rejected(#[case] case: Case) {
     let options = ServerOptions::new().max_body_bytes(MAX_BODY_BYTES);
     let server = Server::echo(options);
-    let answer = server.exchange(case.sent, case.is_half_closed);
-    assert_eq!(statuses(&answer), case.statuses, "{answer}");
-    assert_eq!(server.seen(), case.handled);
+    let response = server.exchange(case.sent, case.is_half_closed);
+    assert_eq!(statuses(&response), case.statuses, "{response}");
+    assert_eq!(server.handled(), case.handled);
 }
 
 #[test]
-fn long_head_is_refused() {
+fn long_head_is_rejected() {
     let server = Server::echo(ServerOptions::new());
     let long = "x".repeat(9_000);
     let head = format!("GET / HTTP/1.1\r\nhost: a\r\nx: {long}\r\n\r\n");
-    let answer = server.exchange(&[head.as_bytes()], false);
-    assert_eq!(statuses(&answer), [431], "{answer}");
-    assert!(server.seen().is_empty());
+    let response = server.exchange(&[head.as_bytes()], false);
+    assert_eq!(statuses(&response), [431], "{response}");
+    assert!(server.handled().is_empty());
 }
 
 #[test]
-fn many_headers_are_refused() {
+fn too_many_headers_are_rejected() {
     let server = Server::echo(ServerOptions::new());
     let lines = "x: y\r\n".repeat(200);
     let head = format!("GET / HTTP/1.1\r\nhost: a\r\n{lines}\r\n");
-    let answer = server.exchange(&[head.as_bytes()], false);
-    assert_eq!(statuses(&answer), [431], "{answer}");
-    assert!(server.seen().is_empty());
+    let response = server.exchange(&[head.as_bytes()], false);
+    assert_eq!(statuses(&response), [431], "{response}");
+    assert!(server.handled().is_empty());
 }
 
-/// Statuses of all answers in the text.
-fn statuses(answers: &str) -> Vec<u16> {
-    answers
+/// Statuses of all responses in the text.
+fn statuses(responses: &str) -> Vec<u16> {
+    responses
         .split("HTTP/1.1 ")
-        .filter_map(|answer| answer.get(..3)?.parse().ok())
+        .filter_map(|response| response.get(..3)?.parse().ok())
         .collect()
 }
--- a/crates/http/tests/retry_after.rs
+++ b/crates/http/tests/retry_after.rs
@@ -1,50 +1,50 @@
-//! What answers say of the rest that their servers want.
+//! Cooldowns that responses request with `Retry-After`.
 
 use std::time::Duration;
 
 use chestnutreach_http::retry_after::{RetryAfter, parse};
 use rstest::rstest;
 
-struct Rest {
+struct Case {
     status: u16,
     values: &'static [&'static str],
-    read: RetryAfter,
+    parsed: RetryAfter,
 }
 
 #[rstest]
-#[case::absent(Rest { status: 503, values: &[], read: RetryAfter::Absent })]
-#[case::whole(Rest {
-    status: 503, values: &["3"], read: RetryAfter::Delay(Duration::from_millis(3000)),
+#[case::absent(Case { status: 503, values: &[], parsed: RetryAfter::Absent })]
+#[case::whole_number(Case {
+    status: 503, values: &["3"], parsed: RetryAfter::Delay(Duration::from_millis(3000)),
 })]
-#[case::fraction(Rest {
-    status: 503, values: &["0.25"], read: RetryAfter::Delay(Duration::from_millis(250)),
+#[case::fraction(Case {
+    status: 503, values: &["0.25"], parsed: RetryAfter::Delay(Duration::from_millis(250)),
 })]
-#[case::other_status(Rest {
-    status: 500, values: &["3"], read: RetryAfter::Absent,
+#[case::other_status(Case {
+    status: 500, values: &["3"], parsed: RetryAfter::Absent,
 })]
-#[case::date(Rest {
+#[case::date(Case {
     status: 503,
     values: &["Fri, 04 Dec 2026 10:00:00 GMT"],
-    read: RetryAfter::Malformed,
+    parsed: RetryAfter::Malformed,
 })]
-#[case::negative(Rest {
-    status: 503, values: &["-3"], read: RetryAfter::Malformed,
+#[case::negative(Case {
+    status: 503, values: &["-3"], parsed: RetryAfter::Malformed,
 })]
-#[case::nothing(Rest {
-    status: 503, values: &[""], read: RetryAfter::Malformed,
+#[case::empty(Case {
+    status: 503, values: &[""], parsed: RetryAfter::Malformed,
 })]
-#[case::twice(Rest {
-    status: 503, values: &["3", "x", "5"], read: RetryAfter::Delay(Duration::from_millis(5000)),
+#[case::longest_of_several(Case {
+    status: 503, values: &["3", "x", "5"], parsed: RetryAfter::Delay(Duration::from_millis(5000)),
 })]
-#[case::beyond_an_hour(Rest {
+#[case::beyond_an_hour(Case {
     status: 503,
     values: &["99999999999999999999999999999999"],
-    read: RetryAfter::Delay(Duration::from_secs(3_600)),
+    parsed: RetryAfter::Delay(Duration::from_secs(3_600)),
 })]
-#[case::exponent(Rest {
-    status: 503, values: &["1e308"], read: RetryAfter::Malformed,
+#[case::exponent(Case {
+    status: 503, values: &["1e308"], parsed: RetryAfter::Malformed,
 })]
-fn a_rest_is_a_number_of_seconds(#[case] case: Rest) {
+fn cooldown_is_a_number_of_seconds(#[case] case: Case) {
     let values = case.values.iter().copied();
-    assert_eq!(parse(case.status, values), case.read);
+    assert_eq!(parse(case.status, values), case.parsed);
 }
--- a/crates/http/tests/support/mod.rs
+++ b/crates/http/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A server on a loopback socket, and raw exchanges with it.
+//! A server on a loopback socket, and raw exchanges of bytes with it.
 #![allow(dead_code)]
 
 use std::{
@@ -15,26 +15,26 @@
 use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use http_types::{Response, StatusCode};
 
-/// How long any test waits before it counts as hung.
-pub const PATIENCE: Duration = Duration::from_secs(10);
-/// Pause between two parts, so that they arrive apart.
+/// Time after which a test that waits counts as hung.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between two parts, so that the server reads them separately.
 const PART_PAUSE: Duration = Duration::from_millis(30);
 
-/// The answer of a handler that is still to come.
-pub type Answer = Pin<Box<dyn Future<Output = Response> + Send>>;
+/// A handler's pending response.
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response> + Send>>;
 
-/// What a handler was given: "METHOD path body".
-pub type Seen = Arc<Mutex<Vec<String>>>;
+/// Requests that reached the handler, as "METHOD path body".
+pub type HandledRequests = Arc<Mutex<Vec<String>>>;
 
 pub struct Server {
     pub address: SocketAddr,
-    pub seen: Seen,
-    /// A result for each connection that was served to its end.
+    pub handled: HandledRequests,
+    /// The result of each connection that has ended.
     pub ended: async_channel::Receiver<std::io::Result<()>>,
 }
 
 impl Server {
-    /// Serves with a handler that answers "METHOD path body".
+    /// Starts a server that responds with "METHOD path body".
     pub fn echo(options: ServerOptions) -> Server {
         Server::start(options, |received| {
             let text = describe(&received);
@@ -44,14 +44,14 @@
 
     pub fn start(
         options: ServerOptions,
-        handler: impl Fn(ReceivedRequest) -> Answer + Send + Sync + 'static,
+        handler: impl Fn(ReceivedRequest) -> ResponseFuture + Send + Sync + 'static,
     ) -> Server {
         let listener =
             Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let address = listener.get_ref().local_addr().unwrap();
-        let seen = Seen::default();
-        let log = seen.clone();
-        let (send_end, ended) = async_channel::unbounded();
+        let handled = HandledRequests::default();
+        let log = handled.clone();
+        let (send_result, ended) = async_channel::unbounded();
         let handler = Arc::new(move |received: ReceivedRequest| {
             log.lock().unwrap().push(describe(&received));
             handler(received)
@@ -63,12 +63,12 @@
                     let (socket, _) = listener.accept().await.unwrap();
                     let options = options.clone();
                     let handler = handler.clone();
-                    let send_end = send_end.clone();
+                    let send_result = send_result.clone();
                     let task = async move {
                         let handle = |received| handler(received);
-                        let end =
+                        let result =
                             serve_connection(socket, &options, handle).await;
-                        let _ = send_end.send(end).await;
+                        let _ = send_result.send(result).await;
                     };
                     executor.spawn(task).detach();
                 }
@@ -76,21 +76,22 @@
             executor.run(serve).await
         };
         thread::spawn(move || block_on(accept));
-        Server { address, seen, ended }
+        Server { address, handled, ended }
     }
 
     pub fn connect(&self) -> TcpStream {
         let socket = TcpStream::connect(self.address).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         socket.set_nodelay(true).unwrap();
         socket
     }
 
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    pub fn handled(&self) -> Vec<String> {
+        self.handled.lock().unwrap().clone()
     }
 
-    /// Sends parts one after another and reads until the server closes.
+    /// Sends parts one after another and reads until the server closes the
+    /// connection.
     pub fn exchange(&self, parts: &[&[u8]], is_half_closed: bool) -> String {
         let mut socket = self.connect();
         for (index, part) in parts.iter().enumerate() {
@@ -105,9 +106,9 @@
         if is_half_closed {
             let _ = socket.shutdown(Shutdown::Write);
         }
-        let mut answer = Vec::new();
-        socket.read_to_end(&mut answer).expect("the server closes");
-        String::from_utf8(answer).unwrap()
+        let mut response = Vec::new();
+        socket.read_to_end(&mut response).expect("the server closes");
+        String::from_utf8(response).unwrap()
     }
 }
 
@@ -128,7 +129,8 @@
     let mut text = String::new();
     let mut chunk = [0; 1024];
     while !text.contains(end) {
-        let count = socket.read(&mut chunk).expect("an answer in time");
+        let count =
+            socket.read(&mut chunk).expect("a response before the timeout");
         assert!(count > 0, "closed after {text:?}");
         text.push_str(std::str::from_utf8(&chunk[..count]).unwrap());
     }
