--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,8 +1,8 @@
-//! Frames to bytes and back.
+//! Encoding and decoding of frames.
 //!
-//! A frame is its length as a 32-bit little-endian number and then the
-//! message. The length is checked against a limit before anything is kept,
-//! so that a stray connection cannot make a process allocate.
+//! A frame is the length of a message as a 32-bit little-endian number,
+//! followed by the message. The decoder checks the length against a limit
+//! first, so that a stray connection cannot make a process allocate memory.
 
 use std::{error, fmt};
 
@@ -10,10 +10,10 @@
 
 use crate::wire::{Frame, frame::Body};
 
-/// Bytes of the length that goes before each message.
+/// Size of the length prefix of each message.
 pub(crate) const LENGTH_BYTES: usize = 4;
-/// Consumed bytes that a decoder keeps before it moves the rest down.
-const COMPACT_BYTES: usize = 64 * 1024;
+/// Consumed bytes above which a decoder compacts its buffer.
+const COMPACT_THRESHOLD_BYTES: usize = 64 * 1024;
 
 /// Appends one frame to `out`.
 pub fn encode(body: Body, out: &mut Vec<u8>) {
@@ -24,20 +24,20 @@
     frame.encode_raw(out);
 }
 
-/// Why bytes are no frame.
+/// Why bytes cannot be decoded as a frame.
 #[derive(Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum DecodeError {
-    /// The frame is longer than the limit, both in bytes.
+    /// The frame is longer than the limit.
     TooLong {
-        /// Length that the frame states.
+        /// Length stated by the frame, in bytes.
         length: usize,
-        /// Longest frame taken.
+        /// Longest accepted frame, in bytes.
         limit: usize,
     },
-    /// The message cannot be read.
+    /// The message cannot be decoded.
     Malformed(String),
-    /// The message has no body, or one of a later version.
+    /// The message has no body, or a body of a later protocol version.
     Empty,
 }
 
@@ -49,7 +49,7 @@
                 "frame of {length} bytes is longer than {limit} bytes"
             ),
             DecodeError::Malformed(why) => {
-                write!(f, "frame cannot be read: {why}")
+                write!(f, "cannot decode frame: {why}")
             }
             DecodeError::Empty => write!(f, "frame has no known body"),
         }
@@ -58,7 +58,7 @@
 
 impl error::Error for DecodeError {}
 
-/// Collects received bytes and takes whole frames from them.
+/// Buffers received bytes and decodes complete frames.
 #[derive(Debug)]
 pub struct Decoder {
     buffer: Vec<u8>,
@@ -68,7 +68,7 @@
 }
 
 impl Decoder {
-    /// A decoder that refuses frames longer than `max_frame_bytes`.
+    /// Creates a decoder that rejects frames longer than `max_frame_bytes`.
     pub fn new(max_frame_bytes: usize) -> Decoder {
         Decoder {
             buffer: Vec::new(),
@@ -78,21 +78,23 @@
         }
     }
 
-    /// Length of the last whole frame, with the bytes of its own length.
+    /// Size of the last decoded frame, including its length prefix.
     pub fn last_frame_bytes(&self) -> usize {
         self.last_frame_bytes
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, or none until more bytes arrive.
+    /// Decodes the body of the next frame. Returns None if the frame is still
+    /// incomplete.
     ///
     /// # Errors
     ///
-    /// The bytes are no frame; the connection is of no further use.
+    /// The bytes are not a valid frame. The decoder cannot continue after an
+    /// error, so the connection must be closed.
     pub fn next_body(&mut self) -> Result<Option<Body>, DecodeError> {
         let unread = &self.buffer[self.consumed..];
         let Some(length_bytes) = unread.first_chunk::<LENGTH_BYTES>() else {
@@ -116,12 +118,13 @@
         frame.body.map(Some).ok_or(DecodeError::Empty)
     }
 
-    /// Drops consumed bytes; a move of the rest is put off until it pays.
+    /// Discards consumed bytes. Moves the remaining bytes only after many were
+    /// consumed, to limit copying.
     fn compact(&mut self) {
         if self.consumed == self.buffer.len() {
             self.buffer.clear();
             self.consumed = 0;
-        } else if self.consumed > COMPACT_BYTES {
+        } else if self.consumed > COMPACT_THRESHOLD_BYTES {
             self.buffer.drain(..self.consumed);
             self.consumed = 0;
         }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,16 +1,17 @@
 //! The protocol between the processes of chestnutreach.
 //!
-//! An entry talks to the first side process of a chain, and side processes
-//! talk to each other. A [`Link`] is one TCP connection that carries the
-//! frames of many requests; [`Links`] holds all links of a process.
+//! An entry communicates with the first side process of a chain, and side
+//! processes communicate with each other. A [`Link`] is a TCP connection that
+//! multiplexes the frames of many requests; [`Links`] manages all links of a
+//! process.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`wire`] | the generated message types |
-//! | [`codec`] | frames to bytes and back |
-//! | [`request_id`] | the identity of a request |
-//! | [`link`] | connections, heartbeats, silence |
-//! | [`peers`] | what entries tell each other, generated |
+//! | [`wire`] | generated message types |
+//! | [`codec`] | encoding and decoding of frames |
+//! | [`request_id`] | identifiers of requests |
+//! | [`link`] | connections, heartbeats and silence timeouts |
+//! | [`peers`] | generated types of the messages between entries |
 //!
 //! # Example
 //!
@@ -38,5 +39,5 @@
 };
 pub use request_id::RequestId;
 
-/// Version of the inner protocol that this build speaks.
+/// Version of the inner protocol that this build supports.
 pub const PROTOCOL_VERSION: u32 = 1;
--- a/crates/protocol/src/link/connection.rs
+++ b/crates/protocol/src/link/connection.rs
@@ -1,10 +1,10 @@
 //! One connection to a peer.
 //!
-//! Sending never waits: a frame is encoded into the link's buffer and, when
-//! nothing is queued before it, written to the socket at once. What the
-//! socket does not take is left to the link's writer task. A peer that does
-//! not read loses its link when the buffer passes its limit, so that one slow
-//! process cannot hold the memory of another.
+//! Sending never waits. A frame is encoded into the link's buffer and, if the
+//! buffer was empty, written to the socket at once. The writer task of the
+//! link writes what the socket did not accept. If the buffer exceeds its limit
+//! because the peer does not read, the link closes, so that a slow process
+//! cannot exhaust the memory of another process.
 
 use std::{
     fmt,
@@ -23,14 +23,14 @@
 use super::{CloseReason, LinkError};
 use crate::{
     codec,
-    link::traffic::{Counters, Purpose},
+    link::traffic::{Counters, TrafficClass},
     wire::{Hello, frame::Body},
 };
 
-/// Time of an ask that was not sent.
-const NO_ASK: u64 = u64::MAX;
+/// Stands for the absence of an unanswered heartbeat request.
+const NO_PENDING_HEARTBEAT: u64 = u64::MAX;
 
-/// One open connection; clones are handles to the same one.
+/// An open connection. Clones are handles to the same connection.
 #[derive(Clone)]
 pub struct Link {
     shared: Arc<Shared>,
@@ -39,89 +39,93 @@
 struct Shared {
     id: u64,
     peer: Hello,
-    dialled: Option<SocketAddr>,
+    dialled_address: Option<SocketAddr>,
     socket: Async<TcpStream>,
     epoch: Instant,
-    last_heard_ms: AtomicU64,
-    last_asked_ms: AtomicU64,
-    /// When the first ask that is unanswered was sent, or [`NO_ASK`].
-    unanswered_since_ms: AtomicU64,
-    busy: AtomicUsize,
-    /// When the first request came that has not been followed by a frame.
-    waiting_since_ms: AtomicU64,
+    last_received_ms: AtomicU64,
+    last_heartbeat_request_ms: AtomicU64,
+    /// Time of the first unanswered heartbeat request, or
+    /// [`NO_PENDING_HEARTBEAT`].
+    pending_heartbeat_since_ms: AtomicU64,
+    request_count: AtomicUsize,
+    /// Start of the first request since the last received frame.
+    request_since_ms: AtomicU64,
     is_closed: AtomicBool,
     counters: Counters,
     queue_limit_bytes: usize,
     max_frame_bytes: usize,
     outgoing: Mutex<Outgoing>,
-    writable: async_channel::Sender<()>,
-    ended: async_channel::Receiver<()>,
-    _ended_sender: async_channel::Sender<()>,
+    /// Wakes the writer task.
+    writer_wake: async_channel::Sender<()>,
+    /// Closed together with the link.
+    close_signal: async_channel::Receiver<()>,
+    _close_signal_sender: async_channel::Sender<()>,
 }
 
 #[derive(Default)]
 struct Outgoing {
     buffer: Vec<u8>,
-    has_writer: bool,
-    closed: Option<CloseReason>,
+    /// Whether the writer task writes the buffer; `send` only appends then.
+    is_writer_active: bool,
+    close_reason: Option<CloseReason>,
 }
 
-/// What a link is made of, before it is opened.
+/// Parameters of a new link.
 pub(crate) struct LinkParts {
     pub(crate) id: u64,
     pub(crate) peer: Hello,
-    pub(crate) dialled: Option<SocketAddr>,
+    pub(crate) dialled_address: Option<SocketAddr>,
     pub(crate) socket: Async<TcpStream>,
     pub(crate) queue_limit_bytes: usize,
     pub(crate) max_frame_bytes: usize,
 }
 
 impl Link {
-    /// The link, and the signal that its writer task waits for.
+    /// Creates a link and the channel that wakes its writer task.
     pub(crate) fn open(
         parts: LinkParts,
     ) -> (Link, async_channel::Receiver<()>) {
-        let (writable, wake) = async_channel::bounded(1);
-        let (_ended_sender, ended) = async_channel::bounded(1);
+        let (writer_wake, wake) = async_channel::bounded(1);
+        let (_close_signal_sender, close_signal) = async_channel::bounded(1);
         let shared = Shared {
             id: parts.id,
             peer: parts.peer,
-            dialled: parts.dialled,
+            dialled_address: parts.dialled_address,
             socket: parts.socket,
             epoch: Instant::now(),
-            last_heard_ms: AtomicU64::new(0),
-            last_asked_ms: AtomicU64::new(0),
-            unanswered_since_ms: AtomicU64::new(NO_ASK),
-            busy: AtomicUsize::new(0),
-            waiting_since_ms: AtomicU64::new(0),
+            last_received_ms: AtomicU64::new(0),
+            last_heartbeat_request_ms: AtomicU64::new(0),
+            pending_heartbeat_since_ms: AtomicU64::new(NO_PENDING_HEARTBEAT),
+            request_count: AtomicUsize::new(0),
+            request_since_ms: AtomicU64::new(0),
             is_closed: AtomicBool::new(false),
             counters: Counters::default(),
             queue_limit_bytes: parts.queue_limit_bytes,
             max_frame_bytes: parts.max_frame_bytes,
             outgoing: Mutex::default(),
-            writable,
-            ended,
-            _ended_sender,
+            writer_wake,
+            close_signal,
+            _close_signal_sender,
         };
         (Link { shared: Arc::new(shared) }, wake)
     }
 
-    /// Number of the link in this process, never used twice.
+    /// Number of the link, unique within this process.
     pub fn id(&self) -> u64 {
         self.shared.id
     }
 
-    /// What the peer said of itself when the link opened.
+    /// Identity that the peer announced in the handshake.
     pub fn peer(&self) -> &Hello {
         &self.shared.peer
     }
 
-    /// The address that was dialled; none for an accepted link.
+    /// Address to which this process connected; None for an accepted link.
     pub fn dialled_address(&self) -> Option<SocketAddr> {
-        self.shared.dialled
+        self.shared.dialled_address
     }
 
-    /// Whether the link has ended.
+    /// Whether the link is closed.
     pub fn is_closed(&self) -> bool {
         self.shared.is_closed.load(Ordering::Acquire)
     }
@@ -130,15 +134,15 @@
     ///
     /// # Errors
     ///
-    /// The link has ended, or the frame is too long for it. A frame that was
-    /// taken may still be lost with the connection.
+    /// The link is closed, or the frame is too long. A frame that was accepted
+    /// may still be lost with the connection.
     pub fn send(&self, body: Body) -> Result<(), LinkError> {
         let mut outgoing = self.shared.lock_outgoing();
-        if let Some(reason) = outgoing.closed {
+        if let Some(reason) = outgoing.close_reason {
             return Err(LinkError::Closed(reason));
         }
         self.shared.enqueue(body, &mut outgoing.buffer)?;
-        if outgoing.has_writer {
+        if outgoing.is_writer_active {
             if outgoing.buffer.len() > self.shared.queue_limit_bytes {
                 drop(outgoing);
                 self.close(CloseReason::Overrun);
@@ -146,11 +150,11 @@
             }
             return Ok(());
         }
-        match self.shared.write_now(&mut outgoing.buffer) {
+        match self.shared.try_write(&mut outgoing.buffer) {
             Ok(true) => Ok(()),
             Ok(false) => {
-                outgoing.has_writer = true;
-                let _ = self.shared.writable.try_send(());
+                outgoing.is_writer_active = true;
+                let _ = self.shared.writer_wake.try_send(());
                 Ok(())
             }
             Err(_) => {
@@ -161,46 +165,47 @@
         }
     }
 
-    /// Counts one more request in flight: the link is watched closely until
-    /// the guard is dropped.
+    /// Counts a request in flight. The shorter heartbeat interval of busy
+    /// links applies until the guard is dropped.
     pub fn track_request(&self) -> RequestGuard {
         if !self.has_requests() {
-            // Before the count, or the watcher would see a busy link that
-            // seems to have been quiet for all its idle time.
-            self.shared.note_waiting();
+            // The time is stored before the count changes. Otherwise the
+            // check could see a busy link whose idle time counts as
+            // silence.
+            self.shared.record_request_start();
         }
-        self.shared.busy.fetch_add(1, Ordering::AcqRel);
+        self.shared.request_count.fetch_add(1, Ordering::AcqRel);
         RequestGuard { link: self.clone() }
     }
 
     /// Whether a request is in flight on the link.
     pub fn has_requests(&self) -> bool {
-        self.shared.busy.load(Ordering::Acquire) > 0
+        self.shared.request_count.load(Ordering::Acquire) > 0
     }
 
-    /// Waits until the link has ended.
+    /// Waits until the link is closed.
     pub async fn closed(&self) {
-        // Nothing is ever sent over this channel; it closes with the link.
-        let _ = self.shared.ended.recv().await;
+        // The channel carries no messages; it closes with the link.
+        let _ = self.shared.close_signal.recv().await;
     }
 
-    /// Ends the link; the first reason given is the one that counts.
+    /// Closes the link. Only the reason of the first call is kept.
     pub fn close(&self, reason: CloseReason) {
         let mut outgoing = self.shared.lock_outgoing();
-        outgoing.closed.get_or_insert(reason);
+        outgoing.close_reason.get_or_insert(reason);
         outgoing.buffer = Vec::new();
         drop(outgoing);
         self.shared.is_closed.store(true, Ordering::Release);
-        // The reader task sees the end of the stream and reports the close.
+        // The reader task detects the end of the stream and reports the close.
         let _ = self.shared.socket.get_ref().shutdown(Shutdown::Both);
-        self.shared.writable.close();
-        self.shared.ended.close();
+        self.shared.writer_wake.close();
+        self.shared.close_signal.close();
     }
 
-    /// The reason the link ended, or `Lost` while none is known.
+    /// The reason why the link closed, or `Lost` if none is known.
     pub(crate) fn close_reason(&self) -> CloseReason {
         let outgoing = self.shared.lock_outgoing();
-        outgoing.closed.unwrap_or(CloseReason::Lost)
+        outgoing.close_reason.unwrap_or(CloseReason::Lost)
     }
 
     pub(crate) fn socket(&self) -> &Async<TcpStream> {
@@ -211,48 +216,56 @@
         &self.shared.counters
     }
 
-    pub(crate) fn note_heard(&self) {
+    pub(crate) fn record_received(&self) {
         let now_ms = self.shared.now_ms();
-        self.shared.last_heard_ms.store(now_ms, Ordering::Release);
-        self.shared.unanswered_since_ms.store(NO_ASK, Ordering::Release);
+        self.shared.last_received_ms.store(now_ms, Ordering::Release);
+        self.shared
+            .pending_heartbeat_since_ms
+            .store(NO_PENDING_HEARTBEAT, Ordering::Release);
     }
 
-    /// How long nothing was heard, in milliseconds, counted from the first
-    /// request since then if there was one. Later requests do not count: one
-    /// after another would hide that the peer is silent.
-    pub(crate) fn quiet_ms(&self) -> u64 {
-        let heard_ms = self.shared.last_heard_ms.load(Ordering::Acquire);
-        let waiting_ms = self.shared.waiting_since_ms.load(Ordering::Acquire);
-        self.shared.now_ms().saturating_sub(heard_ms.max(waiting_ms))
+    /// How long nothing was received, in milliseconds, counted from the first
+    /// request after the last received frame if there was one. Later requests
+    /// do not reset the time: a series of requests would hide that the peer is
+    /// silent.
+    pub(crate) fn silence_ms(&self) -> u64 {
+        let received_ms = self.shared.last_received_ms.load(Ordering::Acquire);
+        let request_ms = self.shared.request_since_ms.load(Ordering::Acquire);
+        self.shared.now_ms().saturating_sub(received_ms.max(request_ms))
     }
 
-    /// How long the peer has left an ask unanswered, in milliseconds; 0 if it
-    /// was not asked.
-    pub(crate) fn unanswered_ms(&self) -> u64 {
-        let since_ms = self.shared.unanswered_since_ms.load(Ordering::Acquire);
+    /// How long a heartbeat request has been unanswered, in milliseconds; 0 if
+    /// none is pending.
+    pub(crate) fn pending_heartbeat_ms(&self) -> u64 {
+        let since_ms =
+            self.shared.pending_heartbeat_since_ms.load(Ordering::Acquire);
         self.shared.now_ms().saturating_sub(since_ms)
     }
 
-    /// Whether the peer may be asked again; true at most once an interval.
-    pub(crate) fn take_ask(&self, interval_ms: u64) -> bool {
+    /// Records a heartbeat request and returns true, unless the last request
+    /// is more recent than the interval.
+    pub(crate) fn try_request_heartbeat(&self, interval_ms: u64) -> bool {
         let now_ms = self.shared.now_ms();
-        let asked_ms = self.shared.last_asked_ms.load(Ordering::Acquire);
-        if now_ms.saturating_sub(asked_ms) < interval_ms {
+        let requested_ms =
+            self.shared.last_heartbeat_request_ms.load(Ordering::Acquire);
+        if now_ms.saturating_sub(requested_ms) < interval_ms {
             return false;
         }
-        self.shared.last_asked_ms.store(now_ms, Ordering::Release);
-        self.shared.unanswered_since_ms.fetch_min(now_ms, Ordering::AcqRel);
+        self.shared.last_heartbeat_request_ms.store(now_ms, Ordering::Release);
+        self.shared
+            .pending_heartbeat_since_ms
+            .fetch_min(now_ms, Ordering::AcqRel);
         true
     }
 
-    /// Writes what `send` could not, until the link ends.
+    /// Writes what `send` could not write, until the link closes.
     pub(crate) async fn run_writer(
         self,
         wake: async_channel::Receiver<()>,
     ) -> io::Result<()> {
         let mut chunk = Vec::new();
         while wake.recv().await.is_ok() {
-            while self.take_chunk(&mut chunk) {
+            while self.take_queued(&mut chunk) {
                 (&self.shared.socket).write_all(&chunk).await?;
                 chunk.clear();
             }
@@ -260,12 +273,12 @@
         Ok(())
     }
 
-    /// Moves queued bytes to `chunk`; false when none are left, from when on
-    /// `send` writes to the socket itself again.
-    fn take_chunk(&self, chunk: &mut Vec<u8>) -> bool {
+    /// Moves queued bytes to `chunk`. Returns false if none are left; `send`
+    /// then writes to the socket itself again.
+    fn take_queued(&self, chunk: &mut Vec<u8>) -> bool {
         let mut outgoing = self.shared.lock_outgoing();
         if outgoing.buffer.is_empty() {
-            outgoing.has_writer = false;
+            outgoing.is_writer_active = false;
             return false;
         }
         std::mem::swap(&mut outgoing.buffer, chunk);
@@ -278,7 +291,7 @@
         f.debug_struct("Link")
             .field("id", &self.shared.id)
             .field("peer_vm", &self.shared.peer.vm)
-            .field("dialled", &self.shared.dialled)
+            .field("dialled", &self.shared.dialled_address)
             .finish_non_exhaustive()
     }
 }
@@ -288,22 +301,22 @@
         self.epoch.elapsed().as_millis() as u64
     }
 
-    fn note_waiting(&self) {
-        let heard_ms = self.last_heard_ms.load(Ordering::Acquire);
-        let waiting_ms = self.waiting_since_ms.load(Ordering::Acquire);
-        if waiting_ms <= heard_ms {
-            self.waiting_since_ms.store(self.now_ms(), Ordering::Release);
+    fn record_request_start(&self) {
+        let received_ms = self.last_received_ms.load(Ordering::Acquire);
+        let request_ms = self.request_since_ms.load(Ordering::Acquire);
+        if request_ms <= received_ms {
+            self.request_since_ms.store(self.now_ms(), Ordering::Release);
         }
     }
 
-    /// Encodes a frame behind those that wait.
+    /// Appends an encoded frame to the buffer.
     fn enqueue(
         &self,
         body: Body,
         buffer: &mut Vec<u8>,
     ) -> Result<(), LinkError> {
         let start = buffer.len();
-        let purpose = Purpose::of(&body);
+        let class = TrafficClass::of(&body);
         codec::encode(body, buffer);
         let length = buffer.len() - start - codec::LENGTH_BYTES;
         let limit = self.max_frame_bytes;
@@ -311,7 +324,7 @@
             buffer.truncate(start);
             return Err(LinkError::TooLong { length, limit });
         }
-        self.counters.sent(purpose, buffer.len() - start);
+        self.counters.record_sent(class, buffer.len() - start);
         Ok(())
     }
 
@@ -319,8 +332,8 @@
         self.outgoing.lock().expect("no send panics")
     }
 
-    /// Writes as much as the socket takes; true when all is written.
-    fn write_now(&self, buffer: &mut Vec<u8>) -> io::Result<bool> {
+    /// Writes as much as the socket accepts. Returns true if nothing is left.
+    fn try_write(&self, buffer: &mut Vec<u8>) -> io::Result<bool> {
         let mut written = 0;
         while written < buffer.len() {
             match self.socket.get_ref().write(&buffer[written..]) {
@@ -336,7 +349,7 @@
     }
 }
 
-/// One request in flight on a link.
+/// Counts a request as in flight on a link until dropped.
 #[derive(Debug)]
 pub struct RequestGuard {
     link: Link,
@@ -344,6 +357,6 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.link.shared.busy.fetch_sub(1, Ordering::AcqRel);
+        self.link.shared.request_count.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/crates/protocol/src/link/error.rs
+++ b/crates/protocol/src/link/error.rs
@@ -1,39 +1,40 @@
-//! Why a link ended, or a frame was not sent.
+//! Errors of links.
 
 use std::{error, fmt, net::SocketAddr};
 
-/// Why a link ended.
+/// Why a link closed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CloseReason {
-    /// The peer closed it, or the network reported an error.
+    /// The peer closed the connection, or the network reported an error.
     Lost,
-    /// Nothing was heard for longer than the silence limit.
+    /// Nothing was received for longer than the silence timeout.
     Silent,
-    /// The peer did not read what was sent to it.
+    /// The send queue exceeded its limit because the peer did not read.
     Overrun,
-    /// The peer broke the protocol.
+    /// The peer violated the protocol.
     Protocol,
-    /// This process closed it.
+    /// This process closed the link.
     Local,
 }
 
-/// A frame could not be sent, or a peer not reached.
+/// Why a frame was not sent or a link not opened.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub enum LinkError {
-    /// The link has ended.
+    /// The link is closed.
     Closed(CloseReason),
-    /// The address does not answer in its time.
+    /// The peer did not complete the handshake before the timeout.
     Timeout(SocketAddr),
-    /// The address cannot be reached.
+    /// The connection to the address failed.
     Unreachable(SocketAddr, String),
     /// The peer refused the connection, for instance by protocol version.
     Refused(SocketAddr, String),
-    /// The frame is longer than a peer takes; the link goes on without it.
+    /// The frame is longer than the limit of peers. The link stays open, and
+    /// the frame is not sent.
     TooLong {
         /// Length of the frame, in bytes.
         length: usize,
-        /// Longest frame taken, in bytes.
+        /// Longest accepted frame, in bytes.
         limit: usize,
     },
 }
@@ -42,12 +43,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LinkError::Closed(why) => write!(f, "link is closed: {why:?}"),
-            LinkError::Timeout(at) => write!(f, "{at} did not answer"),
-            LinkError::Unreachable(at, why) => {
-                write!(f, "{at} cannot be reached: {why}")
+            LinkError::Timeout(address) => {
+                write!(f, "{address} did not respond before the timeout")
             }
-            LinkError::Refused(at, why) => {
-                write!(f, "{at} refused the connection: {why}")
+            LinkError::Unreachable(address, why) => {
+                write!(f, "cannot connect to {address}: {why}")
+            }
+            LinkError::Refused(address, why) => {
+                write!(f, "{address} refused the connection: {why}")
             }
             LinkError::TooLong { length, limit } => write!(
                 f,
--- a/crates/protocol/src/link/handshake.rs
+++ b/crates/protocol/src/link/handshake.rs
@@ -1,5 +1,5 @@
-//! The first messages each way: both sides say who they are, and one of
-//! another protocol version is refused by name.
+//! The handshake of a link: both processes announce their identities. A
+//! process with another protocol version is refused with a reason.
 
 use std::{
     io,
@@ -10,7 +10,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt as _, AsyncWriteExt as _, FutureExt as _};
 
-use super::{Link, LinkError, Links, traffic::Purpose};
+use super::{Link, LinkError, Links, traffic::TrafficClass};
 use crate::{
     PROTOCOL_VERSION,
     codec::{self, Decoder},
@@ -18,25 +18,27 @@
 };
 
 impl Links {
-    pub(super) async fn dial(
+    pub(super) async fn connect_new(
         &self,
         address: SocketAddr,
     ) -> Result<Link, LinkError> {
-        let shake = async {
+        let handshake = async {
             let socket = Async::<TcpStream>::connect(address).await?;
             socket.get_ref().set_nodelay(true)?;
             let mut bytes = Vec::new();
             codec::encode(Body::Hello(self.hello()), &mut bytes);
             (&socket).write_all(&bytes).await?;
-            self.shared.past.sent(Purpose::Control, bytes.len());
-            let (first, decoder) = self.read_first(&socket).await?;
+            self.shared
+                .base_counters
+                .record_sent(TrafficClass::Control, bytes.len());
+            let (first, decoder) = self.read_first_frame(&socket).await?;
             Ok((socket, first, decoder))
         };
         let timeout = async {
             Timer::after(self.shared.options.connect_timeout).await;
             Err(io::Error::from(io::ErrorKind::TimedOut))
         };
-        let outcome: io::Result<_> = shake.or(timeout).await;
+        let outcome: io::Result<_> = handshake.or(timeout).await;
         let (socket, first, decoder) = outcome.map_err(|e| {
             if e.kind() == io::ErrorKind::TimedOut {
                 LinkError::Timeout(address)
@@ -49,7 +51,7 @@
                 Ok(self.open_link(socket, peer, Some(address), decoder))
             }
             Body::Hello(peer) => {
-                let why = unknown_version(peer.protocol_version);
+                let why = unsupported_version(peer.protocol_version);
                 Err(LinkError::Refused(address, why))
             }
             Body::HelloRefused(why) => {
@@ -64,41 +66,46 @@
 
     pub(super) fn spawn_accepted(&self, socket: Async<TcpStream>) {
         let links = self.clone();
-        let greet = async move {
+        let handshake = async move {
             let timeout = async {
                 Timer::after(links.shared.options.connect_timeout).await;
                 Err(io::Error::from(io::ErrorKind::TimedOut))
             };
-            // A peer that does not greet is dropped without a word: it is no
-            // process of this system.
-            let _ = links.greet(socket).or(timeout).await;
+            // The connection of a peer without a handshake is dropped
+            // silently: the peer is not a process of this system.
+            let _ = links.accept_handshake(socket).or(timeout).await;
         };
-        self.shared.executor.spawn(greet).detach();
+        self.shared.executor.spawn(handshake).detach();
     }
 
-    async fn greet(&self, socket: Async<TcpStream>) -> io::Result<()> {
+    async fn accept_handshake(
+        &self,
+        socket: Async<TcpStream>,
+    ) -> io::Result<()> {
         socket.get_ref().set_nodelay(true)?;
-        let (first, decoder) = self.read_first(&socket).await?;
+        let (first, decoder) = self.read_first_frame(&socket).await?;
         let Body::Hello(peer) = first else {
             return Err(io::ErrorKind::InvalidData.into());
         };
-        let is_known = peer.protocol_version == PROTOCOL_VERSION;
-        let answer = if is_known {
+        let is_supported = peer.protocol_version == PROTOCOL_VERSION;
+        let response = if is_supported {
             Body::Hello(self.hello())
         } else {
-            refuse_version(peer.protocol_version)
+            refuse_hello(peer.protocol_version)
         };
         let mut bytes = Vec::new();
-        codec::encode(answer, &mut bytes);
+        codec::encode(response, &mut bytes);
         (&socket).write_all(&bytes).await?;
-        self.shared.past.sent(Purpose::Control, bytes.len());
-        if is_known {
+        self.shared
+            .base_counters
+            .record_sent(TrafficClass::Control, bytes.len());
+        if is_supported {
             self.open_link(socket, peer, None, decoder);
         }
         Ok(())
     }
 
-    async fn read_first(
+    async fn read_first_frame(
         &self,
         socket: &Async<TcpStream>,
     ) -> io::Result<(Body, Decoder)> {
@@ -115,7 +122,9 @@
                 .map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
             if let Some(body) = next {
                 let bytes = decoder.last_frame_bytes();
-                self.shared.past.received(Purpose::Control, bytes);
+                self.shared
+                    .base_counters
+                    .record_received(TrafficClass::Control, bytes);
                 return Ok((body, decoder));
             }
         }
@@ -127,13 +136,13 @@
     }
 }
 
-fn refuse_version(version: u32) -> Body {
-    let reason = unknown_version(version);
+fn refuse_hello(version: u32) -> Body {
+    let reason = unsupported_version(version);
     let supported_version = PROTOCOL_VERSION;
     Body::HelloRefused(HelloRefused { supported_version, reason })
 }
 
-fn unknown_version(version: u32) -> String {
+fn unsupported_version(version: u32) -> String {
     format!(
         "inner protocol version {version} is not known here, \
          only {PROTOCOL_VERSION}"
--- a/crates/protocol/src/link/mod.rs
+++ b/crates/protocol/src/link/mod.rs
@@ -1,12 +1,11 @@
 //! Connections between processes.
 //!
-//! One link carries the frames of many requests, so that the count of
-//! connections follows the count of processes and not of requests. A link
-//! with requests in flight is watched: when nothing was heard for an
-//! interval the peer is asked for a heartbeat, and a peer that stays silent
-//! past the limit loses the link, also when its connection still looks open.
-//! Whoever had requests on it hears of it by [`LinkEvent::Closed`] and goes
-//! on over a new link; nobody waits on an old one.
+//! A link multiplexes the frames of many requests, so the number of
+//! connections depends on the number of processes and not of requests. If
+//! nothing was received on a link for an interval, the peer is asked for a
+//! heartbeat. If the peer stays silent beyond the timeout, the link closes,
+//! even if its connection still looks open. [`LinkEvent::Closed`] then informs
+//! the owners of the requests on the link, which continue over a new link.
 
 mod connection;
 mod error;
@@ -39,37 +38,37 @@
     codec::Decoder,
     link::{
         connection::LinkParts,
-        traffic::{Counters, Purpose},
+        traffic::{Counters, TrafficClass},
     },
     wire::{BackendLoad, Heartbeat, Hello, frame::Body},
 };
 
-/// Bytes asked of a socket at once.
+/// Size of a read from a socket.
 const READ_BYTES: usize = 64 * 1024;
-/// How often the accept loop tries again after an error of the system, for
-/// instance no free file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay of the accept loop after a system error, such as a lack of file
+/// descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What happens on links. Handlers run on the link's reader task: they must
-/// not block, and frames of one link arrive in order.
+/// An event on a link. Handlers run on the link's reader task, so they must
+/// not block. Frames of a link arrive in order.
 #[derive(Debug)]
 #[expect(
     clippy::large_enum_variant,
     reason = "most events are frames; a box would cost each an allocation"
 )]
 pub enum LinkEvent {
-    /// A link is open, dialled or accepted.
+    /// A link was opened by this process or by the peer.
     Opened(Link),
-    /// A frame that the peer sent, heartbeats included.
+    /// The peer sent a frame, possibly a heartbeat.
     Frame(Link, Body),
-    /// A link has ended; sent once for each opened link.
+    /// A link closed. Sent once for each opened link.
     Closed(Link, CloseReason),
 }
 
 /// Handles the events of all links of a process.
 pub type LinkHandler = Arc<dyn Fn(LinkEvent) + Send + Sync>;
 
-/// All links of a process; clones are handles to the same set.
+/// All links of a process. Clones are handles to the same set.
 #[derive(Clone)]
 pub struct Links {
     shared: Arc<Shared>,
@@ -84,36 +83,36 @@
     generation: AtomicU64,
     loads: Mutex<Vec<BackendLoad>>,
     open: Mutex<BTreeMap<u64, Link>>,
-    /// Greetings, and what closed links have counted.
-    past: Counters,
-    dialled: Mutex<BTreeMap<SocketAddr, DialSlot>>,
+    /// Traffic of handshakes and of closed links.
+    base_counters: Counters,
+    connect_slots: Mutex<BTreeMap<SocketAddr, ConnectSlot>>,
 }
 
-/// The lock is held while the address is dialled, so that many requests
-/// share one attempt.
-type DialSlot = Arc<async_lock::Mutex<Dialled>>;
+/// The lock is held during a connection attempt, so that concurrent requests
+/// share the attempt.
+type ConnectSlot = Arc<async_lock::Mutex<LastConnect>>;
 
-/// What came of dialling one address last.
+/// Result of the last connection attempt to an address.
 #[derive(Default)]
-struct Dialled {
+struct LastConnect {
     link: Option<Link>,
-    failed: Option<(Instant, LinkError)>,
+    failure: Option<(Instant, LinkError)>,
 }
 
-impl Dialled {
+impl LastConnect {
     fn open_link(&self) -> Option<Link> {
         self.link.clone().filter(|link| !link.is_closed())
     }
 
-    /// The failure of an attempt that ended after this time.
+    /// The error of the last attempt if the attempt ended after this time.
     fn failure_since(&self, time: Instant) -> Option<LinkError> {
-        let (at, error) = self.failed.as_ref()?;
+        let (at, error) = self.failure.as_ref()?;
         (*at >= time).then(|| error.clone())
     }
 }
 
 impl Links {
-    /// A set without links; starts the task that watches for silence.
+    /// Creates a set without links and starts the task that checks for silence.
     pub fn new(
         identity: Identity,
         options: LinkOptions,
@@ -129,8 +128,8 @@
             generation: AtomicU64::new(0),
             loads: Mutex::default(),
             open: Mutex::default(),
-            past: Counters::default(),
-            dialled: Mutex::default(),
+            base_counters: Counters::default(),
+            connect_slots: Mutex::default(),
         });
         let links = Links { shared };
         let watcher = links.clone().watch();
@@ -138,12 +137,12 @@
         links
     }
 
-    /// Who this process is.
+    /// Identity of this process.
     pub fn identity(&self) -> &Identity {
         &self.shared.identity
     }
 
-    /// Sets the generation that heartbeats and first messages carry.
+    /// Sets the generation that heartbeats and handshakes carry.
     pub fn set_generation(&self, generation: u64) {
         self.shared.generation.store(generation, Ordering::Release);
     }
@@ -153,7 +152,7 @@
         *self.shared.loads.lock().expect("no holder panics") = loads;
     }
 
-    /// Accepts connections until the process ends.
+    /// Accepts connections until the process exits.
     pub fn listen(&self, listener: Async<TcpListener>) {
         let links = self.clone();
         let accept = async move {
@@ -161,7 +160,7 @@
                 match listener.accept().await {
                     Ok((socket, _)) => links.spawn_accepted(socket),
                     Err(_) => {
-                        Timer::after(ACCEPT_PAUSE).await;
+                        Timer::after(ACCEPT_RETRY_DELAY).await;
                     }
                 }
             }
@@ -175,10 +174,10 @@
         open.values().cloned().collect()
     }
 
-    /// Bytes of frames so far.
+    /// Bytes of frames since the start of the process.
     pub fn traffic(&self) -> Traffic {
         let open = self.shared.lock_open();
-        let mut traffic = self.shared.past.read();
+        let mut traffic = self.shared.base_counters.read();
         for link in open.values() {
             traffic.add(&link.counters().read());
         }
@@ -192,42 +191,42 @@
         }
     }
 
-    /// The open link to an address, if it was dialled before.
+    /// The open link that this process opened to an address, if any.
     pub fn existing(&self, address: SocketAddr) -> Option<Link> {
         let slot = {
-            let dialled = self.shared.dialled.lock().ok()?;
-            dialled.get(&address)?.clone()
+            let slots = self.shared.connect_slots.lock().ok()?;
+            slots.get(&address)?.clone()
         };
         slot.try_lock()?.open_link()
     }
 
-    /// The link to an address, dialled if none is open.
+    /// Returns the open link to an address, or connects if none is open.
     ///
     /// # Errors
     ///
-    /// The address cannot be reached in its time, or refuses.
+    /// The connection attempt fails or times out, or the peer refuses.
     pub async fn connect(
         &self,
         address: SocketAddr,
     ) -> Result<Link, LinkError> {
         let slot = {
-            let mut dialled =
-                self.shared.dialled.lock().expect("no holder panics");
-            dialled.entry(address).or_default().clone()
+            let mut slots =
+                self.shared.connect_slots.lock().expect("no holder panics");
+            slots.entry(address).or_default().clone()
         };
-        let asked = Instant::now();
-        let mut dialled = slot.lock().await;
-        if let Some(link) = dialled.open_link() {
+        let requested_at = Instant::now();
+        let mut last = slot.lock().await;
+        if let Some(link) = last.open_link() {
             return Ok(link);
         }
-        // Whoever waited for an attempt takes its failure too: one after
-        // another would each wait for the whole timeout.
-        if let Some(error) = dialled.failure_since(asked) {
+        // A request that waited for an attempt shares the failure. Otherwise
+        // each waiting request would in turn wait for the full timeout.
+        if let Some(error) = last.failure_since(requested_at) {
             return Err(error);
         }
-        let outcome = self.dial(address).await;
-        dialled.link = outcome.as_ref().ok().cloned();
-        dialled.failed = match &outcome {
+        let outcome = self.connect_new(address).await;
+        last.link = outcome.as_ref().ok().cloned();
+        last.failure = match &outcome {
             Ok(_) => None,
             Err(e) => Some((Instant::now(), e.clone())),
         };
@@ -238,7 +237,7 @@
         &self,
         socket: Async<TcpStream>,
         peer: Hello,
-        dialled: Option<SocketAddr>,
+        dialled_address: Option<SocketAddr>,
         decoder: Decoder,
     ) -> Link {
         let id = self.shared.next_id.fetch_add(1, Ordering::Relaxed);
@@ -246,7 +245,7 @@
         let (link, wake) = Link::open(LinkParts {
             id,
             peer,
-            dialled,
+            dialled_address,
             socket,
             queue_limit_bytes,
             max_frame_bytes: self.shared.options.max_frame_bytes,
@@ -279,28 +278,30 @@
                 }
                 Ok(count) => decoder.extend(&chunk[..count]),
             }
-            link.note_heard();
+            link.record_received();
         }
-        self.forget(&link);
+        self.remove(&link);
         let reason = link.close_reason();
         (self.shared.handler)(LinkEvent::Closed(link, reason));
     }
 
-    /// Takes a link out, and in the same moment its counts over.
-    fn forget(&self, link: &Link) {
+    /// Removes a link and adds its counts to the base counters under the same
+    /// lock, so that the traffic totals stay consistent.
+    fn remove(&self, link: &Link) {
         let mut open = self.shared.lock_open();
         open.remove(&link.id());
-        self.shared.past.add(&link.counters().read());
+        self.shared.base_counters.add(&link.counters().read());
     }
 
-    /// Hands out whole frames; false when the bytes are no frames.
+    /// Handles all complete frames. Returns false if the bytes are not valid
+    /// frames.
     fn handle_frames(&self, link: &Link, decoder: &mut Decoder) -> bool {
         loop {
             match decoder.next_body() {
                 Ok(Some(body)) => {
-                    let purpose = Purpose::of(&body);
+                    let class = TrafficClass::of(&body);
                     let bytes = decoder.last_frame_bytes();
-                    link.counters().received(purpose, bytes);
+                    link.counters().record_received(class, bytes);
                     self.handle_body(link, body);
                 }
                 Ok(None) => return true,
--- a/crates/protocol/src/link/options.rs
+++ b/crates/protocol/src/link/options.rs
@@ -1,26 +1,26 @@
-//! Settings of links, and who the process is.
+//! Settings of links, and the identity of the process.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::wire::{Hello, Role};
 
-/// Who this process is, as it tells its peers.
+/// Identity that this process announces to its peers.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Name of the VM.
     pub vm: String,
-    /// What the process does.
+    /// Role of the process.
     pub role: Role,
     /// Data centre of the VM.
     pub data_centre: String,
     /// New at each start of the process; never 0.
     pub boot_id: u64,
-    /// Where the process takes control calls.
+    /// Address for control calls to the process, if any.
     pub control_address: Option<SocketAddr>,
 }
 
 impl Identity {
-    /// An identity with a new boot id.
+    /// Creates an identity with a new boot id.
     pub fn new(vm: &str, role: Role, data_centre: &str) -> Identity {
         Identity {
             vm: vm.to_owned(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The same identity with the address for control calls.
+    /// Sets the address for control calls.
     pub fn with_control_address(mut self, address: SocketAddr) -> Identity {
         self.control_address = Some(address);
         self
@@ -52,7 +52,7 @@
     }
 }
 
-/// Times and limits of links, set by chained methods.
+/// Timeouts and limits of links, set by chained methods.
 #[derive(Clone, Debug)]
 pub struct LinkOptions {
     pub(crate) connect_timeout: Duration,
@@ -77,44 +77,44 @@
 }
 
 impl LinkOptions {
-    /// The shipped settings.
+    /// The default settings.
     pub fn new() -> LinkOptions {
         LinkOptions::default()
     }
 
-    /// How long dialling and the first message may take together.
+    /// How long the connection attempt and the handshake may take together.
     pub fn connect_timeout(mut self, timeout: Duration) -> LinkOptions {
         self.connect_timeout = timeout;
         self
     }
 
-    /// How long a link with requests in flight may be quiet before the peer
-    /// is asked for a heartbeat.
+    /// How long a link with requests in flight may receive nothing before the
+    /// peer is asked for a heartbeat.
     pub fn busy_interval(mut self, interval: Duration) -> LinkOptions {
         self.busy_interval = interval;
         self
     }
 
-    /// As [`LinkOptions::busy_interval`], for a link without requests.
+    /// Like [`LinkOptions::busy_interval`], for a link without requests.
     pub fn idle_interval(mut self, interval: Duration) -> LinkOptions {
         self.idle_interval = interval;
         self
     }
 
-    /// How long a link with requests in flight may be quiet before it counts
-    /// as lost. An idle link is given this time and two idle intervals more.
-    pub fn silence_timeout(mut self, limit: Duration) -> LinkOptions {
-        self.silence_timeout = limit;
+    /// How long a link with requests in flight may receive nothing before the
+    /// link closes. An idle link gets two idle intervals in addition.
+    pub fn silence_timeout(mut self, timeout: Duration) -> LinkOptions {
+        self.silence_timeout = timeout;
         self
     }
 
-    /// Bytes that may wait for a peer that does not read.
+    /// Longest send queue of a link, in bytes.
     pub fn queue_limit_bytes(mut self, limit: usize) -> LinkOptions {
         self.queue_limit_bytes = limit;
         self
     }
 
-    /// Longest frame taken from a peer.
+    /// Longest frame accepted from a peer, in bytes.
     pub fn max_frame_bytes(mut self, limit: usize) -> LinkOptions {
         self.max_frame_bytes = limit;
         self
--- a/crates/protocol/src/link/traffic.rs
+++ b/crates/protocol/src/link/traffic.rs
@@ -1,7 +1,7 @@
-//! Bytes over links, by what they are for.
+//! Counts the bytes sent over links, by traffic class.
 //!
-//! Each link counts its own, so that links do not contend for a counter with
-//! each token; what closed links have counted is kept beside them.
+//! Each link has its own counters, so that links do not contend for a counter
+//! on each token. The counts of closed links are kept separately.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -10,7 +10,7 @@
 /// Bytes of frames over all links of a process since its start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Traffic {
-    /// Sent outside of requests: greetings, heartbeats and states.
+    /// Sent outside of requests: handshakes, heartbeats and states.
     pub control_sent_bytes: u64,
     /// Received outside of requests.
     pub control_received_bytes: u64,
@@ -29,26 +29,26 @@
     }
 }
 
-/// What a frame is for.
+/// What a frame belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Purpose {
+pub(crate) enum TrafficClass {
     Control,
     Request,
 }
 
-impl Purpose {
-    pub(crate) fn of(body: &Body) -> Purpose {
+impl TrafficClass {
+    pub(crate) fn of(body: &Body) -> TrafficClass {
         match body {
             Body::Hello(_)
             | Body::HelloRefused(_)
             | Body::Heartbeat(_)
-            | Body::Status(_) => Purpose::Control,
-            _ => Purpose::Request,
+            | Body::Status(_) => TrafficClass::Control,
+            _ => TrafficClass::Request,
         }
     }
 }
 
-/// Counts that go on while frames pass.
+/// Counters of sent and received bytes.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     control_sent: AtomicU64,
@@ -58,23 +58,23 @@
 }
 
 impl Counters {
-    pub(crate) fn sent(&self, purpose: Purpose, bytes: usize) {
-        let counter = match purpose {
-            Purpose::Control => &self.control_sent,
-            Purpose::Request => &self.request_sent,
+    pub(crate) fn record_sent(&self, class: TrafficClass, bytes: usize) {
+        let counter = match class {
+            TrafficClass::Control => &self.control_sent,
+            TrafficClass::Request => &self.request_sent,
         };
         counter.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn received(&self, purpose: Purpose, bytes: usize) {
-        let counter = match purpose {
-            Purpose::Control => &self.control_received,
-            Purpose::Request => &self.request_received,
+    pub(crate) fn record_received(&self, class: TrafficClass, bytes: usize) {
+        let counter = match class {
+            TrafficClass::Control => &self.control_received,
+            TrafficClass::Request => &self.request_received,
         };
         counter.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Takes in what a closed link has counted.
+    /// Adds the counts of a closed link.
     pub(crate) fn add(&self, traffic: &Traffic) {
         let Traffic {
             control_sent_bytes,
--- a/crates/protocol/src/link/watch.rs
+++ b/crates/protocol/src/link/watch.rs
@@ -1,4 +1,4 @@
-//! Asking quiet peers, and giving up silent ones.
+//! Requests heartbeats from silent peers and closes links after a timeout.
 
 use std::time::Duration;
 
@@ -7,34 +7,35 @@
 use super::{CloseReason, Link, Links};
 
 impl Links {
-    /// Asks quiet peers for a heartbeat and closes the links of silent ones.
+    /// Checks all links for silence until the process exits.
     pub(super) async fn watch(self) {
         let options = &self.shared.options;
         loop {
             Timer::after(options.busy_interval / 2).await;
             for link in self.open() {
-                self.watch_one(&link);
+                self.check_silence(&link);
             }
         }
     }
 
-    fn watch_one(&self, link: &Link) {
+    fn check_silence(&self, link: &Link) {
         let options = &self.shared.options;
-        let (interval, limit) = if link.has_requests() {
+        let (interval, timeout) = if link.has_requests() {
             (options.busy_interval, options.silence_timeout)
         } else {
-            let limit = options.idle_interval * 2 + options.silence_timeout;
-            (options.idle_interval, limit)
+            let timeout = options.idle_interval * 2 + options.silence_timeout;
+            (options.idle_interval, timeout)
         };
-        // A peer is asked within one and a half intervals; from then on it
-        // has the rest of the limit to answer.
-        let to_answer = limit.saturating_sub(interval + interval / 2);
-        let quiet_ms = link.quiet_ms();
-        let is_silent =
-            quiet_ms > as_ms(limit) && link.unanswered_ms() > as_ms(to_answer);
+        // The check requests a heartbeat within one and a half intervals of
+        // silence. The peer has the rest of the timeout to respond.
+        let response_time = timeout.saturating_sub(interval + interval / 2);
+        let silence_ms = link.silence_ms();
+        let is_silent = silence_ms > as_ms(timeout)
+            && link.pending_heartbeat_ms() > as_ms(response_time);
         if is_silent {
             link.close(CloseReason::Silent);
-        } else if quiet_ms >= as_ms(interval) && link.take_ask(as_ms(interval))
+        } else if silence_ms >= as_ms(interval)
+            && link.try_request_heartbeat(as_ms(interval))
         {
             let _ = link.send(self.heartbeat(true));
         }
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -1,6 +1,6 @@
-//! What entries tell each other, generated from `proto/peers.proto`.
+//! Types of the messages between entries, generated from `proto/peers.proto`.
 //!
-//! Regenerate with `tools/codegen`; the build itself needs no generator.
+//! Regenerate with `tools/codegen`; the build does not run the generator.
 
 #![allow(missing_docs, clippy::all)]
 
--- a/crates/protocol/src/request_id.rs
+++ b/crates/protocol/src/request_id.rs
@@ -1,20 +1,20 @@
-//! The identity of a request, chosen by the entry that took it.
+//! Identifier of a request, chosen by the entry that accepted the request.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 use crate::wire;
 
-/// A random 128-bit number, shown as 32 hexadecimal digits.
+/// A random 128-bit number, displayed as 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestId(u128);
 
 impl RequestId {
-    /// A new identity from the thread's random numbers.
+    /// Creates a random identifier, other than 0.
     pub fn random() -> RequestId {
         RequestId(fastrand::u128(1..))
     }
 
-    /// The identity with this number.
+    /// Creates the identifier with this number.
     pub fn from_u128(number: u128) -> RequestId {
         RequestId(number)
     }
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,6 +1,6 @@
 //! Message types generated from `proto/inner.proto`.
 //!
-//! Regenerate with `tools/codegen`; the build itself needs no generator.
+//! Regenerate with `tools/codegen`; the build does not run the generator.
 
 #![allow(missing_docs, clippy::all)]
 
