--- a/crates/protocol/src/link/handshake.rs
+++ b/crates/protocol/src/link/handshake.rs
@@ -58,7 +58,7 @@
                 Err(LinkError::Refused(address, why.reason))
             }
             _ => {
-                let why = "the first message is no greeting";
+                let why = "the first message is not a Hello";
                 Err(LinkError::Refused(address, why.to_owned()))
             }
         }
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames to bytes and back, whole and broken.
+//! Encoding of frames, and decoding of valid and malformed bytes.
 
 use chestnutreach_protocol::{
     codec::{self, DecodeError, Decoder},
@@ -93,11 +93,14 @@
     bytes
 }
 
-/// Takes all whole frames, fed in pieces of `piece` bytes.
-fn decoded(bytes: &[u8], piece: usize) -> Result<Vec<Body>, DecodeError> {
+/// Decodes all complete frames from bytes that arrive `piece_bytes` at a time.
+fn decoded(
+    bytes: &[u8],
+    piece_bytes: usize,
+) -> Result<Vec<Body>, DecodeError> {
     let mut decoder = Decoder::new(MAX_FRAME_BYTES);
     let mut bodies = Vec::new();
-    for piece in bytes.chunks(piece) {
+    for piece in bytes.chunks(piece_bytes) {
         decoder.extend(piece);
         while let Some(body) = decoder.next_body()? {
             bodies.push(body);
@@ -115,38 +118,39 @@
     })]
 
     #[test]
-    fn frames_come_back_as_sent(sent in bodies(), piece in 1usize..700) {
-        prop_assert_eq!(decoded(&encoded(&sent), piece), Ok(sent));
+    fn decoding_restores_encoded_frames(sent in bodies(), piece_bytes in 1usize..700) {
+        prop_assert_eq!(decoded(&encoded(&sent), piece_bytes), Ok(sent));
     }
 
-    /// A cut stream gives the whole frames before the cut and no error.
+    /// A truncated stream yields the complete frames before the cut and no
+    /// error.
     #[test]
-    fn cut_frame_is_awaited(
+    fn truncated_frame_is_not_an_error(
         sent in bodies(),
-        piece in 1usize..700,
+        piece_bytes in 1usize..700,
         cut in any::<prop::sample::Index>(),
     ) {
         let bytes = encoded(&sent);
         let cut = cut.index(bytes.len() + 1);
-        let whole_count = (0..=sent.len())
+        let complete_count = (0..=sent.len())
             .rev()
             .find(|count| encoded(&sent[..*count]).len() <= cut)
             .unwrap();
-        let received = decoded(&bytes[..cut], piece);
-        prop_assert_eq!(received, Ok(sent[..whole_count].to_vec()));
+        let received = decoded(&bytes[..cut], piece_bytes);
+        prop_assert_eq!(received, Ok(sent[..complete_count].to_vec()));
     }
 
     #[test]
-    fn garbage_does_not_panic(
+    fn arbitrary_bytes_do_not_panic(
         bytes in proptest::collection::vec(any::<u8>(), 0..400),
-        piece in 1usize..100,
+        piece_bytes in 1usize..100,
     ) {
-        let _ = decoded(&bytes, piece);
+        let _ = decoded(&bytes, piece_bytes);
     }
 
-    /// Garbage behind a length that is right.
+    /// Arbitrary bytes after a correct length prefix.
     #[test]
-    fn garbled_message_does_not_panic(
+    fn arbitrary_message_does_not_panic(
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
         let mut frame = (bytes.len() as u32).to_le_bytes().to_vec();
@@ -167,7 +171,7 @@
         *e == DecodeError::TooLong { length: 4097, limit: MAX_FRAME_BYTES }
     },
 })]
-#[case::as_long_as_can_be_said(Case {
+#[case::largest_length(Case {
     bytes: &[0xff; 4],
     error: |e| matches!(e, DecodeError::TooLong { .. }),
 })]
@@ -179,18 +183,18 @@
     bytes: &[3, 0, 0, 0, 0xf2, 0x3f, 0],
     error: |e| *e == DecodeError::Empty,
 })]
-#[case::cut_within(Case {
+#[case::field_beyond_the_message(Case {
     bytes: &[2, 0, 0, 0, 0x0a, 0x05],
     error: |e| matches!(e, DecodeError::Malformed(_)),
 })]
-fn broken_frame_is_an_error(#[case] case: Case) {
+fn invalid_frame_is_an_error(#[case] case: Case) {
     let error = decoded(case.bytes, 1).unwrap_err();
     assert!((case.error)(&error), "{error}");
 }
 
-/// A long stream does not keep what was taken from it.
+/// The decoder compacts its buffer while it decodes a long stream.
 #[test]
-fn many_frames_pass_a_decoder() {
+fn long_stream_is_decoded_completely() {
     const FRAMES: usize = 20_000;
     let body = Body::Heartbeat(Heartbeat::default());
     let frames = vec![body.clone(); FRAMES];
--- a/crates/protocol/tests/links.rs
+++ b/crates/protocol/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between processes over loopback.
+//! Links between processes over the loopback interface.
 
 mod support;
 
@@ -17,7 +17,7 @@
 };
 use rstest::rstest;
 
-use support::{Node, PATIENCE, Peer, greeting, greeting_peers, options};
+use support::{Node, Peer, TEST_TIMEOUT, hello, listening_peers, options};
 
 const OTHER_VERSION: u32 = 99;
 
@@ -27,38 +27,38 @@
 }
 
 #[test]
-fn other_version_is_refused_by_name() {
+fn other_protocol_version_is_refused_with_a_reason() {
     let node = Node::new(options());
-    let mut peer = Peer::dial(node.listen());
-    peer.send(greeting(OTHER_VERSION));
+    let mut peer = Peer::connect(node.listen());
+    peer.send(hello(OTHER_VERSION));
     let Some(Body::HelloRefused(refusal)) = peer.receive() else {
         panic!("no refusal")
     };
     assert_eq!(refusal.supported_version, PROTOCOL_VERSION);
     assert!(refusal.reason.contains("99"), "{}", refusal.reason);
     assert!(peer.receive().is_none());
-    assert!(node.is_quiet());
+    assert!(node.has_no_events());
 }
 
-/// An address that takes connections and says nothing, as a frozen process.
+/// The address accepts connections but never responds, like a frozen process.
 #[test]
-fn those_who_wait_for_an_attempt_share_its_failure() {
+fn concurrent_connects_share_the_failure_of_an_attempt() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let timeout = Duration::from_millis(300);
     let node = Node::new(options().connect_timeout(timeout));
     let started = Instant::now();
-    let dials: Vec<_> = (0..20)
+    let calls: Vec<_> = (0..20)
         .map(|_| {
             let links = node.links.clone();
             node.executor.spawn(async move { links.connect(address).await })
         })
         .collect();
-    for dial in dials {
-        let error = block_on(dial).unwrap_err();
+    for call in calls {
+        let error = block_on(call).unwrap_err();
         assert!(matches!(error, LinkError::Timeout(at) if at == address));
     }
-    // One attempt for those that came together, and one for stragglers.
+    // One attempt for the calls that started together, and one for late calls.
     let took = started.elapsed();
     assert!(took < timeout * 3, "{took:?}");
     drop(listener);
@@ -69,26 +69,29 @@
     supported_version: OTHER_VERSION,
     reason: "only 99 here".to_owned(),
 }), "99")]
-#[case::other_version(greeting(OTHER_VERSION), "99")]
-#[case::no_greeting(Body::Heartbeat(Heartbeat::default()), "greeting")]
-fn refusal_reaches_the_dialler(#[case] answer: Body, #[case] named: &str) {
+#[case::other_version(hello(OTHER_VERSION), "99")]
+#[case::no_hello(Body::Heartbeat(Heartbeat::default()), "not a Hello")]
+fn refused_connect_fails_with_the_reason(
+    #[case] response: Body,
+    #[case] reason: &str,
+) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let peer = thread::spawn(move || {
         let mut peer = Peer::new(listener.accept().unwrap().0);
         peer.receive();
-        peer.send(answer);
+        peer.send(response);
         peer
     });
     let node = Node::new(options());
     match block_on(node.links.connect(address)) {
         Err(LinkError::Refused(at, why)) => {
             assert_eq!(at, address);
-            assert!(why.contains(named), "{why}");
+            assert!(why.contains(reason), "{why}");
         }
         other => panic!("{other:?}"),
     }
-    assert!(node.is_quiet());
+    assert!(node.has_no_events());
     drop(peer.join());
 }
 
@@ -100,7 +103,8 @@
     let link = sender.connect(receiver.listen());
     receiver.next_opened();
     for position in 0..FRAMES {
-        // Some fill the socket, so that the writer task takes over.
+        // Some frames fill the socket buffer, so that the writer task takes
+        // over.
         let size = if position % 50 == 0 { 100_000 } else { 10 };
         link.send(step(position, size)).unwrap();
     }
@@ -115,10 +119,10 @@
 }
 
 #[test]
-fn concurrent_connects_dial_once() {
+fn concurrent_connects_share_a_link() {
     const CALLERS: usize = 16;
     let node = Node::new(options());
-    let (address, peers) = greeting_peers();
+    let (address, peers) = listening_peers();
     let calls: Vec<_> = (0..CALLERS)
         .map(|_| {
             let links = node.links.clone();
@@ -129,16 +133,16 @@
         calls.into_iter().map(|call| block_on(call).unwrap().id()).collect();
     assert_eq!(ids.len(), 1);
     node.next_opened();
-    assert!(node.is_quiet());
+    assert!(node.has_no_events());
     assert_eq!(peers.len(), 1);
-    let known = node.links.existing(address).map(|link| link.id());
-    assert_eq!(known, ids.first().copied());
+    let existing = node.links.existing(address).map(|link| link.id());
+    assert_eq!(existing, ids.first().copied());
 }
 
-/// A peer that stands still costs all who wait for it one timeout, not one
-/// after another.
+/// Concurrent calls to a peer that never responds wait for one timeout
+/// together, not for one timeout after another.
 #[test]
-fn concurrent_connects_fail_together() {
+fn concurrent_connects_share_a_timeout() {
     const CALLERS: u32 = 16;
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -160,9 +164,9 @@
 }
 
 #[test]
-fn closed_link_is_dialled_anew() {
+fn connect_replaces_a_closed_link() {
     let node = Node::new(options());
-    let (address, _peers) = greeting_peers();
+    let (address, _peers) = listening_peers();
     let first = node.connect(address);
     node.next_opened();
     first.close(CloseReason::Local);
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn peer_that_never_greets_times_out() {
+fn connect_without_handshake_times_out() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let short = Duration::from_millis(50);
@@ -181,11 +185,11 @@
         Err(LinkError::Timeout(at)) => assert_eq!(at, address),
         other => panic!("{other:?}"),
     }
-    assert!(node.is_quiet());
+    assert!(node.has_no_events());
 }
 
 #[test]
-fn unreachable_peer_is_told() {
+fn refused_connection_is_unreachable() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -194,9 +198,9 @@
     assert!(matches!(outcome, Err(LinkError::Unreachable(..))));
 }
 
-/// A caller that gives up while dialling leaves the address usable.
+/// A cancelled connection attempt leaves the address usable.
 #[test]
-fn cancelled_dial_is_tried_again() {
+fn connect_succeeds_after_a_cancelled_attempt() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let node = Node::new(options());
@@ -209,7 +213,7 @@
     thread::spawn(move || {
         let mut peer = Peer::new(listener.accept().unwrap().0);
         peer.receive();
-        peer.send(greeting(PROTOCOL_VERSION));
+        peer.send(hello(PROTOCOL_VERSION));
         while peer.receive().is_some() {}
     });
     node.connect(address);
@@ -217,45 +221,45 @@
 }
 
 #[test]
-fn silent_peer_of_a_busy_link_is_given_up() {
+fn busy_link_closes_when_the_peer_is_silent() {
     let node = Node::new(options());
-    let (address, peers) = greeting_peers();
+    let (address, peers) = listening_peers();
     let link = node.connect(address);
     let mut peer = block_on(peers.recv()).unwrap();
     let _guard = link.track_request();
     assert_eq!(node.next_closed(), CloseReason::Silent);
     assert!(link.is_closed());
     assert!(node.links.open().is_empty());
-    assert!(node.is_quiet());
-    // The peer was asked before.
-    let asked = peer.receive();
-    assert!(matches!(asked, Some(Body::Heartbeat(h)) if h.is_reply_wanted));
+    assert!(node.has_no_events());
+    // A heartbeat was requested before.
+    let request = peer.receive();
+    assert!(matches!(request, Some(Body::Heartbeat(h)) if h.is_reply_wanted));
 }
 
-/// Short requests one after another do not hide that nothing is heard.
+/// A series of short requests does not hide that the peer is silent.
 #[test]
-fn silent_peer_of_short_requests_is_given_up() {
+fn link_with_short_requests_closes_when_the_peer_is_silent() {
     let node = Node::new(options());
-    let (address, _peers) = greeting_peers();
+    let (address, _peers) = listening_peers();
     let link = node.connect(address);
     node.next_opened();
     let start = Instant::now();
     while node.events.is_empty() {
-        assert!(start.elapsed() < PATIENCE, "not given up");
+        assert!(start.elapsed() < TEST_TIMEOUT, "the link stays open");
         let _guard = link.track_request();
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(node.next_closed(), CloseReason::Silent);
 }
 
-/// A request on a link that was idle for long does not end it.
+/// A request on a link that was idle for a long time does not close the link.
 #[test]
 fn idle_time_does_not_count_as_silence() {
     let node = Node::new(options());
-    let far = Node::new(options());
-    let link = node.connect(far.listen());
+    let remote = Node::new(options());
+    let link = node.connect(remote.listen());
     node.next_opened();
-    // Longer than the silence limit.
+    // Longer than the silence timeout.
     thread::sleep(Duration::from_millis(1_000));
     for _ in 0..200 {
         let _guard = link.track_request();
@@ -267,15 +271,15 @@
 }
 
 #[test]
-fn answering_peer_is_kept() {
+fn busy_link_stays_open_while_the_peer_responds() {
     const HEARTBEATS: usize = 10;
-    let near = Node::new(options());
-    let far = Node::new(options());
-    let link = near.connect(far.listen());
-    near.next_opened();
+    let local = Node::new(options());
+    let remote = Node::new(options());
+    let link = local.connect(remote.listen());
+    local.next_opened();
     let _guard = link.track_request();
     for _ in 0..HEARTBEATS {
-        match near.next_event() {
+        match local.next_event() {
             LinkEvent::Frame(_, Body::Heartbeat(heartbeat)) => {
                 assert!(!heartbeat.is_reply_wanted);
             }
@@ -286,42 +290,42 @@
 }
 
 #[test]
-fn idle_link_has_a_longer_limit() {
+fn idle_link_has_a_longer_timeout() {
     let idle_interval = Duration::from_millis(200);
     let node = Node::new(options().idle_interval(idle_interval));
-    let (address, _peers) = greeting_peers();
+    let (address, _peers) = listening_peers();
     let start = Instant::now();
     node.connect(address);
     assert_eq!(node.next_closed(), CloseReason::Silent);
-    // One millisecond is lost to rounding at each end.
-    let least = idle_interval * 2 - Duration::from_millis(2);
-    assert!(start.elapsed() > least, "{:?}", start.elapsed());
+    // Rounding loses a millisecond at each end.
+    let min = idle_interval * 2 - Duration::from_millis(2);
+    assert!(start.elapsed() > min, "{:?}", start.elapsed());
 }
 
 #[test]
-fn peer_that_does_not_read_is_given_up() {
-    const MOST_FRAMES: u32 = 10_000;
+fn link_closes_when_the_peer_does_not_read() {
+    const MAX_FRAMES: u32 = 10_000;
     let node = Node::new(options());
-    let (address, peers) = greeting_peers();
+    let (address, peers) = listening_peers();
     let link = node.connect(address);
     let _peer = block_on(peers.recv()).unwrap();
-    let refused = (0..MOST_FRAMES)
+    let refused = (0..MAX_FRAMES)
         .find_map(|position| link.send(step(position, 10_000)).err());
     let reason = CloseReason::Overrun;
     assert!(matches!(refused, Some(LinkError::Closed(r)) if r == reason));
     assert_eq!(node.next_closed(), CloseReason::Overrun);
-    assert!(node.is_quiet());
+    assert!(node.has_no_events());
     let later = link.send(step(0, 1));
     assert!(matches!(later, Err(LinkError::Closed(r)) if r == reason));
 }
 
-/// A frame that the peer would refuse costs only itself.
+/// The link stays open when a frame exceeds the limit of the peer.
 #[test]
 fn frame_that_is_too_long_is_not_sent() {
-    let near = Node::new(options());
-    let far = Node::new(options());
-    let link = near.connect(far.listen());
-    far.next_opened();
+    let local = Node::new(options());
+    let remote = Node::new(options());
+    let link = local.connect(remote.listen());
+    remote.next_opened();
     let outcome = link.send(step(0, 300_000));
     match outcome {
         Err(LinkError::TooLong { length, limit }) => {
@@ -331,48 +335,54 @@
         other => panic!("{other:?}"),
     }
     link.send(step(1, 10)).unwrap();
-    match far.next_event() {
+    match remote.next_event() {
         LinkEvent::Frame(_, Body::Step(step)) => assert_eq!(step.position, 1),
         other => panic!("{other:?}"),
     }
 }
 
 #[derive(Clone, Copy)]
-enum End {
+enum Ending {
     PeerCloses,
     PeerHalfCloses,
     PeerSendsGarbage,
     PeerSendsTooLong,
-    ClosedHere,
-    ClosedHereByMany,
+    ClosedLocally,
+    ClosedLocallyByThreads,
 }
 
 #[rstest]
-#[case::peer_closes(End::PeerCloses, CloseReason::Lost)]
-#[case::peer_half_closes(End::PeerHalfCloses, CloseReason::Lost)]
-#[case::garbage(End::PeerSendsGarbage, CloseReason::Protocol)]
-#[case::too_long(End::PeerSendsTooLong, CloseReason::Protocol)]
-#[case::closed_here(End::ClosedHere, CloseReason::Local)]
-#[case::closed_by_many(End::ClosedHereByMany, CloseReason::Local)]
-fn close_is_told_once(#[case] end: End, #[case] reason: CloseReason) {
+#[case::peer_closes(Ending::PeerCloses, CloseReason::Lost)]
+#[case::peer_half_closes(Ending::PeerHalfCloses, CloseReason::Lost)]
+#[case::garbage(Ending::PeerSendsGarbage, CloseReason::Protocol)]
+#[case::too_long(Ending::PeerSendsTooLong, CloseReason::Protocol)]
+#[case::closed_locally(Ending::ClosedLocally, CloseReason::Local)]
+#[case::closed_by_several_threads(
+    Ending::ClosedLocallyByThreads,
+    CloseReason::Local
+)]
+fn close_is_reported_once(
+    #[case] ending: Ending,
+    #[case] reason: CloseReason,
+) {
     let node = Node::new(options());
-    let (address, peers) = greeting_peers();
+    let (address, peers) = listening_peers();
     let link = node.connect(address);
     let mut peer = block_on(peers.recv()).unwrap();
     let opened = node.next_opened();
     assert_eq!(opened.id(), link.id());
     assert_eq!(link.peer().vm, "vm-b");
-    match end {
-        End::PeerCloses => drop(peer),
-        End::PeerHalfCloses => {
+    match ending {
+        Ending::PeerCloses => drop(peer),
+        Ending::PeerHalfCloses => {
             peer.socket.shutdown(Shutdown::Write).unwrap();
         }
-        End::PeerSendsGarbage => {
+        Ending::PeerSendsGarbage => {
             peer.socket.write_all(&[2, 0, 0, 0, 0x0a, 5]).unwrap();
         }
-        End::PeerSendsTooLong => peer.socket.write_all(&[0xff; 4]).unwrap(),
-        End::ClosedHere => link.close(CloseReason::Local),
-        End::ClosedHereByMany => {
+        Ending::PeerSendsTooLong => peer.socket.write_all(&[0xff; 4]).unwrap(),
+        Ending::ClosedLocally => link.close(CloseReason::Local),
+        Ending::ClosedLocallyByThreads => {
             thread::scope(|scope| {
                 for _ in 0..8 {
                     scope.spawn(|| link.close(CloseReason::Local));
@@ -381,7 +391,7 @@
         }
     }
     assert_eq!(node.next_closed(), reason);
-    assert!(node.is_quiet());
+    assert!(node.has_no_events());
     assert!(link.is_closed());
     assert!(node.links.open().is_empty());
     assert!(matches!(link.send(step(0, 1)), Err(LinkError::Closed(_))));
--- a/crates/protocol/tests/support/mod.rs
+++ b/crates/protocol/tests/support/mod.rs
@@ -19,13 +19,13 @@
 };
 use futures_lite::FutureExt as _;
 
-/// How long any test waits before it counts as hung.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// An interval that no test lives to see.
+/// Time after which a test that waits counts as hung.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// An interval that no test reaches.
 pub const NEVER: Duration = Duration::from_secs(3600);
 const THREADS: usize = 3;
 
-/// Small limits; an idle link is not watched.
+/// Small limits, and no heartbeats on idle links.
 pub fn options() -> LinkOptions {
     LinkOptions::new()
         .connect_timeout(Duration::from_secs(2))
@@ -36,7 +36,7 @@
         .max_frame_bytes(256 * 1024)
 }
 
-/// A process with links and the events of them.
+/// A process with links, and the events of its links.
 pub struct Node {
     pub links: Links,
     pub events: Receiver<LinkEvent>,
@@ -61,7 +61,7 @@
         Node { links, events, executor }
     }
 
-    /// Accepts links on a port of its own.
+    /// Accepts links on an unused port.
     pub fn listen(&self) -> SocketAddr {
         let listener =
             Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
@@ -74,13 +74,13 @@
         block_on(self.links.connect(address)).unwrap()
     }
 
-    /// The next event, or a panic when none comes.
+    /// Returns the next event; panics on a timeout.
     pub fn next_event(&self) -> LinkEvent {
-        let give_up = async {
-            Timer::after(PATIENCE).await;
+        let timeout = async {
+            Timer::after(TEST_TIMEOUT).await;
             panic!("no event")
         };
-        block_on(self.events.recv().or(give_up)).unwrap()
+        block_on(self.events.recv().or(timeout)).unwrap()
     }
 
     pub fn next_opened(&self) -> Link {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The reason of the next close; frames before it are passed over.
+    /// Returns the reason of the next close and skips earlier events.
     pub fn next_closed(&self) -> CloseReason {
         loop {
             if let LinkEvent::Closed(_, reason) = self.next_event() {
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Whether nothing more happens, for a while.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether no event occurs within a short time.
+    pub fn has_no_events(&self) -> bool {
         thread::sleep(Duration::from_millis(100));
         self.events.is_empty()
     }
 }
 
-pub fn greeting(protocol_version: u32) -> Body {
+pub fn hello(protocol_version: u32) -> Body {
     Body::Hello(Hello {
         protocol_version,
         vm: "vm-b".to_owned(),
@@ -115,7 +115,7 @@
     })
 }
 
-/// A connection whose other end the test plays by hand.
+/// A connection whose remote end is scripted by the test.
 pub struct Peer {
     pub socket: TcpStream,
     decoder: codec::Decoder,
@@ -123,11 +123,11 @@
 
 impl Peer {
     pub fn new(socket: TcpStream) -> Peer {
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Peer { socket, decoder: codec::Decoder::new(1 << 20) }
     }
 
-    pub fn dial(address: SocketAddr) -> Peer {
+    pub fn connect(address: SocketAddr) -> Peer {
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
@@ -137,7 +137,7 @@
         self.socket.write_all(&bytes).unwrap();
     }
 
-    /// The next frame; none when the connection has ended.
+    /// Returns the next frame, or None if the connection is closed.
     pub fn receive(&mut self) -> Option<Body> {
         let mut chunk = [0; 4096];
         loop {
@@ -152,8 +152,8 @@
     }
 }
 
-/// A listener that greets each connection in its turn.
-pub fn greeting_peers() -> (SocketAddr, Receiver<Peer>) {
+/// Starts a listener that completes the handshake of each connection in turn.
+pub fn listening_peers() -> (SocketAddr, Receiver<Peer>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let (send, peers) = async_channel::unbounded();
@@ -161,7 +161,7 @@
         for socket in listener.incoming() {
             let mut peer = Peer::new(socket.unwrap());
             assert!(matches!(peer.receive(), Some(Body::Hello(_))));
-            peer.send(greeting(PROTOCOL_VERSION));
+            peer.send(hello(PROTOCOL_VERSION));
             let _ = send.try_send(peer);
         }
     });
--- a/crates/protocol/tests/traffic.rs
+++ b/crates/protocol/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes over links are counted by what they are for.
+//! Links count bytes by traffic class.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -15,7 +15,7 @@
 };
 use futures_lite::future;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Case {
     name: &'static str,
@@ -32,7 +32,7 @@
 
 fn links(vm: &str, executor: &Arc<Executor<'static>>) -> Links {
     let identity = Identity::new(vm, Role::Side, "hall-a");
-    // Quiet links, so that no heartbeat comes in between.
+    // A long interval, so that no heartbeat changes the counts.
     let options = LinkOptions::new().idle_interval(Duration::from_secs(600));
     Links::new(identity, options, executor.clone(), Arc::new(|_| {}))
 }
@@ -40,7 +40,10 @@
 fn wait_for(what: &str, is_true: impl Fn() -> bool) {
     let started = Instant::now();
     while !is_true() {
-        assert!(started.elapsed() < LIMIT, "waited in vain for {what}");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -74,25 +77,31 @@
 
 fn check(case: &Case) {
     let executor = executor();
-    let (here, there) = (links("here", &executor), links("there", &executor));
+    let (local, remote) =
+        (links("local", &executor), links("remote", &executor));
     let listener =
         Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address: SocketAddr = listener.get_ref().local_addr().unwrap();
-    there.listen(listener);
-    let link = block_on(here.connect(address)).unwrap();
-    let greeting = sent(here.traffic());
-    assert!(greeting.0 > 0 && greeting.1 == 0, "{}", case.name);
+    remote.listen(listener);
+    let link = block_on(local.connect(address)).unwrap();
+    let handshake = sent(local.traffic());
+    assert!(handshake.0 > 0 && handshake.1 == 0, "{}", case.name);
 
     for frame in &case.frames {
         link.send(frame.clone()).unwrap();
     }
-    let told = sent(here.traffic());
-    let more = (told.0 - greeting.0, told.1 - greeting.1);
-    assert_eq!(more.0 > 0, case.is_control, "{}", case.name);
-    assert_eq!(more.1 > 0, !case.is_control, "{}", case.name);
-    wait_for(case.name, || received(there.traffic()) == told);
+    let total = sent(local.traffic());
+    let added = (total.0 - handshake.0, total.1 - handshake.1);
+    assert_eq!(added.0 > 0, case.is_control, "{}", case.name);
+    assert_eq!(added.1 > 0, !case.is_control, "{}", case.name);
+    wait_for(case.name, || received(remote.traffic()) == total);
 
     link.close(CloseReason::Local);
-    wait_for("the close", || here.open().is_empty());
-    assert_eq!(sent(here.traffic()), told, "{}: lost by a close", case.name);
+    wait_for("the close", || local.open().is_empty());
+    assert_eq!(
+        sent(local.traffic()),
+        total,
+        "{}: counts lost when the link closed",
+        case.name
+    );
 }
