--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -119,7 +119,7 @@
 }
 
 /// Checks that the parser consumed the whole head. The parser also accepts
-/// bare line feeds, and ignores the bytes after an empty line that ends so.
+/// bare line feeds, and would leave the bytes after such an empty line unread.
 fn check_parsed(
     parsed: httparse::Result<usize>,
     head: &[u8],
