--- a/crates/direct/src/cluster/engine_watcher.rs
+++ b/crates/direct/src/cluster/engine_watcher.rs
@@ -111,7 +111,7 @@
         match Outbound::connect(engine.address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
                 probe::record_connected(&core, &engine);
-                connection.ended().await;
+                connection.closed().await;
                 // The idle timeout or the exit of the process ended the
                 // connection; the next connect tells which.
             }
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -12,7 +12,8 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_http::{
-    Client, ClientOptions, Received, Response, ServerOptions, serve_connection,
+    Client, ClientOptions, ReceivedRequest, Response, ServerOptions,
+    serve_connection,
 };
 use chestnutreach_protocol::peers::FeedAnswer;
 use chestnutreach_telemetry::Port;
@@ -55,7 +56,7 @@
     }
 }
 
-async fn handle(core: &Core, received: Received) -> Response {
+async fn handle(core: &Core, received: ReceivedRequest) -> Response {
     let url = received.request.url();
     let number = |name: &str| {
         let mut pairs = url.query_pairs();
@@ -110,7 +111,7 @@
     pub(crate) fn new(address: SocketAddr) -> FeedClient {
         let options = ClientOptions::new()
             .connect_timeout(CONNECT_TIMEOUT)
-            .max_answer_bytes(MAX_ANSWER_BYTES);
+            .max_response_bytes(MAX_ANSWER_BYTES);
         FeedClient { client: Client::new(address, options) }
     }
 
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -5,8 +5,8 @@
 
 use chestnutreach_adapter::notices::{self, LimitNotice};
 use chestnutreach_http::{
-    relay::AnswerHead,
-    rest::{self, RestNotice},
+    relay::ResponseHead,
+    retry_after::{self, RetryAfter},
 };
 use chestnutreach_protocol::peers::EngineNotice;
 use chestnutreach_routing::ServerRateLimit;
@@ -31,7 +31,7 @@
     pub(crate) request: &'a str,
     /// When the request was sent.
     pub(crate) sent_ms: u64,
-    pub(crate) head: &'a AnswerHead,
+    pub(crate) head: &'a ResponseHead,
 }
 
 /// Applies the notices in the head of a response.
@@ -80,14 +80,16 @@
     response: &ResponseContext<'_>,
 ) {
     let head = response.head;
-    let cooldown =
-        match rest::rest(head.status, head.values(rest::RETRY_AFTER)) {
-            RestNotice::None => return,
-            RestNotice::Malformed => {
-                return core.metrics.malformed_cooldowns.inc();
-            }
-            RestNotice::For(cooldown) => cooldown,
-        };
+    let cooldown = match retry_after::parse(
+        head.status,
+        head.values(retry_after::RETRY_AFTER),
+    ) {
+        RetryAfter::Absent => return,
+        RetryAfter::Malformed => {
+            return core.metrics.malformed_cooldowns.inc();
+        }
+        RetryAfter::Delay(cooldown) => cooldown,
+    };
     let now_ms = now_ms();
     let duration_ms = cooldown.as_millis() as u64;
     let until_ms = {
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -60,14 +60,14 @@
         let idle = async {
             let idle_ms = limits.idle_timeout_ms;
             Timer::after(Duration::from_millis(idle_ms)).await;
-            Err(InboundError::Ended)
+            Err(InboundError::Closed)
         };
         let closing = async {
             // Nothing is sent over this channel; `recv` returns when it
             // closes.
             let _ = core.closing.recv().await;
             Timer::after(CLOSE_IDLE_AFTER).await;
-            Err(InboundError::Ended)
+            Err(InboundError::Closed)
         };
         let bytes = inbound.wait_for_bytes().or(idle).or(closing);
         if bytes.await.is_err() {
@@ -81,7 +81,7 @@
                 ConnectionAction::KeepAlive => {}
                 action => return action,
             },
-            Err(InboundError::Ended) => return ConnectionAction::Abort,
+            Err(InboundError::Closed) => return ConnectionAction::Abort,
             Err(InboundError::Refused(why)) => {
                 let bytes = response::rejection(why.status, &why.message);
                 // The caller may have disconnected by now.
@@ -108,7 +108,8 @@
     request: &RelayRequest,
 ) -> ConnectionAction {
     let started_ms = crate::clock::now_ms();
-    let is_last_request = request.is_last || core.stopping_for_ms().is_some();
+    let is_last_request =
+        request.wants_close || core.stopping_for_ms().is_some();
     let admitted = match core.stopping_for_ms() {
         Some(ms) if ms > ACCEPT_WHILE_STOPPING_MS => {
             let reason = ErrorReason::Stopping;
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -14,7 +14,9 @@
 };
 
 use async_io::Timer;
-use chestnutreach_http::relay::{AnswerHead, Inbound, Outbound, RelayRequest};
+use chestnutreach_http::relay::{
+    Inbound, Outbound, RelayRequest, ResponseHead,
+};
 use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::RouteKind;
 use chestnutreach_telemetry::{Event, emit};
@@ -62,7 +64,7 @@
 /// Result of one attempt.
 enum AttemptResult {
     /// The whole response was received.
-    Responded(AnswerHead, Vec<u8>),
+    Responded(ResponseHead, Vec<u8>),
     /// The request certainly did not run.
     NotRun,
     /// The response is lost; the request may have run.
@@ -81,7 +83,7 @@
     attempts: Attempts,
     /// Incarnations of the backend servers that were tried.
     tried: BTreeSet<String>,
-    last_response: Option<(AnswerHead, Vec<u8>)>,
+    last_response: Option<(ResponseHead, Vec<u8>)>,
     /// Identifies this request among those that wait for a permit.
     permit_key: u64,
     /// Why the request may not wait, and when its caller may retry.
@@ -171,7 +173,7 @@
         };
         let caller = inbound.stream().clone();
         let disconnected = async {
-            caller.hung_up().await;
+            caller.peer_closed().await;
             AttemptResult::CallerDisconnected
         };
         let work = attempt(self.core, self.request, self.admitted, &context);
@@ -395,7 +397,7 @@
 fn classify_response(
     admitted: &AdmittedRequest,
     context: &AttemptContext<'_>,
-    head: AnswerHead,
+    head: ResponseHead,
     body: Vec<u8>,
 ) -> AttemptResult {
     let is_not_run = exchange::is_not_run(&head);
@@ -440,7 +442,7 @@
 async fn forward_response(
     inbound: &mut Inbound,
     request: &RelayRequest,
-    head: &AnswerHead,
+    head: &ResponseHead,
     body: &[u8],
     may_have_run: bool,
     is_last_request: bool,
--- a/crates/direct/src/request/response.rs
+++ b/crates/direct/src/request/response.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use chestnutreach_adapter::{clients, engine, notices};
-use chestnutreach_http::relay::{AnswerHead, is_end_to_end, push_header};
+use chestnutreach_http::relay::{ResponseHead, is_end_to_end, push_header};
 use chestnutreach_routing::{CooldownWait, cooldown_wait};
 
 /// Default time after which a refused caller may retry. A slot is usually free
@@ -186,7 +186,7 @@
 
 /// The head of an engine's response as forwarded to the caller.
 pub(crate) fn forwarded_head(
-    head: &AnswerHead,
+    head: &ResponseHead,
     framing: Framing,
     is_last_request: bool,
 ) -> Vec<u8> {
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -13,7 +13,7 @@
 
 use chestnutreach_adapter::clients;
 use chestnutreach_http::relay::{
-    AnswerHead, Inbound, LAST_CHUNK, RelayRequest,
+    Inbound, LAST_CHUNK, RelayRequest, ResponseHead,
 };
 use chestnutreach_routing::{Attempts, CountedBackends, RunProgress};
 use chestnutreach_site::Model;
@@ -74,7 +74,7 @@
     /// The stream was interrupted, or left its first engine.
     Interrupted,
     /// The engine responded with an error.
-    Failed(AnswerHead, Vec<u8>),
+    Failed(ResponseHead, Vec<u8>),
     DeadlineExceeded,
 }
 
@@ -214,7 +214,7 @@
         loop {
             let caller = inbound.stream().clone();
             let disconnected = async {
-                caller.hung_up().await;
+                caller.peer_closed().await;
                 None
             };
             let found = async { Some(self.find_path().await) };
@@ -395,7 +395,7 @@
     async fn forward_failure(
         &mut self,
         inbound: &mut Inbound,
-        head: &AnswerHead,
+        head: &ResponseHead,
         body: &[u8],
     ) -> ConnectionAction {
         if self.attempts.may_have_run() && guarantees_not_run(head.status) {
--- a/crates/direct/src/request/stream/attempt.rs
+++ b/crates/direct/src/request/stream/attempt.rs
@@ -4,7 +4,7 @@
 
 use chestnutreach_adapter::engine;
 use chestnutreach_http::relay::{
-    AnswerHead, Inbound, Outbound, OutboundError, push_chunk,
+    Inbound, Outbound, OutboundError, ResponseHead, push_chunk,
 };
 use chestnutreach_site::RouteKind;
 use chestnutreach_telemetry::{Event, emit};
@@ -129,7 +129,7 @@
     async fn handle_error_response(
         &mut self,
         connection: &mut Outbound,
-        head: AnswerHead,
+        head: ResponseHead,
     ) -> AttemptResult {
         let at = head.header(engine::REFUSED_BY).map(str::to_owned);
         let is_not_run = exchange::is_not_run(&head);
@@ -165,7 +165,7 @@
         inbound: &mut Inbound,
         supervision: &mut Supervision<'_>,
         connection: &mut Outbound,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) -> AttemptResult {
         let mut splitter = EventSplitter::new();
         let mut body = head.body(&self.request.method);
@@ -174,7 +174,7 @@
             out = forwarded_head(head, Framing::Chunked, self.is_last_request);
         }
         loop {
-            let part = connection.next_part(&mut body);
+            let part = connection.next_bytes(&mut body);
             let waited = self.supervise(supervision, part).await;
             let part = match self.classify_wait(waited) {
                 Ok(Some(part)) => part,
--- a/crates/direct/src/request/stream/supervise.rs
+++ b/crates/direct/src/request/stream/supervise.rs
@@ -62,7 +62,7 @@
 impl Supervision<'_> {
     pub(super) fn new(caller: &SharedStream) -> Supervision<'_> {
         Supervision {
-            disconnected: Box::pin(caller.hung_up()),
+            disconnected: Box::pin(caller.peer_closed()),
             timer: Timer::never(),
             check_at: None,
         }
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use chestnutreach_http::{Client, ClientOptions, rest};
+use chestnutreach_http::{Client, ClientOptions, retry_after};
 use http_types::{Method, Request, Url};
 use serde::Serialize;
 
@@ -46,7 +46,7 @@
     /// Creates a client; it connects on the first call.
     pub fn new(address: SocketAddr, model: &str) -> EngineClient {
         let options =
-            ClientOptions::new().max_answer_bytes(MAX_RESPONSE_BYTES);
+            ClientOptions::new().max_response_bytes(MAX_RESPONSE_BYTES);
         let base_url = Url::parse(&format!("http://{address}"))
             .expect("an address is a valid URL authority");
         let model_url = |rest: &[&str]| {
@@ -190,7 +190,11 @@
         }
         let (head, body) = self.http.send(request, timeout).await?;
         let status = head.status().into();
-        Ok(EngineResponse { status, cooldown: rest::of(&head), body })
+        Ok(EngineResponse {
+            status,
+            cooldown: retry_after::from_response(&head),
+            body,
+        })
     }
 }
 
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -8,7 +8,7 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_config::key_digest;
-use chestnutreach_http::{Received, ServerOptions, serve_connection};
+use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use chestnutreach_protocol::RequestId;
 use chestnutreach_state::NotRunReason;
 use chestnutreach_telemetry::{Event, emit};
@@ -82,7 +82,7 @@
     let options = ServerOptions::new()
         .max_body_bytes(entry.settings.max_body_bytes)
         .error_response(error_response::http_error)
-        .closing(entry.shutdown.closing().clone());
+        .shutdown(entry.shutdown.closing().clone());
     entry.metrics.caller_connections.inc();
     let served = serve_connection(socket, &options, |received| {
         let entry = entry.clone();
@@ -95,7 +95,7 @@
     }
 }
 
-async fn respond(entry: &Arc<Shared>, received: Received) -> Response {
+async fn respond(entry: &Arc<Shared>, received: ReceivedRequest) -> Response {
     let arrival =
         Arrival { request: RequestId::random(), arrived: Instant::now() };
     let mut response = match route(entry, received, arrival).await {
@@ -123,7 +123,7 @@
 
 async fn route(
     entry: &Arc<Shared>,
-    received: Received,
+    received: ReceivedRequest,
     arrival: Arrival,
 ) -> RouteResult {
     let view = entry.view.load_full();
@@ -186,7 +186,7 @@
     view: &View,
     account: Arc<AccountView>,
     endpoint: Endpoint,
-    received: Received,
+    received: ReceivedRequest,
     arrival: Arrival,
 ) -> RouteResult {
     let mut parsed = language::parse(endpoint, &received.body)?;
@@ -205,7 +205,7 @@
     entry: &Arc<Shared>,
     account: Arc<AccountView>,
     service: Arc<ServiceView>,
-    received: Received,
+    received: ReceivedRequest,
     arrival: Arrival,
 ) -> Result<Call, Box<Response>> {
     let limits = DeadlineLimits {
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Instant};
 
-use chestnutreach_http::Received;
+use chestnutreach_http::ReceivedRequest;
 use chestnutreach_protocol::RequestId;
 
 use crate::{
@@ -12,7 +12,7 @@
 
 /// An authenticated and admitted request, as passed to its handler.
 pub(crate) struct Call {
-    pub(crate) received: Received,
+    pub(crate) received: ReceivedRequest,
     pub(crate) account: Arc<AccountView>,
     pub(crate) service: Arc<ServiceView>,
     pub(crate) options: RequestOptions,
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -112,7 +112,7 @@
 type Disconnect = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 fn wait_for_disconnect(connection: SharedStream) -> Disconnect {
-    Box::pin(async move { connection.hung_up().await })
+    Box::pin(async move { connection.peer_closed().await })
 }
 
 /// Builds the response to a request.
@@ -279,7 +279,7 @@
     /// The next progress; `None` if the caller has disconnected.
     async fn next(&mut self) -> Option<Progress> {
         let reader_gone = async {
-            self.writer.reader_gone().await;
+            self.writer.reader_dropped().await;
             None
         };
         self.responder.next().or(reader_gone).await
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -73,7 +73,7 @@
     loop {
         let next = async { Some(source.next().await) };
         let disconnected = async {
-            connection.hung_up().await;
+            connection.peer_closed().await;
             None
         };
         match next.or(disconnected).await {
--- a/crates/entry/src/side_links.rs
+++ b/crates/entry/src/side_links.rs
@@ -102,7 +102,7 @@
             Event::LinkLost,
             &[("peer_vm", &link.peer().vm), ("cause", &format!("{reason:?}"))],
         );
-        if let Some(address) = link.dialled() {
+        if let Some(address) = link.dialled_address() {
             self.set_presence(address, Presence::Absent);
             self.side_registry.remove_entry_count(address);
         }
@@ -110,7 +110,7 @@
 
     /// Applies the status that a side process reports.
     pub(crate) fn handle_side_status(&self, link: &Link, status: &Status) {
-        if let Some(address) = link.dialled() {
+        if let Some(address) = link.dialled_address() {
             self.side_registry.record_entry_count(address, status.entry_count);
         }
         self.apply_side_loads(link, &status.loads);
@@ -118,7 +118,7 @@
 
     /// Applies the load that a side process reports for its backend servers.
     pub(crate) fn apply_side_loads(&self, link: &Link, loads: &[BackendLoad]) {
-        let Some(address) = link.dialled() else {
+        let Some(address) = link.dialled_address() else {
             return;
         };
         let backends =
@@ -170,7 +170,7 @@
         for link in self.links().open() {
             let peer = link.peer();
             if added.contains(&peer.vm)
-                && let Some(address) = link.dialled()
+                && let Some(address) = link.dialled_address()
                 && self.side_registry.draining_vms.is_draining(peer)
             {
                 emit(Event::VmLeaving, &[("vm", &peer.vm)]);
--- a/crates/side/src/plain.rs
+++ b/crates/side/src/plain.rs
@@ -2,7 +2,7 @@
 
 use std::{str::FromStr as _, sync::Arc};
 
-use chestnutreach_http::{ClientError, rest};
+use chestnutreach_http::{ClientError, retry_after};
 use chestnutreach_protocol::{
     RequestId,
     wire::{self, FailureReason, FinishReason, RefusalReason, output::Part},
@@ -60,7 +60,7 @@
         let timeout = self.clock.until(run.deadline_at_ms);
         match client.send(request, timeout).await {
             Ok((response, body)) => {
-                if let Some(cooldown) = rest::of(&response) {
+                if let Some(cooldown) = retry_after::from_response(&response) {
                     self.enter_cooldown(&run.backend, cooldown);
                 }
                 self.forward_response(run, &response, &body);
--- a/crates/side/src/reservation/mod.rs
+++ b/crates/side/src/reservation/mod.rs
@@ -23,7 +23,7 @@
 use chestnutreach_engine::SequenceId;
 use chestnutreach_protocol::{
     Link, RequestId,
-    link::BusyGuard,
+    link::RequestGuard,
     wire::{self, Stage},
 };
 use chestnutreach_routing::RequestShape;
@@ -47,7 +47,7 @@
     pub(crate) deadline_at_ms: u64,
     pub(crate) backend: Arc<Backend>,
     first_stage: Link,
-    _busy_guard: BusyGuard,
+    _busy_guard: RequestGuard,
     is_released: AtomicBool,
     state: Mutex<State>,
 }
@@ -66,7 +66,7 @@
 struct State {
     slot: SlotState,
     step_gate: StepGate,
-    next_link: Option<(Link, BusyGuard)>,
+    next_link: Option<(Link, RequestGuard)>,
     /// Sampling parameters, sent to the engine with the first step.
     parameters_json: Vec<u8>,
 }
--- a/crates/side/src/reservation/reserve.rs
+++ b/crates/side/src/reservation/reserve.rs
@@ -105,7 +105,7 @@
             deadline_at_ms,
             backend,
             first_stage: link.clone(),
-            _busy_guard: link.busy(),
+            _busy_guard: link.track_request(),
             is_released: AtomicBool::new(false),
             state: Mutex::new(state),
         });
@@ -235,7 +235,8 @@
         reservation: &Arc<Reservation>,
         link: &Link,
     ) {
-        reservation.lock().next_link = Some((link.clone(), link.busy()));
+        reservation.lock().next_link =
+            Some((link.clone(), link.track_request()));
         self.confirm(reservation);
     }
 
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -25,7 +25,7 @@
 use chestnutreach_engine::SequenceId;
 use chestnutreach_protocol::{
     Link, RequestId,
-    link::BusyGuard,
+    link::RequestGuard,
     wire::{self, FailureReason, Output, Stage, frame::Body},
 };
 use chestnutreach_routing::RequestShape;
@@ -78,11 +78,11 @@
 
 pub(crate) struct State {
     pub(crate) phase: Phase,
-    pub(crate) entry: Option<(Link, BusyGuard)>,
+    pub(crate) entry: Option<(Link, RequestGuard)>,
     /// When the request is cancelled unless an entry attaches to it.
     pub(crate) orphan_until_ms: Option<u64>,
     /// Links to the stages from index 1 on, in order.
-    stages: Vec<(Link, BusyGuard)>,
+    stages: Vec<(Link, RequestGuard)>,
     /// Index of the last stage that has confirmed its reservation.
     reserved: u32,
     /// Number of positions of the first step: prompt and delivered tokens.
--- a/crates/side/src/sweep.rs
+++ b/crates/side/src/sweep.rs
@@ -51,8 +51,9 @@
     /// Sends the loads to entries that have requests here.
     fn send_status_to_busy_entries(&self) {
         let open = self.links().open();
-        let is_busy_entry =
-            |link: &&Link| link.is_busy() && link.peer().role() == Role::Entry;
+        let is_busy_entry = |link: &&Link| {
+            link.has_requests() && link.peer().role() == Role::Entry
+        };
         let status = self.status();
         for link in open.iter().filter(is_busy_entry) {
             let _ = link.send(status.clone());
--- a/crates/telemetry/src/ops.rs
+++ b/crates/telemetry/src/ops.rs
@@ -17,7 +17,7 @@
 
 use async_executor::Executor;
 use async_io::{Async, Timer};
-use chestnutreach_http::{Received, ServerOptions, serve_connection};
+use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use futures_lite::FutureExt as _;
 use http_types::{Method, Response, StatusCode};
 use serde_json::json;
@@ -109,7 +109,7 @@
     serving.or(limit).await
 }
 
-async fn respond(received: Received, ops: &OpsState) -> Response {
+async fn respond(received: ReceivedRequest, ops: &OpsState) -> Response {
     let path = received.request.url().path();
     let mut response = match received.request.method() {
         Method::Get | Method::Head => respond_to_get(path, ops),
