--- a/crates/decisions/src/pick.rs
+++ b/crates/decisions/src/baseline_chain.rs
@@ -10,50 +10,50 @@
 
 /// The servers that continue from a layer.
 #[derive(Clone, Debug)]
-pub(crate) struct Starts {
+pub(crate) struct ServersByLayer {
     by_layer: BTreeMap<u32, Vec<BackendIndex>>,
 }
 
-impl Starts {
-    pub(crate) fn new(fleet: &Fleet) -> Starts {
+impl ServersByLayer {
+    pub(crate) fn new(fleet: &Fleet) -> ServersByLayer {
         let mut by_layer: BTreeMap<u32, Vec<BackendIndex>> = BTreeMap::new();
         for index in fleet.indices().filter(|i| fleet.is_in_some_chain(*i)) {
             let first_layer = fleet.spec(index).first_layer;
             by_layer.entry(first_layer).or_default().push(index);
         }
-        Starts { by_layer }
+        ServersByLayer { by_layer }
     }
 
     /// The chain that takes, at each layer, the server with the least
     /// `weight`; none where no server is left.
-    pub(crate) fn least<W: Ord>(
+    pub(crate) fn min_weight_chain<W: Ord>(
         &self,
-        view: &View<'_>,
+        view: &CandidateFilter<'_>,
         mut weight: impl FnMut(BackendIndex) -> W,
     ) -> Option<Vec<BackendIndex>> {
-        self.walk(view, |allowed| {
+        self.build_chain(view, |allowed| {
             allowed.iter().copied().min_by_key(|index| weight(*index))
         })
     }
 
     /// The chain that takes, at each layer, the next server in turn.
-    pub(crate) fn next_in_turn(
+    pub(crate) fn round_robin_chain(
         &self,
-        view: &View<'_>,
-        turns: &mut BTreeMap<u32, usize>,
+        view: &CandidateFilter<'_>,
+        round_robin_counters: &mut BTreeMap<u32, usize>,
     ) -> Option<Vec<BackendIndex>> {
-        self.walk(view, |allowed| {
+        self.build_chain(view, |allowed| {
             let layer = view.fleet.spec(*allowed.first()?).first_layer;
-            let turn = turns.entry(layer).or_default();
-            *turn += 1;
-            Some(allowed[*turn % allowed.len()])
+            let counter = round_robin_counters.entry(layer).or_default();
+            *counter += 1;
+            Some(allowed[*counter % allowed.len()])
         })
     }
 
-    fn walk(
+    fn build_chain(
         &self,
-        view: &View<'_>,
-        mut take: impl FnMut(&[BackendIndex]) -> Option<BackendIndex>,
+        view: &CandidateFilter<'_>,
+        mut select: impl FnMut(&[BackendIndex]) -> Option<BackendIndex>,
     ) -> Option<Vec<BackendIndex>> {
         let mut stages = Vec::new();
         let mut layer = 0;
@@ -65,7 +65,7 @@
                 .copied()
                 .filter(|index| view.is_allowed(*index))
                 .collect();
-            let index = take(&allowed)?;
+            let index = select(&allowed)?;
             stages.push(index);
             layer = view.fleet.spec(index).end_layer;
         }
@@ -74,14 +74,14 @@
 }
 
 /// What an entry may choose from.
-pub(crate) struct View<'a> {
+pub(crate) struct CandidateFilter<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) live: &'a LiveState,
     pub(crate) avoid: &'a [BackendIndex],
     pub(crate) now_ms: u64,
 }
 
-impl View<'_> {
+impl CandidateFilter<'_> {
     fn is_allowed(&self, index: BackendIndex) -> bool {
         !self.avoid.contains(&index)
             && self.live.is_eligible(index, self.now_ms)
--- a/crates/decisions/src/bounds.rs
+++ b/crates/decisions/src/bounds.rs
@@ -8,10 +8,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    case::{Case, Later, Way},
+    case::{Case, LaterStagePolicy, Strategy},
+    decision_cost,
     deployment::{Deployment, Site},
     suite::{self, Settings},
-    work, world,
+    world,
 };
 
 const COMMITTED: &str = include_str!("../bounds.json");
@@ -20,7 +21,7 @@
     seed: 1,
     warm_up_ms: 10_000,
     measure_ms: 20_000,
-    later: Later::Waits,
+    later_stage_policy: LaterStagePolicy::Wait,
 };
 
 /// Least and most of one figure.
@@ -35,7 +36,7 @@
 
 /// A figure outside its bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Broken {
+pub struct Violation {
     /// Name of the figure.
     pub figure: String,
     /// What it is; none where it was not measured.
@@ -44,9 +45,9 @@
     pub bound: f64,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Broken { figure, value, bound } = self;
+        let Violation { figure, value, bound } = self;
         let Some(value) = value else {
             return write!(f, "{figure} was not measured");
         };
@@ -63,25 +64,25 @@
 
 /// Figures outside their bounds. A bound without a figure counts as broken:
 /// it would guard nothing.
-pub fn broken(
+pub fn violations(
     figures: &BTreeMap<String, f64>,
     bounds: &BTreeMap<String, Bound>,
-) -> Vec<Broken> {
+) -> Vec<Violation> {
     let mut all = Vec::new();
     for (figure, bound) in bounds {
         let value = figures.get(figure).copied();
         let mut push = |bound| {
-            all.push(Broken { figure: figure.clone(), value, bound });
+            all.push(Violation { figure: figure.clone(), value, bound });
         };
-        if let Some(least) = bound.at_least
-            && value.is_none_or(|value| value < least)
+        if let Some(min) = bound.at_least
+            && value.is_none_or(|value| value < min)
         {
-            push(least);
+            push(min);
         }
-        if let Some(most) = bound.at_most
-            && value.is_none_or(|value| value > most)
+        if let Some(max) = bound.at_most
+            && value.is_none_or(|value| value > max)
         {
-            push(most);
+            push(max);
         }
     }
     all
@@ -95,7 +96,7 @@
         push_loads(&deployment, site, &mut figures);
         push_effects(&deployment, site, &mut figures);
     }
-    for row in work::rows() {
+    for row in decision_cost::rows() {
         let name = format!("work.{}.servers_looked_at", row.servers);
         figures.insert(name, row.looked_at);
         let name = format!("work.{}.cost_times_full_scan", row.servers);
@@ -110,7 +111,7 @@
     figures: &mut BTreeMap<String, f64>,
 ) {
     for load_percent in [50, 100] {
-        let case = SETTINGS.apply(Case::new(Way::Sampled, load_percent));
+        let case = SETTINGS.apply(Case::new(Strategy::Sampled, load_percent));
         let run = world::run(deployment, &case);
         let values = [
             ("share_of_bound", run.share_of_bound),
@@ -128,7 +129,7 @@
     site: Site,
     figures: &mut BTreeMap<String, f64>,
 ) {
-    for row in suite::effects(deployment, &SETTINGS, &[Way::Sampled]) {
+    for row in suite::effects(deployment, &SETTINGS, &[Strategy::Sampled]) {
         let values = [
             ("jain_backlogged", row.jain_backlogged),
             ("harm_percent_at_half", row.harm_at_half.percent),
--- a/crates/decisions/src/case.rs
+++ b/crates/decisions/src/case.rs
@@ -4,7 +4,7 @@
 
 /// A way of choosing chains.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Way {
+pub enum Strategy {
     /// The router's own choice over sampled candidates.
     Sampled,
     /// The same cost over all servers.
@@ -18,29 +18,29 @@
     SharedCounters,
 }
 
-impl Way {
+impl Strategy {
     /// Every way, in the order of reports.
-    pub const ALL: [Way; 5] = [
-        Way::Sampled,
-        Way::FullScan,
-        Way::RoundRobin,
-        Way::LeastRequests,
-        Way::SharedCounters,
+    pub const ALL: [Strategy; 5] = [
+        Strategy::Sampled,
+        Strategy::FullScan,
+        Strategy::RoundRobin,
+        Strategy::LeastRequests,
+        Strategy::SharedCounters,
     ];
 
     /// Its name in arguments and reports.
     pub fn name(self) -> &'static str {
         match self {
-            Way::Sampled => "sampled",
-            Way::FullScan => "full-scan",
-            Way::RoundRobin => "round-robin",
-            Way::LeastRequests => "least-requests",
-            Way::SharedCounters => "shared-counters",
+            Strategy::Sampled => "sampled",
+            Strategy::FullScan => "full-scan",
+            Strategy::RoundRobin => "round-robin",
+            Strategy::LeastRequests => "least-requests",
+            Strategy::SharedCounters => "shared-counters",
         }
     }
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Strategy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -59,7 +59,7 @@
 }
 
 impl Demand {
-    pub(crate) fn multiple(self, account: usize) -> f64 {
+    pub(crate) fn demand_factor(self, account: usize) -> f64 {
         match self {
             Demand::Even => 1.0,
             Demand::Skewed if account.is_multiple_of(2) => 1.0,
@@ -72,23 +72,24 @@
 
 /// What a later stage does that has no place free.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Later {
+pub enum LaterStagePolicy {
     /// Refuses; all later stages are asked at the same time.
-    Refuses,
+    Refuse,
     /// Lets the request wait for a while; stages are asked in the order of
     /// their layers.
-    Waits,
+    Wait,
 }
 
-impl Later {
+impl LaterStagePolicy {
     /// Both.
-    pub const ALL: [Later; 2] = [Later::Refuses, Later::Waits];
+    pub const ALL: [LaterStagePolicy; 2] =
+        [LaterStagePolicy::Refuse, LaterStagePolicy::Wait];
 
     /// Its name in arguments.
     pub fn name(self) -> &'static str {
         match self {
-            Later::Refuses => "refuses",
-            Later::Waits => "waits",
+            LaterStagePolicy::Refuse => "refuses",
+            LaterStagePolicy::Wait => "waits",
         }
     }
 }
@@ -96,7 +97,7 @@
 /// Settings of a run, set by chained methods.
 #[derive(Clone, Debug)]
 pub struct Case {
-    pub(crate) way: Way,
+    pub(crate) strategy: Strategy,
     pub(crate) load_percent: u32,
     pub(crate) seed: u64,
     pub(crate) warm_up_ms: u64,
@@ -107,16 +108,16 @@
     pub(crate) recovery_weight_percent: Option<u32>,
     pub(crate) demand: Demand,
     pub(crate) refuses_late: bool,
-    pub(crate) comebacks: u32,
-    pub(crate) joins: bool,
-    pub(crate) later: Later,
+    pub(crate) max_caller_retries: u32,
+    pub(crate) adds_server: bool,
+    pub(crate) later_stage_policy: LaterStagePolicy,
 }
 
 impl Case {
     /// A run at so many percent of the flow bound.
-    pub fn new(way: Way, load_percent: u32) -> Case {
+    pub fn new(strategy: Strategy, load_percent: u32) -> Case {
         Case {
-            way,
+            strategy,
             load_percent,
             seed: 1,
             warm_up_ms: 20_000,
@@ -127,9 +128,9 @@
             recovery_weight_percent: None,
             demand: Demand::Even,
             refuses_late: true,
-            comebacks: 2,
-            joins: false,
-            later: Later::Waits,
+            max_caller_retries: 2,
+            adds_server: false,
+            later_stage_policy: LaterStagePolicy::Wait,
         }
     }
 
@@ -170,14 +171,17 @@
     }
 
     /// Whether a server of the dearest kind joins as measuring begins.
-    pub fn joins(mut self, joins: bool) -> Case {
-        self.joins = joins;
+    pub fn adds_server(mut self, adds_server: bool) -> Case {
+        self.adds_server = adds_server;
         self
     }
 
     /// What a later stage does that has no place free.
-    pub fn later(mut self, later: Later) -> Case {
-        self.later = later;
+    pub fn later_stage_policy(
+        mut self,
+        later_stage_policy: LaterStagePolicy,
+    ) -> Case {
+        self.later_stage_policy = later_stage_policy;
         self
     }
 
--- a/crates/decisions/src/work.rs
+++ b/crates/decisions/src/decision_cost.rs
@@ -27,7 +27,7 @@
 const SEED: u64 = 11;
 const MAX_RUNNING: u32 = 32;
 /// Parts of three cuts of the layers; servers take them in turn.
-const PARTS: [(u32, u32); 9] = [
+const LAYER_RANGES: [(u32, u32); 9] = [
     (0, 40),
     (40, 80),
     (0, 20),
@@ -39,7 +39,7 @@
     (54, 80),
 ];
 /// Price an hour in millionths, prompt and output tokens a second.
-const KINDS: [(u64, u32, u32); 4] = [
+const ACCELERATOR_KINDS: [(u64, u32, u32); 4] = [
     (600_000, 2_500, 500),
     (1_100_000, 6_000, 1_300),
     (2_400_000, 14_000, 2_400),
@@ -88,7 +88,7 @@
             let mut rng = fastrand::Rng::with_seed(SEED);
             let count = 200;
             let sum: usize =
-                (0..count).map(|_| looked_at(&snapshot, &mut rng)).sum();
+                (0..count).map(|_| candidate_count(&snapshot, &mut rng)).sum();
             let looked_at = sum as f64 / f64::from(count);
             let mut chooser = Chooser::new();
             let mut times = histogram();
@@ -99,12 +99,12 @@
         .collect()
 }
 
-fn looked_at(snapshot: &Snapshot, rng: &mut fastrand::Rng) -> usize {
+fn candidate_count(snapshot: &Snapshot, rng: &mut fastrand::Rng) -> usize {
     let shape = shape(rng);
     let policy = Policy::default();
     let Snapshot { fleet, live } = snapshot;
-    let need = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS);
-    let explanation = explain(&need, rng);
+    let request = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS);
+    let explanation = explain(&request, rng);
     explanation.candidates.len()
 }
 
@@ -149,17 +149,17 @@
     for at in 0..DECISIONS_PER_ROUND {
         let shape = shape(rng);
         let avoid = [BackendIndex((at % fleet.len()) as u32)];
-        let need = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS)
+        let request = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS)
             .avoid(&avoid);
         let start = Instant::now();
-        let choice = chooser.choose(&need, rng);
+        let choice = chooser.choose(&request, rng);
         let elapsed = start.elapsed();
         sampled += black_box(choice).expect("a chain").cost;
         // Unlike `saturating_record`, this widens the histogram.
         times
             .record(elapsed.as_nanos() as u64)
             .expect("an automatic histogram takes any value");
-        let choice = chooser.choose_by_full_scan(&need, rng);
+        let choice = chooser.choose_by_full_scan(&request, rng);
         scanned += choice.expect("a chain").cost;
     }
     sampled / scanned
@@ -189,8 +189,9 @@
 }
 
 fn spec(at: usize) -> BackendSpec {
-    let (first_layer, end_layer) = PARTS[at % PARTS.len()];
-    let kind = KINDS[at / PARTS.len() % KINDS.len()];
+    let (first_layer, end_layer) = LAYER_RANGES[at % LAYER_RANGES.len()];
+    let kind =
+        ACCELERATOR_KINDS[at / LAYER_RANGES.len() % ACCELERATOR_KINDS.len()];
     BackendSpec {
         name: format!("server-{at}"),
         data_centre: at as u32 % DATA_CENTRE_COUNT,
--- a/crates/decisions/src/deployment.rs
+++ b/crates/decisions/src/deployment.rs
@@ -9,7 +9,7 @@
 };
 use chestnutreach_routing::{BackendSpec, Fleet, Network};
 
-use crate::{link::Links, trade::Place};
+use crate::{link::Links, request_kind::Sector};
 
 const KAOLACK: &str = include_str!("../../../examples/kaolack.ini");
 const SOFIA: &str = include_str!("../../../examples/sofia.ini");
@@ -42,10 +42,10 @@
         }
     }
 
-    fn place(self) -> Place {
+    fn sector(self) -> Sector {
         match self {
-            Site::Kaolack => Place::Counter,
-            Site::Sofia => Place::Pipeline,
+            Site::Kaolack => Sector::Lending,
+            Site::Sofia => Sector::Pipeline,
         }
     }
 }
@@ -67,7 +67,7 @@
 /// The language service of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    pub(crate) place: Place,
+    pub(crate) sector: Sector,
     pub(crate) fleet: Fleet,
     pub(crate) links: Links,
     pub(crate) accounts: Vec<Account>,
@@ -81,7 +81,7 @@
             .map_err(|findings| anyhow!("{findings}"))?;
         let (service, layer_count) = language_service(&manifest)
             .with_context(|| format!("{site} has no language service"))?;
-        let numbers: BTreeMap<&str, u32> = manifest
+        let data_centre_indices: BTreeMap<&str, u32> = manifest
             .data_centres
             .keys()
             .map(String::as_str)
@@ -91,16 +91,22 @@
             .backend_servers
             .iter()
             .filter(|(_, server)| server.service == service)
-            .map(|(name, server)| spec(&manifest, &numbers, name, server))
+            .map(|(name, server)| {
+                spec(&manifest, &data_centre_indices, name, server)
+            })
             .collect();
         let paths: Vec<(u32, u32, NetworkPath)> = manifest
             .paths
             .iter()
             .map(|((a, b), path)| {
-                (numbers[a.as_str()], numbers[b.as_str()], *path)
+                (
+                    data_centre_indices[a.as_str()],
+                    data_centre_indices[b.as_str()],
+                    *path,
+                )
             })
             .collect();
-        let mut network = Network::new(numbers.len() as u32);
+        let mut network = Network::new(data_centre_indices.len() as u32);
         for &(a, b, path) in &paths {
             network.set_path(a, b, path.latency_us, path.bandwidth_mbit_per_s);
         }
@@ -115,9 +121,9 @@
             })
             .collect();
         Ok(Deployment {
-            place: site.place(),
+            sector: site.sector(),
             fleet: Fleet::try_new(layer_count, backends, network)?,
-            links: Links::new(numbers.len(), &paths),
+            links: Links::new(data_centre_indices.len(), &paths),
             accounts,
             recovery_weight_percent: manifest
                 .deployment
@@ -137,7 +143,7 @@
 
 fn spec(
     manifest: &Manifest,
-    numbers: &BTreeMap<&str, u32>,
+    data_centre_indices: &BTreeMap<&str, u32>,
     name: &str,
     server: &BackendServer,
 ) -> BackendSpec {
@@ -145,7 +151,7 @@
     let kind = kind.and_then(|kind| manifest.accelerators.get(kind));
     BackendSpec {
         name: name.to_owned(),
-        data_centre: numbers[server.data_centre.as_str()],
+        data_centre: data_centre_indices[server.data_centre.as_str()],
         first_layer: server.first_layer,
         end_layer: server.end_layer,
         price_micros_per_hour: kind.map_or(0, |k| k.price_micros_per_hour),
--- a/crates/decisions/src/engine.rs
+++ b/crates/decisions/src/engine.rs
@@ -33,11 +33,11 @@
 const US_PER_S: f64 = 1e6;
 /// As the side process's `max-batch` is by default.
 const MAX_BATCH: usize = 32;
-const CHUNK_TOKENS: u32 = 512;
+const PREFILL_CHUNK_TOKENS: u32 = 512;
 /// Share of the places that a server has its full batch with.
-const FULL_SHARE: f64 = 0.5;
+const FULL_BATCH_SLOT_SHARE: f64 = 0.5;
 /// Time of an iteration with an empty batch, as a share of a full one.
-const EMPTY_SHARE: f64 = 0.5;
+const EMPTY_BATCH_TIME_SHARE: f64 = 0.5;
 
 /// A request's token that is on its way or waits.
 #[derive(Clone, Copy, Debug)]
@@ -51,17 +51,17 @@
 struct Prompt {
     request: RequestIndex,
     tokens: u32,
-    left: u32,
+    remaining: u32,
     ready_us: u64,
     started_us: Option<u64>,
 }
 
 /// A prompt that was read.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PromptDone {
+pub(crate) struct FinishedPrompt {
     pub(crate) request: RequestIndex,
     pub(crate) tokens: u32,
-    pub(crate) took_us: u64,
+    pub(crate) duration_us: u64,
 }
 
 /// One backend server's engine.
@@ -82,9 +82,9 @@
 
 /// What an engine does next.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Next {
+pub(crate) enum EngineEvent {
     /// An iteration runs until then.
-    Ends {
+    IterationEnds {
         /// When.
         at_us: u64,
     },
@@ -94,7 +94,7 @@
         at_us: u64,
     },
     /// Nothing is on its way, or it is known already.
-    Nothing,
+    Unchanged,
 }
 
 impl Engine {
@@ -103,8 +103,8 @@
         let share = layers / f64::from(layer_count);
         let rate = f64::from(spec.output_tokens_per_s) / share;
         let prompt_rate = f64::from(spec.prompt_tokens_per_s) / share;
-        let places = f64::from(spec.max_running);
-        let full_batch = (places * share * FULL_SHARE).max(1.0);
+        let slots = f64::from(spec.max_running);
+        let full_batch = (slots * share * FULL_BATCH_SLOT_SHARE).max(1.0);
         Engine {
             full_batch,
             full_step_us: full_batch / rate * US_PER_S,
@@ -135,9 +135,10 @@
     ) {
         let key = (Reverse(priority), self.next_number);
         self.next_number += 1;
-        let left = tokens;
+        let remaining = tokens;
         let started_us = None;
-        let prompt = Prompt { request, tokens, left, ready_us, started_us };
+        let prompt =
+            Prompt { request, tokens, remaining, ready_us, started_us };
         self.prompts.insert(key, prompt);
     }
 
@@ -145,39 +146,39 @@
     pub(crate) fn start(
         &mut self,
         now_us: u64,
-        is_wanted: impl Fn(RequestIndex) -> bool,
-    ) -> Next {
+        is_active: impl Fn(RequestIndex) -> bool,
+    ) -> EngineEvent {
         if self.started_us.is_some() {
-            return Next::Nothing;
+            return EngineEvent::Unchanged;
         }
         self.wake_us = self.wake_us.filter(|&at| at > now_us);
-        self.take_batch(now_us, &is_wanted);
-        self.take_chunk(now_us, &is_wanted);
+        self.fill_batch(now_us, &is_active);
+        self.fill_chunk(now_us, &is_active);
         if self.batch.is_empty() && self.chunk.is_empty() {
-            return self.wait();
+            return self.next_wake();
         }
         self.started_us = Some(now_us);
-        Next::Ends { at_us: now_us + self.iteration_us() }
+        EngineEvent::IterationEnds { at_us: now_us + self.iteration_us() }
     }
 
     /// Ends the iteration: the tokens and the prompts that were run.
     pub(crate) fn end(
         &mut self,
         now_us: u64,
-    ) -> (Vec<RequestIndex>, Vec<PromptDone>) {
-        let took_us = self.running_us(now_us);
-        self.busy_us += took_us;
+    ) -> (Vec<RequestIndex>, Vec<FinishedPrompt>) {
+        let duration_us = self.running_us(now_us);
+        self.busy_us += duration_us;
         self.started_us = None;
         let mut done = Vec::new();
         for (key, tokens) in std::mem::take(&mut self.chunk) {
             let Some(prompt) = self.prompts.get_mut(&key) else { continue };
-            prompt.left -= tokens;
-            if prompt.left == 0 {
+            prompt.remaining -= tokens;
+            if prompt.remaining == 0 {
                 let started_us = prompt.started_us.unwrap_or(now_us);
-                done.push(PromptDone {
+                done.push(FinishedPrompt {
                     request: prompt.request,
                     tokens: prompt.tokens,
-                    took_us: now_us - started_us,
+                    duration_us: now_us - started_us,
                 });
                 self.prompts.remove(&key);
             }
@@ -195,14 +196,14 @@
         self.busy_us + self.running_us(now_us)
     }
 
-    fn take_batch(
+    fn fill_batch(
         &mut self,
         now_us: u64,
-        is_wanted: impl Fn(RequestIndex) -> bool,
+        is_active: impl Fn(RequestIndex) -> bool,
     ) {
         let batch = &mut self.batch;
         self.tokens.retain(|token| {
-            if !is_wanted(token.request) {
+            if !is_active(token.request) {
                 return false;
             }
             let is_taken = token.ready_us <= now_us && batch.len() < MAX_BATCH;
@@ -213,50 +214,52 @@
         });
     }
 
-    fn take_chunk(
+    fn fill_chunk(
         &mut self,
         now_us: u64,
-        is_wanted: impl Fn(RequestIndex) -> bool,
+        is_active: impl Fn(RequestIndex) -> bool,
     ) {
-        self.prompts.retain(|_, prompt| is_wanted(prompt.request));
-        let mut room = CHUNK_TOKENS;
-        let here = |prompt: &Prompt| prompt.ready_us <= now_us;
+        self.prompts.retain(|_, prompt| is_active(prompt.request));
+        let mut remaining_tokens = PREFILL_CHUNK_TOKENS;
+        let has_arrived = |prompt: &Prompt| prompt.ready_us <= now_us;
         for (key, prompt) in &mut self.prompts {
-            if !here(prompt) {
+            if !has_arrived(prompt) {
                 continue;
             }
-            let tokens = prompt.left.min(room);
+            let tokens = prompt.remaining.min(remaining_tokens);
             prompt.started_us.get_or_insert(now_us);
             self.chunk.push((*key, tokens));
-            room -= tokens;
-            if room == 0 {
+            remaining_tokens -= tokens;
+            if remaining_tokens == 0 {
                 return;
             }
         }
     }
 
     fn iteration_us(&self) -> u64 {
-        let in_use = self.batch.len() as f64 / self.full_batch;
+        let fill_ratio = self.batch.len() as f64 / self.full_batch;
         let share = if self.batch.is_empty() {
             0.0
         } else {
-            (EMPTY_SHARE + (1.0 - EMPTY_SHARE) * in_use).max(in_use)
+            (EMPTY_BATCH_TIME_SHARE
+                + (1.0 - EMPTY_BATCH_TIME_SHARE) * fill_ratio)
+                .max(fill_ratio)
         };
         let tokens: u32 = self.chunk.iter().map(|(_, tokens)| tokens).sum();
         let prompt_us = f64::from(tokens) * self.us_per_prompt_token;
         (self.full_step_us * share + prompt_us).ceil() as u64
     }
 
-    fn wait(&mut self) -> Next {
+    fn next_wake(&mut self) -> EngineEvent {
         let tokens = self.tokens.iter().map(|token| token.ready_us);
         let prompts = self.prompts.values().map(|prompt| prompt.ready_us);
         let first_us = tokens.chain(prompts).min();
         match first_us {
             Some(at_us) if self.wake_us.is_none_or(|wake| at_us < wake) => {
                 self.wake_us = Some(at_us);
-                Next::Wakes { at_us }
+                EngineEvent::Wakes { at_us }
             }
-            _ => Next::Nothing,
+            _ => EngineEvent::Unchanged,
         }
     }
 }
--- a/crates/decisions/src/entry.rs
+++ b/crates/decisions/src/entry.rs
@@ -8,8 +8,8 @@
 };
 
 use crate::{
-    case::Way,
-    pick::{Starts, View},
+    baseline_chain::{CandidateFilter, ServersByLayer},
+    case::Strategy,
 };
 
 /// Settings of the daemon, as they are by default.
@@ -25,15 +25,15 @@
     pub(crate) data_centre: u32,
     chooser: Chooser,
     policy: Policy,
-    turns: BTreeMap<u32, usize>,
+    round_robin_counters: BTreeMap<u32, usize>,
     rng: fastrand::Rng,
 }
 
 /// What all entries share.
 #[derive(Debug)]
-pub(crate) struct Common {
-    pub(crate) way: Way,
-    pub(crate) starts: Starts,
+pub(crate) struct SharedState {
+    pub(crate) strategy: Strategy,
+    pub(crate) servers_by_layer: ServersByLayer,
     /// Exact counts of requests, by server.
     pub(crate) counts: Vec<u32>,
 }
@@ -55,7 +55,7 @@
             data_centre,
             chooser: Chooser::new(),
             policy,
-            turns: BTreeMap::new(),
+            round_robin_counters: BTreeMap::new(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
@@ -64,28 +64,31 @@
     pub(crate) fn choose(
         &mut self,
         fleet: &Fleet,
-        common: &Common,
+        shared: &SharedState,
         shape: &RequestShape,
         avoid: &[BackendIndex],
         now_ms: u64,
     ) -> Result<Vec<BackendIndex>, u64> {
-        match common.way {
-            Way::Sampled => {
+        match shared.strategy {
+            Strategy::Sampled => {
                 self.choose_by(Chooser::choose, fleet, shape, avoid, now_ms)
             }
-            Way::FullScan => self.choose_by(
+            Strategy::FullScan => self.choose_by(
                 Chooser::choose_by_full_scan,
                 fleet,
                 shape,
                 avoid,
                 now_ms,
             ),
-            Way::RoundRobin | Way::LeastRequests | Way::SharedCounters => {
-                let view = View { fleet, live: &self.live, avoid, now_ms };
+            Strategy::RoundRobin
+            | Strategy::LeastRequests
+            | Strategy::SharedCounters => {
+                let view =
+                    CandidateFilter { fleet, live: &self.live, avoid, now_ms };
                 let rng = &mut self.rng;
-                let turns = &mut self.turns;
-                let chain = baseline(common, &view, turns, rng);
-                chain.ok_or_else(|| spread(NO_CHAIN_RETRY_MS, rng))
+                let round_robin_counters = &mut self.round_robin_counters;
+                let chain = baseline(shared, &view, round_robin_counters, rng);
+                chain.ok_or_else(|| add_jitter(NO_CHAIN_RETRY_MS, rng))
             }
         }
     }
@@ -98,18 +101,18 @@
         avoid: &[BackendIndex],
         now_ms: u64,
     ) -> Result<Vec<BackendIndex>, u64> {
-        let need =
+        let request =
             ChainRequest::new(fleet, &self.live, shape, &self.policy, now_ms)
                 .avoid(avoid)
                 .entry_data_centre(self.data_centre);
-        let choice = choose(&mut self.chooser, &need, &mut self.rng);
+        let choice = choose(&mut self.chooser, &request, &mut self.rng);
         match choice {
             Ok(choice) => Ok(choice.stages),
             Err(no_chain) => Err(no_chain.retry_after_ms),
         }
     }
 
-    pub(crate) fn sent(
+    pub(crate) fn record_dispatch(
         &self,
         stages: &[BackendIndex],
         tokens: u32,
@@ -121,19 +124,19 @@
     }
 
     /// As a session tells it: `ended` for the server at fault, or for all.
-    pub(crate) fn ended(
+    pub(crate) fn record_outcome(
         &self,
         stages: &[BackendIndex],
         tokens: u32,
-        ended: &RequestOutcome,
-        at_fault: Option<BackendIndex>,
+        outcome: &RequestOutcome,
+        failed_server: Option<BackendIndex>,
         now_ms: u64,
     ) {
         for index in stages {
-            let is_meant = at_fault.is_none_or(|at| at == *index);
-            let ended =
-                if is_meant { ended } else { &RequestOutcome::Cancelled };
-            self.live.record_outcome(*index, tokens, ended, now_ms);
+            let applies = failed_server.is_none_or(|at| at == *index);
+            let outcome =
+                if applies { outcome } else { &RequestOutcome::Cancelled };
+            self.live.record_outcome(*index, tokens, outcome, now_ms);
         }
     }
 }
@@ -145,25 +148,31 @@
 ) -> Result<Choice, NoChain>;
 
 fn baseline(
-    common: &Common,
-    view: &View<'_>,
-    turns: &mut BTreeMap<u32, usize>,
+    shared: &SharedState,
+    view: &CandidateFilter<'_>,
+    round_robin_counters: &mut BTreeMap<u32, usize>,
     rng: &mut fastrand::Rng,
 ) -> Option<Vec<BackendIndex>> {
-    let starts = &common.starts;
-    match common.way {
-        Way::RoundRobin => starts.next_in_turn(view, turns),
-        Way::LeastRequests => starts
-            .least(view, |index| (view.live.in_flight(index), rng.u32(..))),
-        Way::SharedCounters => starts.least(view, |index| {
-            let count = common.counts[index.0 as usize];
-            let places = view.fleet.spec(index).max_running;
-            (count * 1_000 / places, rng.u32(..))
-        }),
-        Way::Sampled | Way::FullScan => None,
+    let servers_by_layer = &shared.servers_by_layer;
+    match shared.strategy {
+        Strategy::RoundRobin => {
+            servers_by_layer.round_robin_chain(view, round_robin_counters)
+        }
+        Strategy::LeastRequests => servers_by_layer
+            .min_weight_chain(view, |index| {
+                (view.live.in_flight(index), rng.u32(..))
+            }),
+        Strategy::SharedCounters => {
+            servers_by_layer.min_weight_chain(view, |index| {
+                let count = shared.counts[index.0 as usize];
+                let slots = view.fleet.spec(index).max_running;
+                (count * 1_000 / slots, rng.u32(..))
+            })
+        }
+        Strategy::Sampled | Strategy::FullScan => None,
     }
 }
 
-fn spread(base_ms: u64, rng: &mut fastrand::Rng) -> u64 {
+fn add_jitter(base_ms: u64, rng: &mut fastrand::Rng) -> u64 {
     base_ms + rng.u64(0..=base_ms)
 }
--- a/crates/decisions/src/events.rs
+++ b/crates/decisions/src/events.rs
@@ -18,13 +18,13 @@
     /// The table service has answered the entry.
     TableRead(RequestIndex),
     /// The request reaches its first stage.
-    Offer(RequestIndex),
+    ReachFirstStage(RequestIndex),
     /// The reservations reach the later stages.
     Reserve(RequestIndex),
     /// All stages are held.
     Begin(RequestIndex),
     /// The request has waited long enough at the stage that it waits at.
-    WaitOver(RequestIndex, u32),
+    WaitTimeout(RequestIndex, u32),
     /// The first stage hears that a later one has refused.
     StageRefused(RequestIndex, Refusal),
     /// The entry hears that nothing has run.
@@ -42,7 +42,7 @@
     /// A load report reaches the entries.
     ReportArrives(BackendIndex, LoadReport),
     /// The new server is there.
-    Join(BackendIndex),
+    AddServer(BackendIndex),
     /// The run is looked at for averages.
     Sample,
 }
@@ -55,27 +55,27 @@
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ScheduledEvent {
     at_us: u64,
     sequence: u64,
     event: Event,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.sequence == other.sequence
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at_us, self.sequence).cmp(&(other.at_us, other.sequence))
     }
@@ -84,7 +84,7 @@
 /// Events by time; those of the same time in the order they were added.
 #[derive(Debug, Default)]
 pub(crate) struct Events {
-    heap: BinaryHeap<Reverse<Entry>>,
+    heap: BinaryHeap<Reverse<ScheduledEvent>>,
     next_sequence: u64,
     now_us: u64,
 }
@@ -99,14 +99,14 @@
     }
 
     /// Adds an event that happens after a while.
-    pub(crate) fn after_us(&mut self, delay_us: u64, event: Event) {
-        self.at_us(self.now_us + delay_us, event);
+    pub(crate) fn schedule_after(&mut self, delay_us: u64, event: Event) {
+        self.schedule_at(self.now_us + delay_us, event);
     }
 
-    pub(crate) fn at_us(&mut self, at_us: u64, event: Event) {
+    pub(crate) fn schedule_at(&mut self, at_us: u64, event: Event) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.heap.push(Reverse(Entry { at_us, sequence, event }));
+        self.heap.push(Reverse(ScheduledEvent { at_us, sequence, event }));
     }
 
     /// Moves the clock to the next event, unless that is at or past the end.
@@ -115,8 +115,8 @@
         if next.0.at_us >= end_us {
             return None;
         }
-        let Reverse(entry) = PeekMut::pop(next);
-        self.now_us = entry.at_us;
-        Some(entry.event)
+        let Reverse(scheduled) = PeekMut::pop(next);
+        self.now_us = scheduled.at_us;
+        Some(scheduled.event)
     }
 }
--- a/crates/decisions/src/figures.rs
+++ b/crates/decisions/src/figures.rs
@@ -75,16 +75,18 @@
     /// Most that came back within 100 ms, in times the mean.
     pub comeback_peak_times: f64,
     #[serde(skip)]
-    pub(crate) totals_ms: Vec<Histogram<u64>>,
+    pub(crate) response_times_ms: Vec<Histogram<u64>>,
 }
 
 impl Figures {
     /// 95th percentile over all accounts but one.
-    pub(crate) fn p95_ms_without(&self, account: usize) -> u64 {
+    pub(crate) fn p95_ms_excluding(&self, account: usize) -> u64 {
         let mut all = Histogram::new(3).expect("three digits are allowed");
-        for (at, totals_ms) in self.totals_ms.iter().enumerate() {
+        for (at, response_times_ms) in
+            self.response_times_ms.iter().enumerate()
+        {
             if at != account {
-                all.add(totals_ms).expect("histograms of one kind");
+                all.add(response_times_ms).expect("histograms of one kind");
             }
         }
         all.value_at_quantile(0.95)
@@ -105,17 +107,17 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-pub(crate) fn deviation(values: &[f64]) -> f64 {
+pub(crate) fn standard_deviation(values: &[f64]) -> f64 {
     let mean = mean(values);
     let squares = values.iter().map(|value| (value - mean).powi(2));
     (squares.sum::<f64>() / values.len().max(1) as f64).sqrt()
 }
 
-pub(crate) fn peak_times(slots: &[u32]) -> f64 {
-    let sum: u32 = slots.iter().sum();
+pub(crate) fn peak_to_mean(counts: &[u32]) -> f64 {
+    let sum: u32 = counts.iter().sum();
     if sum == 0 {
         return 0.0;
     }
-    let peak = slots.iter().copied().max().unwrap_or(0);
-    f64::from(peak) * slots.len() as f64 / f64::from(sum)
+    let peak = counts.iter().copied().max().unwrap_or(0);
+    f64::from(peak) * counts.len() as f64 / f64::from(sum)
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -20,21 +20,21 @@
 //! | [`work`] | work and time of one decision by the fleet's size |
 //! | [`text`] | tables for people |
 
+mod baseline_chain;
 pub mod bounds;
 pub mod case;
+pub mod decision_cost;
 pub mod deployment;
 mod engine;
 mod entry;
 mod events;
 pub mod figures;
 mod link;
-mod pick;
 mod request;
+mod request_kind;
 mod server;
 pub mod suite;
 mod table;
 pub mod text;
-mod trade;
-pub mod work;
 mod workload;
 pub mod world;
--- a/crates/decisions/src/main.rs
+++ b/crates/decisions/src/main.rs
@@ -13,10 +13,11 @@
 use anyhow::{Context, Result};
 use chestnutreach_decisions::{
     bounds,
-    case::{Later, Way},
+    case::{LaterStagePolicy, Strategy},
+    decision_cost,
     deployment::{Deployment, Site},
     suite::{self, Settings},
-    text, work,
+    text,
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
@@ -47,14 +48,14 @@
         .subcommands([
             with_run_args(run),
             with_run_args(loads).args([
-                way_arg(),
+                strategy_arg(),
                 Arg::new("load-percent")
                     .long("load-percent")
                     .action(ArgAction::Append)
                     .value_parser(value_parser!(u32).range(1..=1_000))
                     .help("Only this load, in percent of the flow bound"),
             ]),
-            with_run_args(effects).arg(way_arg()),
+            with_run_args(effects).arg(strategy_arg()),
             Command::new("time")
                 .about("Measures the time of one decision, real clock")
                 .arg(json_arg()),
@@ -87,18 +88,18 @@
             .help("Length of the measured part, in s"),
         Arg::new("later")
             .long("later")
-            .default_value(Later::Waits.name())
-            .value_parser(Later::ALL.map(Later::name))
+            .default_value(LaterStagePolicy::Wait.name())
+            .value_parser(LaterStagePolicy::ALL.map(LaterStagePolicy::name))
             .help("What a later stage does that has no place free"),
         json_arg(),
     ])
 }
 
-fn way_arg() -> Arg {
+fn strategy_arg() -> Arg {
     Arg::new("way")
         .long("way")
         .action(ArgAction::Append)
-        .value_parser(Way::ALL.map(Way::name))
+        .value_parser(Strategy::ALL.map(Strategy::name))
         .help("Only this way of choosing")
 }
 
@@ -117,28 +118,34 @@
         seed: number("seed")?,
         warm_up_ms: number("warm-up-s")? * MS_PER_S,
         measure_ms: number("measure-s")? * MS_PER_S,
-        later: later(matches),
+        later_stage_policy: later_stage_policy(matches),
     })
 }
 
-fn later(matches: &ArgMatches) -> Later {
+fn later_stage_policy(matches: &ArgMatches) -> LaterStagePolicy {
     let named = matches.get_one::<String>("later");
-    let is_named = |later: &Later| named.is_some_and(|n| n == later.name());
-    Later::ALL.into_iter().find(is_named).unwrap_or(Later::Waits)
+    let is_named = |later_stage_policy: &LaterStagePolicy| {
+        named.is_some_and(|n| n == later_stage_policy.name())
+    };
+    LaterStagePolicy::ALL
+        .into_iter()
+        .find(is_named)
+        .unwrap_or(LaterStagePolicy::Wait)
 }
 
 fn sites(matches: &ArgMatches) -> Vec<Site> {
     let wanted = matches.get_one::<String>("deployment");
-    let is_wanted = |site: &Site| wanted.is_none_or(|w| w == site.name());
-    Site::ALL.into_iter().filter(is_wanted).collect()
+    let is_active = |site: &Site| wanted.is_none_or(|w| w == site.name());
+    Site::ALL.into_iter().filter(is_active).collect()
 }
 
-fn ways(matches: &ArgMatches) -> Vec<Way> {
+fn strategies(matches: &ArgMatches) -> Vec<Strategy> {
     let named: Vec<&String> =
         matches.get_many("way").unwrap_or_default().collect();
-    let is_wanted =
-        |way: &Way| named.is_empty() || named.iter().any(|n| *n == way.name());
-    Way::ALL.into_iter().filter(is_wanted).collect()
+    let is_active = |strategy: &Strategy| {
+        named.is_empty() || named.iter().any(|n| *n == strategy.name())
+    };
+    Strategy::ALL.into_iter().filter(is_active).collect()
 }
 
 fn run(matches: &ArgMatches) -> Result<()> {
@@ -152,14 +159,14 @@
 
 fn loads(matches: &ArgMatches) -> Result<()> {
     let settings = settings(matches)?;
-    let ways = ways(matches);
+    let strategies = strategies(matches);
     let loads: Vec<u32> = match matches.get_many("load-percent") {
         Some(loads) => loads.copied().collect(),
         None => suite::LOADS_PERCENT.to_vec(),
     };
     for site in sites(matches) {
         let deployment = Deployment::try_new(site)?;
-        let rows = suite::loads(&deployment, &settings, &ways, &loads);
+        let rows = suite::loads(&deployment, &settings, &strategies, &loads);
         print(matches, &rows, |rows| text::loads(site.name(), rows))?;
     }
     Ok(())
@@ -169,32 +176,34 @@
     let settings = settings(matches)?;
     for site in sites(matches) {
         let deployment = Deployment::try_new(site)?;
-        let rows = suite::effects(&deployment, &settings, &ways(matches));
+        let rows =
+            suite::effects(&deployment, &settings, &strategies(matches));
         print(matches, &rows, |rows| text::effects(site.name(), rows))?;
     }
     Ok(())
 }
 
 fn time(matches: &ArgMatches) -> Result<()> {
-    print(matches, &work::times(), |rows| work::table(rows))
+    print(matches, &decision_cost::times(), |rows| decision_cost::table(rows))
 }
 
 fn check(matches: &ArgMatches) -> Result<ExitCode> {
     let figures = bounds::figures()?;
-    let broken = bounds::broken(&figures, &bounds::committed()?);
+    let violations = bounds::violations(&figures, &bounds::committed()?);
     if matches.get_flag("json") {
-        let json = serde_json::json!({ "figures": figures, "broken": broken });
+        let json =
+            serde_json::json!({ "figures": figures, "broken": violations });
         println!("{json:#}");
     } else {
         for (name, value) in &figures {
             println!("{name} = {value:.4}");
         }
     }
-    for broken in &broken {
-        eprintln!("bound broken: {broken}");
+    for violation in &violations {
+        eprintln!("bound broken: {violation}");
     }
-    let is_whole = broken.is_empty();
-    Ok(if is_whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_within_bounds = violations.is_empty();
+    Ok(if is_within_bounds { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn print<T: serde::Serialize>(
--- a/crates/decisions/src/request.rs
+++ b/crates/decisions/src/request.rs
@@ -2,7 +2,7 @@
 
 use chestnutreach_routing::{BackendIndex, RequestShape};
 
-use crate::workload::Asking;
+use crate::workload::Arrival;
 
 /// Where a request is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -10,7 +10,7 @@
     /// At its caller or its entry.
     Idle,
     /// On its way to the first stage, or waits there.
-    Offered,
+    Dispatched,
     /// Holds the first stage and asks for the others, or was refused: its
     /// entry hears of it soon.
     Reserving,
@@ -19,22 +19,22 @@
     /// Holds all stages.
     Running,
     /// All tokens are there; the last is on its way to the entry.
-    Answered,
+    Generated,
     /// Answered, given up or out of time.
-    Over,
+    Done,
 }
 
 /// One caller's request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    pub(crate) asking: Asking,
+    pub(crate) arrival: Arrival,
     pub(crate) entry: usize,
     pub(crate) phase: Phase,
     pub(crate) stages: Vec<BackendIndex>,
     pub(crate) avoid: Vec<BackendIndex>,
     /// Attempts since the caller asked last.
     pub(crate) attempts: u32,
-    pub(crate) comebacks: u32,
+    pub(crate) caller_retries: u32,
     /// How many stages it holds, from the first.
     pub(crate) held: usize,
     /// How often it has waited at a later stage.
@@ -48,15 +48,15 @@
 }
 
 impl Request {
-    pub(crate) fn new(asking: Asking, entry: usize) -> Request {
+    pub(crate) fn new(arrival: Arrival, entry: usize) -> Request {
         Request {
-            asking,
+            arrival,
             entry,
             phase: Phase::Idle,
             stages: Vec::new(),
             avoid: Vec::new(),
             attempts: 0,
-            comebacks: 0,
+            caller_retries: 0,
             held: 0,
             waits: 0,
             at_stage: 0,
@@ -67,30 +67,32 @@
     }
 
     pub(crate) fn deadline_us(&self) -> u64 {
-        self.asking.at_us + self.asking.deadline_ms * 1_000
+        self.arrival.at_us + self.arrival.deadline_ms * 1_000
     }
 
     /// As the entry states it.
     pub(crate) fn shape(&self, now_us: u64, is_bounded: bool) -> RequestShape {
-        let asking = &self.asking;
-        let shape =
-            RequestShape::new(asking.prompt_tokens, asking.max_output_tokens)
-                .priority(asking.trade.priority());
+        let arrival = &self.arrival;
+        let shape = RequestShape::new(
+            arrival.prompt_tokens,
+            arrival.max_output_tokens,
+        )
+        .priority(arrival.kind.priority());
         if !is_bounded {
             return shape;
         }
-        let rest_us = self.deadline_us().saturating_sub(now_us);
-        shape.deadline_ms(rest_us / 1_000)
+        let remaining_us = self.deadline_us().saturating_sub(now_us);
+        shape.deadline_ms(remaining_us / 1_000)
     }
 
     /// What its account is charged before it runs.
     pub(crate) fn cost_tokens(&self) -> u32 {
-        self.asking.prompt_tokens + self.asking.max_output_tokens
+        self.arrival.prompt_tokens + self.arrival.max_output_tokens
     }
 
     /// What an answer takes.
     pub(crate) fn used_tokens(&self) -> u32 {
-        self.asking.prompt_tokens + self.asking.output_tokens
+        self.arrival.prompt_tokens + self.arrival.output_tokens
     }
 
     pub(crate) fn is_last_stage(&self) -> bool {
--- a/crates/decisions/src/trade.rs
+++ b/crates/decisions/src/request_kind.rs
@@ -4,7 +4,7 @@
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Trade {
+pub(crate) enum RequestKind {
     /// Long prompt, short answer.
     Summary,
     /// Short prompt, long answer.
@@ -13,24 +13,24 @@
     Lookup,
 }
 
-impl Trade {
-    pub(crate) const ALL: [Trade; 3] =
-        [Trade::Summary, Trade::Letter, Trade::Lookup];
+impl RequestKind {
+    pub(crate) const ALL: [RequestKind; 3] =
+        [RequestKind::Summary, RequestKind::Letter, RequestKind::Lookup];
 
     /// Letters and summaries come before lookups.
     pub(crate) fn priority(self) -> Priority {
         match self {
-            Trade::Summary | Trade::Letter => Priority::High,
-            Trade::Lookup => Priority::Low,
+            RequestKind::Summary | RequestKind::Letter => Priority::High,
+            RequestKind::Lookup => Priority::Low,
         }
     }
 }
 
 /// Where the requests come from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Place {
+pub(crate) enum Sector {
     /// Counters and field agents of a lender.
-    Counter,
+    Lending,
     /// Crews and engineers of a pipeline.
     Pipeline,
 }
@@ -58,22 +58,28 @@
     }
 }
 
-impl Place {
-    pub(crate) fn sizes(self, trade: Trade) -> Sizes {
+impl Sector {
+    pub(crate) fn sizes(self, kind: RequestKind) -> Sizes {
         let (prompt_tokens, max_output_tokens, deadline_ms) =
-            match (self, trade) {
-                (Place::Counter, Trade::Summary) => {
+            match (self, kind) {
+                (Sector::Lending, RequestKind::Summary) => {
                     ((1_500, 4_500), 300, 30_000)
                 }
-                (Place::Counter, Trade::Letter) => ((300, 900), 350, 20_000),
-                (Place::Counter, Trade::Lookup) => ((80, 300), 60, 8_000),
-                (Place::Pipeline, Trade::Summary) => {
+                (Sector::Lending, RequestKind::Letter) => {
+                    ((300, 900), 350, 20_000)
+                }
+                (Sector::Lending, RequestKind::Lookup) => {
+                    ((80, 300), 60, 8_000)
+                }
+                (Sector::Pipeline, RequestKind::Summary) => {
                     ((2_500, 7_500), 400, 60_000)
                 }
-                (Place::Pipeline, Trade::Letter) => {
+                (Sector::Pipeline, RequestKind::Letter) => {
                     ((600, 1_800), 450, 45_000)
                 }
-                (Place::Pipeline, Trade::Lookup) => ((100, 400), 80, 10_000),
+                (Sector::Pipeline, RequestKind::Lookup) => {
+                    ((100, 400), 80, 10_000)
+                }
             };
         Sizes { prompt_tokens, max_output_tokens, deadline_ms }
     }
@@ -81,11 +87,11 @@
     /// Parts of a hundred requests of a class of account, as [`Trade::ALL`].
     pub(crate) fn mix_percent(self, class: &str) -> [u32; 3] {
         match (self, class) {
-            (Place::Counter, "counter") => [50, 40, 10],
-            (Place::Counter, _) => [10, 20, 70],
-            (Place::Pipeline, "engineer") => [50, 30, 20],
-            (Place::Pipeline, "regulator") => [30, 60, 10],
-            (Place::Pipeline, _) => [10, 10, 80],
+            (Sector::Lending, "counter") => [50, 40, 10],
+            (Sector::Lending, _) => [10, 20, 70],
+            (Sector::Pipeline, "engineer") => [50, 30, 20],
+            (Sector::Pipeline, "regulator") => [30, 60, 10],
+            (Sector::Pipeline, _) => [10, 10, 80],
         }
     }
 }
--- a/crates/decisions/src/server.rs
+++ b/crates/decisions/src/server.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     deployment::Account,
-    engine::{Engine, PromptDone},
+    engine::{Engine, FinishedPrompt},
     events::RequestIndex,
 };
 
@@ -27,7 +27,7 @@
 /// One backend server with its side process.
 #[derive(Debug)]
 pub(crate) struct Server {
-    pub(crate) gate: SlotQueue<Waiter>,
+    pub(crate) slot_queue: SlotQueue<Waiter>,
     pub(crate) engine: Engine,
     pub(crate) rng: fastrand::Rng,
 }
@@ -42,41 +42,42 @@
         let spec = fleet.spec(index);
         let layers = f64::from(spec.end_layer - spec.first_layer);
         let share = layers / f64::from(fleet.layer_count());
-        let mut gate = SlotQueue::new(QUEUE_LIMIT_TOKENS);
-        gate.set_capacity(ServerCapacity {
+        let mut slot_queue = SlotQueue::new(QUEUE_LIMIT_TOKENS);
+        slot_queue.set_capacity(ServerCapacity {
             max_running: spec.max_running,
             prompt_tokens_per_s: f64::from(spec.prompt_tokens_per_s) / share,
             output_tokens_per_s: f64::from(spec.output_tokens_per_s) / share,
         });
         for account in accounts {
-            gate.set_weight(&account.name, account.weight);
+            slot_queue.set_weight(&account.name, account.weight);
         }
         Server {
-            gate,
+            slot_queue,
             engine: Engine::new(spec, fleet.layer_count()),
             rng: fastrand::Rng::with_seed(seed ^ u64::from(index.0)),
         }
     }
 
     /// Learns from an iteration, as the side process does from its calls.
-    pub(crate) fn learn(
+    pub(crate) fn record_iteration(
         &mut self,
         batch: usize,
-        took_us: u64,
-        prompts: &[PromptDone],
+        duration_us: u64,
+        prompts: &[FinishedPrompt],
     ) {
         if batch > 0 {
-            self.gate.learn_step(batch as u32, took_us as f64 / US_PER_MS);
+            self.slot_queue
+                .learn_step(batch as u32, duration_us as f64 / US_PER_MS);
         }
         for prompt in prompts {
-            let ms = prompt.took_us as f64 / US_PER_MS;
+            let ms = prompt.duration_us as f64 / US_PER_MS;
             let tokens = u64::from(prompt.tokens);
-            self.gate.learn_prompt(prompt.tokens, tokens, ms);
+            self.slot_queue.learn_prompt(prompt.tokens, tokens, ms);
         }
     }
 
     pub(crate) fn report(&self) -> LoadReport {
-        let load = self.gate.load();
+        let load = self.slot_queue.load();
         LoadReport {
             running: load.running,
             queued: load.queued,
--- a/crates/decisions/src/suite.rs
+++ b/crates/decisions/src/suite.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use crate::{
-    case::{Case, Demand, Later, Way},
+    case::{Case, Demand, LaterStagePolicy, Strategy},
     deployment::{Deployment, Site},
     figures::Figures,
     world,
@@ -28,7 +28,7 @@
     /// Length of the measured part.
     pub measure_ms: u64,
     /// What a later stage does that has no place free.
-    pub later: Later,
+    pub later_stage_policy: LaterStagePolicy,
 }
 
 impl Default for Settings {
@@ -37,7 +37,7 @@
             seed: 1,
             warm_up_ms: 20_000,
             measure_ms: 40_000,
-            later: Later::Waits,
+            later_stage_policy: LaterStagePolicy::Wait,
         }
     }
 }
@@ -47,7 +47,7 @@
         case.seed(self.seed)
             .warm_up_ms(self.warm_up_ms)
             .measure_ms(self.measure_ms)
-            .later(self.later)
+            .later_stage_policy(self.later_stage_policy)
     }
 }
 
@@ -66,15 +66,15 @@
 pub fn loads(
     deployment: &Deployment,
     settings: &Settings,
-    ways: &[Way],
+    strategies: &[Strategy],
     loads_percent: &[u32],
 ) -> Vec<LoadRow> {
     let mut rows = Vec::new();
     for &load_percent in loads_percent {
-        for &way in ways {
-            let case = settings.apply(Case::new(way, load_percent));
+        for &strategy in strategies {
+            let case = settings.apply(Case::new(strategy, load_percent));
             let figures = world::run(deployment, &case);
-            rows.push(LoadRow { way: way.name(), load_percent, figures });
+            rows.push(LoadRow { way: strategy.name(), load_percent, figures });
         }
     }
     rows
@@ -99,7 +99,7 @@
     let mut rows = Vec::new();
     for load_percent in [HALF_PERCENT, MODERATE_PERCENT] {
         for percent in WEIGHTS_PERCENT {
-            let case = Case::new(Way::Sampled, load_percent)
+            let case = Case::new(Strategy::Sampled, load_percent)
                 .recovery_weight_percent(percent);
             let figures = world::run(deployment, &settings.apply(case));
             rows.push(WeightRow {
@@ -149,33 +149,36 @@
 pub fn effects(
     deployment: &Deployment,
     settings: &Settings,
-    ways: &[Way],
+    strategies: &[Strategy],
 ) -> Vec<EffectsRow> {
-    ways.iter().map(|way| effects_of(deployment, settings, *way)).collect()
+    strategies
+        .iter()
+        .map(|strategy| effects_of(deployment, settings, *strategy))
+        .collect()
 }
 
 fn effects_of(
     deployment: &Deployment,
     settings: &Settings,
-    way: Way,
+    strategy: Strategy,
 ) -> EffectsRow {
     let run = |case: Case| world::run(deployment, &settings.apply(case));
-    let case = |load_percent| Case::new(way, load_percent);
+    let case = |load_percent| Case::new(strategy, load_percent);
     let skewed = run(case(OVERLOAD_PERCENT).demand(Demand::Skewed));
     let full = run(case(100));
     let over = run(case(OVERLOAD_PERCENT));
     let unrefused = run(case(OVERLOAD_PERCENT).refuses_late(false));
-    let joined = run(case(MODERATE_PERCENT).joins(true));
+    let with_new_server = run(case(MODERATE_PERCENT).adds_server(true));
     EffectsRow {
-        way: way.name(),
+        way: strategy.name(),
         jain_backlogged: skewed.jain,
         harm_at_half: harm(deployment, &run, case(HALF_PERCENT)),
         harm_at_most: harm(deployment, &run, case(MODERATE_PERCENT)),
         useful_at_overload: over.share_of_bound / full.share_of_bound,
         useful_at_overload_unrefused: unrefused.share_of_bound
             / full.share_of_bound,
-        newcomer_times: joined.newcomer_times,
-        newcomer_peak: joined.newcomer_peak,
+        newcomer_times: with_new_server.newcomer_times,
+        newcomer_peak: with_new_server.newcomer_peak,
     }
 }
 
@@ -184,17 +187,17 @@
     run: &dyn Fn(Case) -> Figures,
     case: Case,
 ) -> Harm {
-    let greedy = greedy(deployment);
-    let quiet = run(case.clone());
-    let flood = run(case.demand(Demand::Greedy(greedy)));
-    let before_ms = quiet.p95_ms_without(greedy);
-    let beside_ms = flood.p95_ms_without(greedy);
+    let greedy_account = greedy_account(deployment);
+    let baseline = run(case.clone());
+    let flood = run(case.demand(Demand::Greedy(greedy_account)));
+    let before_ms = baseline.p95_ms_excluding(greedy_account);
+    let beside_ms = flood.p95_ms_excluding(greedy_account);
     let percent = (beside_ms as f64 / before_ms as f64 - 1.0) * 100.0;
     Harm { before_ms, beside_ms, percent }
 }
 
 /// The first of the accounts of the least weight.
-fn greedy(deployment: &Deployment) -> usize {
+fn greedy_account(deployment: &Deployment) -> usize {
     let accounts = deployment.accounts.iter().enumerate();
     accounts.min_by_key(|(_, account)| account.weight).map_or(0, |(at, _)| at)
 }
@@ -217,8 +220,8 @@
     let deployment = Deployment::try_new(site)?;
     Ok(Tables {
         deployment: site.name(),
-        loads: loads(&deployment, settings, &Way::ALL, &LOADS_PERCENT),
-        effects: effects(&deployment, settings, &Way::ALL),
+        loads: loads(&deployment, settings, &Strategy::ALL, &LOADS_PERCENT),
+        effects: effects(&deployment, settings, &Strategy::ALL),
         weights: weights(&deployment, settings),
     })
 }
--- a/crates/decisions/src/table.rs
+++ b/crates/decisions/src/table.rs
@@ -19,16 +19,16 @@
 impl Table {
     /// How long the count before a request takes.
     pub(crate) fn count_up_us(&mut self, now_us: u64) -> u64 {
-        let wait_us = self.take_slot(now_us);
+        let wait_us = self.reserve_write(now_us);
         wait_us + READ_US + WRITE_US
     }
 
     /// Counts a request's end; nobody waits for it.
     pub(crate) fn count_down(&mut self, now_us: u64) {
-        self.take_slot(now_us);
+        self.reserve_write(now_us);
     }
 
-    fn take_slot(&mut self, now_us: u64) -> u64 {
+    fn reserve_write(&mut self, now_us: u64) -> u64 {
         let at_us = self.free_at_us.max(now_us);
         self.free_at_us = at_us + WRITE_SLOT_US;
         at_us - now_us
--- a/crates/decisions/src/workload.rs
+++ b/crates/decisions/src/workload.rs
@@ -10,7 +10,7 @@
 use crate::{
     case::Case,
     deployment::{Account, Deployment},
-    trade::{Place, Trade},
+    request_kind::{RequestKind, Sector},
 };
 
 const US_PER_S: f64 = 1e6;
@@ -18,15 +18,15 @@
 const MIX_SCALE: f64 = 1e6;
 const CYCLE_US: u64 = 10_000_000;
 const BURST_US: u64 = 2_000_000;
-const BURST: f64 = 1.6;
-const BETWEEN: f64 = 0.85;
+const BURST_RATE_FACTOR: f64 = 1.6;
+const BASE_RATE_FACTOR: f64 = 0.85;
 
 /// What a caller asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asking {
+pub(crate) struct Arrival {
     pub(crate) at_us: u64,
     pub(crate) account: usize,
-    pub(crate) trade: Trade,
+    pub(crate) kind: RequestKind,
     pub(crate) prompt_tokens: u32,
     /// What the caller states.
     pub(crate) max_output_tokens: u32,
@@ -37,18 +37,19 @@
 
 /// Mean tokens of a request.
 #[derive(Clone, Copy, Debug)]
-struct Mean {
+struct MeanTokens {
     prompt: f64,
     output: f64,
 }
 
-impl Mean {
-    fn of_class(place: Place, class: &str) -> Mean {
-        let mut mean = Mean { prompt: 0.0, output: 0.0 };
-        for (trade, percent) in Trade::ALL.iter().zip(place.mix_percent(class))
+impl MeanTokens {
+    fn of_class(sector: Sector, class: &str) -> MeanTokens {
+        let mut mean = MeanTokens { prompt: 0.0, output: 0.0 };
+        for (kind, percent) in
+            RequestKind::ALL.iter().zip(sector.mix_percent(class))
         {
             let share = f64::from(percent) / 100.0;
-            let sizes = place.sizes(*trade);
+            let sizes = sector.sizes(*kind);
             mean.prompt += share * sizes.mean_prompt_tokens();
             mean.output += share * sizes.mean_output_tokens();
         }
@@ -65,7 +66,7 @@
     let mut prompt = 0.0;
     let mut output = 0.0;
     for account in &deployment.accounts {
-        let mean = Mean::of_class(deployment.place, &account.class);
+        let mean = MeanTokens::of_class(deployment.sector, &account.class);
         let requests = f64::from(account.weight) / mean.tokens();
         prompt += requests * mean.prompt;
         output += requests * mean.output;
@@ -88,76 +89,78 @@
 }
 
 /// The requests of all accounts, by time.
-pub(crate) fn askings(deployment: &Deployment, case: &Case) -> Vec<Asking> {
+pub(crate) fn arrivals(deployment: &Deployment, case: &Case) -> Vec<Arrival> {
     let bound = bound_tokens_per_s(deployment);
     let tokens_per_s = bound * f64::from(case.load_percent) / 100.0;
     let weights: u32 = deployment.accounts.iter().map(|a| a.weight).sum();
     let mut all = Vec::new();
     for (at, account) in deployment.accounts.iter().enumerate() {
         let share = f64::from(account.weight) / f64::from(weights);
-        let wanted = tokens_per_s * share * case.demand.multiple(at);
-        let mean = Mean::of_class(deployment.place, &account.class);
-        let requests_per_s = wanted / mean.tokens();
-        let stream = Stream {
-            place: deployment.place,
+        let account_tokens_per_s =
+            tokens_per_s * share * case.demand.demand_factor(at);
+        let mean = MeanTokens::of_class(deployment.sector, &account.class);
+        let requests_per_s = account_tokens_per_s / mean.tokens();
+        let stream = ArrivalStream {
+            sector: deployment.sector,
             account: at,
             of: account,
             requests_per_s,
         };
         stream.push_to(&mut all, case);
     }
-    all.sort_by_key(|asking| (asking.at_us, asking.account));
+    all.sort_by_key(|arrival| (arrival.at_us, arrival.account));
     all
 }
 
 /// Arrivals of one account.
-struct Stream<'a> {
-    place: Place,
+struct ArrivalStream<'a> {
+    sector: Sector,
     account: usize,
     of: &'a Account,
     requests_per_s: f64,
 }
 
-impl Stream<'_> {
-    fn push_to(&self, all: &mut Vec<Asking>, case: &Case) {
+impl ArrivalStream<'_> {
+    fn push_to(&self, all: &mut Vec<Arrival>, case: &Case) {
         let seed = case.seed.wrapping_mul(1_000_003) + self.account as u64;
         let mut rng = fastrand::Rng::with_seed(seed);
         let end_us = case.end_ms() * 1_000;
         let mut at_us = 0.0;
         loop {
             let is_burst = at_us as u64 % CYCLE_US < BURST_US;
-            let times = if is_burst { BURST } else { BETWEEN };
+            let rate_factor =
+                if is_burst { BURST_RATE_FACTOR } else { BASE_RATE_FACTOR };
             let gap_s =
-                -(1.0 - rng.f64()).ln() / (self.requests_per_s * times);
+                -(1.0 - rng.f64()).ln() / (self.requests_per_s * rate_factor);
             at_us += gap_s * US_PER_S;
             if at_us >= end_us as f64 {
                 return;
             }
-            all.push(self.asking(at_us as u64, &mut rng));
+            all.push(self.arrival(at_us as u64, &mut rng));
         }
     }
 
-    fn asking(&self, at_us: u64, rng: &mut fastrand::Rng) -> Asking {
+    fn arrival(&self, at_us: u64, rng: &mut fastrand::Rng) -> Arrival {
         let mut draw = rng.u32(0..100);
-        let mut trade = Trade::Lookup;
-        let mix = self.place.mix_percent(&self.of.class);
-        for (of, percent) in Trade::ALL.iter().zip(mix) {
+        let mut kind = RequestKind::Lookup;
+        let mix = self.sector.mix_percent(&self.of.class);
+        for (of, percent) in RequestKind::ALL.iter().zip(mix) {
             if draw < percent {
-                trade = *of;
+                kind = *of;
                 break;
             }
             draw -= percent;
         }
-        let sizes = self.place.sizes(trade);
-        let most = sizes.max_output_tokens;
-        Asking {
+        let sizes = self.sector.sizes(kind);
+        let max_output_tokens = sizes.max_output_tokens;
+        Arrival {
             at_us,
             account: self.account,
-            trade,
+            kind,
             prompt_tokens: rng
                 .u32(sizes.prompt_tokens.0..=sizes.prompt_tokens.1),
-            max_output_tokens: most,
-            output_tokens: rng.u32(most / 2..=most),
+            max_output_tokens,
+            output_tokens: rng.u32(max_output_tokens / 2..=max_output_tokens),
             deadline_ms: sizes.deadline_ms,
         }
     }
--- a/crates/decisions/src/world.rs
+++ b/crates/decisions/src/world.rs
@@ -11,24 +11,24 @@
 use chestnutreach_routing::{BackendIndex, Fleet, Policy, Presence};
 
 use crate::{
-    case::{Case, Way},
+    baseline_chain::ServersByLayer,
+    case::{Case, Strategy},
     deployment::Deployment,
-    entry::{Common, Entry},
+    entry::{Entry, SharedState},
     events::{Event, Events, RequestIndex},
     figures::Figures,
-    pick::Starts,
     request::Request,
     server::Server,
     table::Table,
-    workload::{self, Asking},
+    workload::{self, Arrival},
 };
 
-mod ask;
+mod dispatch;
+mod execute;
+mod recorder;
 mod reserve;
-mod serve;
-mod watch;
 
-use watch::Watch;
+use recorder::Recorder;
 
 const SAMPLE_US: u64 = 100_000;
 
@@ -40,9 +40,9 @@
     requests: Vec<Request>,
     entries: Vec<Entry>,
     servers: Vec<Server>,
-    common: Common,
+    shared: SharedState,
     table: Table,
-    watch: Watch,
+    recorder: Recorder,
 }
 
 /// Runs a case to its end.
@@ -66,54 +66,55 @@
             requests,
             entries: entries(deployment, case),
             servers: servers(deployment, case),
-            common: Common {
-                way: case.way,
-                starts: Starts::new(fleet),
+            shared: SharedState {
+                strategy: case.strategy,
+                servers_by_layer: ServersByLayer::new(fleet),
                 counts: vec![0; fleet.len()],
             },
             table: Table::default(),
-            watch: Watch::new(deployment),
+            recorder: Recorder::new(deployment),
         };
         world.schedule();
         world
     }
 
     fn schedule(&mut self) {
-        for (at, request) in self.requests.iter().enumerate() {
-            let at = at as RequestIndex;
-            self.events.at_us(request.asking.at_us, Event::Arrive(at));
-            self.events.at_us(request.deadline_us(), Event::Deadline(at));
+        for (id, request) in self.requests.iter().enumerate() {
+            let id = id as RequestIndex;
+            self.events.schedule_at(request.arrival.at_us, Event::Arrive(id));
+            self.events
+                .schedule_at(request.deadline_us(), Event::Deadline(id));
         }
         let every_us = self.case.report_every_ms * 1_000;
         let count = self.servers.len() as u64;
         for index in self.deployment.fleet.indices() {
             // Spread, as side processes start at any time.
             let at_us = every_us * u64::from(index.0) / count;
-            self.events.at_us(at_us, Event::Report(index));
+            self.events.schedule_at(at_us, Event::Report(index));
         }
         let measured_us = self.case.warm_up_ms * 1_000;
-        self.events.at_us(measured_us, Event::Sample);
-        if self.case.joins {
-            let newcomer = newcomer(&self.deployment.fleet);
-            self.set_presence(newcomer, Presence::Absent);
-            self.events.at_us(measured_us, Event::Join(newcomer));
+        self.events.schedule_at(measured_us, Event::Sample);
+        if self.case.adds_server {
+            let new_server = new_server(&self.deployment.fleet);
+            self.set_presence(new_server, Presence::Absent);
+            self.events.schedule_at(measured_us, Event::AddServer(new_server));
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive(at) => self.arrive(at),
-            Event::TableRead(at) => self.dispatch(at),
-            Event::Offer(at) => self.offer(at),
-            Event::Reserve(at) => self.reserve(at),
-            Event::Begin(at) => self.begin(at),
-            Event::WaitOver(at, wait) => self.wait_over(at, wait),
-            Event::StageRefused(at, refusal) => {
-                self.stage_refused(at, refusal);
+            Event::Arrive(id) => self.arrive(id),
+            Event::TableRead(id) => self.dispatch(id),
+            Event::ReachFirstStage(id) => self.reach_first_stage(id),
+            Event::Reserve(id) => self.reserve(id),
+            Event::Begin(id) => self.begin(id),
+            Event::WaitTimeout(id, wait) => self.wait_timed_out(id, wait),
+            Event::StageRefused(id, refusal) => {
+                self.stage_refused(id, refusal);
             }
-            Event::Refused(at, refusal) => self.refused(at, refusal),
-            Event::Finished(at) => self.finished(at),
-            Event::Deadline(at) => self.deadline(at),
+            Event::Refused(id, refusal) => self.refused(id, refusal),
+            Event::Finished(id) => self.finished(id),
+            Event::Deadline(id) => self.deadline(id),
             Event::IterationEnd(index) => self.iteration_end(index),
             Event::Wake(index) => self.start(index),
             Event::Report(index) => self.report(index),
@@ -123,13 +124,13 @@
                     entry.live.record_report(index, &report, now_ms);
                 }
             }
-            Event::Join(index) => {
+            Event::AddServer(index) => {
                 let since_ms = self.events.now_ms();
                 self.set_presence(index, Presence::Joining { since_ms });
             }
             Event::Sample => {
                 self.sample();
-                self.events.after_us(SAMPLE_US, Event::Sample);
+                self.events.schedule_after(SAMPLE_US, Event::Sample);
             }
         }
     }
@@ -139,9 +140,9 @@
         let report = self.servers[index.0 as usize].report();
         let lag_us = self.case.report_lag_ms * 1_000;
         let arrives = Event::ReportArrives(index, report);
-        self.events.after_us(lag_us, arrives);
+        self.events.schedule_after(lag_us, arrives);
         let every_us = self.case.report_every_ms * 1_000;
-        self.events.after_us(every_us, Event::Report(index));
+        self.events.schedule_after(every_us, Event::Report(index));
     }
 
     fn set_presence(&mut self, index: BackendIndex, presence: Presence) {
@@ -154,13 +155,13 @@
         self.deployment.fleet.spec(index).data_centre
     }
 
-    fn is_counted(&self) -> bool {
-        self.common.way == Way::SharedCounters
+    fn uses_shared_counters(&self) -> bool {
+        self.shared.strategy == Strategy::SharedCounters
     }
 }
 
 /// A server of the dearest kind at layer 0.
-pub(crate) fn newcomer(fleet: &Fleet) -> BackendIndex {
+pub(crate) fn new_server(fleet: &Fleet) -> BackendIndex {
     fleet
         .indices()
         .filter(|index| fleet.spec(*index).first_layer == 0)
@@ -173,8 +174,8 @@
     let mut rng = fastrand::Rng::with_seed(case.seed);
     let entry_count = case.entry_count as usize;
     let request =
-        |asking: Asking| Request::new(asking, rng.usize(..entry_count));
-    workload::askings(deployment, case).into_iter().map(request).collect()
+        |arrival: Arrival| Request::new(arrival, rng.usize(..entry_count));
+    workload::arrivals(deployment, case).into_iter().map(request).collect()
 }
 
 fn entries(deployment: &Deployment, case: &Case) -> Vec<Entry> {
@@ -184,10 +185,15 @@
     let policy = Policy::default()
         .entry_count(case.entry_count)
         .recovery_weight_percent(percent);
-    let places = deployment.links.data_centre_count() as u32;
-    let entry = |at: u32| {
-        let seed = case.seed.wrapping_mul(31) + u64::from(at);
-        Entry::new(&deployment.fleet, policy.clone(), at % places, seed)
+    let data_centre_count = deployment.links.data_centre_count() as u32;
+    let entry = |id: u32| {
+        let seed = case.seed.wrapping_mul(31) + u64::from(id);
+        Entry::new(
+            &deployment.fleet,
+            policy.clone(),
+            id % data_centre_count,
+            seed,
+        )
     };
     (0..case.entry_count).map(entry).collect()
 }
--- a/crates/decisions/src/world/reserve.rs
+++ b/crates/decisions/src/world/reserve.rs
@@ -9,13 +9,13 @@
 
 use super::World;
 use crate::{
-    case::Later,
+    case::LaterStagePolicy,
     events::{Event, Refusal, RequestIndex},
     request::Phase,
     server::{Server, Waiter},
 };
 
-type AskGate = fn(
+type SlotRequestFn = fn(
     &mut SlotQueue<Waiter>,
     &SlotRequest<'_>,
     Waiter,
@@ -25,74 +25,75 @@
 
 impl World<'_> {
     /// The request reaches its first stage.
-    pub(super) fn offer(&mut self, at: RequestIndex) {
-        let request = &self.requests[at as usize];
-        if request.phase != Phase::Offered {
+    pub(super) fn reach_first_stage(&mut self, id: RequestIndex) {
+        let request = &self.requests[id as usize];
+        if request.phase != Phase::Dispatched {
             return;
         }
         let by = request.stages[0];
-        match self.ask_gate(at, 0, SlotQueue::request) {
-            SlotAdmission::Admitted => self.admitted(at),
+        match self.request_slot(id, 0, SlotQueue::request) {
+            SlotAdmission::Admitted => self.admitted(id),
             SlotAdmission::Queued => {}
             SlotAdmission::Full { retry_after_ms }
             | SlotAdmission::TooLate { retry_after_ms } => {
-                self.refuse(at, Refusal { by, retry_after_ms });
+                self.refuse(id, Refusal { by, retry_after_ms });
             }
         }
     }
 
-    fn ask_gate(
+    fn request_slot(
         &mut self,
-        at: RequestIndex,
+        id: RequestIndex,
         stage: usize,
-        ask: AskGate,
+        ask: SlotRequestFn,
     ) -> SlotAdmission {
         let now_us = self.events.now_us();
-        let request = &self.requests[at as usize];
+        let request = &self.requests[id as usize];
         let is_bounded = self.case.refuses_late;
         let shape = request.shape(now_us, is_bounded);
         let accounts = &self.deployment.accounts;
         let deadline_ms = request.deadline_us() / 1_000;
-        let asked = SlotRequest {
-            account: &accounts[request.asking.account].name,
+        let slot_request = SlotRequest {
+            account: &accounts[request.arrival.account].name,
             shape: &shape,
             cost_tokens: request.cost_tokens().into(),
             deadline_at_ms: if is_bounded { deadline_ms } else { u64::MAX },
             stage_count: request.stages.len() as u32,
         };
-        let waiter = Waiter { request: at, stage };
+        let waiter = Waiter { request: id, stage };
         let index = request.stages[stage];
-        let Server { gate, rng, .. } = &mut self.servers[index.0 as usize];
-        ask(gate, &asked, waiter, now_us / 1_000, rng)
+        let Server { slot_queue, rng, .. } =
+            &mut self.servers[index.0 as usize];
+        ask(slot_queue, &slot_request, waiter, now_us / 1_000, rng)
     }
 
-    fn refuse(&mut self, at: RequestIndex, refusal: Refusal) {
-        let request = &mut self.requests[at as usize];
-        if request.phase != Phase::Over {
+    fn refuse(&mut self, id: RequestIndex, refusal: Refusal) {
+        let request = &mut self.requests[id as usize];
+        if request.phase != Phase::Done {
             request.phase = Phase::Reserving;
         }
-        let request = &self.requests[at as usize];
+        let request = &self.requests[id as usize];
         let from = self.data_centre(request.stages[0]);
         let to = self.entries[request.entry].data_centre;
         let delay_us = self.deployment.links.latency_us(from, to);
-        self.events.after_us(delay_us, Event::Refused(at, refusal));
+        self.events.schedule_after(delay_us, Event::Refused(id, refusal));
     }
 
     /// Holds a stage: asks for the others.
-    fn admitted(&mut self, at: RequestIndex) {
-        let request = &mut self.requests[at as usize];
+    fn admitted(&mut self, id: RequestIndex) {
+        let request = &mut self.requests[id as usize];
         request.phase = Phase::Reserving;
         request.held += 1;
-        let delay_us = match self.case.later {
-            Later::Refuses => self.farthest_us(at),
-            Later::Waits => self.next_us(at),
+        let delay_us = match self.case.later_stage_policy {
+            LaterStagePolicy::Refuse => self.max_stage_latency_us(id),
+            LaterStagePolicy::Wait => self.next_stage_latency_us(id),
         };
-        self.events.after_us(delay_us, Event::Reserve(at));
+        self.events.schedule_after(delay_us, Event::Reserve(id));
     }
 
     /// Latency from the first stage to the farthest of the others.
-    fn farthest_us(&self, at: RequestIndex) -> u64 {
-        let stages = &self.requests[at as usize].stages;
+    fn max_stage_latency_us(&self, id: RequestIndex) -> u64 {
+        let stages = &self.requests[id as usize].stages;
         let to_first =
             |stage: &BackendIndex| self.latency_us(stages[0], *stage);
         stages[1..].iter().map(to_first).max().unwrap_or(0)
@@ -100,8 +101,8 @@
 
     /// Latency of the last answer to the first stage, and of the next
     /// question from it.
-    fn next_us(&self, at: RequestIndex) -> u64 {
-        let request = &self.requests[at as usize];
+    fn next_stage_latency_us(&self, id: RequestIndex) -> u64 {
+        let request = &self.requests[id as usize];
         let first = request.stages[0];
         let to = |stage: usize| {
             let stage = request.stages.get(stage);
@@ -110,105 +111,113 @@
         to(request.held - 1) + to(request.held)
     }
 
-    pub(super) fn reserve(&mut self, at: RequestIndex) {
-        match self.case.later {
-            Later::Refuses => self.reserve_all(at),
-            Later::Waits => self.reserve_next(at),
+    pub(super) fn reserve(&mut self, id: RequestIndex) {
+        match self.case.later_stage_policy {
+            LaterStagePolicy::Refuse => self.reserve_all(id),
+            LaterStagePolicy::Wait => self.reserve_next(id),
         }
     }
 
     /// Asks all later stages, which take or refuse.
-    fn reserve_all(&mut self, at: RequestIndex) {
-        let request = &self.requests[at as usize];
+    fn reserve_all(&mut self, id: RequestIndex) {
+        let request = &self.requests[id as usize];
         let cost_tokens = request.cost_tokens().into();
-        let later = request.stages[1..].to_vec();
-        let delay_us = self.farthest_us(at);
-        for index in later {
-            let Server { gate, rng, .. } = &mut self.servers[index.0 as usize];
-            if let Err(retry_after_ms) = gate.try_acquire(cost_tokens, rng) {
+        let later_stage_policy = request.stages[1..].to_vec();
+        let delay_us = self.max_stage_latency_us(id);
+        for index in later_stage_policy {
+            let Server { slot_queue, rng, .. } =
+                &mut self.servers[index.0 as usize];
+            if let Err(retry_after_ms) =
+                slot_queue.try_acquire(cost_tokens, rng)
+            {
                 let refusal = Refusal { by: index, retry_after_ms };
-                let refused = Event::StageRefused(at, refusal);
-                return self.events.after_us(delay_us, refused);
+                let refused = Event::StageRefused(id, refusal);
+                return self.events.schedule_after(delay_us, refused);
             }
-            self.requests[at as usize].held += 1;
+            self.requests[id as usize].held += 1;
         }
-        self.events.after_us(delay_us, Event::Begin(at));
+        self.events.schedule_after(delay_us, Event::Begin(id));
     }
 
     /// Asks the next stage, where the request may wait.
-    fn reserve_next(&mut self, at: RequestIndex) {
-        let request = &self.requests[at as usize];
-        if request.phase == Phase::Over || request.held == request.stages.len()
+    fn reserve_next(&mut self, id: RequestIndex) {
+        let request = &self.requests[id as usize];
+        if request.phase == Phase::Done || request.held == request.stages.len()
         {
-            return self.begin(at);
+            return self.begin(id);
         }
         let by = request.stages[request.held];
-        match self.ask_gate(at, request.held, SlotQueue::request_later_stage) {
-            SlotAdmission::Admitted => self.admitted(at),
+        match self.request_slot(
+            id,
+            request.held,
+            SlotQueue::request_later_stage,
+        ) {
+            SlotAdmission::Admitted => self.admitted(id),
             SlotAdmission::Queued => {
-                let request = &mut self.requests[at as usize];
+                let request = &mut self.requests[id as usize];
                 request.phase = Phase::Waiting;
                 request.waits += 1;
-                let over = Event::WaitOver(at, request.waits);
-                self.events.after_us(LATER_STAGE_MAX_WAIT_MS * 1_000, over);
+                let over = Event::WaitTimeout(id, request.waits);
+                self.events
+                    .schedule_after(LATER_STAGE_MAX_WAIT_MS * 1_000, over);
             }
             SlotAdmission::Full { retry_after_ms }
             | SlotAdmission::TooLate { retry_after_ms } => {
                 let refusal = Refusal { by, retry_after_ms };
                 let delay_us =
-                    self.latency_us(self.requests[at as usize].stages[0], by);
-                let refused = Event::StageRefused(at, refusal);
-                self.events.after_us(delay_us, refused);
+                    self.latency_us(self.requests[id as usize].stages[0], by);
+                let refused = Event::StageRefused(id, refusal);
+                self.events.schedule_after(delay_us, refused);
             }
         }
     }
 
     /// No place came free in time at the stage that a request waits at.
-    pub(super) fn wait_over(&mut self, at: RequestIndex, wait: u32) {
-        let request = &mut self.requests[at as usize];
+    pub(super) fn wait_timed_out(&mut self, id: RequestIndex, wait: u32) {
+        let request = &mut self.requests[id as usize];
         if request.phase != Phase::Waiting || request.waits != wait {
             return;
         }
         request.phase = Phase::Reserving;
         let by = request.stages[request.held];
-        self.leave_queue(at);
-        let Server { gate, rng, .. } = &mut self.servers[by.0 as usize];
-        let retry_after_ms = gate.retry_after_ms(rng);
-        self.stage_refused(at, Refusal { by, retry_after_ms });
+        self.leave_queue(id);
+        let Server { slot_queue, rng, .. } = &mut self.servers[by.0 as usize];
+        let retry_after_ms = slot_queue.retry_after_ms(rng);
+        self.stage_refused(id, Refusal { by, retry_after_ms });
     }
 
     pub(super) fn stage_refused(
         &mut self,
-        at: RequestIndex,
+        id: RequestIndex,
         refusal: Refusal,
     ) {
-        self.note_stage_refused();
-        self.release_held(at);
-        self.refuse(at, refusal);
+        self.record_stage_refused();
+        self.release_held(id);
+        self.refuse(id, refusal);
     }
 
     /// Takes a request out of the queue it waits in.
-    pub(super) fn leave_queue(&mut self, at: RequestIndex) {
-        let request = &self.requests[at as usize];
+    pub(super) fn leave_queue(&mut self, id: RequestIndex) {
+        let request = &self.requests[id as usize];
         let index = request.stages[request.held];
-        let gate = &mut self.servers[index.0 as usize].gate;
-        gate.remove(|waiter| waiter.request == at);
+        let slot_queue = &mut self.servers[index.0 as usize].slot_queue;
+        slot_queue.remove(|waiter| waiter.request == id);
     }
 
     /// Frees every stage of a request that runs.
-    pub(super) fn release_all(&mut self, at: RequestIndex) {
-        self.note_released(at);
-        self.release_held(at);
+    pub(super) fn release_all(&mut self, id: RequestIndex) {
+        self.record_released(id);
+        self.release_held(id);
     }
 
     /// Frees the stages that a request holds.
-    pub(super) fn release_held(&mut self, at: RequestIndex) {
-        let request = &mut self.requests[at as usize];
+    pub(super) fn release_held(&mut self, id: RequestIndex) {
+        let request = &mut self.requests[id as usize];
         let held = std::mem::take(&mut request.held);
         let cost_tokens = request.cost_tokens().into();
         let stages = request.stages[..held].to_vec();
         for index in stages {
-            self.give_back(index, cost_tokens);
+            self.release_slot(index, cost_tokens);
         }
     }
 
@@ -216,10 +225,11 @@
     pub(super) fn expire(&mut self, index: BackendIndex) {
         let now_ms = self.events.now_ms();
         let server = &mut self.servers[index.0 as usize];
-        let expired = server.gate.expire(now_ms);
+        let expired = server.slot_queue.expire(now_ms);
         for waiter in expired {
-            let Server { gate, rng, .. } = &mut self.servers[index.0 as usize];
-            let retry_after_ms = gate.retry_after_ms(rng);
+            let Server { slot_queue, rng, .. } =
+                &mut self.servers[index.0 as usize];
+            let retry_after_ms = slot_queue.retry_after_ms(rng);
             let refusal = Refusal { by: index, retry_after_ms };
             if waiter.stage == 0 {
                 self.refuse(waiter.request, refusal);
@@ -227,17 +237,17 @@
                 self.requests[waiter.request as usize].phase =
                     Phase::Reserving;
                 let refused = Event::StageRefused(waiter.request, refusal);
-                self.events.after_us(0, refused);
+                self.events.schedule_after(0, refused);
             }
         }
     }
 
     /// Gives a place back and begins what waited for it.
-    fn give_back(&mut self, index: BackendIndex, cost_tokens: u64) {
+    fn release_slot(&mut self, index: BackendIndex, cost_tokens: u64) {
         self.expire(index);
         let now_ms = self.events.now_ms();
-        let gate = &mut self.servers[index.0 as usize].gate;
-        if let Some(next) = gate.release(cost_tokens, now_ms) {
+        let slot_queue = &mut self.servers[index.0 as usize].slot_queue;
+        if let Some(next) = slot_queue.release(cost_tokens, now_ms) {
             self.admitted(next.request);
         }
     }
--- a/crates/decisions/tests/decisions.rs
+++ b/crates/decisions/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use chestnutreach_decisions::{
     bounds::{self, Bound},
-    case::{Case, Way},
+    case::{Case, Strategy},
     deployment::{Deployment, Site},
     world,
 };
@@ -14,16 +14,17 @@
 fn the_committed_bounds_hold() {
     let figures = bounds::figures().expect("the deployments");
     let bounds = bounds::committed().expect("the bounds");
-    let broken = bounds::broken(&figures, &bounds);
-    let lines: Vec<String> = broken.iter().map(ToString::to_string).collect();
-    assert!(broken.is_empty(), "{}", lines.join("\n"));
+    let violations = bounds::violations(&figures, &bounds);
+    let lines: Vec<String> =
+        violations.iter().map(ToString::to_string).collect();
+    assert!(violations.is_empty(), "{}", lines.join("\n"));
 }
 
 #[rstest]
-#[case::sampled(Way::Sampled)]
-#[case::in_turn(Way::RoundRobin)]
-#[case::counted(Way::SharedCounters)]
-fn the_same_seed_gives_the_same_figures(#[case] way: Way) {
+#[case::sampled(Strategy::Sampled)]
+#[case::in_turn(Strategy::RoundRobin)]
+#[case::counted(Strategy::SharedCounters)]
+fn the_same_seed_gives_the_same_figures(#[case] way: Strategy) {
     let deployment = Deployment::try_new(Site::Sofia).expect("a manifest");
     let case = Case::new(way, 120).warm_up_ms(1_000).measure_ms(3_000);
     let run = || {
@@ -65,7 +66,7 @@
     let figures: BTreeMap<String, f64> =
         case.value.map(|value| (name.clone(), value)).into_iter().collect();
     let bounds = BTreeMap::from([(name, case.bound)]);
-    let broken = bounds::broken(&figures, &bounds);
-    let told = broken.first().map(ToString::to_string);
+    let violations = bounds::violations(&figures, &bounds);
+    let told = violations.first().map(ToString::to_string);
     assert_eq!(told.as_deref(), case.told);
 }
