--- a/crates/decisions/src/baseline_chain.rs
+++ b/crates/decisions/src/baseline_chain.rs
@@ -1,14 +1,15 @@
-//! The ways of choosing that the router's own is measured against.
+//! Baseline strategies that the router is compared with.
 //!
-//! They know which servers tile the layers and which are there, as the router
-//! does, and take one server at each layer in order. What they weigh is all
-//! that differs; the gate at the backend server is the same for all.
+//! Like the router, the baselines know which servers tile the layers and
+//! which are present. They pick one server after another in layer order and
+//! differ only in the weight that they minimise. The slot queue of a backend
+//! server is the same for all strategies.
 
 use std::collections::BTreeMap;
 
 use chestnutreach_routing::{BackendIndex, Fleet, LiveState};
 
-/// The servers that continue from a layer.
+/// Servers of some complete chain, by their first layer.
 #[derive(Clone, Debug)]
 pub(crate) struct ServersByLayer {
     by_layer: BTreeMap<u32, Vec<BackendIndex>>,
@@ -24,26 +25,26 @@
         ServersByLayer { by_layer }
     }
 
-    /// The chain that takes, at each layer, the server with the least
-    /// `weight`; none where no server is left.
+    /// The chain of the servers with the lowest `weight` at each layer, or
+    /// `None` if a layer has no eligible server.
     pub(crate) fn min_weight_chain<W: Ord>(
         &self,
-        view: &CandidateFilter<'_>,
+        filter: &CandidateFilter<'_>,
         mut weight: impl FnMut(BackendIndex) -> W,
     ) -> Option<Vec<BackendIndex>> {
-        self.build_chain(view, |allowed| {
+        self.build_chain(filter, |allowed| {
             allowed.iter().copied().min_by_key(|index| weight(*index))
         })
     }
 
-    /// The chain that takes, at each layer, the next server in turn.
+    /// The chain of the next servers in round-robin order.
     pub(crate) fn round_robin_chain(
         &self,
-        view: &CandidateFilter<'_>,
+        filter: &CandidateFilter<'_>,
         round_robin_counters: &mut BTreeMap<u32, usize>,
     ) -> Option<Vec<BackendIndex>> {
-        self.build_chain(view, |allowed| {
-            let layer = view.fleet.spec(*allowed.first()?).first_layer;
+        self.build_chain(filter, |allowed| {
+            let layer = filter.fleet.spec(*allowed.first()?).first_layer;
             let counter = round_robin_counters.entry(layer).or_default();
             *counter += 1;
             Some(allowed[*counter % allowed.len()])
@@ -52,28 +53,28 @@
 
     fn build_chain(
         &self,
-        view: &CandidateFilter<'_>,
+        filter: &CandidateFilter<'_>,
         mut select: impl FnMut(&[BackendIndex]) -> Option<BackendIndex>,
     ) -> Option<Vec<BackendIndex>> {
         let mut stages = Vec::new();
         let mut layer = 0;
-        while layer < view.fleet.layer_count() {
+        while layer < filter.fleet.layer_count() {
             let allowed: Vec<BackendIndex> = self
                 .by_layer
                 .get(&layer)?
                 .iter()
                 .copied()
-                .filter(|index| view.is_allowed(*index))
+                .filter(|index| filter.is_allowed(*index))
                 .collect();
             let index = select(&allowed)?;
             stages.push(index);
-            layer = view.fleet.spec(index).end_layer;
+            layer = filter.fleet.spec(index).end_layer;
         }
         Some(stages)
     }
 }
 
-/// What an entry may choose from.
+/// Limits the choice to eligible servers that are not avoided.
 pub(crate) struct CandidateFilter<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) live: &'a LiveState,
--- a/crates/decisions/src/bounds.rs
+++ b/crates/decisions/src/bounds.rs
@@ -1,5 +1,6 @@
-//! Regression bounds: the figures of one short suite against a committed
-//! file. All are counts, virtual time or ratios, so they are the same on
+//! Compares the figures of a short suite with committed regression bounds.
+//!
+//! All figures are counts, virtual times or ratios, so they are the same on
 //! every machine.
 
 use std::{collections::BTreeMap, fmt};
@@ -16,7 +17,7 @@
 };
 
 const COMMITTED: &str = include_str!("../bounds.json");
-/// Short, so that every build can run it.
+/// Short enough to run with every build.
 const SETTINGS: Settings = Settings {
     seed: 1,
     warm_up_ms: 10_000,
@@ -24,13 +25,13 @@
     later_stage_policy: LaterStagePolicy::Wait,
 };
 
-/// Least and most of one figure.
+/// Allowed range of one figure.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// The least, if any.
+    /// Lower bound, if any.
     pub at_least: Option<f64>,
-    /// The most, if any.
+    /// Upper bound, if any.
     pub at_most: Option<f64>,
 }
 
@@ -39,9 +40,9 @@
 pub struct Violation {
     /// Name of the figure.
     pub figure: String,
-    /// What it is; none where it was not measured.
+    /// Value of the figure, or `None` if it was not measured.
     pub value: Option<f64>,
-    /// What it must not pass.
+    /// Bound that the value violates.
     pub bound: f64,
 }
 
@@ -57,13 +58,13 @@
     }
 }
 
-/// The bounds that are committed.
+/// Parses the committed bounds.
 pub fn committed() -> Result<BTreeMap<String, Bound>> {
     serde_json::from_str(COMMITTED).context("bounds.json")
 }
 
-/// Figures outside their bounds. A bound without a figure counts as broken:
-/// it would guard nothing.
+/// Figures outside their bounds. A bound without a figure is a violation,
+/// because a renamed or missing figure would otherwise go unchecked.
 pub fn violations(
     figures: &BTreeMap<String, f64>,
     bounds: &BTreeMap<String, Bound>,
@@ -88,7 +89,7 @@
     all
 }
 
-/// The figures that have bounds.
+/// Measures the figures that have bounds.
 pub fn figures() -> Result<BTreeMap<String, f64>> {
     let mut figures = BTreeMap::new();
     for site in Site::ALL {
--- a/crates/decisions/src/case.rs
+++ b/crates/decisions/src/case.rs
@@ -1,25 +1,25 @@
-//! One run: which way of choosing, under which load.
+//! Settings of one run.
 
 use std::fmt;
 
-/// A way of choosing chains.
+/// A strategy that chooses chains.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Strategy {
-    /// The router's own choice over sampled candidates.
+    /// The router's choice over sampled candidates.
     Sampled,
-    /// The same cost over all servers.
+    /// The router's cost function over all servers.
     FullScan,
-    /// Each entry takes the servers of a layer in turn.
+    /// Each entry cycles through the servers of a layer.
     RoundRobin,
-    /// Fewest requests in flight from this entry.
+    /// Lowest number of requests in flight from this entry.
     LeastRequests,
-    /// Fewest requests in flight for its places, counted exactly in the
-    /// table service.
+    /// Lowest number of requests in flight per slot, counted exactly in
+    /// the table service.
     SharedCounters,
 }
 
 impl Strategy {
-    /// Every way, in the order of reports.
+    /// Every strategy, in the order of reports.
     pub const ALL: [Strategy; 5] = [
         Strategy::Sampled,
         Strategy::FullScan,
@@ -28,7 +28,7 @@
         Strategy::SharedCounters,
     ];
 
-    /// Its name in arguments and reports.
+    /// Name in arguments and reports.
     pub fn name(self) -> &'static str {
         match self {
             Strategy::Sampled => "sampled",
@@ -46,15 +46,16 @@
     }
 }
 
-/// How much each account asks for, against its share of the weights.
+/// Load of each account, relative to its share by weight.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Demand {
-    /// Its share.
+    /// Every account sends its share.
     Even,
-    /// Its share and twice its share in turns, so that at twice the bound
-    /// every account is backlogged by another factor.
+    /// Accounts send once and twice their share in alternation, so that at
+    /// 200 % load accounts are backlogged by different factors.
     Skewed,
-    /// The account at this place ten times its share, the others theirs.
+    /// The account of this index sends ten times its share, the others
+    /// their share.
     Greedy(usize),
 }
 
@@ -70,22 +71,22 @@
     }
 }
 
-/// What a later stage does that has no place free.
+/// What a later stage without a free slot does.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LaterStagePolicy {
-    /// Refuses; all later stages are asked at the same time.
+    /// Refuses. All later stages are asked at the same time.
     Refuse,
-    /// Lets the request wait for a while; stages are asked in the order of
-    /// their layers.
+    /// Queues the request for a limited time. Stages are asked in layer
+    /// order.
     Wait,
 }
 
 impl LaterStagePolicy {
-    /// Both.
+    /// Every policy.
     pub const ALL: [LaterStagePolicy; 2] =
         [LaterStagePolicy::Refuse, LaterStagePolicy::Wait];
 
-    /// Its name in arguments.
+    /// Name in arguments.
     pub fn name(self) -> &'static str {
         match self {
             LaterStagePolicy::Refuse => "refuses",
@@ -94,7 +95,7 @@
     }
 }
 
-/// Settings of a run, set by chained methods.
+/// Settings of a run, set by builder methods.
 #[derive(Clone, Debug)]
 pub struct Case {
     pub(crate) strategy: Strategy,
@@ -114,7 +115,7 @@
 }
 
 impl Case {
-    /// A run at so many percent of the flow bound.
+    /// A run at this load, in percent of the throughput bound.
     pub fn new(strategy: Strategy, load_percent: u32) -> Case {
         Case {
             strategy,
@@ -134,49 +135,51 @@
         }
     }
 
-    /// Seed of everything random.
+    /// Sets the seed of all random numbers.
     pub fn seed(mut self, seed: u64) -> Case {
         self.seed = seed;
         self
     }
 
-    /// Time before the measured part.
+    /// Sets the virtual time before the measurement.
     pub fn warm_up_ms(mut self, ms: u64) -> Case {
         self.warm_up_ms = ms;
         self
     }
 
-    /// Length of the measured part.
+    /// Sets the virtual time of the measurement.
     pub fn measure_ms(mut self, ms: u64) -> Case {
         self.measure_ms = ms;
         self
     }
 
-    /// The operators' weight; the deployment's own where not set.
+    /// Sets the recovery weight; the default is that of the deployment.
     pub fn recovery_weight_percent(mut self, percent: u32) -> Case {
         self.recovery_weight_percent = Some(percent);
         self
     }
 
-    /// How much each account asks for.
+    /// Sets the load of each account.
     pub fn demand(mut self, demand: Demand) -> Case {
         self.demand = demand;
         self
     }
 
-    /// Whether what cannot finish in time is refused at once.
+    /// Sets whether requests that can't finish by their deadline are
+    /// refused at admission.
     pub fn refuses_late(mut self, refuses_late: bool) -> Case {
         self.refuses_late = refuses_late;
         self
     }
 
-    /// Whether a server of the dearest kind joins as measuring begins.
+    /// Sets whether a server of the most expensive kind is added when the
+    /// measurement starts.
     pub fn adds_server(mut self, adds_server: bool) -> Case {
         self.adds_server = adds_server;
         self
     }
 
-    /// What a later stage does that has no place free.
+    /// Sets what a later stage without a free slot does.
     pub fn later_stage_policy(
         mut self,
         later_stage_policy: LaterStagePolicy,
--- a/crates/decisions/src/decision_cost.rs
+++ b/crates/decisions/src/decision_cost.rs
@@ -1,9 +1,9 @@
-//! Work and time of one decision by the fleet's size.
+//! Candidates and time per decision, by fleet size.
 //!
-//! The work is the count of servers that a choice looks at, which is the same
-//! on every machine. The time is of the real clock and holds only as ratios
-//! of one run: the fleets are measured in turns, so that a busy machine slows
-//! all of them.
+//! The number of candidates that a choice evaluates is the same on every
+//! machine. Times are from the real clock, and only their ratios within one
+//! run are comparable: the fleets are measured in alternation, so that a busy
+//! machine slows all of them.
 
 use std::{hint::black_box, time::Instant};
 
@@ -16,7 +16,7 @@
 
 use crate::text;
 
-/// Sizes of fleets.
+/// Number of servers of each measured fleet.
 pub const FLEET_SIZES: [usize; 3] = [50, 500, 1_100];
 
 const LAYER_COUNT: u32 = 80;
@@ -26,7 +26,7 @@
 const NOW_MS: u64 = 1_000_000;
 const SEED: u64 = 11;
 const MAX_RUNNING: u32 = 32;
-/// Parts of three cuts of the layers; servers take them in turn.
+/// Layer ranges of three partitions; servers get them in round-robin order.
 const LAYER_RANGES: [(u32, u32); 9] = [
     (0, 40),
     (40, 80),
@@ -38,7 +38,7 @@
     (27, 54),
     (54, 80),
 ];
-/// Price an hour in millionths, prompt and output tokens a second.
+/// Price per hour in micros, prompt and output tokens per second.
 const ACCELERATOR_KINDS: [(u64, u32, u32); 4] = [
     (600_000, 2_500, 500),
     (1_100_000, 6_000, 1_300),
@@ -46,31 +46,31 @@
     (1_000_000, 3_000, 700),
 ];
 
-/// One size of a fleet.
+/// Candidates per decision at one fleet size.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkRow {
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Mean count of servers that a choice looks at.
+    /// Mean number of servers that a choice evaluates.
     pub looked_at: f64,
-    /// Mean cost of the chains over that by a full scan.
+    /// Mean cost of the chosen chains over that of a full scan.
     pub cost_times_full_scan: f64,
 }
 
-/// One size of a fleet, on the real clock.
+/// Time per decision at one fleet size, on the real clock.
 #[derive(Clone, Debug, Serialize)]
 pub struct TimeRow {
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Time of a decision with one reading of the clock.
+    /// Median time of a decision, clock overhead included.
     pub median_ns: u64,
-    /// Likewise.
+    /// 99th percentile of the time of a decision, clock overhead included.
     pub p99_ns: u64,
-    /// Against the smallest fleet.
+    /// Median over that of the smallest fleet.
     pub median_times: f64,
-    /// Against the smallest fleet.
+    /// 99th percentile over that of the smallest fleet.
     pub p99_times: f64,
-    /// Mean cost of the chains over that by a full scan.
+    /// Mean cost of the chosen chains over that of a full scan.
     pub cost_times_full_scan: f64,
 }
 
@@ -79,7 +79,7 @@
     live: LiveState,
 }
 
-/// Servers looked at by the size of the fleet.
+/// Measures the candidates per decision by fleet size.
 pub fn rows() -> Vec<WorkRow> {
     FLEET_SIZES
         .iter()
@@ -108,7 +108,7 @@
     explanation.candidates.len()
 }
 
-/// Time of a decision by the size of the fleet.
+/// Measures the time per decision by fleet size.
 pub fn times() -> Vec<TimeRow> {
     let snapshots = FLEET_SIZES.map(snapshot);
     let mut times = FLEET_SIZES.map(|_| histogram());
@@ -136,7 +136,8 @@
         .collect()
 }
 
-/// Records the times of a round; its cost over that by a full scan.
+/// Records the decision times of a round and returns the cost of its
+/// chains over that of a full scan.
 fn measure(
     snapshot: &Snapshot,
     times: &mut Histogram<u64>,
@@ -155,10 +156,10 @@
         let choice = chooser.choose(&request, rng);
         let elapsed = start.elapsed();
         sampled += black_box(choice).expect("a chain").cost;
-        // Unlike `saturating_record`, this widens the histogram.
+        // `saturating_record` would clamp instead of resizing the histogram.
         times
             .record(elapsed.as_nanos() as u64)
-            .expect("an automatic histogram takes any value");
+            .expect("an auto-resizing histogram accepts any value");
         let choice = chooser.choose_by_full_scan(&request, rng);
         scanned += choice.expect("a chain").cost;
     }
@@ -166,7 +167,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+    Histogram::new(3).expect("three significant digits are valid")
 }
 
 fn shape(rng: &mut fastrand::Rng) -> RequestShape {
@@ -217,7 +218,7 @@
     }
 }
 
-/// The times as a table.
+/// The decision times as a table.
 pub fn table(rows: &[TimeRow]) -> String {
     let mut table = text::head(&[
         "servers",
--- a/crates/decisions/src/deployment.rs
+++ b/crates/decisions/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment's language service, made ready for the clock.
+//! The language service of an example deployment, as the simulation uses it.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -14,20 +14,20 @@
 const KAOLACK: &str = include_str!("../../../examples/kaolack.ini");
 const SOFIA: &str = include_str!("../../../examples/sofia.ini");
 
-/// One of the two deployments.
+/// One of the example deployments.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Site {
-    /// Weighs throughput.
+    /// Weighted towards throughput.
     Kaolack,
-    /// Weighs recovery.
+    /// Weighted towards recovery.
     Sofia,
 }
 
 impl Site {
-    /// Both, in the order of reports.
+    /// Every deployment, in the order of reports.
     pub const ALL: [Site; 2] = [Site::Kaolack, Site::Sofia];
 
-    /// Its name in arguments and reports.
+    /// Name in arguments and reports.
     pub fn name(self) -> &'static str {
         match self {
             Site::Kaolack => "kaolack",
@@ -75,7 +75,7 @@
 }
 
 impl Deployment {
-    /// Reads the deployment's example manifest.
+    /// Parses the example manifest of the deployment.
     pub fn try_new(site: Site) -> Result<Deployment> {
         let manifest = Manifest::try_parse(site.name(), site.manifest_text())
             .map_err(|findings| anyhow!("{findings}"))?;
--- a/crates/decisions/src/engine.rs
+++ b/crates/decisions/src/engine.rs
@@ -1,25 +1,26 @@
-//! The speed model of a backend server.
+//! Speed model of a backend server.
 //!
-//! An engine runs iterations. Each takes the steps that are there, at most
-//! [`MAX_BATCH`] single tokens and a chunk of prompts, the most urgent
-//! prompt first. Its time is that of the batch and of the chunk together:
+//! An engine runs iterations. An iteration takes at most [`MAX_BATCH`] decode
+//! steps and a chunk of prefill tokens, prompts of the highest priority first.
+//! Its duration is the sum of the times of the batch and of the chunk:
 //!
 //! ```text
 //! batch:  B / rate * max(1/2 + b / (2 B), b / B)
 //! chunk:  tokens / prompt rate
 //! ```
 //!
-//! `rate` and `prompt rate` are the manifest's, through the server's own
-//! layers. `B` is the batch of a server with half of its places taken: of the
-//! requests that hold a place, each has its token here for the server's share
-//! of the layers, so `B` is half of `max_running` times that share. Half,
-//! since operators leave places for requests that read their prompt or wait. An iteration
-//! over an empty batch costs half of a full one (reading the weights), and
-//! past `B` the time grows with the tokens, so `rate` is never passed and
-//! the flow bound is a true bound.
+//! `b` is the size of the batch. `rate` and `prompt rate` are the speeds of
+//! the manifest, scaled to the layers of the server. `B` is the batch of a
+//! server with half of its slots in use: a request that holds a slot has its
+//! token at this server for the server's share of the layers, so `B` is half
+//! of `max_running` times that share. The factor is one half because operators
+//! leave slots for requests in prefill or in a queue. The fixed part of an
+//! iteration, which reads the weights, is half of the time of a full batch.
+//! Past `B` the time grows with the tokens, so the engine never exceeds `rate`
+//! and the throughput bound is a true upper bound.
 //!
-//! Left out: memory of the cache, prefixes, preemption, links that slow each
-//! other, and speeds that differ from the manifest's.
+//! The model leaves out KV cache memory, prefix reuse, preemption, bandwidth
+//! shared between links, and speeds that differ from the manifest.
 
 use std::{
     cmp::Reverse,
@@ -31,22 +32,22 @@
 use crate::events::RequestIndex;
 
 const US_PER_S: f64 = 1e6;
-/// As the side process's `max-batch` is by default.
+/// Default of `max-batch` of the side process.
 const MAX_BATCH: usize = 32;
 const PREFILL_CHUNK_TOKENS: u32 = 512;
-/// Share of the places that a server has its full batch with.
+/// Share of the slots in use at which the batch is full.
 const FULL_BATCH_SLOT_SHARE: f64 = 0.5;
-/// Time of an iteration with an empty batch, as a share of a full one.
+/// Fixed time of an iteration, as a share of the time of a full batch.
 const EMPTY_BATCH_TIME_SHARE: f64 = 0.5;
 
-/// A request's token that is on its way or waits.
+/// A decode step in transit or queued.
 #[derive(Clone, Copy, Debug)]
 struct Token {
     ready_us: u64,
     request: RequestIndex,
 }
 
-/// A prompt that is being read.
+/// A prompt in prefill, queued or in transit.
 #[derive(Clone, Copy, Debug)]
 struct Prompt {
     request: RequestIndex,
@@ -56,7 +57,7 @@
     started_us: Option<u64>,
 }
 
-/// A prompt that was read.
+/// A prompt whose prefill has finished.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FinishedPrompt {
     pub(crate) request: RequestIndex,
@@ -64,7 +65,7 @@
     pub(crate) duration_us: u64,
 }
 
-/// One backend server's engine.
+/// The modelled engine of a backend server.
 #[derive(Debug)]
 pub(crate) struct Engine {
     full_batch: f64,
@@ -80,20 +81,20 @@
     busy_us: u64,
 }
 
-/// What an engine does next.
+/// Event that an engine needs next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum EngineEvent {
-    /// An iteration runs until then.
+    /// The current iteration ends.
     IterationEnds {
-        /// When.
+        /// Time of the event.
         at_us: u64,
     },
-    /// Nothing is there before then.
+    /// The next step or prompt arrives.
     Wakes {
-        /// When.
+        /// Time of the event.
         at_us: u64,
     },
-    /// Nothing is on its way, or it is known already.
+    /// Nothing is in transit, or the event is scheduled already.
     Unchanged,
 }
 
@@ -120,12 +121,12 @@
         }
     }
 
-    /// A token of a request that arrives then.
+    /// Adds a decode step that arrives at `ready_us`.
     pub(crate) fn push_token(&mut self, request: RequestIndex, ready_us: u64) {
         self.tokens.push_back(Token { ready_us, request });
     }
 
-    /// A prompt of a request that arrives then.
+    /// Adds a prompt that arrives at `ready_us`.
     pub(crate) fn push_prompt(
         &mut self,
         request: RequestIndex,
@@ -142,7 +143,7 @@
         self.prompts.insert(key, prompt);
     }
 
-    /// Begins an iteration if none runs and there is something to do.
+    /// Starts an iteration if the engine is idle and has work.
     pub(crate) fn start(
         &mut self,
         now_us: u64,
@@ -161,7 +162,8 @@
         EngineEvent::IterationEnds { at_us: now_us + self.iteration_us() }
     }
 
-    /// Ends the iteration: the tokens and the prompts that were run.
+    /// Ends the iteration and returns its decode steps and the prompts
+    /// whose prefill has finished.
     pub(crate) fn end(
         &mut self,
         now_us: u64,
@@ -186,12 +188,12 @@
         (std::mem::take(&mut self.batch), done)
     }
 
-    /// Time since the running iteration began.
+    /// Time since the current iteration started.
     pub(crate) fn running_us(&self, now_us: u64) -> u64 {
         self.started_us.map_or(0, |started_us| now_us - started_us)
     }
 
-    /// Time in iterations until now.
+    /// Total time in iterations until now.
     pub(crate) fn busy_us(&self, now_us: u64) -> u64 {
         self.busy_us + self.running_us(now_us)
     }
--- a/crates/decisions/src/entry.rs
+++ b/crates/decisions/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry: what it knows and how it chooses.
+//! A simulated entry: its state and its choice of chains.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
     case::Strategy,
 };
 
-/// Settings of the daemon, as they are by default.
+/// Default of the daemon's retry budget.
 const RETRY_BUDGET_PERCENT: u32 = 20;
-/// When to come back where a baseline finds no chain.
+/// Base of `Retry-After` if a baseline strategy finds no chain.
 const NO_CHAIN_RETRY_MS: u64 = 1_000;
 
-/// One entry.
+/// A simulated entry.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) live: LiveState,
@@ -29,12 +29,12 @@
     rng: fastrand::Rng,
 }
 
-/// What all entries share.
+/// State that all entries share.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     pub(crate) strategy: Strategy,
     pub(crate) servers_by_layer: ServersByLayer,
-    /// Exact counts of requests, by server.
+    /// Exact number of requests in flight, by server.
     pub(crate) counts: Vec<u32>,
 }
 
@@ -60,7 +60,11 @@
         }
     }
 
-    /// The chain for a request, or when to come back.
+    /// Chooses a chain.
+    ///
+    /// # Errors
+    ///
+    /// The time in ms after which the caller may retry.
     pub(crate) fn choose(
         &mut self,
         fleet: &Fleet,
@@ -83,11 +87,12 @@
             Strategy::RoundRobin
             | Strategy::LeastRequests
             | Strategy::SharedCounters => {
-                let view =
+                let filter =
                     CandidateFilter { fleet, live: &self.live, avoid, now_ms };
                 let rng = &mut self.rng;
                 let round_robin_counters = &mut self.round_robin_counters;
-                let chain = baseline(shared, &view, round_robin_counters, rng);
+                let chain =
+                    baseline(shared, &filter, round_robin_counters, rng);
                 chain.ok_or_else(|| add_jitter(NO_CHAIN_RETRY_MS, rng))
             }
         }
@@ -123,7 +128,8 @@
         }
     }
 
-    /// As a session tells it: `ended` for the server at fault, or for all.
+    /// Records `outcome` for the failed server, or for all stages if no
+    /// server failed, as an entry does. The other stages count as cancelled.
     pub(crate) fn record_outcome(
         &self,
         stages: &[BackendIndex],
@@ -149,23 +155,23 @@
 
 fn baseline(
     shared: &SharedState,
-    view: &CandidateFilter<'_>,
+    filter: &CandidateFilter<'_>,
     round_robin_counters: &mut BTreeMap<u32, usize>,
     rng: &mut fastrand::Rng,
 ) -> Option<Vec<BackendIndex>> {
     let servers_by_layer = &shared.servers_by_layer;
     match shared.strategy {
         Strategy::RoundRobin => {
-            servers_by_layer.round_robin_chain(view, round_robin_counters)
+            servers_by_layer.round_robin_chain(filter, round_robin_counters)
         }
         Strategy::LeastRequests => servers_by_layer
-            .min_weight_chain(view, |index| {
-                (view.live.in_flight(index), rng.u32(..))
+            .min_weight_chain(filter, |index| {
+                (filter.live.in_flight(index), rng.u32(..))
             }),
         Strategy::SharedCounters => {
-            servers_by_layer.min_weight_chain(view, |index| {
+            servers_by_layer.min_weight_chain(filter, |index| {
                 let count = shared.counts[index.0 as usize];
-                let slots = view.fleet.spec(index).max_running;
+                let slots = filter.fleet.spec(index).max_running;
                 (count * 1_000 / slots, rng.u32(..))
             })
         }
--- a/crates/decisions/src/events.rs
+++ b/crates/decisions/src/events.rs
@@ -1,4 +1,4 @@
-//! What happens next on the virtual clock.
+//! Event queue and virtual clock.
 
 use std::{
     cmp::Reverse,
@@ -7,47 +7,47 @@
 
 use chestnutreach_routing::{BackendIndex, LoadReport};
 
-/// Place of a request in a run.
+/// Index of a request in a run.
 pub(crate) type RequestIndex = u32;
 
-/// Something that happens.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Event {
-    /// A caller asks at its entry, for the first time or again.
+    /// A request or a retry of its caller arrives at the entry.
     Arrive(RequestIndex),
-    /// The table service has answered the entry.
+    /// The response of the table service arrives at the entry.
     TableRead(RequestIndex),
-    /// The request reaches its first stage.
+    /// The request arrives at its first stage.
     ReachFirstStage(RequestIndex),
-    /// The reservations reach the later stages.
+    /// A reservation arrives at the later stages.
     Reserve(RequestIndex),
-    /// All stages are held.
+    /// All stages are reserved.
     Begin(RequestIndex),
-    /// The request has waited long enough at the stage that it waits at.
+    /// The wait of this number at a later stage has timed out.
     WaitTimeout(RequestIndex, u32),
-    /// The first stage hears that a later one has refused.
+    /// The refusal of a later stage arrives at the first stage.
     StageRefused(RequestIndex, Refusal),
-    /// The entry hears that nothing has run.
+    /// The refusal arrives at the entry; the request has not run.
     Refused(RequestIndex, Refusal),
-    /// The entry hears the end.
+    /// The last token arrives at the entry.
     Finished(RequestIndex),
-    /// The caller's time is over.
+    /// The deadline of the request has passed.
     Deadline(RequestIndex),
-    /// A server's iteration has ended.
+    /// An iteration of a server ends.
     IterationEnd(BackendIndex),
-    /// A step has reached an idle server.
+    /// A step arrives at an idle server.
     Wake(BackendIndex),
-    /// A server's load is read and sent.
+    /// A server sends a load report.
     Report(BackendIndex),
-    /// A load report reaches the entries.
+    /// A load report arrives at the entries.
     ReportArrives(BackendIndex, LoadReport),
-    /// The new server is there.
+    /// The new server is added.
     AddServer(BackendIndex),
-    /// The run is looked at for averages.
+    /// The recorder takes a sample for its averages.
     Sample,
 }
 
-/// Who refused.
+/// The server that refused, and its `Retry-After`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal {
     pub(crate) by: BackendIndex,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Events by time; those of the same time in the order they were added.
+/// Events in time order; events of the same time in insertion order.
 #[derive(Debug, Default)]
 pub(crate) struct Events {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -98,7 +98,7 @@
         self.now_us / 1_000
     }
 
-    /// Adds an event that happens after a while.
+    /// Schedules an event after a delay.
     pub(crate) fn schedule_after(&mut self, delay_us: u64, event: Event) {
         self.schedule_at(self.now_us + delay_us, event);
     }
@@ -109,7 +109,8 @@
         self.heap.push(Reverse(ScheduledEvent { at_us, sequence, event }));
     }
 
-    /// Moves the clock to the next event, unless that is at or past the end.
+    /// Advances the clock to the next event and returns it, or `None` if
+    /// no event is left before `end_us`.
     pub(crate) fn next(&mut self, end_us: u64) -> Option<Event> {
         let next = self.heap.peek_mut()?;
         if next.0.at_us >= end_us {
--- a/crates/decisions/src/figures.rs
+++ b/crates/decisions/src/figures.rs
@@ -1,20 +1,20 @@
-//! What a run came to.
+//! Results of a run.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// How requests ended in the measured part.
+/// Outcomes of requests during the measurement.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Outcomes {
-    /// Whole and in time.
+    /// Completed by the deadline.
     pub completed: u64,
-    /// Out of time before they were whole.
+    /// Not completed by the deadline.
     pub late: u64,
-    /// Told that nothing has run, for good.
+    /// Refused without having run, after all retries of the caller.
     pub not_run: u64,
     /// Attempts that a backend server refused.
     pub refused_attempts: u64,
-    /// Those of them that a later stage refused.
+    /// Refused attempts of which a later stage was the cause.
     pub refused_by_later_stages: u64,
 }
 
@@ -25,75 +25,81 @@
     }
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// How requests ended.
+    /// Outcomes of requests.
     pub outcomes: Outcomes,
-    /// The flow bound for the mix of the answers in time.
+    /// Throughput bound for the token mix of requests completed by their
+    /// deadline.
     pub bound_tokens_per_s: f64,
-    /// Tokens of answers in time.
+    /// Tokens per second of requests completed by their deadline.
     pub tokens_per_s: f64,
-    /// The same as a share of the bound.
+    /// The same throughput as a share of the bound.
     pub share_of_bound: f64,
-    /// Share of requests answered in time.
+    /// Share of requests completed by their deadline.
     pub in_time_share: f64,
-    /// The same of summaries, letters and lookups.
+    /// The same share for summaries, letters and lookups.
     pub in_time_by_trade: [f64; 3],
-    /// Price of the time in iterations, for each answer in time.
+    /// Price of the time spent in iterations, per request completed by
+    /// its deadline.
     pub busy_micros_per_request: f64,
-    /// Price of the whole fleet, for each answer in time.
+    /// Price of the whole fleet, per request completed by its deadline.
     pub fleet_micros_per_request: f64,
-    /// Price of the time in iterations, for a thousand tokens in time.
+    /// Price of the time spent in iterations, per thousand tokens of
+    /// requests completed by their deadline.
     pub busy_micros_per_1000_tokens: f64,
-    /// Time to the whole answer.
+    /// Median response time.
     pub p50_ms: u64,
-    /// Time to the whole answer.
+    /// 95th percentile of the response time.
     pub p95_ms: u64,
-    /// Jain's index of the accounts' tokens over their weights.
+    /// Jain's index of the tokens of each account over its weight.
     pub jain: f64,
-    /// Mean share of time in iterations.
+    /// Mean utilisation of the servers (share of time in iterations).
     pub mean_use: f64,
-    /// Standard deviation of that share between servers.
+    /// Standard deviation of the utilisation across servers.
     pub use_deviation: f64,
-    /// Largest of these shares.
+    /// Highest utilisation of a server.
     pub most_use: f64,
-    /// Mean length of a chain.
+    /// Mean number of stages of a chain.
     pub stages_per_chain: f64,
-    /// Mean count of data centres of a chain.
+    /// Mean number of data centres of a chain.
     pub data_centres_per_chain: f64,
-    /// Share of running requests that the worst single server holds.
+    /// Highest share of running requests that one server holds.
     pub server_loss: f64,
-    /// Share of running requests that the worst data centre holds.
+    /// Highest share of running requests that one data centre holds.
     pub data_centre_loss: f64,
-    /// What a new server was sent in ten seconds, in times its likes.
+    /// Requests sent to a new server in its first ten seconds over the
+    /// mean of similar servers.
     pub newcomer_times: f64,
-    /// Most requests that it held or queued.
+    /// Peak of requests that the new server held or queued.
     pub newcomer_peak: u32,
-    /// Callers that came back.
+    /// Retries by callers.
     pub comebacks: u32,
-    /// Most that came back within 100 ms, in times the mean.
+    /// Peak of retries by callers within 100 ms over the mean.
     pub comeback_peak_times: f64,
     #[serde(skip)]
     pub(crate) response_times_ms: Vec<Histogram<u64>>,
 }
 
 impl Figures {
-    /// 95th percentile over all accounts but one.
+    /// 95th percentile of the response time over all accounts but one.
     pub(crate) fn p95_ms_excluding(&self, account: usize) -> u64 {
-        let mut all = Histogram::new(3).expect("three digits are allowed");
+        let mut all =
+            Histogram::new(3).expect("three significant digits are valid");
         for (at, response_times_ms) in
             self.response_times_ms.iter().enumerate()
         {
             if at != account {
-                all.add(response_times_ms).expect("histograms of one kind");
+                all.add(response_times_ms)
+                    .expect("the histograms have the same precision");
             }
         }
         all.value_at_quantile(0.95)
     }
 }
 
-/// Jain's index: 1 where all are equal, `1 / n` where one has everything.
+/// Jain's index: 1 if all values are equal, `1 / n` if only one is not 0.
 pub(crate) fn jain(values: &[f64]) -> f64 {
     let sum: f64 = values.iter().sum();
     let squares: f64 = values.iter().map(|value| value * value).sum();
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,24 +1,24 @@
-//! Routing decisions measured on a virtual clock.
+//! Discrete-event simulation that benchmarks routing decisions.
 //!
-//! Several entries with the router's own [`chestnutreach_routing`] state and
-//! choice, and at each backend server its own gate (fair queue, admission),
-//! driven by the requests of a trade. It is a benchmark of decisions: no
-//! network, no failures and no processes; a backend server is the speed model
-//! of `engine`. With the same seed a run comes to the same figures.
+//! Several entries run the state and the choice of
+//! [`chestnutreach_routing`], and each backend server runs the slot queue
+//! (fair queue, admission) of that crate, under a synthetic workload. The
+//! simulation has no network, no failures and no processes; `engine` models
+//! the speed of a backend server. The same seed yields the same figures.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`deployment`], `link` | a deployment's language service |
-//! | `trade`, `workload` | what callers ask |
+//! | [`deployment`], `link` | the language service of a deployment |
+//! | `request_kind`, `workload` | the requests of callers |
 //! | [`case`] | settings of one run |
-//! | [`world`], `events` | the clock and what happens on it |
-//! | `request`, `entry`, `server`, `engine` | those that act |
-//! | `pick`, `table` | the ways that the router's own is measured against |
-//! | [`figures`] | what a run came to |
+//! | [`world`], `events` | the virtual clock and the event loop |
+//! | `request`, `entry`, `server`, `engine` | the simulated components |
+//! | `baseline_chain`, `table` | baselines, table service model |
+//! | [`figures`] | results of a run |
 //! | [`suite`] | the runs behind each table |
 //! | [`bounds`] | regression bounds |
-//! | [`work`] | work and time of one decision by the fleet's size |
-//! | [`text`] | tables for people |
+//! | [`decision_cost`] | candidates and time per decision by fleet size |
+//! | [`text`] | Markdown tables |
 
 mod baseline_chain;
 pub mod bounds;
--- a/crates/decisions/src/link.rs
+++ b/crates/decisions/src/link.rs
@@ -1,16 +1,16 @@
-//! Latency and bandwidth between data centres, in the units of the clock.
+//! Latency and bandwidth between data centres.
 //!
-//! Transfers do not slow each other.
+//! Concurrent transfers do not share bandwidth.
 
 use chestnutreach_config::manifest::NetworkPath;
 
 const LOCAL_LATENCY_US: u64 = 200;
 const LOCAL_BANDWIDTH_MBIT_PER_S: u64 = 10_000;
 const BITS_PER_BYTE: u64 = 8;
-/// Bytes that the activations of one token take between stages.
+/// Size of the activations of one token between stages.
 const ACTIVATION_BYTES: u64 = 16_384;
 
-/// The paths between data centres.
+/// Network paths between data centres.
 #[derive(Clone, Debug)]
 pub(crate) struct Links {
     count: usize,
@@ -39,16 +39,16 @@
         self.count
     }
 
-    /// One way.
+    /// One-way latency.
     pub(crate) fn latency_us(&self, from: u32, to: u32) -> u64 {
         self.path(from, to).latency_us
     }
 
-    /// Until the activations of so many tokens have arrived.
+    /// Time until the activations of `tokens` tokens have arrived.
     pub(crate) fn transfer_us(&self, from: u32, to: u32, tokens: u32) -> u64 {
         let path = self.path(from, to);
         let bits = u64::from(tokens) * ACTIVATION_BYTES * BITS_PER_BYTE;
-        // One Mbit/s moves one bit in a microsecond.
+        // 1 Mbit/s is one bit per microsecond.
         path.latency_us + bits / path.bandwidth_mbit_per_s
     }
 
--- a/crates/decisions/src/main.rs
+++ b/crates/decisions/src/main.rs
@@ -1,11 +1,11 @@
-//! Measures routing decisions on a virtual clock.
+//! Benchmarks routing decisions on a virtual clock.
 //!
 //! | subcommand | what it does |
 //! |---|---|
 //! | `run` | all tables of the deployments |
-//! | `loads` | the table of loads alone |
-//! | `effects` | fairness, harm, overload and a new server alone |
-//! | `time` | time of one decision by the fleet's size |
+//! | `loads` | only the table of loads |
+//! | `effects` | only fairness, harm, overload and a new server |
+//! | `time` | time per decision by fleet size |
 //! | `check` | a short suite against the committed bounds |
 
 use std::process::ExitCode;
@@ -31,15 +31,16 @@
         Some(("effects", matches)) => effects(matches)?,
         Some(("time", matches)) => time(matches)?,
         Some(("check", matches)) => return check(matches),
-        _ => unreachable!("clap asks for a known subcommand"),
+        _ => unreachable!("clap rejects unknown subcommands"),
     }
     Ok(ExitCode::SUCCESS)
 }
 
 fn command() -> Command {
-    let run = Command::new("run").about("Runs every table");
-    let loads = Command::new("loads").about("Runs the table of loads");
-    let effects = Command::new("effects").about("Runs the single effects");
+    let run = Command::new("run").about("Prints every table");
+    let loads = Command::new("loads").about("Prints the table of loads");
+    let effects =
+        Command::new("effects").about("Prints the table of single effects");
     Command::new("chestnutreach-decisions")
         .version(clap::crate_version!())
         .about("Measures routing decisions on a virtual clock")
@@ -53,11 +54,11 @@
                     .long("load-percent")
                     .action(ArgAction::Append)
                     .value_parser(value_parser!(u32).range(1..=1_000))
-                    .help("Only this load, in percent of the flow bound"),
+                    .help("Run only this load, in percent of the throughput bound"),
             ]),
             with_run_args(effects).arg(strategy_arg()),
             Command::new("time")
-                .about("Measures the time of one decision, real clock")
+                .about("Measures the time per decision on the real clock")
                 .arg(json_arg()),
             Command::new("check")
                 .about("Checks a short suite against the committed bounds")
@@ -70,27 +71,27 @@
         Arg::new("deployment")
             .long("deployment")
             .value_parser(Site::ALL.map(Site::name))
-            .help("Only this deployment"),
+            .help("Run only this deployment"),
         Arg::new("seed")
             .long("seed")
             .default_value("1")
             .value_parser(value_parser!(u64))
-            .help("Seed of everything random"),
+            .help("Seed of all random numbers"),
         Arg::new("warm-up-s")
             .long("warm-up-s")
             .default_value("20")
             .value_parser(value_parser!(u64).range(1..=3_600))
-            .help("Virtual time before the measured part, in s"),
+            .help("Virtual time before the measurement, in s"),
         Arg::new("measure-s")
             .long("measure-s")
             .default_value("40")
             .value_parser(value_parser!(u64).range(1..=3_600))
-            .help("Length of the measured part, in s"),
+            .help("Virtual time of the measurement, in s"),
         Arg::new("later")
             .long("later")
             .default_value(LaterStagePolicy::Wait.name())
             .value_parser(LaterStagePolicy::ALL.map(LaterStagePolicy::name))
-            .help("What a later stage does that has no place free"),
+            .help("What a later stage without a free slot does"),
         json_arg(),
     ])
 }
@@ -100,19 +101,19 @@
         .long("way")
         .action(ArgAction::Append)
         .value_parser(Strategy::ALL.map(Strategy::name))
-        .help("Only this way of choosing")
+        .help("Run only this strategy")
 }
 
 fn json_arg() -> Arg {
-    Arg::new("json")
-        .long("json")
-        .action(ArgAction::SetTrue)
-        .help("Prints JSON")
+    Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON")
 }
 
 fn settings(matches: &ArgMatches) -> Result<Settings> {
     let number = |name: &str| {
-        matches.get_one::<u64>(name).copied().context("it has a default")
+        matches
+            .get_one::<u64>(name)
+            .copied()
+            .context("the argument has a default")
     };
     Ok(Settings {
         seed: number("seed")?,
--- a/crates/decisions/src/request.rs
+++ b/crates/decisions/src/request.rs
@@ -1,30 +1,30 @@
-//! One caller's request on its way.
+//! State of a simulated request.
 
 use chestnutreach_routing::{BackendIndex, RequestShape};
 
 use crate::workload::Arrival;
 
-/// Where a request is.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// At its caller or its entry.
+    /// At the caller or the entry.
     Idle,
-    /// On its way to the first stage, or waits there.
+    /// In transit to the first stage or queued there.
     Dispatched,
-    /// Holds the first stage and asks for the others, or was refused: its
-    /// entry hears of it soon.
+    /// Holds the first stage and requests the others, or the refusal is in
+    /// transit to the entry.
     Reserving,
-    /// Holds its first stages and waits for a place at the next.
+    /// Holds its first stages and is queued at the next.
     Waiting,
     /// Holds all stages.
     Running,
-    /// All tokens are there; the last is on its way to the entry.
+    /// All tokens are generated; the last is in transit to the entry.
     Generated,
-    /// Answered, given up or out of time.
+    /// Completed, refused for good or past the deadline.
     Done,
 }
 
-/// One caller's request.
+/// A simulated request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) arrival: Arrival,
@@ -32,17 +32,17 @@
     pub(crate) phase: Phase,
     pub(crate) stages: Vec<BackendIndex>,
     pub(crate) avoid: Vec<BackendIndex>,
-    /// Attempts since the caller asked last.
+    /// Attempts since the last arrival from the caller.
     pub(crate) attempts: u32,
     pub(crate) caller_retries: u32,
-    /// How many stages it holds, from the first.
+    /// Number of stages that the request holds, from the first.
     pub(crate) held: usize,
-    /// How often it has waited at a later stage.
+    /// Number of waits at later stages; identifies the current wait.
     pub(crate) waits: u32,
-    /// Place in the chain of the step that is under way.
+    /// Index of the stage that runs the current step.
     pub(crate) at_stage: usize,
     pub(crate) produced: u32,
-    /// When the chain that runs it was chosen.
+    /// Time at which the current chain was chosen.
     pub(crate) sent_us: u64,
     pub(crate) last_retry_after_ms: Option<u64>,
 }
@@ -70,7 +70,7 @@
         self.arrival.at_us + self.arrival.deadline_ms * 1_000
     }
 
-    /// As the entry states it.
+    /// The request as the entry describes it to the router.
     pub(crate) fn shape(&self, now_us: u64, is_bounded: bool) -> RequestShape {
         let arrival = &self.arrival;
         let shape = RequestShape::new(
@@ -85,12 +85,12 @@
         shape.deadline_ms(remaining_us / 1_000)
     }
 
-    /// What its account is charged before it runs.
+    /// Tokens charged to the account before the request runs.
     pub(crate) fn cost_tokens(&self) -> u32 {
         self.arrival.prompt_tokens + self.arrival.max_output_tokens
     }
 
-    /// What an answer takes.
+    /// Tokens that the request uses in total.
     pub(crate) fn used_tokens(&self) -> u32 {
         self.arrival.prompt_tokens + self.arrival.output_tokens
     }
--- a/crates/decisions/src/request_kind.rs
+++ b/crates/decisions/src/request_kind.rs
@@ -1,15 +1,15 @@
-//! What callers ask for, by their trade.
+//! Kinds of requests: their sizes, deadlines and shares by sector.
 
 use chestnutreach_routing::Priority;
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum RequestKind {
-    /// Long prompt, short answer.
+    /// Long prompt, short output.
     Summary,
-    /// Short prompt, long answer.
+    /// Short prompt, long output.
     Letter,
-    /// Short both ways.
+    /// Short prompt, short output.
     Lookup,
 }
 
@@ -17,7 +17,7 @@
     pub(crate) const ALL: [RequestKind; 3] =
         [RequestKind::Summary, RequestKind::Letter, RequestKind::Lookup];
 
-    /// Letters and summaries come before lookups.
+    /// Letters and summaries have priority over lookups.
     pub(crate) fn priority(self) -> Priority {
         match self {
             RequestKind::Summary | RequestKind::Letter => Priority::High,
@@ -26,33 +26,34 @@
     }
 }
 
-/// Where the requests come from.
+/// Sector of the callers, which determines their requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Sector {
-    /// Counters and field agents of a lender.
+    /// Branch counters and field agents of a lender.
     Lending,
-    /// Crews and engineers of a pipeline.
+    /// Crews and engineers of a pipeline operator.
     Pipeline,
 }
 
 /// Sizes of a kind of request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sizes {
-    /// Shortest and longest prompt.
+    /// Minimum and maximum of the prompt.
     pub(crate) prompt_tokens: (u32, u32),
-    /// What the caller states as the most.
+    /// Maximum that the caller states.
     pub(crate) max_output_tokens: u32,
-    /// What the trade allows.
+    /// Time that the caller allows.
     pub(crate) deadline_ms: u64,
 }
 
 impl Sizes {
-    /// Mean of the prompt.
+    /// Mean of the uniformly distributed prompt length.
     pub(crate) fn mean_prompt_tokens(&self) -> f64 {
         f64::from(self.prompt_tokens.0 + self.prompt_tokens.1) / 2.0
     }
 
-    /// Mean of the answer, which takes half to all of what is stated.
+    /// Mean of the output length, which is uniform from half to all of
+    /// the stated maximum.
     pub(crate) fn mean_output_tokens(&self) -> f64 {
         f64::from(self.max_output_tokens) * 0.75
     }
@@ -84,7 +85,8 @@
         Sizes { prompt_tokens, max_output_tokens, deadline_ms }
     }
 
-    /// Parts of a hundred requests of a class of account, as [`Trade::ALL`].
+    /// Percentages of the kinds for a class of account, in the order of
+    /// [`RequestKind::ALL`].
     pub(crate) fn mix_percent(self, class: &str) -> [u32; 3] {
         match (self, class) {
             (Sector::Lending, "counter") => [50, 40, 10],
--- a/crates/decisions/src/server.rs
+++ b/crates/decisions/src/server.rs
@@ -1,5 +1,5 @@
-//! One backend server with its side process: the real gate, the modelled
-//! engine.
+//! A simulated backend server: the real slot queue of its side process and
+//! a modelled engine.
 
 use chestnutreach_routing::{
     Fleet, LoadReport,
@@ -13,18 +13,18 @@
     events::RequestIndex,
 };
 
-/// As the side process's `queue-limit-tokens` is by default.
+/// Default of `queue-limit-tokens` of the side process.
 const QUEUE_LIMIT_TOKENS: u64 = 200_000;
 const US_PER_MS: f64 = 1_000.0;
 
-/// A request in the queue of a server that is this stage of its chain.
+/// A queued request and the stage that the server has in its chain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Waiter {
     pub(crate) request: RequestIndex,
     pub(crate) stage: usize,
 }
 
-/// One backend server with its side process.
+/// A simulated backend server.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) slot_queue: SlotQueue<Waiter>,
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Learns from an iteration, as the side process does from its calls.
+    /// Updates the learned speed after an iteration, as the side process
+    /// does after its calls.
     pub(crate) fn record_iteration(
         &mut self,
         batch: usize,
--- a/crates/decisions/src/suite.rs
+++ b/crates/decisions/src/suite.rs
@@ -9,25 +9,25 @@
     world,
 };
 
-/// Loads of the table, in percent of the flow bound.
+/// Loads of the table, in percent of the throughput bound.
 pub const LOADS_PERCENT: [u32; 5] = [50, 80, 100, 150, 200];
-/// Settings of the operators' weight in the sweep.
+/// Values of the recovery weight in the sweep.
 pub const WEIGHTS_PERCENT: [u32; 5] = [0, 20, 50, 80, 100];
-/// Loads of the sweep and of the single effects, in percent of the bound.
+/// Loads of the sweep and of the effects, in percent of the throughput bound.
 const HALF_PERCENT: u32 = 50;
 const MODERATE_PERCENT: u32 = 80;
 const OVERLOAD_PERCENT: u32 = 200;
 
-/// What all runs of a table have in common.
+/// Settings that all runs of a table share.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Seed of everything random.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Time before the measured part.
+    /// Virtual time before the measurement.
     pub warm_up_ms: u64,
-    /// Length of the measured part.
+    /// Virtual time of the measurement.
     pub measure_ms: u64,
-    /// What a later stage does that has no place free.
+    /// What a later stage without a free slot does.
     pub later_stage_policy: LaterStagePolicy,
 }
 
@@ -54,15 +54,15 @@
 /// One row of the table of loads.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadRow {
-    /// Way of choosing.
+    /// Name of the strategy.
     pub way: &'static str,
-    /// Load, in percent of the bound.
+    /// Load, in percent of the throughput bound.
     pub load_percent: u32,
-    /// What it came to.
+    /// Results of the run.
     pub figures: Figures,
 }
 
-/// Every way at every load.
+/// Runs every strategy at every load.
 pub fn loads(
     deployment: &Deployment,
     settings: &Settings,
@@ -80,18 +80,18 @@
     rows
 }
 
-/// One row of the sweep over the operators' weight.
+/// One row of the sweep over the recovery weight.
 #[derive(Clone, Debug, Serialize)]
 pub struct WeightRow {
-    /// The setting.
+    /// Recovery weight of the run.
     pub recovery_weight_percent: u32,
-    /// Load, in percent of the bound.
+    /// Load, in percent of the throughput bound.
     pub load_percent: u32,
-    /// What it came to.
+    /// Results of the run.
     pub figures: Figures,
 }
 
-/// The router's own choice at every setting of the operators' weight.
+/// Runs the sampled strategy at every value of the recovery weight.
 pub fn weights(
     deployment: &Deployment,
     settings: &Settings,
@@ -112,40 +112,39 @@
     rows
 }
 
-/// Single effects of one way of choosing.
+/// Effects measured for one strategy.
 #[derive(Clone, Debug, Serialize)]
 pub struct EffectsRow {
-    /// Way of choosing.
+    /// Name of the strategy.
     pub way: &'static str,
-    /// Jain's index where every account is backlogged, each by another
-    /// factor.
+    /// Jain's index while every account is backlogged by a different factor.
     pub jain_backlogged: f64,
-    /// One account at ten times its share, at half of the bound.
+    /// Effect of one account at ten times its share, at 50 % load.
     pub harm_at_half: Harm,
-    /// The same at a load that alone takes nearly all the fleet gives.
+    /// The same effect at 80 % load, which nearly saturates the fleet.
     pub harm_at_most: Harm,
-    /// Share of the bound at a load of twice the bound over that at once.
+    /// Throughput at 200 % load over throughput at 100 % load.
     pub useful_at_overload: f64,
-    /// The same where nothing is refused for lack of time.
+    /// The same ratio while no request is refused because of its deadline.
     pub useful_at_overload_unrefused: f64,
-    /// What a new server was sent, in times its likes.
+    /// Requests sent to a new server over the mean of similar servers.
     pub newcomer_times: f64,
-    /// Most requests that it held or queued.
+    /// Peak of requests that the new server held or queued.
     pub newcomer_peak: u32,
 }
 
-/// What one account at ten times its share does to the others.
+/// Effect of one account at ten times its share on the other accounts.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Harm {
-    /// 95th percentile of the others while it asks for its share.
+    /// 95th percentile of the others while the account stays at its share.
     pub before_ms: u64,
-    /// 95th percentile of the others beside its flood.
+    /// 95th percentile of the others while the account exceeds its share.
     pub beside_ms: u64,
-    /// How much larger the second is, in percent.
+    /// Increase from the first to the second, in percent.
     pub percent: f64,
 }
 
-/// Fairness, harm, overload and a new server, for each way.
+/// Measures fairness, harm, overload and a new server for each strategy.
 pub fn effects(
     deployment: &Deployment,
     settings: &Settings,
@@ -196,7 +195,7 @@
     Harm { before_ms, beside_ms, percent }
 }
 
-/// The first of the accounts of the least weight.
+/// The first account of the lowest weight.
 fn greedy_account(deployment: &Deployment) -> usize {
     let accounts = deployment.accounts.iter().enumerate();
     accounts.min_by_key(|(_, account)| account.weight).map_or(0, |(at, _)| at)
@@ -205,17 +204,17 @@
 /// All tables of a deployment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Tables {
-    /// Which deployment.
+    /// Name of the deployment.
     pub deployment: &'static str,
-    /// Every way at every load.
+    /// Every strategy at every load.
     pub loads: Vec<LoadRow>,
-    /// Single effects.
+    /// Effects by strategy.
     pub effects: Vec<EffectsRow>,
-    /// The operators' weight.
+    /// Sweep over the recovery weight.
     pub weights: Vec<WeightRow>,
 }
 
-/// All tables of a deployment.
+/// Runs all tables of a deployment.
 pub fn all(site: Site, settings: &Settings) -> anyhow::Result<Tables> {
     let deployment = Deployment::try_new(site)?;
     Ok(Tables {
--- a/crates/decisions/src/text.rs
+++ b/crates/decisions/src/text.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Results as Markdown tables.
 
 use std::fmt::Write as _;
 
@@ -15,7 +15,7 @@
     text
 }
 
-/// Every way at every load.
+/// The table of loads.
 pub fn loads(deployment: &str, rows: &[LoadRow]) -> String {
     let mut text = format!("## {deployment}: loads\n\n");
     text += &head(&[
@@ -67,7 +67,7 @@
     text
 }
 
-/// Single effects of each way.
+/// The table of effects.
 pub fn effects(deployment: &str, rows: &[EffectsRow]) -> String {
     let mut text = format!("## {deployment}: single effects\n\n");
     text += &head(&[
@@ -143,7 +143,7 @@
     text
 }
 
-/// Heading of a Markdown table.
+/// Header and separator of a Markdown table.
 pub(crate) fn head(names: &[&str]) -> String {
     let rule = "---|".repeat(names.len());
     format!("| {} |\n|{rule}\n", names.join(" | "))
--- a/crates/decisions/src/workload.rs
+++ b/crates/decisions/src/workload.rs
@@ -1,9 +1,10 @@
-//! The requests of a run.
+//! Generates the requests of a run.
 //!
-//! Each account has arrivals of its own stream of random numbers, so that
-//! one account's flood changes nothing of what the others ask. Arrivals are
-//! Poisson; for two of every ten seconds they come at [`BURST`] times the
-//! rate, and slower between, so that the mean stays.
+//! Each account has its own random number stream, so a higher load of one
+//! account leaves the requests of the others unchanged. Arrivals are a Poisson
+//! process whose rate is multiplied by [`BURST_RATE_FACTOR`] for two of every
+//! ten seconds and by [`BASE_RATE_FACTOR`] otherwise; the mean rate stays the
+//! same.
 
 use chestnutreach_routing::{TokenMix, throughput_bound};
 
@@ -14,28 +15,28 @@
 };
 
 const US_PER_S: f64 = 1e6;
-/// Tokens of a mix: large figures keep its ratio exact.
+/// Tokens of a mix; large integers keep its ratio precise.
 const MIX_SCALE: f64 = 1e6;
 const CYCLE_US: u64 = 10_000_000;
 const BURST_US: u64 = 2_000_000;
 const BURST_RATE_FACTOR: f64 = 1.6;
 const BASE_RATE_FACTOR: f64 = 0.85;
 
-/// What a caller asks for.
+/// A generated request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at_us: u64,
     pub(crate) account: usize,
     pub(crate) kind: RequestKind,
     pub(crate) prompt_tokens: u32,
-    /// What the caller states.
+    /// Maximum that the caller states.
     pub(crate) max_output_tokens: u32,
-    /// What the answer takes.
+    /// Tokens that the output has.
     pub(crate) output_tokens: u32,
     pub(crate) deadline_ms: u64,
 }
 
-/// Mean tokens of a request.
+/// Mean tokens per request.
 #[derive(Clone, Copy, Debug)]
 struct MeanTokens {
     prompt: f64,
@@ -61,7 +62,7 @@
     }
 }
 
-/// Most tokens a second for the mix of all accounts at their shares.
+/// Throughput bound for the token mix of all accounts at their shares.
 pub(crate) fn bound_tokens_per_s(deployment: &Deployment) -> f64 {
     let mut prompt = 0.0;
     let mut output = 0.0;
@@ -74,7 +75,8 @@
     bound_of_mix(deployment, prompt, output)
 }
 
-/// Most tokens a second for a mix; only the ratio of the two counts.
+/// Throughput bound for a token mix; only the ratio of `prompt` to `output`
+/// matters.
 pub(crate) fn bound_of_mix(
     deployment: &Deployment,
     prompt: f64,
@@ -88,7 +90,7 @@
     throughput_bound(&deployment.fleet, None, &mix)
 }
 
-/// The requests of all accounts, by time.
+/// The requests of all accounts in time order.
 pub(crate) fn arrivals(deployment: &Deployment, case: &Case) -> Vec<Arrival> {
     let bound = bound_tokens_per_s(deployment);
     let tokens_per_s = bound * f64::from(case.load_percent) / 100.0;
--- a/crates/decisions/src/world.rs
+++ b/crates/decisions/src/world.rs
@@ -1,12 +1,12 @@
-//! The run itself: events in the order of the virtual clock.
+//! Event loop of a simulation run.
 //!
-//! | module | what it handles |
+//! | module | contents |
 //! |---|---|
-//! | `world` | set-up, reports, the clock |
-//! | `world::ask` | callers and entries |
+//! | `world` | set-up, load reports, event loop |
+//! | `world::dispatch` | callers and entries |
 //! | `world::reserve` | side processes |
-//! | `world::serve` | engines |
-//! | `world::watch` | what is measured on the way |
+//! | `world::execute` | engines |
+//! | `world::recorder` | measurements |
 
 use chestnutreach_routing::{BackendIndex, Fleet, Policy, Presence};
 
@@ -32,7 +32,7 @@
 
 const SAMPLE_US: u64 = 100_000;
 
-/// A run under way.
+/// State of a run.
 pub(crate) struct World<'a> {
     deployment: &'a Deployment,
     case: &'a Case,
@@ -45,7 +45,7 @@
     recorder: Recorder,
 }
 
-/// Runs a case to its end.
+/// Runs a case and returns its results.
 pub fn run(deployment: &Deployment, case: &Case) -> Figures {
     let mut world = World::new(deployment, case);
     let end_us = case.end_ms() * 1_000;
@@ -88,7 +88,7 @@
         let every_us = self.case.report_every_ms * 1_000;
         let count = self.servers.len() as u64;
         for index in self.deployment.fleet.indices() {
-            // Spread, as side processes start at any time.
+            // Staggered, because side processes start at different times.
             let at_us = every_us * u64::from(index.0) / count;
             self.events.schedule_at(at_us, Event::Report(index));
         }
@@ -160,7 +160,7 @@
     }
 }
 
-/// A server of the dearest kind at layer 0.
+/// The most expensive server at layer 0.
 pub(crate) fn new_server(fleet: &Fleet) -> BackendIndex {
     fleet
         .indices()
@@ -170,7 +170,7 @@
 }
 
 fn requests(deployment: &Deployment, case: &Case) -> Vec<Request> {
-    // The balancer before the entries draws at random.
+    // The load balancer in front of the entries chooses at random.
     let mut rng = fastrand::Rng::with_seed(case.seed);
     let entry_count = case.entry_count as usize;
     let request =
--- a/crates/decisions/src/world/dispatch.rs
+++ b/crates/decisions/src/world/dispatch.rs
@@ -1,4 +1,4 @@
-//! Callers and entries: a request until it is sent and after it ended.
+//! Callers and entries: requests before dispatch and after their end.
 
 use chestnutreach_routing::RequestOutcome;
 
@@ -8,7 +8,7 @@
     request::Phase,
 };
 
-/// As the entry's `max-attempts` is by default.
+/// Default of `max-attempts` of the entry.
 const MAX_ATTEMPTS: u32 = 4;
 
 impl World<'_> {
@@ -29,7 +29,7 @@
         self.start_attempt(id);
     }
 
-    /// Asks the table first where counts are shared.
+    /// Reads the shared counters first if the strategy uses them.
     fn start_attempt(&mut self, id: RequestIndex) {
         if !self.uses_shared_counters() {
             return self.dispatch(id);
@@ -70,7 +70,8 @@
         self.count_stages(id, 1);
     }
 
-    /// Nothing has run: tries another chain or tells the caller.
+    /// Handles a refusal, after which nothing has run: retries on another
+    /// chain or reports `not_run` to the caller.
     pub(super) fn refused(&mut self, id: RequestIndex, refusal: Refusal) {
         self.record_refused();
         self.end_attempt(id, &RequestOutcome::Refused, Some(refusal));
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The caller's time is over, wherever the request is.
+    /// Cancels a request in any phase once its deadline has passed.
     pub(super) fn deadline(&mut self, id: RequestIndex) {
         let phase = self.requests[id as usize].phase;
         if phase == Phase::Done {
@@ -127,7 +128,7 @@
                 self.release_held(id);
                 self.end_attempt(id, &RequestOutcome::Cancelled, None);
             }
-            // What is held is freed when the answers come.
+            // The responses in transit release the reserved slots.
             Phase::Reserving | Phase::Generated => {}
             Phase::Running => {
                 self.release_all(id);
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Tells the caller, who comes back while there is time.
+    /// Reports to the caller that nothing has run; the caller retries if
+    /// the deadline allows it.
     fn not_run(&mut self, id: RequestIndex, retry_after_ms: u64) {
         let now_us = self.events.now_us();
         let max = self.case.max_caller_retries;
--- a/crates/decisions/src/world/execute.rs
+++ b/crates/decisions/src/world/execute.rs
@@ -1,4 +1,4 @@
-//! Engines: a request that holds all its stages.
+//! Engines: execution of requests that hold all their stages.
 
 use chestnutreach_routing::{BackendIndex, RequestOutcome};
 
@@ -10,7 +10,7 @@
 };
 
 impl World<'_> {
-    /// Every stage is held: the prompt goes to the first.
+    /// Starts the prefill at the first stage once all stages are held.
     pub(super) fn begin(&mut self, id: RequestIndex) {
         if self.requests[id as usize].phase == Phase::Done {
             self.release_held(id);
@@ -35,7 +35,7 @@
         self.start(index);
     }
 
-    /// Begins an iteration where a server has work and runs none.
+    /// Starts an iteration if the server is idle and has work.
     pub(super) fn start(&mut self, index: BackendIndex) {
         let now_us = self.events.now_us();
         let requests = &self.requests;
@@ -68,7 +68,7 @@
         self.start(index);
     }
 
-    /// A stage has run a step: it goes to the next, or gives a token.
+    /// Sends the step to the next stage, or records a token after the last.
     fn step_done(&mut self, id: RequestIndex, is_prompt: bool) {
         let request = &mut self.requests[id as usize];
         if request.phase != Phase::Running {
@@ -132,7 +132,7 @@
         self.deployment.links.latency_us(from, to)
     }
 
-    /// Charges the account what was really used.
+    /// Corrects the charge of the account to the tokens used.
     fn charge_account(&mut self, id: RequestIndex) {
         let request = &self.requests[id as usize];
         let difference = i64::from(request.used_tokens())
--- a/crates/decisions/src/world/recorder.rs
+++ b/crates/decisions/src/world/recorder.rs
@@ -1,4 +1,4 @@
-//! What is measured on the way. Nothing counts before the warm-up is over.
+//! Measurements of a run. Events during the warm-up do not count.
 
 use chestnutreach_routing::{BackendIndex, Fleet};
 use hdrhistogram::Histogram;
@@ -15,33 +15,33 @@
 const US_PER_HOUR: f64 = 3.6e9;
 const US_PER_MS: u64 = 1_000;
 const MS_PER_S: f64 = 1_000.0;
-/// How long a new server is watched.
+/// Time for which requests to a new server are counted.
 const NEW_SERVER_WINDOW_US: u64 = 10_000_000;
-/// Width in which callers that come back count as together.
+/// Width of the windows in which retries by callers are counted.
 const RETRY_WINDOW_US: u64 = 100_000;
 
-/// Counters of a run.
+/// Counters and samples of a run.
 #[derive(Debug)]
 pub(super) struct Recorder {
     outcomes: Outcomes,
-    /// Time to the whole answer, by account.
+    /// Response times, by account.
     response_times_ms: Vec<Histogram<u64>>,
-    /// Tokens of answers in time, by account.
+    /// Tokens of requests completed by their deadline, by account.
     tokens: Vec<u64>,
     prompt_tokens: u64,
     output_tokens: u64,
-    /// Requests by trade: in time, and all.
+    /// Requests completed by their deadline, and all requests, by kind.
     by_kind: [(u64, u64); RequestKind::ALL.len()],
     chains: u64,
     stages: u64,
     chain_data_centres: u64,
-    /// Requests that run, by data centre.
+    /// Running requests, by data centre.
     running_by_data_centre: Vec<u32>,
     running: u32,
     samples: u32,
     server_loss: f64,
     data_centre_loss: f64,
-    /// Time in iterations before the measured part, by server.
+    /// Time in iterations before the measurement, by server.
     busy_before_us: Vec<u64>,
     sent: Vec<u32>,
     new_server_peak: u32,
@@ -53,7 +53,7 @@
         let accounts = deployment.accounts.len();
         let servers = deployment.fleet.len();
         let histogram =
-            || Histogram::new(3).expect("three digits are allowed");
+            || Histogram::new(3).expect("three significant digits are valid");
         Recorder {
             outcomes: Outcomes::default(),
             response_times_ms: (0..accounts).map(|_| histogram()).collect(),
@@ -155,7 +155,7 @@
         self.recorder.output_tokens += u64::from(arrival.output_tokens);
         self.recorder.response_times_ms[arrival.account]
             .record(total_us / US_PER_MS)
-            .expect("an automatic histogram takes any value");
+            .expect("an auto-resizing histogram accepts any value");
     }
 
     pub(super) fn record_begun(&mut self, id: RequestIndex) {
@@ -190,7 +190,8 @@
         data_centres
     }
 
-    /// Looks at what one death would cost now.
+    /// Samples the share of running requests that the failure of one
+    /// server or data centre would end.
     pub(super) fn sample(&mut self) {
         let now_us = self.events.now_us();
         if self.recorder.samples == 0 {
@@ -250,9 +251,12 @@
             busy_us.iter().map(utilisation_of).collect();
         let samples = f64::from(recorder.samples.max(1));
         let chains = recorder.chains.max(1) as f64;
-        let mut all_ms = Histogram::new(3).expect("three digits");
+        let mut all_ms =
+            Histogram::new(3).expect("three significant digits are valid");
         for response_times_ms in &recorder.response_times_ms {
-            all_ms.add(response_times_ms).expect("histograms of one kind");
+            all_ms
+                .add(response_times_ms)
+                .expect("the histograms have the same precision");
         }
         Figures {
             outcomes: recorder.outcomes,
@@ -300,7 +304,7 @@
             .collect()
     }
 
-    /// What the newcomer was sent, in times its likes.
+    /// Requests sent to the new server over the mean of similar servers.
     fn new_server_ratio(&self) -> f64 {
         let fleet = &self.deployment.fleet;
         let index = new_server(fleet);
@@ -321,7 +325,7 @@
         && a.price_micros_per_hour == b.price_micros_per_hour
 }
 
-/// Price of so much time of each server, in millionths of the currency.
+/// Price of the given time of each server, in micros.
 fn price(fleet: &Fleet, us: impl Fn(usize) -> u64) -> f64 {
     fleet
         .indices()
--- a/crates/decisions/src/world/reserve.rs
+++ b/crates/decisions/src/world/reserve.rs
@@ -1,4 +1,4 @@
-//! Side processes: the gates of a chain's stages, one after another.
+//! Side processes: reservation of a slot at each stage of a chain.
 
 use chestnutreach_routing::{
     BackendIndex,
@@ -24,7 +24,7 @@
 ) -> SlotAdmission;
 
 impl World<'_> {
-    /// The request reaches its first stage.
+    /// Requests a slot at the first stage.
     pub(super) fn reach_first_stage(&mut self, id: RequestIndex) {
         let request = &self.requests[id as usize];
         if request.phase != Phase::Dispatched {
@@ -79,7 +79,7 @@
         self.events.schedule_after(delay_us, Event::Refused(id, refusal));
     }
 
-    /// Holds a stage: asks for the others.
+    /// Records a reserved stage and requests the others.
     fn admitted(&mut self, id: RequestIndex) {
         let request = &mut self.requests[id as usize];
         request.phase = Phase::Reserving;
@@ -91,7 +91,7 @@
         self.events.schedule_after(delay_us, Event::Reserve(id));
     }
 
-    /// Latency from the first stage to the farthest of the others.
+    /// Highest latency from the first stage to another stage.
     fn max_stage_latency_us(&self, id: RequestIndex) -> u64 {
         let stages = &self.requests[id as usize].stages;
         let to_first =
@@ -99,8 +99,8 @@
         stages[1..].iter().map(to_first).max().unwrap_or(0)
     }
 
-    /// Latency of the last answer to the first stage, and of the next
-    /// question from it.
+    /// Latency of the last response to the first stage, plus that of the
+    /// next request from the first stage.
     fn next_stage_latency_us(&self, id: RequestIndex) -> u64 {
         let request = &self.requests[id as usize];
         let first = request.stages[0];
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Asks all later stages, which take or refuse.
+    /// Requests a slot at all later stages, which admit or refuse at once.
     fn reserve_all(&mut self, id: RequestIndex) {
         let request = &self.requests[id as usize];
         let cost_tokens = request.cost_tokens().into();
@@ -139,7 +139,7 @@
         self.events.schedule_after(delay_us, Event::Begin(id));
     }
 
-    /// Asks the next stage, where the request may wait.
+    /// Requests a slot at the next stage, where the request may be queued.
     fn reserve_next(&mut self, id: RequestIndex) {
         let request = &self.requests[id as usize];
         if request.phase == Phase::Done || request.held == request.stages.len()
@@ -172,7 +172,7 @@
         }
     }
 
-    /// No place came free in time at the stage that a request waits at.
+    /// Refuses a request that got no slot within the wait limit.
     pub(super) fn wait_timed_out(&mut self, id: RequestIndex, wait: u32) {
         let request = &mut self.requests[id as usize];
         if request.phase != Phase::Waiting || request.waits != wait {
@@ -196,7 +196,7 @@
         self.refuse(id, refusal);
     }
 
-    /// Takes a request out of the queue it waits in.
+    /// Removes a request from the slot queue that it waits in.
     pub(super) fn leave_queue(&mut self, id: RequestIndex) {
         let request = &self.requests[id as usize];
         let index = request.stages[request.held];
@@ -204,13 +204,13 @@
         slot_queue.remove(|waiter| waiter.request == id);
     }
 
-    /// Frees every stage of a request that runs.
+    /// Releases all stages of a running request.
     pub(super) fn release_all(&mut self, id: RequestIndex) {
         self.record_released(id);
         self.release_held(id);
     }
 
-    /// Frees the stages that a request holds.
+    /// Releases the stages that a request holds.
     pub(super) fn release_held(&mut self, id: RequestIndex) {
         let request = &mut self.requests[id as usize];
         let held = std::mem::take(&mut request.held);
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Refuses what can no longer begin in time.
+    /// Refuses queued requests that can no longer start by their deadline.
     pub(super) fn expire(&mut self, index: BackendIndex) {
         let now_ms = self.events.now_ms();
         let server = &mut self.servers[index.0 as usize];
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Gives a place back and begins what waited for it.
+    /// Releases a slot and admits the next queued request.
     fn release_slot(&mut self, index: BackendIndex, cost_tokens: u64) {
         self.expire(index);
         let now_ms = self.events.now_ms();
--- a/crates/decisions/tests/decisions.rs
+++ b/crates/decisions/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The benchmark is the same on every machine and within its bounds.
+//! The benchmark is deterministic and stays within its committed bounds.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,10 @@
 use rstest::rstest;
 
 #[test]
-fn the_committed_bounds_hold() {
-    let figures = bounds::figures().expect("the deployments");
-    let bounds = bounds::committed().expect("the bounds");
+fn figures_stay_within_the_committed_bounds() {
+    let figures =
+        bounds::figures().expect("the example deployments are valid");
+    let bounds = bounds::committed().expect("bounds.json is valid");
     let violations = bounds::violations(&figures, &bounds);
     let lines: Vec<String> =
         violations.iter().map(ToString::to_string).collect();
@@ -24,8 +25,9 @@
 #[case::sampled(Strategy::Sampled)]
 #[case::in_turn(Strategy::RoundRobin)]
 #[case::counted(Strategy::SharedCounters)]
-fn the_same_seed_gives_the_same_figures(#[case] way: Strategy) {
-    let deployment = Deployment::try_new(Site::Sofia).expect("a manifest");
+fn the_same_seed_yields_the_same_figures(#[case] way: Strategy) {
+    let deployment =
+        Deployment::try_new(Site::Sofia).expect("the manifest is valid");
     let case = Case::new(way, 120).warm_up_ms(1_000).measure_ms(3_000);
     let run = || {
         let figures = world::run(&deployment, &case);
@@ -37,36 +39,36 @@
 struct Bounded {
     value: Option<f64>,
     bound: Bound,
-    told: Option<&'static str>,
+    message: Option<&'static str>,
 }
 
 #[rstest]
 #[case::within(Bounded {
     value: Some(1.5),
     bound: Bound { at_least: Some(1.0), at_most: Some(2.0) },
-    told: None,
+    message: None,
 })]
 #[case::below(Bounded {
     value: Some(0.5),
     bound: Bound { at_least: Some(1.0), at_most: None },
-    told: Some("figure is 0.5000, 0.5000 below 1.0000"),
+    message: Some("figure is 0.5000, 0.5000 below 1.0000"),
 })]
 #[case::above(Bounded {
     value: Some(2.5),
     bound: Bound { at_least: Some(1.0), at_most: Some(2.0) },
-    told: Some("figure is 2.5000, 0.5000 above 2.0000"),
+    message: Some("figure is 2.5000, 0.5000 above 2.0000"),
 })]
 #[case::missing(Bounded {
     value: None,
     bound: Bound { at_least: None, at_most: Some(2.0) },
-    told: Some("figure was not measured"),
+    message: Some("figure was not measured"),
 })]
-fn a_broken_bound_says_by_how_much(#[case] case: Bounded) {
+fn a_violation_states_the_difference_from_the_bound(#[case] case: Bounded) {
     let name = "figure".to_string();
     let figures: BTreeMap<String, f64> =
         case.value.map(|value| (name.clone(), value)).into_iter().collect();
     let bounds = BTreeMap::from([(name, case.bound)]);
     let violations = bounds::violations(&figures, &bounds);
-    let told = violations.first().map(ToString::to_string);
-    assert_eq!(told.as_deref(), case.told);
+    let message = violations.first().map(ToString::to_string);
+    assert_eq!(message.as_deref(), case.message);
 }
