--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -18,7 +18,7 @@
 
 mod report;
 
-use report::{ApplyReport, ChangeReport, Ended};
+use report::{ApplyReport, ChangeReport, Outcome};
 
 pub(crate) const NAME: &str = "apply";
 const FILE: &str = "file";
@@ -60,8 +60,8 @@
     let sections = match source::load(path) {
         Ok(manifest) => manifest.to_sections(),
         Err(findings) => {
-            let ended = Ended::findings(&findings);
-            report::print(matches, &ApplyReport::unsent(ended))?;
+            let outcome = Outcome::findings(&findings);
+            report::print(matches, &ApplyReport::not_submitted(outcome))?;
             return Ok(Exit::Findings);
         }
     };
@@ -103,14 +103,14 @@
              --submission {submission} --base {base}",
         );
         let result = self.store.submit(base, &self.sections, submission).await;
-        let (ended, exit) = match result {
+        let (outcome, exit) = match result {
             Ok(accepted) => {
                 let generation = accepted.generation;
-                (Ended::Accepted { generation }, Exit::Done)
+                (Outcome::Accepted { generation }, Exit::Done)
             }
-            Err(e) => self.ended(e).await,
+            Err(e) => self.outcome_of(e).await,
         };
-        let report = ApplyReport::sent(submission, base, ended);
+        let report = ApplyReport::submitted(submission, base, outcome);
         report::print(matches, &report)?;
         Ok(exit)
     }
@@ -121,29 +121,32 @@
         Ok(head.map_or(0, |head| head.generation))
     }
 
-    async fn ended(&self, error: SubmitError) -> (Ended<'static>, Exit) {
+    async fn outcome_of(
+        &self,
+        error: SubmitError,
+    ) -> (Outcome<'static>, Exit) {
         let detail = error.to_string();
         match error {
             SubmitError::Stale { current, .. } => {
-                let ended = self.refused("stale", detail, current).await;
-                (ended, Exit::Refused)
+                let outcome = self.refused("stale", detail, current).await;
+                (outcome, Exit::Refused)
             }
             SubmitError::LostRace { winner } => {
-                let ended =
+                let outcome =
                     self.refused("lost-race", detail, Some(winner)).await;
-                (ended, Exit::Refused)
+                (outcome, Exit::Refused)
             }
             SubmitError::IdReused { .. } => {
-                (Ended::IdReused { detail }, Exit::Refused)
+                (Outcome::IdReused { detail }, Exit::Refused)
             }
             SubmitError::Invalid { .. } => {
-                (Ended::Invalid { detail }, Exit::Findings)
+                (Outcome::Invalid { detail }, Exit::Findings)
             }
             SubmitError::Unavailable { .. } => {
-                (Ended::NotAccepted { detail }, Exit::Failed)
+                (Outcome::NotAccepted { detail }, Exit::Failed)
             }
             SubmitError::Unknown { .. } => {
-                (Ended::Unknown { detail }, Exit::Unknown)
+                (Outcome::Unknown { detail }, Exit::Unknown)
             }
         }
     }
@@ -154,7 +157,7 @@
         cause: &'static str,
         detail: String,
         winner: Option<Head>,
-    ) -> Ended<'static> {
+    ) -> Outcome<'static> {
         let winner_sections = match &winner {
             Some(head) => self.store.fetch(head, &mut PartCache::new()).await,
             None => Ok(BTreeMap::new()),
@@ -166,6 +169,6 @@
         };
         let difference = changes.ok().map(ChangeReport::all);
         let winner = winner.map(report::WinnerReport::new);
-        Ended::Refused { cause, detail, winner, difference, text }
+        Outcome::Refused { cause, detail, winner, difference, text }
     }
 }
--- a/crates/cli/src/apply/report.rs
+++ b/crates/cli/src/apply/report.rs
@@ -10,7 +10,7 @@
 /// How a submission ended.
 #[derive(Serialize)]
 #[serde(tag = "ended", rename_all = "kebab-case")]
-pub(super) enum Ended<'a> {
+pub(super) enum Outcome<'a> {
     Accepted {
         generation: u64,
     },
@@ -43,9 +43,9 @@
     },
 }
 
-impl Ended<'_> {
-    pub(super) fn findings(findings: &Findings) -> Ended<'_> {
-        Ended::Findings {
+impl Outcome<'_> {
+    pub(super) fn findings(findings: &Findings) -> Outcome<'_> {
+        Outcome::Findings {
             findings: findings.iter().map(FindingReport::new).collect(),
             text: findings.to_string(),
         }
@@ -58,18 +58,18 @@
     submission: Option<&'a str>,
     base_generation: Option<u64>,
     #[serde(flatten)]
-    ended: Ended<'a>,
+    ended: Outcome<'a>,
 }
 
 impl<'a> ApplyReport<'a> {
-    pub(super) fn unsent(ended: Ended<'a>) -> ApplyReport<'a> {
+    pub(super) fn not_submitted(ended: Outcome<'a>) -> ApplyReport<'a> {
         ApplyReport { submission: None, base_generation: None, ended }
     }
 
-    pub(super) fn sent(
+    pub(super) fn submitted(
         submission: &'a str,
         base: u64,
-        ended: Ended<'a>,
+        ended: Outcome<'a>,
     ) -> ApplyReport<'a> {
         ApplyReport {
             submission: Some(submission),
@@ -80,20 +80,20 @@
 
     fn text(&self) -> String {
         match &self.ended {
-            Ended::Accepted { generation } => {
+            Outcome::Accepted { generation } => {
                 format!("accepted as generation {generation}")
             }
-            Ended::Findings { text, .. } => {
+            Outcome::Findings { text, .. } => {
                 format!("{text}\nnot submitted")
             }
-            Ended::Refused { detail, text, .. } => format!(
+            Outcome::Refused { detail, text, .. } => format!(
                 "refused: {detail}\n\
                  from the accepted manifest to the submitted one:\n{text}"
             ),
-            Ended::IdReused { detail } | Ended::Invalid { detail } => {
+            Outcome::IdReused { detail } | Outcome::Invalid { detail } => {
                 format!("refused: {detail}")
             }
-            Ended::NotAccepted { detail } | Ended::Unknown { detail } => {
+            Outcome::NotAccepted { detail } | Outcome::Unknown { detail } => {
                 detail.clone()
             }
         }
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -114,31 +114,31 @@
     let mut unreached = Vec::new();
     if !addresses.is_empty() {
         let timeout = args::timeout_of(matches);
-        let sample = take(&addresses, timeout, &mut unreached)?;
+        let sample = collect_sample(&addresses, timeout, &mut unreached)?;
         samples.push(sample, &windows)?;
     }
     ensure!(!samples.is_empty(), "there is no sample to report from");
     if let (Some(path), false) = (path, addresses.is_empty()) {
         samples.save(path)?;
     }
-    let report = make(&manifest, &samples, &windows, unreached);
+    let report = build_report(&manifest, &samples, &windows, unreached);
     print(matches, &report, &samples)?;
-    let is_whole = report.unreached.is_empty();
-    Ok(if is_whole { Exit::Done } else { Exit::Lagging })
+    let is_complete = report.unreached.is_empty();
+    Ok(if is_complete { Exit::Done } else { Exit::Lagging })
 }
 
 /// A sample of all daemons that answer; at least one must.
-fn take(
+fn collect_sample(
     addresses: &[SocketAddr],
     timeout: Duration,
     unreached: &mut Vec<Unreached>,
 ) -> anyhow::Result<Sample> {
     let at_unix_ms = now_unix_ms()?;
     let scrape = |address| scrape::scrape(address, timeout);
-    let answers = async_io::block_on(daemons::ask_all(addresses, scrape));
+    let results = async_io::block_on(daemons::query_all(addresses, scrape));
     let mut sample = Sample { at_unix_ms, ..Sample::default() };
-    for (address, answer) in addresses.iter().zip(answers) {
-        match answer {
+    for (address, result) in addresses.iter().zip(results) {
+        match result {
             Ok(daemon) => {
                 sample.daemons.insert(*address, daemon);
             }
@@ -155,7 +155,7 @@
     Ok(sample)
 }
 
-fn make(
+fn build_report(
     manifest: &Manifest,
     samples: &Samples,
     windows: &[Window],
--- a/crates/cli/src/burn/html.rs
+++ b/crates/cli/src/burn/html.rs
@@ -22,12 +22,12 @@
 pub(super) fn page(report: &Report, series: &Series) -> String {
     let mut body = String::from("<h1>Service-level burn</h1>");
     for line in text::summary(report).lines() {
-        let _ = write!(body, "<p>{}</p>", escaped(line));
+        let _ = write!(body, "<p>{}</p>", escape_html(line));
     }
     for service in &report.services {
-        body.push_str(&service_part(service, series));
+        body.push_str(&service_section(service, series));
     }
-    body.push_str(&class_part(&report.classes));
+    body.push_str(&class_section(&report.classes));
     format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
          <title>Service-level burn</title><style>{STYLE}</style></head>\
@@ -35,24 +35,24 @@
     )
 }
 
-fn service_part(service: &ServiceReport, series: &Series) -> String {
+fn service_section(service: &ServiceReport, series: &Series) -> String {
     let name = &service.service;
     let per_10000 = service.objective_per_10000;
     let objective =
         text::objective(per_10000, service.first_token_objective_ms);
-    let mut part = format!(
+    let mut section = format!(
         "<h2>{}</h2><p>Objective: {objective}</p>{}",
-        escaped(name),
+        escape_html(name),
         window_table(service),
     );
     if series.points().len() > 1 {
         if service.budget() > 0.0 {
-            part.push_str(&plot::burn_plot(series, name, service.budget()));
+            section.push_str(&plot::burn_plot(series, name, service.budget()));
         }
-        part.push_str(&plot::request_plot(series, name));
+        section.push_str(&plot::request_plot(series, name));
     }
-    part.push_str(&outcome_table(service));
-    part
+    section.push_str(&outcome_table(service));
+    section
 }
 
 fn window_table(service: &ServiceReport) -> String {
@@ -81,7 +81,7 @@
     table(&["Window", "Outcome", "Reason", "Requests"], rows)
 }
 
-fn class_part(classes: &[ClassReport]) -> String {
+fn class_section(classes: &[ClassReport]) -> String {
     if classes.is_empty() {
         return String::new();
     }
@@ -107,7 +107,7 @@
     for row in rows {
         html.push_str("<tr>");
         for cell in row {
-            let _ = write!(html, "<td>{}</td>", escaped(&cell));
+            let _ = write!(html, "<td>{}</td>", escape_html(&cell));
         }
         html.push_str("</tr>");
     }
@@ -116,7 +116,7 @@
 }
 
 /// Text that is no markup, whatever a name holds.
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     let mut safe = String::with_capacity(text.len());
     for character in text.chars() {
         match character {
--- a/crates/cli/src/burn/plot.rs
+++ b/crates/cli/src/burn/plot.rs
@@ -2,15 +2,15 @@
 
 use std::fmt::Write as _;
 
-use super::{report::burn_rate, series::Series, window::length};
+use super::{report::burn_rate, series::Series, window::format_length};
 
 const WIDTH: f64 = 720.0;
 const HEIGHT: f64 = 160.0;
-const LEFT: f64 = 56.0;
-const BOTTOM: f64 = 22.0;
-const TOP: f64 = 10.0;
+const LEFT_MARGIN: f64 = 56.0;
+const BOTTOM_MARGIN: f64 = 22.0;
+const TOP_MARGIN: f64 = 10.0;
 /// Least top of the scale of a burn rate, so that the line at 1 is seen.
-const MIN_TOP_RATE: f64 = 2.0;
+const MIN_PLOT_MAX_RATE: f64 = 2.0;
 
 /// One step of a plot, from a sample to the next.
 struct Step {
@@ -27,17 +27,17 @@
     service: &str,
     budget: f64,
 ) -> String {
-    let steps = steps(series, service, |growth| {
-        let share = growth.bad_share().unwrap_or(0.0);
+    let steps = steps(series, service, |increase| {
+        let share = increase.bad_share().unwrap_or(0.0);
         (burn_rate(share, budget).unwrap_or(0.0), 0.0)
     });
-    let top = top_of(&steps).max(MIN_TOP_RATE);
+    let top = max_value(&steps).max(MIN_PLOT_MAX_RATE);
     let axes = Axes::new(series, top);
     let mut body = axes.grid("burn rate");
     let y = axes.y(1.0);
     let _ = write!(
         body,
-        "<line class=\"limit\" x1=\"{LEFT}\" x2=\"{WIDTH}\" y1=\"{y:.1}\" \
+        "<line class=\"limit\" x1=\"{LEFT_MARGIN}\" x2=\"{WIDTH}\" y1=\"{y:.1}\" \
          y2=\"{y:.1}\"/>"
     );
     let points: Vec<String> = steps
@@ -55,11 +55,11 @@
 
 /// Good and bad requests of a service from sample to sample.
 pub(super) fn request_plot(series: &Series, service: &str) -> String {
-    let steps = steps(series, service, |growth| {
-        let bad = growth.bad() as f64;
-        (growth.requests() as f64, bad)
+    let steps = steps(series, service, |increase| {
+        let bad = increase.bad() as f64;
+        (increase.requests() as f64, bad)
     });
-    let axes = Axes::new(series, top_of(&steps).max(1.0));
+    let axes = Axes::new(series, max_value(&steps).max(1.0));
     let mut body = axes.grid("requests");
     for step in &steps {
         body.push_str(&axes.bar("good", step, step.value));
@@ -71,16 +71,16 @@
 fn steps(
     series: &Series,
     service: &str,
-    values: impl Fn(&super::series::Growth) -> (f64, f64),
+    values: impl Fn(&super::series::Increase) -> (f64, f64),
 ) -> Vec<Step> {
-    let step = |(to_ms, growth): (u64, super::series::Growth)| {
-        let (value, bad) = values(&growth);
-        Step { from_ms: to_ms - growth.span_ms, to_ms, value, bad }
+    let step = |(to_ms, increase): (u64, super::series::Increase)| {
+        let (value, bad) = values(&increase);
+        Step { from_ms: to_ms - increase.span_ms, to_ms, value, bad }
     };
     series.steps(service).map(step).collect()
 }
 
-fn top_of(steps: &[Step]) -> f64 {
+fn max_value(steps: &[Step]) -> f64 {
     steps.iter().map(|step| step.value).fold(0.0, f64::max)
 }
 
@@ -100,12 +100,12 @@
     fn x(&self, at_ms: u64) -> f64 {
         let span = self.span_ms.max(1) as f64;
         let share = (at_ms - self.first_ms) as f64 / span;
-        LEFT + share * (WIDTH - LEFT)
+        LEFT_MARGIN + share * (WIDTH - LEFT_MARGIN)
     }
 
     fn y(&self, value: f64) -> f64 {
-        let height = HEIGHT - TOP - BOTTOM;
-        TOP + height * (1.0 - value / self.top)
+        let height = HEIGHT - TOP_MARGIN - BOTTOM_MARGIN;
+        TOP_MARGIN + height * (1.0 - value / self.top)
     }
 
     fn bar(&self, class: &str, step: &Step, value: f64) -> String {
@@ -121,16 +121,16 @@
     fn grid(&self, unit: &str) -> String {
         let (floor, ceiling) = (self.y(0.0), self.y(self.top));
         let below = HEIGHT - 6.0;
-        let ago = length(self.span_ms);
+        let ago = format_length(self.span_ms);
         let top = format!("{:.1}", self.top);
         format!(
-            "<line class=\"axis\" x1=\"{LEFT}\" x2=\"{WIDTH}\" \
+            "<line class=\"axis\" x1=\"{LEFT_MARGIN}\" x2=\"{WIDTH}\" \
              y1=\"{floor:.1}\" y2=\"{floor:.1}\"/>\
-             <line class=\"axis\" x1=\"{LEFT}\" x2=\"{LEFT}\" \
+             <line class=\"axis\" x1=\"{LEFT_MARGIN}\" x2=\"{LEFT_MARGIN}\" \
              y1=\"{ceiling:.1}\" y2=\"{floor:.1}\"/>\
              <text x=\"0\" y=\"{:.1}\">{top}</text>\
              <text x=\"0\" y=\"{floor:.1}\">0</text>\
-             <text x=\"{LEFT}\" y=\"{below:.1}\">{ago} ago</text>\
+             <text x=\"{LEFT_MARGIN}\" y=\"{below:.1}\">{ago} ago</text>\
              <text x=\"{WIDTH}\" y=\"{below:.1}\" class=\"end\">now</text>\
              <text x=\"{:.1}\" y=\"{below:.1}\">{unit}</text>",
             ceiling + 4.0,
--- a/crates/cli/src/burn/report.rs
+++ b/crates/cli/src/burn/report.rs
@@ -15,11 +15,11 @@
 use serde::Serialize;
 
 use super::{
-    series::{Growth, Series},
+    series::{Increase, Series},
     window::Window,
 };
 
-const PARTS: u32 = 10_000;
+const OBJECTIVE_SCALE: u32 = 10_000;
 /// Why an objective of a class has no figures.
 pub(super) const CLASS_NOTE: &str =
     "not measured: daemons count by service, not by class of account";
@@ -119,9 +119,10 @@
         let services = services.map(|(name, service)| {
             service_report(name, service.objective(), series, windows)
         });
-        let known: BTreeSet<&str> =
+        let in_manifest: BTreeSet<&str> =
             manifest.services.keys().map(String::as_str).collect();
-        let unknown = series.services().filter(|s| !known.contains(s));
+        let not_in_manifest =
+            series.services().filter(|s| !in_manifest.contains(s));
         Report {
             at_unix_ms: series.last().at_unix_ms,
             samples: series.points().len(),
@@ -130,7 +131,9 @@
             unreached: Vec::new(),
             services: services.collect(),
             classes: class_reports(manifest),
-            services_without_objective: unknown.map(str::to_owned).collect(),
+            services_without_objective: not_in_manifest
+                .map(str::to_owned)
+                .collect(),
         }
     }
 
@@ -156,19 +159,22 @@
 ) -> ServiceReport {
     let Objective { objective_per_10000, first_token_objective_ms } =
         objective;
-    let growths: Vec<(Window, Result<Growth, String>)> = windows
+    let increases: Vec<(Window, Result<Increase, String>)> = windows
         .iter()
         .map(|window| (*window, series.window(name, *window)))
         .collect();
-    let longest = growths
+    let longest = increases
         .iter()
-        .filter_map(|(window, growth)| Some((window, growth.as_ref().ok()?)))
+        .filter_map(|(window, increase)| {
+            Some((window, increase.as_ref().ok()?))
+        })
         .max_by_key(|(window, _)| window.length_ms());
-    let outcomes = longest.map(|(window, growth)| outcomes(*window, growth));
-    let windows = growths.iter().map(|(window, growth)| WindowReport {
+    let outcomes =
+        longest.map(|(window, increase)| outcomes(*window, increase));
+    let windows = increases.iter().map(|(window, increase)| WindowReport {
         window: window.to_string(),
-        not_covered: growth.as_ref().err().cloned(),
-        figures: growth.as_ref().ok().map(|g| figures(g, objective)),
+        not_covered: increase.as_ref().err().cloned(),
+        figures: increase.as_ref().ok().map(|g| figures(g, objective)),
     });
     ServiceReport {
         service: name.to_owned(),
@@ -179,8 +185,8 @@
     }
 }
 
-fn outcomes(window: Window, growth: &Growth) -> Vec<OutcomeReport> {
-    let outcomes = growth.counts.iter();
+fn outcomes(window: Window, increase: &Increase) -> Vec<OutcomeReport> {
+    let outcomes = increase.counts.iter();
     let report =
         |(outcome, reason, requests): (&str, &str, u64)| OutcomeReport {
             window: window.to_string(),
@@ -191,12 +197,12 @@
     outcomes.map(report).collect()
 }
 
-fn figures(growth: &Growth, objective: Objective) -> Figures {
+fn figures(increase: &Increase, objective: Objective) -> Figures {
     let budget = budget(objective.objective_per_10000);
-    let (requests, bad) = (growth.requests(), growth.bad());
-    let bad_share = growth.bad_share();
+    let (requests, bad) = (increase.requests(), increase.bad());
+    let bad_share = increase.bad_share();
     Figures {
-        span_ms: growth.span_ms,
+        span_ms: increase.span_ms,
         requests,
         bad,
         allowed_bad: requests as f64 * budget,
@@ -216,7 +222,8 @@
 }
 
 fn budget(objective_per_10000: u32) -> f64 {
-    f64::from(PARTS - objective_per_10000) / f64::from(PARTS)
+    f64::from(OBJECTIVE_SCALE - objective_per_10000)
+        / f64::from(OBJECTIVE_SCALE)
 }
 
 fn class_reports(manifest: &Manifest) -> Vec<ClassReport> {
--- a/crates/cli/src/burn/samples.rs
+++ b/crates/cli/src/burn/samples.rs
@@ -18,7 +18,7 @@
 /// Form of the file.
 const VERSION: u32 = 1;
 /// Samples are kept for at least this time.
-const MIN_KEPT_MS: u64 = 3 * 24 * 60 * 60 * 1_000;
+const MIN_RETENTION_MS: u64 = 3 * 24 * 60 * 60 * 1_000;
 /// Reason of requests that were wrong themselves; they count nowhere.
 const BAD_REQUEST: &str = "bad_request";
 
@@ -117,13 +117,13 @@
 
     /// Replaces the file.
     pub(super) fn save(&self, path: &Path) -> anyhow::Result<()> {
-        let unwritten = || format!("cannot write {}", path.display());
+        let cannot_write = || format!("cannot write {}", path.display());
         let mut name = path.as_os_str().to_owned();
         name.push(".new");
         let new = PathBuf::from(name);
         let text = serde_json::to_string(self)?;
-        fs::write(&new, text).with_context(unwritten)?;
-        fs::rename(&new, path).with_context(unwritten)
+        fs::write(&new, text).with_context(cannot_write)?;
+        fs::rename(&new, path).with_context(cannot_write)
     }
 
     /// Adds the newest and forgets those that no window needs.
@@ -140,8 +140,9 @@
              now; the clock went back",
         );
         let longest = windows.iter().map(|w| w.length_ms()).max();
-        let kept_ms = longest.unwrap_or(0).saturating_mul(2).max(MIN_KEPT_MS);
-        self.samples.retain(|s| s.at_unix_ms + kept_ms >= now);
+        let retention_ms =
+            longest.unwrap_or(0).saturating_mul(2).max(MIN_RETENTION_MS);
+        self.samples.retain(|s| s.at_unix_ms + retention_ms >= now);
         self.samples.push(sample);
         Ok(())
     }
--- a/crates/cli/src/burn/scrape.rs
+++ b/crates/cli/src/burn/scrape.rs
@@ -34,7 +34,7 @@
     let status: Status = serde_json::from_str(&status)
         .with_context(|| format!("{address} tells no status"))?;
     let metrics = fetch(address, "/metrics", timeout).await?;
-    let services = services(&metrics)
+    let services = parse_services(&metrics)
         .with_context(|| format!("the metrics of {address}"))?;
     Ok(DaemonSample { vm: status.vm, boot_id: status.boot_id, services })
 }
@@ -58,48 +58,50 @@
     Ok(String::from_utf8(body)?)
 }
 
-fn services(metrics: &str) -> anyhow::Result<BTreeMap<String, ServiceCounts>> {
+fn parse_services(
+    metrics: &str,
+) -> anyhow::Result<BTreeMap<String, ServiceCounts>> {
     let mut services: BTreeMap<String, ServiceCounts> = BTreeMap::new();
     for line in metrics.lines() {
-        let Some(series) = Series::try_parse(line)? else {
+        let Some(metric) = MetricLine::try_parse(line)? else {
             continue;
         };
         let label =
-            |name: &str| series.labels.get(name).cloned().unwrap_or_default();
+            |name: &str| metric.labels.get(name).cloned().unwrap_or_default();
         let counts = services.entry(label(SERVICE)).or_default();
-        match series.name {
-            WITHIN_TARGET => counts.within_target += series.value,
-            _ => counts.add(&label(OUTCOME), &label(REASON), series.value),
+        match metric.name {
+            WITHIN_TARGET => counts.within_target += metric.value,
+            _ => counts.add(&label(OUTCOME), &label(REASON), metric.value),
         }
     }
     Ok(services)
 }
 
 /// One line of the text format.
-struct Series<'a> {
+struct MetricLine<'a> {
     name: &'a str,
     labels: BTreeMap<String, String>,
     value: u64,
 }
 
-impl Series<'_> {
+impl MetricLine<'_> {
     /// None for a line that is not one of the two counters.
-    fn try_parse(line: &str) -> anyhow::Result<Option<Series<'_>>> {
+    fn try_parse(line: &str) -> anyhow::Result<Option<MetricLine<'_>>> {
         let Some((name, rest)) = line.split_once('{') else {
             return Ok(None);
         };
         if name != REQUESTS && name != WITHIN_TARGET {
             return Ok(None);
         }
-        let wrong = || format!("{line:?} is no series");
-        let (labels, value) = labels(rest).with_context(wrong)?;
-        let value: f64 = value.trim().parse().with_context(wrong)?;
-        Ok(Some(Series { name, labels, value: value as u64 }))
+        let invalid = || format!("{line:?} is no series");
+        let (labels, value) = parse_labels(rest).with_context(invalid)?;
+        let value: f64 = value.trim().parse().with_context(invalid)?;
+        Ok(Some(MetricLine { name, labels, value: value as u64 }))
     }
 }
 
 /// Labels up to the closing brace, and what follows it.
-fn labels(mut rest: &str) -> Option<(BTreeMap<String, String>, &str)> {
+fn parse_labels(mut rest: &str) -> Option<(BTreeMap<String, String>, &str)> {
     let mut labels = BTreeMap::new();
     loop {
         rest = rest.trim_start_matches(',');
@@ -107,14 +109,14 @@
             return Some((labels, value));
         }
         let (name, quoted) = rest.split_once("=\"")?;
-        let (value, after) = unquoted(quoted)?;
+        let (value, after) = parse_quoted(quoted)?;
         labels.insert(name.to_owned(), value);
         rest = after;
     }
 }
 
 /// A value up to its closing quote, and what follows it.
-fn unquoted(quoted: &str) -> Option<(String, &str)> {
+fn parse_quoted(quoted: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut characters = quoted.char_indices();
     while let Some((at, character)) = characters.next() {
--- a/crates/cli/src/burn/series.rs
+++ b/crates/cli/src/burn/series.rs
@@ -17,12 +17,12 @@
 
 use super::{
     samples::{DaemonSample, Samples, ServiceCounts},
-    window::{Window, length},
+    window::{Window, format_length},
 };
 
 /// A window may be longer than asked for by this part, since samples are not
 /// taken at its very start.
-const MAX_STRETCH: f64 = 1.25;
+const MAX_WINDOW_STRETCH: f64 = 1.25;
 
 /// Growth since the first sample.
 #[derive(Clone, Debug, Default)]
@@ -40,12 +40,12 @@
 
 /// Growth of one service between two samples.
 #[derive(Debug)]
-pub(super) struct Growth {
+pub(super) struct Increase {
     pub(super) span_ms: u64,
     pub(super) counts: ServiceCounts,
 }
 
-impl Growth {
+impl Increase {
     /// Requests that count towards the objective.
     pub(super) fn requests(&self) -> u64 {
         self.counts.requests()
@@ -66,16 +66,17 @@
 impl Series {
     /// Sums over samples.
     pub(super) fn new(samples: &Samples) -> Series {
-        let mut seen: BTreeMap<SocketAddr, &DaemonSample> = BTreeMap::new();
+        let mut previous: BTreeMap<SocketAddr, &DaemonSample> =
+            BTreeMap::new();
         let mut sum = Point::default();
         let mut series = Series { points: Vec::new(), restarts: 0 };
         for sample in samples.iter() {
             sum.at_unix_ms = sample.at_unix_ms;
             for (address, daemon) in &sample.daemons {
-                if let Some(old) = seen.insert(*address, daemon) {
+                if let Some(old) = previous.insert(*address, daemon) {
                     let is_restart = is_restart(old, daemon);
                     series.restarts += usize::from(is_restart);
-                    sum.grow(
+                    sum.add_increase(
                         if is_restart { None } else { Some(old) },
                         daemon,
                     );
@@ -120,7 +121,7 @@
         &self,
         service: &str,
         window: Window,
-    ) -> Result<Growth, String> {
+    ) -> Result<Increase, String> {
         let last = self.last();
         let start = last.at_unix_ms.checked_sub(window.length_ms());
         let before = self
@@ -129,15 +130,17 @@
             .rev()
             .find(|p| start.is_some_and(|start| p.at_unix_ms <= start));
         let Some(before) = before else {
-            let reach = length(self.span_ms());
+            let reach = format_length(self.span_ms());
             return Err(format!("samples reach back {reach}"));
         };
-        let growth = last.since(before, service);
-        if growth.span_ms as f64 > window.length_ms() as f64 * MAX_STRETCH {
-            let span = length(growth.span_ms);
+        let increase = last.increase_since(before, service);
+        if increase.span_ms as f64
+            > window.length_ms() as f64 * MAX_WINDOW_STRETCH
+        {
+            let span = format_length(increase.span_ms);
             return Err(format!("samples are too far apart: {span}"));
         }
-        Ok(growth)
+        Ok(increase)
     }
 
     /// Growth of a service from each sample to the next, with the time of
@@ -145,28 +148,33 @@
     pub(super) fn steps<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = (u64, Growth)> + 'a {
+    ) -> impl Iterator<Item = (u64, Increase)> + 'a {
         let pairs = self.points.windows(2);
-        pairs
-            .map(|pair| (pair[1].at_unix_ms, pair[1].since(&pair[0], service)))
+        pairs.map(|pair| {
+            (pair[1].at_unix_ms, pair[1].increase_since(&pair[0], service))
+        })
     }
 }
 
 impl Point {
-    fn grow(&mut self, old: Option<&DaemonSample>, new: &DaemonSample) {
+    fn add_increase(
+        &mut self,
+        old: Option<&DaemonSample>,
+        new: &DaemonSample,
+    ) {
         let none = ServiceCounts::default();
         for (name, counts) in &new.services {
             let old = old.and_then(|o| o.services.get(name)).unwrap_or(&none);
             let sum = self.services.entry(name.clone()).or_default();
             sum.within_target += counts.within_target - old.within_target;
             for (outcome, reason, count) in counts.iter() {
-                let grown = count - old.count(outcome, reason);
-                sum.add(outcome, reason, grown);
+                let increase = count - old.count(outcome, reason);
+                sum.add(outcome, reason, increase);
             }
         }
     }
 
-    fn since(&self, before: &Point, service: &str) -> Growth {
+    fn increase_since(&self, before: &Point, service: &str) -> Increase {
         let none = ServiceCounts::default();
         let old = before.services.get(service).unwrap_or(&none);
         let new = self.services.get(service).unwrap_or(&none);
@@ -175,23 +183,23 @@
             ..ServiceCounts::default()
         };
         for (outcome, reason, count) in new.iter() {
-            let grown = count - old.count(outcome, reason);
-            if grown > 0 {
-                counts.add(outcome, reason, grown);
+            let increase = count - old.count(outcome, reason);
+            if increase > 0 {
+                counts.add(outcome, reason, increase);
             }
         }
-        Growth { span_ms: self.at_unix_ms - before.at_unix_ms, counts }
+        Increase { span_ms: self.at_unix_ms - before.at_unix_ms, counts }
     }
 }
 
 /// Whether the counters began anew; one that is gone has fallen too.
 fn is_restart(old: &DaemonSample, new: &DaemonSample) -> bool {
     let none = ServiceCounts::default();
-    let has_fallen = old.services.iter().any(|(name, old)| {
+    let has_decreased = old.services.iter().any(|(name, old)| {
         let new = new.services.get(name).unwrap_or(&none);
         let mut outcomes = old.iter();
         new.within_target < old.within_target
             || outcomes.any(|(o, r, count)| new.count(o, r) < count)
     });
-    old.boot_id != new.boot_id || old.vm != new.vm || has_fallen
+    old.boot_id != new.boot_id || old.vm != new.vm || has_decreased
 }
--- a/crates/cli/src/burn/text.rs
+++ b/crates/cli/src/burn/text.rs
@@ -2,29 +2,29 @@
 
 use super::{
     report::{ClassReport, Figures, Report, ServiceReport, WindowReport},
-    window::length,
+    window::format_length,
 };
 use crate::output::Table;
 
 /// The whole report.
 pub(super) fn text(report: &Report) -> String {
-    let mut parts = vec![summary(report), burn_table(report)];
-    parts.extend(outcome_table(report));
-    parts.extend(class_table(&report.classes));
-    parts.join("\n\n")
+    let mut paragraphs = vec![summary(report), burn_table(report)];
+    paragraphs.extend(outcome_table(report));
+    paragraphs.extend(class_table(&report.classes));
+    paragraphs.join("\n\n")
 }
 
 /// What the report is made from, and what it lacks.
 pub(super) fn summary(report: &Report) -> String {
     let Report { samples, restarts, .. } = report;
-    let span = length(report.span_ms);
+    let span = format_length(report.span_ms);
     let mut lines = vec![format!(
         "samples: {samples} over {span}; restarts of daemons: {restarts}"
     )];
     lines.extend(report.unreached.iter().map(ToString::to_string));
-    let others = &report.services_without_objective;
-    if !others.is_empty() {
-        let names = others.join(", ");
+    let unlisted = &report.services_without_objective;
+    if !unlisted.is_empty() {
+        let names = unlisted.join(", ");
         lines.push(format!("counted, and not in the manifest: {names}"));
     }
     lines.join("\n")
--- a/crates/cli/src/burn/window.rs
+++ b/crates/cli/src/burn/window.rs
@@ -49,12 +49,12 @@
 
 impl fmt::Display for Window {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&length(self.length_ms))
+        f.write_str(&format_length(self.length_ms))
     }
 }
 
 /// A length in its two largest units.
-pub(super) fn length(mut length_ms: u64) -> String {
+pub(super) fn format_length(mut length_ms: u64) -> String {
     let mut parts = Vec::new();
     for (name, unit_ms) in UNITS {
         let count = length_ms / unit_ms;
--- a/crates/cli/src/daemons.rs
+++ b/crates/cli/src/daemons.rs
@@ -29,9 +29,9 @@
 
 /// Asks all at once, so that one that is silent delays no other; answers in
 /// the order of the addresses.
-pub(crate) async fn ask_all<T, F>(
+pub(crate) async fn query_all<T, F>(
     addresses: &[SocketAddr],
-    ask: impl Fn(SocketAddr) -> F,
+    query: impl Fn(SocketAddr) -> F,
 ) -> Vec<T>
 where
     T: Send,
@@ -40,14 +40,14 @@
     let executor = Executor::new();
     let tasks: Vec<_> = addresses
         .iter()
-        .map(|address| executor.spawn(ask(*address)))
+        .map(|address| executor.spawn(query(*address)))
         .collect();
     let all = async {
-        let mut answers = Vec::with_capacity(tasks.len());
+        let mut results = Vec::with_capacity(tasks.len());
         for task in tasks {
-            answers.push(task.await);
+            results.push(task.await);
         }
-        answers
+        results
     };
     executor.run(all).await
 }
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -21,7 +21,7 @@
 const WAIT_MS: &str = "wait-ms";
 const MAX_WAIT_MS: u64 = 86_400_000;
 /// Time between two looks at what is left.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Its arguments.
 pub(crate) fn command() -> Command {
@@ -92,8 +92,8 @@
         }
         let mut status = client.status().await?;
         if let Some(wait) = self.wait {
-            let until = Instant::now() + wait;
-            status = self.wait_until_idle(&client, status, until).await?;
+            let deadline = Instant::now() + wait;
+            status = self.wait_until_idle(&client, status, deadline).await?;
         }
         Ok(self.report(&status))
     }
@@ -102,16 +102,17 @@
         &self,
         client: &ControlClient,
         mut status: NodeStatus,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<NodeStatus, ControlError> {
-        while self.left(&status) > 0 && Instant::now() < until {
-            Timer::after(LOOK).await;
+        while self.remaining_requests(&status) > 0 && Instant::now() < deadline
+        {
+            Timer::after(POLL_INTERVAL).await;
             status = client.status().await?;
         }
         Ok(status)
     }
 
-    fn left(&self, status: &NodeStatus) -> u64 {
+    fn remaining_requests(&self, status: &NodeStatus) -> u64 {
         let Some(name) = self.backend else {
             return status.requests_in_flight;
         };
@@ -125,7 +126,7 @@
             vm: status.vm.clone(),
             backend: self.backend.map(str::to_owned),
             is_draining: !self.is_undo,
-            left: self.left(status),
+            left: self.remaining_requests(status),
             was_waited_for: self.wait.is_some(),
         }
     }
@@ -147,19 +148,19 @@
             true => output::print_json(self)?,
             false => output::print_text(&self.text())?,
         }
-        let is_late = self.was_waited_for && self.left > 0;
-        Ok(if is_late { Exit::Lagging } else { Exit::Done })
+        let is_incomplete = self.was_waited_for && self.left > 0;
+        Ok(if is_incomplete { Exit::Lagging } else { Exit::Done })
     }
 
     fn text(&self) -> String {
-        let what = match &self.backend {
+        let target = match &self.backend {
             Some(backend) => format!("{backend} beside {}", self.vm),
             None => self.vm.clone(),
         };
         let left = self.left;
         match self.is_draining {
-            true => format!("{what} drains; requests left: {left}"),
-            false => format!("{what} takes new work again"),
+            true => format!("{target} drains; requests left: {left}"),
+            false => format!("{target} takes new work again"),
         }
     }
 }
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -18,8 +18,8 @@
 
 use crate::{args, daemons, exit::Exit, output};
 
-mod made;
-mod possible;
+mod hypothetical;
+mod recorded;
 
 pub(crate) const NAME: &str = "explain";
 const REQUEST: &str = "request";
@@ -74,20 +74,20 @@
     let addresses = args::addresses_of(matches, daemons::CONTROL);
     let query = query(matches);
     let timeout = args::timeout_of(matches);
-    let ask = async |address: SocketAddr| {
+    let query_entry = async |address: SocketAddr| {
         daemons::connect(address, timeout).await?.explain(&query).await
     };
-    let answer = async_io::block_on(async {
-        let mut failed = None;
+    let response = async_io::block_on(async {
+        let mut failure = None;
         for address in &addresses {
-            match ask(*address).await {
+            match query_entry(*address).await {
                 Ok(text) => return Ok(text),
-                Err(e) => failed = Some(keep(failed, e)),
+                Err(e) => failure = Some(more_informative(failure, e)),
             }
         }
-        Err(failed.expect("clap asks for an address"))
+        Err(failure.expect("clap asks for an address"))
     });
-    match answer {
+    match response {
         Ok(text) => print(matches, &query, &text),
         Err(e) => {
             eprintln!("chestnutreach: {e}");
@@ -98,8 +98,11 @@
 
 /// Of two failures, the one that says more: "not remembered" is known only
 /// when every entry was reached.
-fn keep(old: Option<ControlError>, new: ControlError) -> ControlError {
-    let unknown = |e: &ControlError| {
+fn more_informative(
+    old: Option<ControlError>,
+    new: ControlError,
+) -> ControlError {
+    let is_unknown_request = |e: &ControlError| {
         let refusal = match e {
             ControlError::Refused(refusal) => refusal,
             _ => return false,
@@ -107,7 +110,7 @@
         matches!(refusal, ControlRefusal::UnknownRequest { .. })
     };
     match old {
-        Some(old) if unknown(&new) => old,
+        Some(old) if is_unknown_request(&new) => old,
         _ => new,
     }
 }
@@ -143,11 +146,11 @@
         output::print_json(&value)?;
         return Ok(Exit::Done);
     }
-    let shown = match query {
-        ExplainQuery::Request { .. } => made::text(text),
-        ExplainQuery::Described(_) => possible::text(text),
+    let formatted = match query {
+        ExplainQuery::Request { .. } => recorded::text(text),
+        ExplainQuery::Described(_) => hypothetical::text(text),
     };
-    let shown = shown.context("the entry's answer cannot be read")?;
-    output::print_text(&shown)?;
+    let formatted = formatted.context("the entry's answer cannot be read")?;
+    output::print_text(&formatted)?;
     Ok(Exit::Done)
 }
--- a/crates/cli/src/explain/possible.rs
+++ b/crates/cli/src/explain/hypothetical.rs
@@ -5,7 +5,7 @@
 use crate::output::Table;
 
 #[derive(Deserialize)]
-struct Possible {
+struct HypotheticalChoice {
     stages: Vec<String>,
     first_token_ms: u64,
     total_ms: u64,
@@ -40,18 +40,20 @@
 
 /// The answer for a described request as text.
 pub(super) fn text(json: &str) -> Result<String, serde_json::Error> {
-    let possible: Possible = serde_json::from_str(json)?;
-    Ok(format!("{}\n\n{}", possible.heading(), possible.table()))
+    let choice: HypotheticalChoice = serde_json::from_str(json)?;
+    Ok(format!("{}\n\n{}", choice.heading(), choice.table()))
 }
 
-impl Possible {
+impl HypotheticalChoice {
     fn heading(&self) -> String {
         if let Some(why) = &self.no_chain {
             let retry_after_ms = self.retry_after_ms.unwrap_or(0);
             return format!("no chain: {why}; again in {retry_after_ms} ms");
         }
         let chain = self.stages.join(" > ");
-        let Possible { first_token_ms, total_ms, price_micros, .. } = self;
+        let HypotheticalChoice {
+            first_token_ms, total_ms, price_micros, ..
+        } = self;
         format!(
             "chain: {chain}\n\
              first token after {first_token_ms} ms, whole after {total_ms} \
@@ -93,22 +95,22 @@
     }
 
     fn row(&self) -> [String; 11] {
-        let figure = |of: fn(&Cost) -> f64| {
+        let component = |select: fn(&Cost) -> f64| {
             let cost = self.cost.as_ref();
-            cost.map_or("-".to_owned(), |c| format!("{:.2}", of(c)))
+            cost.map_or("-".to_owned(), |c| format!("{:.2}", select(c)))
         };
         [
             self.backend.clone(),
             format!("{}..{}", self.first_layer, self.end_layer),
             self.result(),
-            figure(|c| c.weighted),
-            figure(|c| c.wait_ms),
-            figure(|c| c.prompt_ms),
-            figure(|c| c.step_ms),
-            figure(|c| c.price_micros),
-            figure(|c| c.utilisation),
-            figure(|c| c.weighted_price),
-            figure(|c| c.weighted_load),
+            component(|c| c.weighted),
+            component(|c| c.wait_ms),
+            component(|c| c.prompt_ms),
+            component(|c| c.step_ms),
+            component(|c| c.price_micros),
+            component(|c| c.utilisation),
+            component(|c| c.weighted_price),
+            component(|c| c.weighted_load),
         ]
     }
 }
--- a/crates/cli/src/explain/made.rs
+++ b/crates/cli/src/explain/recorded.rs
@@ -5,11 +5,11 @@
 use crate::output::Table;
 
 #[derive(Deserialize)]
-struct Made {
+struct RecordedRequest {
     request: String,
     service: String,
     account: String,
-    choices: Vec<MadeChoice>,
+    choices: Vec<RecordedChoice>,
     outcome: Option<String>,
     reason: Option<String>,
     detail: String,
@@ -17,7 +17,7 @@
 }
 
 #[derive(Deserialize)]
-struct MadeChoice {
+struct RecordedChoice {
     at_ms: u64,
     stages: Vec<String>,
     avoided: Vec<String>,
@@ -31,18 +31,18 @@
 
 /// The answer for a request as text.
 pub(super) fn text(json: &str) -> Result<String, serde_json::Error> {
-    let made: Made = serde_json::from_str(json)?;
-    Ok(format!("{}\n{}", made.heading(), made.table()))
+    let request: RecordedRequest = serde_json::from_str(json)?;
+    Ok(format!("{}\n{}", request.heading(), request.table()))
 }
 
-impl Made {
+impl RecordedRequest {
     fn heading(&self) -> String {
-        let Made { request, service, account, .. } = self;
-        let end = self.end();
-        format!("request {request} of {account} to {service}: {end}")
+        let RecordedRequest { request, service, account, .. } = self;
+        let result = self.result();
+        format!("request {request} of {account} to {service}: {result}")
     }
 
-    fn end(&self) -> String {
+    fn result(&self) -> String {
         let Some(elapsed_ms) = self.elapsed_ms else {
             return "under way".to_owned();
         };
@@ -53,8 +53,8 @@
                 .to_owned(),
         };
         let why = [self.reason.as_deref(), Some(self.detail.as_str())];
-        let why = why.into_iter().flatten().filter(|w| !w.is_empty());
-        let why: String = why.map(|w| format!(", {w}")).collect();
+        let why = why.into_iter().flatten().filter(|text| !text.is_empty());
+        let why: String = why.map(|text| format!(", {text}")).collect();
         format!("{outcome} after {elapsed_ms} ms{why}")
     }
 
@@ -80,7 +80,7 @@
     }
 }
 
-impl MadeChoice {
+impl RecordedChoice {
     fn row(&self) -> [String; 9] {
         let or_dash =
             |text: Option<&String>| text.map_or("-".to_owned(), String::clone);
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -36,21 +36,21 @@
     let table = matches.get_one::<SocketAddr>(TABLE).copied();
     let report = async_io::block_on(async {
         let store = match table {
-            Some(table) => Some(accepted(table, timeout).await),
+            Some(table) => Some(fetch_accepted(table, timeout).await),
             None => None,
         };
-        let ask = |address| ask(address, timeout);
-        let daemons = daemons::ask_all(&addresses, ask).await;
+        let query = |address| fetch_status(address, timeout);
+        let daemons = daemons::query_all(&addresses, query).await;
         Report::new(daemons, store)
     });
     match args::is_json(matches) {
         true => output::print_json(&report)?,
         false => output::print_text(&report.text())?,
     }
-    Ok(if report.is_whole() { Exit::Done } else { Exit::Lagging })
+    Ok(if report.is_current() { Exit::Done } else { Exit::Lagging })
 }
 
-async fn ask(address: SocketAddr, timeout: Duration) -> Daemon {
+async fn fetch_status(address: SocketAddr, timeout: Duration) -> Daemon {
     let status =
         async { daemons::connect(address, timeout).await?.status().await };
     let (status, error) = match status.await {
@@ -60,7 +60,7 @@
     Daemon { address, status, error, behind: None }
 }
 
-async fn accepted(table: SocketAddr, timeout: Duration) -> Accepted {
+async fn fetch_accepted(table: SocketAddr, timeout: Duration) -> Accepted {
     // A head is read from the table service alone; the object store is never
     // called.
     let objects = ObjectClient::new(table, timeout);
@@ -102,8 +102,9 @@
 impl Report {
     fn new(mut daemons: Vec<Daemon>, store: Option<Accepted>) -> Report {
         let accepted = store.as_ref().and_then(|s| s.generation);
-        let in_force = daemons.iter().filter_map(Daemon::generation);
-        let highest_generation = in_force.chain(accepted).max().unwrap_or(0);
+        let generations = daemons.iter().filter_map(Daemon::generation);
+        let highest_generation =
+            generations.chain(accepted).max().unwrap_or(0);
         for daemon in &mut daemons {
             let generation = daemon.generation();
             daemon.behind = generation.map(|g| highest_generation - g);
@@ -112,19 +113,20 @@
     }
 
     /// Whether everyone answered and has the highest generation.
-    fn is_whole(&self) -> bool {
-        let is_known = self.store.as_ref().is_none_or(|s| s.error.is_none());
-        is_known && self.daemons.iter().all(|d| d.behind == Some(0))
+    fn is_current(&self) -> bool {
+        let store_responded =
+            self.store.as_ref().is_none_or(|s| s.error.is_none());
+        store_responded && self.daemons.iter().all(|d| d.behind == Some(0))
     }
 
     fn text(&self) -> String {
-        let mut parts = vec![self.daemon_table()];
-        parts.extend(self.backend_table());
+        let mut paragraphs = vec![self.daemon_table()];
+        paragraphs.extend(self.backend_table());
         let mut lines: Vec<String> =
-            self.daemons.iter().filter_map(Daemon::complaint).collect();
+            self.daemons.iter().filter_map(Daemon::problem).collect();
         lines.push(self.summary());
-        parts.push(lines.join("\n"));
-        parts.join("\n\n")
+        paragraphs.push(lines.join("\n"));
+        paragraphs.join("\n\n")
     }
 
     fn daemon_table(&self) -> String {
@@ -210,7 +212,7 @@
     }
 
     /// What keeps the fleet from being whole.
-    fn complaint(&self) -> Option<String> {
+    fn problem(&self) -> Option<String> {
         let address = self.address;
         match (&self.status, &self.error, self.behind) {
             (Some(status), _, Some(behind)) if behind > 0 => Some(format!(
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -23,25 +23,25 @@
 
 mod burn;
 mod check;
+mod explain;
 mod log;
 mod needs;
 mod quarantine;
-mod route;
 mod state;
 mod statuses;
 mod trace;
 
 pub(crate) const NAME: &str = "site";
 /// Subcommands of the tool that can't apply here, and why.
-const REFUSED: [(&str, &str); 2] = [
+const UNAVAILABLE_SUBCOMMANDS: [(&str, &str); 2] = [
     ("apply", "the platform's operator writes the configuration"),
     ("drain", "the platform stops processes and replaces engines"),
 ];
 
 /// Its arguments.
 pub(crate) fn command() -> Command {
-    let refused =
-        REFUSED.map(|(name, why)| Command::new(name).about(why).hide(true));
+    let unavailable = UNAVAILABLE_SUBCOMMANDS
+        .map(|(name, why)| Command::new(name).about(why).hide(true));
     Command::new(NAME)
         .about("Looks after an installation on the users' platform")
         .subcommand_required(true)
@@ -49,13 +49,13 @@
         .subcommands([
             check::command(),
             state::command(),
-            route::command(),
+            explain::command(),
             trace::command(),
             quarantine::command(),
             needs::command(),
             burn::command(),
         ])
-        .subcommands(refused)
+        .subcommands(unavailable)
 }
 
 /// Runs the subcommand.
@@ -63,13 +63,16 @@
     match matches.subcommand() {
         Some((check::NAME, matches)) => check::run(matches),
         Some((state::NAME, matches)) => state::run(matches),
-        Some((route::NAME, matches)) => route::run(matches),
+        Some((explain::NAME, matches)) => explain::run(matches),
         Some((trace::NAME, matches)) => trace::run(matches),
         Some((quarantine::NAME, matches)) => quarantine::run(matches),
         Some((needs::NAME, matches)) => needs::run(matches),
         Some((burn::NAME, matches)) => burn::run(matches),
         Some((name, _)) => {
-            let why = REFUSED.iter().find(|r| r.0 == name).map(|r| r.1);
+            let why = UNAVAILABLE_SUBCOMMANDS
+                .iter()
+                .find(|r| r.0 == name)
+                .map(|r| r.1);
             let why = why.unwrap_or_default();
             eprintln!("site {name} can't be done here: {why}");
             Ok(Exit::Refused)
--- a/crates/cli/src/site/burn.rs
+++ b/crates/cli/src/site/burn.rs
@@ -22,11 +22,11 @@
 const OBJECTIVE: &str = "objective";
 const HTML: &str = "html";
 /// Characters of a time down to the second.
-const SECOND: usize = "2026-01-01T00:00:00".len();
+const TIMESTAMP_SECOND_LEN: usize = "2026-01-01T00:00:00".len();
 /// Size of a plot.
-const PLOT: (f64, f64) = (720.0, 120.0);
+const PLOT_SIZE: (f64, f64) = (720.0, 120.0);
 /// Top of the scale of a plot, as a burn rate.
-const TOP_RATE: f64 = 20.0;
+const MAX_PLOTTED_RATE: f64 = 20.0;
 
 /// Its arguments.
 pub(crate) fn command() -> Command {
@@ -75,7 +75,7 @@
         return Ok(Exit::Findings);
     }
     let budget = 1.0 - objective;
-    let routes = count(&log::load(matches)?);
+    let routes = count_by_route(&log::load(matches)?);
     if let Some(path) = matches.get_one::<PathBuf>(HTML) {
         write_page(path, &routes, budget)?;
     }
@@ -102,7 +102,7 @@
             route.all.good.to_string(),
             route.all.bad.to_string(),
             format!("{:.2}", route.all.bad_share() / budget),
-            format!("{:.2}", worst(route) / budget),
+            format!("{:.2}", worst_bad_share(route) / budget),
             route.resumed.to_string(),
             route.path_changes.to_string(),
         ]);
@@ -111,18 +111,19 @@
     Ok(Exit::Done)
 }
 
-fn count(lines: &[Line]) -> BTreeMap<String, Route> {
+fn count_by_route(lines: &[Line]) -> BTreeMap<String, Route> {
     let mut routes: BTreeMap<String, Route> = BTreeMap::new();
     for line in lines.iter().filter(|l| l.name() == "relay_ended") {
         // What belongs to no route, or was given up by the client, says
         // nothing of the service.
-        let is_owed = !line.field("route").is_empty()
+        let is_counted = !line.field("route").is_empty()
             && line.field("outcome") != "caller_gone";
-        if !is_owed {
+        if !is_counted {
             continue;
         }
         let route = routes.entry(line.field("route").to_owned()).or_default();
-        let second = line.at.get(..SECOND).unwrap_or(&line.at).to_owned();
+        let second =
+            line.at.get(..TIMESTAMP_SECOND_LEN).unwrap_or(&line.at).to_owned();
         let in_second = route.by_second.entry(second).or_default();
         for count in [&mut route.all, in_second] {
             match line.field("outcome") {
@@ -137,7 +138,7 @@
     routes
 }
 
-fn worst(route: &Route) -> f64 {
+fn worst_bad_share(route: &Route) -> f64 {
     route.by_second.values().map(|c| c.bad_share()).fold(0.0, f64::max)
 }
 
@@ -171,7 +172,7 @@
         let _ = write!(
             page,
             "<h2>{}</h2><p>{} good, {} bad, burn rate {rate:.2}</p>{}",
-            escape(name),
+            escape_html(name),
             route.all.good,
             route.all.bad,
             plot(route, budget),
@@ -183,9 +184,11 @@
 
 /// Burn rate of each second, with a line at 1.
 fn plot(route: &Route, budget: f64) -> String {
-    let (width, height) = PLOT;
+    let (width, height) = PLOT_SIZE;
     let bar = width / route.by_second.len().max(1) as f64;
-    let y = |rate: f64| height * (1.0 - rate.min(TOP_RATE) / TOP_RATE);
+    let y = |rate: f64| {
+        height * (1.0 - rate.min(MAX_PLOTTED_RATE) / MAX_PLOTTED_RATE)
+    };
     let mut out = format!("<svg width=\"{width}\" height=\"{height}\">");
     for (at, count) in route.by_second.values().enumerate() {
         let top = y(count.bad_share() / budget);
@@ -206,6 +209,6 @@
     out
 }
 
-fn escape(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;")
 }
--- a/crates/cli/src/site/route.rs
+++ b/crates/cli/src/site/explain.rs
@@ -54,47 +54,53 @@
     let data_centre: &String = args::required(matches, DATA_CENTRE);
     let tokens: u64 = *args::required(matches, TOKENS);
     let timeout = args::timeout_of(matches);
-    let stored = async_io::block_on(state::read(store, timeout))?;
-    let known = stored.configuration.services.get(service);
-    let Some(model) = known.and_then(|s| s.model.as_ref()) else {
+    let store_state = async_io::block_on(state::read_store(store, timeout))?;
+    let service_configuration =
+        store_state.configuration.services.get(service);
+    let Some(model) = service_configuration.and_then(|s| s.model.as_ref())
+    else {
         eprintln!("the configuration has no language service {service:?}");
         return Ok(Exit::Findings);
     };
-    let engines: Vec<&Backend> =
-        stored.backends.iter().filter(|b| b.service == *service).collect();
-    let mut places: Vec<&str> =
+    let engines: Vec<&Backend> = store_state
+        .backends
+        .iter()
+        .filter(|b| b.service == *service)
+        .collect();
+    let mut data_centres: Vec<&str> =
         engines.iter().map(|b| b.data_centre.as_str()).collect();
-    places.push(data_centre);
-    places.sort_unstable();
-    places.dedup();
-    let place = |name: &str| places.binary_search(&name).unwrap_or(0);
+    data_centres.push(data_centre);
+    data_centres.sort_unstable();
+    data_centres.dedup();
+    let data_centre_index =
+        |name: &str| data_centres.binary_search(&name).unwrap_or(0);
     let holders: Vec<LayerHolder> = engines
         .iter()
-        .map(|b| holder(model, b, place(&b.data_centre)))
+        .map(|b| holder(model, b, data_centre_index(&b.data_centre)))
         .collect();
     let request = PathRequest {
         first_layer: 0,
         end_layer: model.layer_count,
         tokens,
-        data_centre: place(data_centre),
+        data_centre: data_centre_index(data_centre),
         is_start: true,
         interconnect_utilisation: 0.0,
         interconnect_prefill_ms: model.interconnect_prefill_ms(tokens),
         max_stages: MOST_PARTS,
     };
     let mut rng = fastrand::Rng::with_seed(0);
-    let Some(parts) = find_path(&holders, &request, &mut rng) else {
-        eprintln!("no path: {}", lacking(model, &holders));
+    let Some(stages) = find_path(&holders, &request, &mut rng) else {
+        eprintln!("no path: {}", no_path_reason(model, &holders));
         return Ok(Exit::Failed);
     };
-    let rows: Vec<_> = parts
+    let rows: Vec<_> = stages
         .iter()
-        .map(|part| {
-            let engine = engines[part.holder];
+        .map(|stage| {
+            let engine = engines[stage.holder];
             json!({"engine": engine.id, "address": engine.address,
                 "data_centre": engine.data_centre, "kind": engine.kind,
-                "layers": format!("{}..{}", part.first_layer,
-                    part.end_layer)})
+                "layers": format!("{}..{}", stage.first_layer,
+                    stage.end_layer)})
         })
         .collect();
     if args::is_json(matches) {
@@ -140,7 +146,7 @@
 }
 
 /// Layers that no ready engine holds, or that room is lacking.
-fn lacking(model: &Model, holders: &[LayerHolder]) -> String {
+fn no_path_reason(model: &Model, holders: &[LayerHolder]) -> String {
     let is_held = |layer: &u32| {
         holders.iter().any(|h| {
             h.is_usable && h.first_layer <= *layer && *layer < h.end_layer
--- a/crates/cli/src/site/log.rs
+++ b/crates/cli/src/site/log.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Line {
     /// Where it comes from.
-    pub(crate) file: String,
+    pub(crate) source: String,
     /// When it was written, as it says.
     pub(crate) at: String,
     /// Its fields.
@@ -74,25 +74,25 @@
     for path in matches.get_many::<PathBuf>(LOGS).into_iter().flatten() {
         let text = fs::read_to_string(path)
             .with_context(|| format!("cannot read {}", path.display()))?;
-        let file = path.display().to_string();
-        let of_file = text.lines().filter_map(|line| parse(&file, line));
-        lines.extend(of_file);
+        let source = path.display().to_string();
+        let parsed = text.lines().filter_map(|line| parse(&source, line));
+        lines.extend(parsed);
     }
     lines.sort_by(|a, b| a.at.cmp(&b.at));
     Ok(lines)
 }
 
-fn parse(file: &str, line: &str) -> Option<Line> {
+fn parse(source: &str, line: &str) -> Option<Line> {
     // A platform may write its own columns before ours.
-    let ours = &line[line.find('{')?..];
-    let value: Value = serde_json::from_str(ours).ok()?;
-    let before = line[..line.find('{')?].trim();
-    let file = match before.rsplit(' ').next() {
+    let json = &line[line.find('{')?..];
+    let value: Value = serde_json::from_str(json).ok()?;
+    let prefix = line[..line.find('{')?].trim();
+    let source = match prefix.rsplit(' ').next() {
         Some(name) if !name.is_empty() => name.to_owned(),
-        _ => file.to_owned(),
+        _ => source.to_owned(),
     };
     Some(Line {
-        file,
+        source,
         at: value["timestamp"].as_str()?.to_owned(),
         message: value["message"].as_str()?.to_owned(),
         fields: value["kvs"].clone(),
--- a/crates/cli/src/site/needs.rs
+++ b/crates/cli/src/site/needs.rs
@@ -7,7 +7,7 @@
 
 use super::{
     state::{self, STORE},
-    statuses::{ByName, Statuses},
+    statuses::{ItemsByEntry, Statuses},
 };
 use crate::{args, daemons, exit::Exit, output, output::Table};
 
@@ -26,13 +26,13 @@
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let store: SocketAddr = *args::required(matches, STORE);
     let timeout = args::timeout_of(matches);
-    let entries = async_io::block_on(state::entries(store, timeout))?;
-    let statuses = Statuses::read(entries, timeout);
+    let entries = async_io::block_on(state::list_entries(store, timeout))?;
+    let statuses = Statuses::fetch_all(entries, timeout);
     let mut needs = statuses.items("backends", "id");
-    for of_entries in needs.values_mut() {
-        of_entries.retain(|_, backend| is_in_need(backend));
+    for by_entry in needs.values_mut() {
+        by_entry.retain(|_, backend| is_limited_or_unavailable(backend));
     }
-    needs.retain(|_, of_entries| !of_entries.is_empty());
+    needs.retain(|_, by_entry| !by_entry.is_empty());
     if args::is_json(matches) {
         output::print_json(&needs)?;
     } else {
@@ -41,14 +41,14 @@
     Ok(statuses.exit())
 }
 
-fn is_in_need(backend: &Value) -> bool {
+fn is_limited_or_unavailable(backend: &Value) -> bool {
     !backend["limit"].is_null()
         || !backend["leaving_ms"].is_null()
         || backend["rest_left_ms"].as_u64().unwrap_or(0) > 0
 }
 
-fn print(statuses: &Statuses, needs: &ByName) -> anyhow::Result<()> {
-    statuses.print_silent()?;
+fn print(statuses: &Statuses, needs: &ItemsByEntry) -> anyhow::Result<()> {
+    statuses.print_unresponsive()?;
     let mut table = Table::new([
         "backend",
         "entry",
@@ -60,8 +60,8 @@
         "leaving ms",
         "by its word",
     ]);
-    for of_entries in needs.values() {
-        for (entry, backend) in of_entries {
+    for by_entry in needs.values() {
+        for (entry, backend) in by_entry {
             table.push(row(entry, backend, statuses));
         }
     }
@@ -72,26 +72,26 @@
     let limit = &backend["limit"];
     let issuer = match limit {
         Value::Null => None,
-        limit => statuses.with("boot_id", &limit["issuer"]),
+        limit => statuses.entry_with("boot_id", &limit["issuer"]),
     };
-    let rest_left = match &backend["rest_left_ms"] {
+    let cooldown_left = match &backend["rest_left_ms"] {
         left if left.as_u64() == Some(0) => &Value::Null,
         left => left,
     };
     [
         backend["id"].as_str().unwrap_or("").to_owned(),
         entry.to_owned(),
-        cell(&limit["per_s"]),
-        cell(&limit["named_age_ms"]),
+        format_cell(&limit["per_s"]),
+        format_cell(&limit["named_age_ms"]),
         issuer.unwrap_or("-").to_owned(),
-        cell(&limit["sent_4s"]),
-        cell(rest_left),
-        cell(&backend["leaving_ms"]),
-        cell(&backend["has_said_leaving"]),
+        format_cell(&limit["sent_4s"]),
+        format_cell(cooldown_left),
+        format_cell(&backend["leaving_ms"]),
+        format_cell(&backend["has_said_leaving"]),
     ]
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         value => value.to_string(),
--- a/crates/cli/src/site/quarantine.rs
+++ b/crates/cli/src/site/quarantine.rs
@@ -10,7 +10,7 @@
 
 use super::{
     state::{self, STORE},
-    statuses::{ByName, Statuses},
+    statuses::{ItemsByEntry, Statuses},
 };
 use crate::{args, daemons, exit::Exit, output, output::Table};
 
@@ -37,11 +37,11 @@
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let store: SocketAddr = *args::required(matches, STORE);
     let timeout = args::timeout_of(matches);
-    let entries = async_io::block_on(state::entries(store, timeout))?;
+    let entries = async_io::block_on(state::list_entries(store, timeout))?;
     if let Some(fingerprint) = matches.get_one::<Fingerprint>(FREE) {
         return async_io::block_on(free(&entries, *fingerprint, timeout));
     }
-    let statuses = Statuses::read(entries, timeout);
+    let statuses = Statuses::fetch_all(entries, timeout);
     let suspects = statuses.items("suspects", "fingerprint");
     if args::is_json(matches) {
         output::print_json(&suspects)?;
@@ -51,8 +51,8 @@
     Ok(statuses.exit())
 }
 
-fn print(statuses: &Statuses, suspects: &ByName) -> anyhow::Result<()> {
-    statuses.print_silent()?;
+fn print(statuses: &Statuses, suspects: &ItemsByEntry) -> anyhow::Result<()> {
+    statuses.print_unresponsive()?;
     let mut table = Table::new([
         "fingerprint",
         "state",
@@ -63,41 +63,42 @@
         "last s ago",
         "entries",
     ]);
-    for (fingerprint, of_entries) in suspects {
+    for (fingerprint, by_entry) in suspects {
         // What most is known of.
-        let crashes =
-            |told: &&Value| told["crashes"].as_array().map_or(0, Vec::len);
-        let Some(told) = of_entries.values().max_by_key(crashes) else {
+        let crashes = |suspect: &&Value| {
+            suspect["crashes"].as_array().map_or(0, Vec::len)
+        };
+        let Some(suspect) = by_entry.values().max_by_key(crashes) else {
             continue;
         };
-        table.push(row(fingerprint, told, of_entries.len(), statuses.len()));
+        table.push(row(fingerprint, suspect, by_entry.len(), statuses.len()));
     }
     output::print_text(&table.to_string())
 }
 
 fn row(
     fingerprint: &str,
-    told: &Value,
-    knowing: usize,
-    entries: usize,
+    suspect: &Value,
+    reporting: usize,
+    entry_count: usize,
 ) -> [String; 8] {
-    let crashes = told["crashes"].as_array().cloned().unwrap_or_default();
+    let crashes = suspect["crashes"].as_array().cloned().unwrap_or_default();
     let count = |name: &str| {
         let with = crashes.iter().filter(|crash| crash[name] == true);
         with.count().to_string()
     };
     let ages = crashes.iter().filter_map(|crash| crash["age_ms"].as_u64());
     let last_ms = ages.min().unwrap_or(0);
-    let left_ms = told["left_ms"].as_u64().unwrap_or(0);
+    let left_ms = suspect["left_ms"].as_u64().unwrap_or(0);
     [
         fingerprint.to_owned(),
-        told["verdict"].as_str().unwrap_or("").to_owned(),
+        suspect["verdict"].as_str().unwrap_or("").to_owned(),
         (left_ms / 1_000).to_string(),
         crashes.len().to_string(),
         count("is_in_trial"),
         count("is_void"),
         (last_ms / 1_000).to_string(),
-        format!("{knowing} of {entries}"),
+        format!("{reporting} of {entry_count}"),
     ]
 }
 
@@ -108,10 +109,11 @@
     timeout: Duration,
 ) -> anyhow::Result<Exit> {
     for (name, address) in entries {
-        let Ok(answer) = order(*address, fingerprint, timeout).await else {
+        let Ok(response) = post_free(*address, fingerprint, timeout).await
+        else {
             continue;
         };
-        if answer["is_freed"] == true {
+        if response["is_freed"] == true {
             output::print_text(&format!("{fingerprint} freed at {name}"))?;
             return Ok(Exit::Done);
         }
@@ -120,7 +122,7 @@
     Ok(Exit::Failed)
 }
 
-async fn order(
+async fn post_free(
     address: SocketAddr,
     fingerprint: Fingerprint,
     timeout: Duration,
--- a/crates/cli/src/site/state.rs
+++ b/crates/cli/src/site/state.rs
@@ -34,7 +34,7 @@
 }
 
 /// What the store holds.
-pub(crate) struct Stored {
+pub(crate) struct StoreState {
     pub(crate) configuration: Configuration,
     pub(crate) backends: Vec<Backend>,
     lease: Value,
@@ -42,10 +42,10 @@
 }
 
 /// Reads the store.
-pub(crate) async fn read(
+pub(crate) async fn read_store(
     store: SocketAddr,
     timeout: Duration,
-) -> anyhow::Result<Stored> {
+) -> anyhow::Result<StoreState> {
     let client = StoreClient::new(store);
     let row = client
         .read_row(configuration::TABLE, configuration::KEY, timeout)
@@ -59,15 +59,15 @@
     let backends = backends.collect::<Result<Vec<_>, String>>();
     let lease = client.read_row(LEASE, LEASE_KEY, timeout).await?;
     let lease = lease.and_then(|r| serde_json::from_slice(&r.value).ok());
-    Ok(Stored {
+    Ok(StoreState {
         configuration,
         backends: backends.map_err(|e| anyhow::anyhow!(e))?,
         lease: lease.unwrap_or(Value::Null),
-        entries: entries(store, timeout).await?,
+        entries: list_entries(store, timeout).await?,
     })
 }
 
-fn entry(row: &Row) -> Option<(String, SocketAddr)> {
+fn parse_entry(row: &Row) -> Option<(String, SocketAddr)> {
     let text = std::str::from_utf8(&row.value).ok()?;
     Some((row.key.clone(), text.parse().ok()?))
 }
@@ -77,20 +77,20 @@
     let store: SocketAddr = *args::required(matches, STORE);
     let timeout = args::timeout_of(matches);
     let (stored, entries) = async_io::block_on(async {
-        let stored = read(store, timeout).await?;
+        let stored = read_store(store, timeout).await?;
         let mut entries = BTreeMap::new();
         for (name, address) in &stored.entries {
-            let status = status(*address, timeout).await;
+            let status = fetch_status(*address, timeout).await;
             entries.insert(name.clone(), status);
         }
         anyhow::Ok((stored, entries))
     })?;
     let version = stored.configuration.version;
-    let lags = |status: &Option<Value>| {
+    let is_behind = |status: &Option<Value>| {
         status.as_ref().is_none_or(|s| s["configuration"] != version)
     };
-    let is_lagging = entries.values().any(lags);
-    let cover = cover(&stored);
+    let is_lagging = entries.values().any(is_behind);
+    let coverage = coverage(&stored);
     if args::is_json(matches) {
         let findings = stored.configuration.findings.iter();
         let findings: Vec<String> =
@@ -100,16 +100,16 @@
             "findings": findings,
             "lease": stored.lease,
             "entries": entries,
-            "cover": cover,
+            "cover": coverage,
         }))?;
     } else {
-        print(&stored, &entries, &cover)?;
+        print(&stored, &entries, &coverage)?;
     }
     Ok(if is_lagging { Exit::Lagging } else { Exit::Done })
 }
 
 /// What an entry says of itself; none if it does not answer.
-pub(crate) async fn status(
+pub(crate) async fn fetch_status(
     address: SocketAddr,
     timeout: Duration,
 ) -> Option<Value> {
@@ -120,24 +120,26 @@
 }
 
 /// The entries that the store lists.
-pub(crate) async fn entries(
+pub(crate) async fn list_entries(
     store: SocketAddr,
     timeout: Duration,
 ) -> anyhow::Result<Vec<(String, SocketAddr)>> {
     let rows = StoreClient::new(store).read_table(ENTRIES, timeout).await;
     let rows = rows.with_context(|| format!("the store at {store}"))?.rows;
-    Ok(rows.iter().filter_map(entry).collect())
+    Ok(rows.iter().filter_map(parse_entry).collect())
 }
 
 /// How many ready engines hold each layer, by service and data centre.
-fn cover(stored: &Stored) -> BTreeMap<String, BTreeMap<String, Vec<u32>>> {
-    let mut cover: BTreeMap<String, BTreeMap<String, Vec<u32>>> =
+fn coverage(
+    stored: &StoreState,
+) -> BTreeMap<String, BTreeMap<String, Vec<u32>>> {
+    let mut coverage: BTreeMap<String, BTreeMap<String, Vec<u32>>> =
         BTreeMap::new();
     for service in stored.configuration.services.values() {
         let Some(model) = &service.model else { continue };
-        let here = cover.entry(service.name.clone()).or_default();
+        let by_data_centre = coverage.entry(service.name.clone()).or_default();
         for backend in &stored.backends {
-            let counts = here
+            let counts = by_data_centre
                 .entry(backend.data_centre.clone())
                 .or_insert_with(|| vec![0; model.layer_count as usize]);
             let is_ready = backend.service == service.name
@@ -151,13 +153,13 @@
             }
         }
     }
-    cover
+    coverage
 }
 
 fn print(
-    stored: &Stored,
+    stored: &StoreState,
     entries: &BTreeMap<String, Option<Value>>,
-    cover: &BTreeMap<String, BTreeMap<String, Vec<u32>>>,
+    coverage: &BTreeMap<String, BTreeMap<String, Vec<u32>>>,
 ) -> anyhow::Result<()> {
     let version = stored.configuration.version;
     output::print_text(&format!("configuration {version}"))?;
@@ -186,8 +188,8 @@
         "most",
         "without",
     ]);
-    for (service, here) in cover {
-        for (data_centre, counts) in here {
+    for (service, by_data_centre) in coverage {
+        for (data_centre, counts) in by_data_centre {
             let none = counts.iter().filter(|count| **count == 0).count();
             table.push([
                 service.clone(),
@@ -203,43 +205,40 @@
 
 fn row(name: &str, status: Option<&Value>) -> [String; 8] {
     let Some(status) = status else {
-        let blank = || "-".to_owned();
+        let dash = || "-".to_owned();
         let name = format!("{name} (no answer)");
-        return [
-            name,
-            blank(),
-            blank(),
-            blank(),
-            blank(),
-            blank(),
-            blank(),
-            blank(),
-        ];
+        return [name, dash(), dash(), dash(), dash(), dash(), dash(), dash()];
     };
-    let list =
+    let array =
         |name: &str| status[name].as_array().cloned().unwrap_or_default();
-    let left: Vec<String> = list("retries")
+    let left: Vec<String> = array("retries")
         .iter()
-        .map(|r| format!("{}={}", text(&r["service"]), text(&r["left"])))
+        .map(|r| {
+            format!(
+                "{}={}",
+                format_value(&r["service"]),
+                format_value(&r["left"])
+            )
+        })
         .collect();
-    let suspects: Vec<String> = list("backends")
+    let suspects: Vec<String> = array("backends")
         .iter()
         .filter(|backend| backend["is_suspect"] == true)
-        .map(|backend| text(&backend["id"]))
+        .map(|backend| format_value(&backend["id"]))
         .collect();
     [
         name.to_owned(),
-        text(&status["configuration"]),
-        text(&status["configuration_age_ms"]),
+        format_value(&status["configuration"]),
+        format_value(&status["configuration_age_ms"]),
         output::yes_no(status["is_planner"] == true),
-        text(&status["orders_waiting"]),
-        text(&status["in_flight"]),
+        format_value(&status["orders_waiting"]),
+        format_value(&status["in_flight"]),
         left.join(" "),
         suspects.join(" "),
     ]
 }
 
-fn text(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         value => value.to_string(),
--- a/crates/cli/src/site/trace.rs
+++ b/crates/cli/src/site/trace.rs
@@ -15,7 +15,7 @@
 pub(crate) const NAME: &str = "trace";
 const REQUEST: &str = "request";
 /// Events that tell of the store, and so explain refusals.
-const OF_THE_STORE: [&str; 6] = [
+const STORE_EVENTS: [&str; 6] = [
     "feed_lost",
     "feed_back",
     "keys_stale",
@@ -24,7 +24,8 @@
     "lease_lost",
 ];
 /// Fields that name backend servers.
-const BACKENDS: [&str; 4] = ["backend", "backends", "without", "suspects"];
+const BACKEND_FIELDS: [&str; 4] =
+    ["backend", "backends", "without", "suspects"];
 
 /// Its arguments.
 pub(crate) fn command() -> Command {
@@ -45,36 +46,36 @@
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let id: &String = args::required(matches, REQUEST);
     let lines = log::load(matches)?;
-    let own: Vec<&Line> =
+    let request_lines: Vec<&Line> =
         lines.iter().filter(|line| line.field("request") == id).collect();
-    if own.is_empty() {
+    if request_lines.is_empty() {
         eprintln!("no line names request {id}");
         return Ok(Exit::Failed);
     }
-    let around = around(&lines, &own);
-    let verdict = verdict(&own);
+    let related = related(&lines, &request_lines);
+    let outcome = outcome(&request_lines);
     if args::is_json(matches) {
         let json = |line: &&Line| {
-            json!({"at": line.at, "from": line.file, "event": line.fields,
+            json!({"at": line.at, "from": line.source, "event": line.fields,
                 "message": line.message})
         };
         output::print_json(&json!({
             "request": id,
-            "verdict": verdict,
-            "lines": own.iter().map(json).collect::<Vec<_>>(),
-            "around": around.iter().map(json).collect::<Vec<_>>(),
+            "verdict": outcome,
+            "lines": request_lines.iter().map(json).collect::<Vec<_>>(),
+            "around": related.iter().map(json).collect::<Vec<_>>(),
         }))?;
         return Ok(Exit::Done);
     }
-    output::print_text(&format!("request {id}: {verdict}"))?;
-    for line in own {
+    output::print_text(&format!("request {id}: {outcome}"))?;
+    for line in request_lines {
         print(line)?;
     }
     output::print_text(
         "what was noted of its backend servers, of the store, and of the same \
          request under other ids",
     )?;
-    for line in around {
+    for line in related {
         print(line)?;
     }
     Ok(Exit::Done)
@@ -82,13 +83,14 @@
 
 fn print(line: &Line) -> anyhow::Result<()> {
     let text = line.text();
-    let (at, file, name) = (&line.at, &line.file, line.name());
-    output::print_text(&format!("  {at} {file} {name} {text}"))
+    let (at, source, name) = (&line.at, &line.source, line.name());
+    output::print_text(&format!("  {at} {source} {name} {text}"))
 }
 
 /// How it ended, in a sentence.
-fn verdict(own: &[&Line]) -> String {
-    let last = own.iter().rev().find(|line| line.name() == "relay_ended");
+fn outcome(request_lines: &[&Line]) -> String {
+    let last =
+        request_lines.iter().rev().find(|line| line.name() == "relay_ended");
     let Some(end) = last else {
         return "its outcome is not in these logs".to_owned();
     };
@@ -106,7 +108,7 @@
 }
 
 /// Events of requests that crash backend servers.
-const OF_QUARANTINE: [&str; 4] = [
+const QUARANTINE_EVENTS: [&str; 4] = [
     "request_suspected",
     "request_quarantined",
     "request_cleared",
@@ -115,43 +117,43 @@
 
 /// Events of what backend servers say that they need; each names the request
 /// whose answer said so.
-const OF_NEEDS: [&str; 4] =
+const SERVER_STATE_EVENTS: [&str; 4] =
     ["limit_named", "limit_ended", "rest_asked", "leaving_told"];
 
 /// Lines of the backend servers that the request names, of the store, and of
 /// the same request under other ids.
-fn around<'a>(lines: &'a [Line], own: &[&Line]) -> Vec<&'a Line> {
-    let named: BTreeSet<String> =
-        own.iter().flat_map(|line| backends(line)).collect();
-    let entries: BTreeSet<&str> =
-        own.iter().map(|line| line.file.as_str()).collect();
-    let fingerprints: BTreeSet<&str> = own
+fn related<'a>(lines: &'a [Line], request_lines: &[&Line]) -> Vec<&'a Line> {
+    let named_backends: BTreeSet<String> =
+        request_lines.iter().flat_map(|line| backends(line)).collect();
+    let sources: BTreeSet<&str> =
+        request_lines.iter().map(|line| line.source.as_str()).collect();
+    let fingerprints: BTreeSet<&str> = request_lines
         .iter()
         .map(|line| line.field("fingerprint"))
         .filter(|fingerprint| !fingerprint.is_empty())
         .collect();
-    let own_id = own[0].field("request");
-    let last = &own[own.len() - 1].at;
-    let is_around = |line: &&Line| {
+    let own_id = request_lines[0].field("request");
+    let last = &request_lines[request_lines.len() - 1].at;
+    let is_related = |line: &&Line| {
         let is_before = line.at <= *last;
-        let is_store = OF_THE_STORE.contains(&line.name())
-            && entries.contains(line.file.as_str());
-        let is_of_any = line.field("request").is_empty()
-            || OF_NEEDS.contains(&line.name());
-        let is_backend =
-            is_of_any && backends(line).iter().any(|id| named.contains(id));
-        let is_same = OF_QUARANTINE.contains(&line.name())
+        let is_store = STORE_EVENTS.contains(&line.name())
+            && sources.contains(line.source.as_str());
+        let is_request_independent = line.field("request").is_empty()
+            || SERVER_STATE_EVENTS.contains(&line.name());
+        let is_backend = is_request_independent
+            && backends(line).iter().any(|id| named_backends.contains(id));
+        let is_same_fingerprint = QUARANTINE_EVENTS.contains(&line.name())
             && line.field("request") != own_id
             && fingerprints.contains(line.field("fingerprint"));
-        is_before && (is_store || is_backend || is_same)
+        is_before && (is_store || is_backend || is_same_fingerprint)
     };
-    lines.iter().filter(is_around).collect()
+    lines.iter().filter(is_related).collect()
 }
 
 /// Ids of the backend servers that a line names.
 fn backends(line: &Line) -> Vec<String> {
-    let fields = BACKENDS.iter().map(|name| line.field(name));
+    let fields = BACKEND_FIELDS.iter().map(|name| line.field(name));
     let ids = fields.flat_map(|text| text.split(','));
-    let ids = ids.map(|part| part.split('=').next().unwrap_or(part));
+    let ids = ids.map(|item| item.split('=').next().unwrap_or(item));
     ids.filter(|id| !id.is_empty()).map(str::to_owned).collect()
 }
