--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -1,8 +1,8 @@
-//! `apply`: submitting a manifest.
+//! `apply`: submits a manifest.
 //!
-//! The submission's id is told before anything is sent, so that it can be
-//! repeated whatever becomes of this process: the same id with the same
-//! manifest is accepted once.
+//! The tool prints the submission id before it sends anything, so that an
+//! operator can repeat the submission even if this process fails: a manifest
+//! is accepted once per id.
 
 use std::{collections::BTreeMap, path::PathBuf, sync::Arc};
 
@@ -27,7 +27,7 @@
 const BASE: &str = "base";
 const SUBMISSION: &str = "submission";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
         .about("Checks a manifest and submits it as the next generation")
@@ -40,21 +40,21 @@
                 .value_name("N")
                 .value_parser(value_parser!(u64))
                 .help(
-                    "Generation that the manifest was made for, 0 for none; \
-                     without it, the accepted one",
+                    "Generation that the manifest is based on, 0 for none; \
+                     the default is the accepted generation",
                 ),
         )
         .arg(
             Arg::new(SUBMISSION)
                 .long(SUBMISSION)
                 .value_name("ID")
-                .help("Id of the submission; random without it"),
+                .help("Id of the submission; the default is random"),
         )
         .arg(args::timeout("2000"))
         .arg(args::json())
 }
 
-/// Submits the file.
+/// Checks and submits the file.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let path: &PathBuf = args::required(matches, FILE);
     let sections = match source::load(path) {
@@ -151,7 +151,8 @@
         }
     }
 
-    /// What it lost to. The refusal stands also where that can't be read.
+    /// Adds the difference to the accepted manifest. The refusal is reported
+    /// even if the accepted manifest can't be read.
     async fn refused(
         &self,
         cause: &'static str,
--- a/crates/cli/src/apply/report.rs
+++ b/crates/cli/src/apply/report.rs
@@ -1,4 +1,4 @@
-//! How a submission ended, as text and JSON.
+//! Outcome of a submission, as text and JSON.
 
 use chestnutreach_config::{Findings, manifest::SectionChange};
 use chestnutreach_platform::manifest_store::Head;
@@ -7,7 +7,7 @@
 
 use crate::{args, check::FindingReport, output};
 
-/// How a submission ended.
+/// Outcome of a submission.
 #[derive(Serialize)]
 #[serde(tag = "ended", rename_all = "kebab-case")]
 pub(super) enum Outcome<'a> {
@@ -23,8 +23,8 @@
         cause: &'static str,
         detail: String,
         winner: Option<WinnerReport>,
-        /// From the accepted manifest to the submitted one; none where the
-        /// accepted one could not be read.
+        /// Changes from the accepted manifest to the submitted one, or
+        /// `None` if the accepted manifest could not be read.
         difference: Option<Vec<ChangeReport>>,
         #[serde(skip)]
         text: String,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A submission and its end.
+/// A submission and its outcome.
 #[derive(Serialize)]
 pub(super) struct ApplyReport<'a> {
     submission: Option<&'a str>,
@@ -114,7 +114,7 @@
     }
 }
 
-/// A section that differs.
+/// A changed section.
 #[derive(Serialize)]
 pub(super) struct ChangeReport {
     section: String,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Prints the report in the form asked for.
+/// Prints the report as JSON or text.
 pub(super) fn print(
     matches: &ArgMatches,
     report: &ApplyReport<'_>,
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments that several subcommands take.
+//! Arguments shared by subcommands.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -8,7 +8,7 @@
 const TIMEOUT_MS: &str = "timeout-ms";
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// `--json`.
+/// The flag `--json`.
 pub(crate) fn json() -> Arg {
     Arg::new(JSON)
         .long(JSON)
@@ -16,27 +16,27 @@
         .help("Print JSON in place of text")
 }
 
-/// Whether JSON is asked for.
+/// Whether `--json` is given.
 pub(crate) fn is_json(matches: &ArgMatches) -> bool {
     matches.get_flag(JSON)
 }
 
-/// `--timeout-ms`.
+/// The option `--timeout-ms`.
 pub(crate) fn timeout(default: &'static str) -> Arg {
     Arg::new(TIMEOUT_MS)
         .long(TIMEOUT_MS)
         .value_name("N")
         .value_parser(value_parser!(u64).range(1..=MAX_TIMEOUT_MS))
         .default_value(default)
-        .help("Longest time of one call")
+        .help("Timeout of one call, in ms")
 }
 
-/// Value of `--timeout-ms`.
+/// The value of `--timeout-ms`.
 pub(crate) fn timeout_of(matches: &ArgMatches) -> Duration {
     Duration::from_millis(*required(matches, TIMEOUT_MS))
 }
 
-/// An option with one address.
+/// An option that takes one address.
 pub(crate) fn address(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
@@ -45,7 +45,7 @@
         .help(help)
 }
 
-/// An option with addresses, divided by commas or given again.
+/// An option that takes addresses, separated by commas or repeated.
 pub(crate) fn addresses(name: &'static str, help: &'static str) -> Arg {
     address(name, help)
         .value_delimiter(',')
@@ -53,7 +53,7 @@
         .required(true)
 }
 
-/// Addresses in the order given, each once.
+/// The addresses of an option in the given order, without duplicates.
 pub(crate) fn addresses_of(
     matches: &ArgMatches,
     name: &str,
@@ -67,7 +67,7 @@
     addresses
 }
 
-/// An option or argument with a path.
+/// An option or argument that takes a path.
 pub(crate) fn path(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_name("FILE")
@@ -75,10 +75,14 @@
         .help(help)
 }
 
-/// A value that `clap` asked for or has a default for.
+/// The value of an argument that is required or has a default.
+///
+/// # Panics
+///
+/// If the argument is neither required nor has a default.
 pub(crate) fn required<'a, T>(matches: &'a ArgMatches, name: &str) -> &'a T
 where
     T: Clone + Send + Sync + 'static,
 {
-    matches.get_one(name).expect("clap asks for it")
+    matches.get_one(name).expect("clap requires the argument")
 }
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -1,19 +1,19 @@
-//! `burn`: how fast services use up their error budgets.
+//! `burn`: reports the error budget burn rates of services.
 //!
-//! Daemons only count, so a rate needs two looks. Each run adds a sample of
-//! the counters to a file and computes every window from the samples in it;
-//! a window that they do not cover has no figure.
+//! Daemons export counters, so a rate needs two samples. Each run adds a
+//! sample of the counters to a file and computes every window from the samples
+//! in the file. A window that the samples do not cover has no figures.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | `scrape` | counters of a daemon |
+//! | `scrape` | fetches the counters of a daemon |
 //! | `samples` | the file of samples |
-//! | `series` | samples as sums that only grow |
-//! | `window` | lengths of time as operators write them |
+//! | `series` | monotonic sums over daemon restarts |
+//! | `window` | durations such as `5m` |
 //! | `report` | the figures |
-//! | `text` | the figures as tables |
-//! | `html` | the figures as one page |
-//! | `plot` | plots of that page |
+//! | `text` | text output |
+//! | `html` | HTML output |
+//! | `plot` | plots of the HTML page |
 
 use std::{
     fs,
@@ -48,15 +48,15 @@
 const WINDOWS: &str = "windows";
 const SAMPLES: &str = "samples";
 const HTML: &str = "html";
-/// Short windows show a fast burn, long ones a slow one.
+/// Short windows detect a fast burn, long windows a slow burn.
 const DEFAULT_WINDOWS: &str = "5m,30m,1h,6h";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
         .about("Reports how fast services use up their error budgets")
         .arg(
-            args::addresses(OPS, "Operators' addresses of the entries")
+            args::addresses(OPS, "Operations addresses of the entries")
                 .required(false),
         )
         .arg(
@@ -71,11 +71,14 @@
                 .value_delimiter(',')
                 .value_parser(value_parser!(Window))
                 .default_value(DEFAULT_WINDOWS)
-                .help("Lengths of time to look back"),
+                .help("Durations to look back"),
         )
         .arg(
-            args::path(SAMPLES, "Samples of earlier runs; this one is added")
-                .long(SAMPLES),
+            args::path(
+                SAMPLES,
+                "File of samples; the sample of this run is added",
+            )
+            .long(SAMPLES),
         )
         .group(
             ArgGroup::new("counters")
@@ -83,17 +86,20 @@
                 .multiple(true)
                 .required(true),
         )
-        .arg(args::path(HTML, "Write a page here too").long(HTML))
+        .arg(
+            args::path(HTML, "Also write an HTML page to this file")
+                .long(HTML),
+        )
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
         .after_help(
             "Without --ops, no sample is taken and the windows end at the \
-             last one of the file. Only one run at a time may write a file \
-             of samples.",
+             last sample of the file. Only one run at a time may write a \
+             file of samples.",
         )
 }
 
-/// Takes a sample and reports.
+/// Takes a sample and prints the report.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let manifest: &PathBuf = args::required(matches, MANIFEST);
     let manifest = match source::load(manifest) {
@@ -117,7 +123,7 @@
         let sample = collect_sample(&addresses, timeout, &mut unreached)?;
         samples.push(sample, &windows)?;
     }
-    ensure!(!samples.is_empty(), "there is no sample to report from");
+    ensure!(!samples.is_empty(), "there are no samples");
     if let (Some(path), false) = (path, addresses.is_empty()) {
         samples.save(path)?;
     }
@@ -127,7 +133,11 @@
     Ok(if is_complete { Exit::Done } else { Exit::Lagging })
 }
 
-/// A sample of all daemons that answer; at least one must.
+/// Takes a sample of all daemons that respond.
+///
+/// # Errors
+///
+/// If no daemon responds.
 fn collect_sample(
     addresses: &[SocketAddr],
     timeout: Duration,
@@ -150,7 +160,7 @@
     }
     if let (true, Some(first)) = (sample.daemons.is_empty(), unreached.first())
     {
-        anyhow::bail!("no daemon gave its counters; {first}");
+        anyhow::bail!("no daemon returned its counters; {first}");
     }
     Ok(sample)
 }
@@ -191,6 +201,6 @@
 
 fn now_unix_ms() -> anyhow::Result<u64> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let since = since.context("the clock is before 1970")?;
+    let since = since.context("the system clock is before 1970")?;
     Ok(since.as_millis() as u64)
 }
--- a/crates/cli/src/burn/html.rs
+++ b/crates/cli/src/burn/html.rs
@@ -1,4 +1,4 @@
-//! The figures as one page that needs nothing from elsewhere.
+//! The report as a self-contained HTML page.
 
 use std::fmt::Write as _;
 
@@ -18,7 +18,7 @@
 .rate{fill:none;stroke:#036;stroke-width:1.5}\
 .good{fill:#9bc59b}.bad{fill:#c33}.end{text-anchor:end}";
 
-/// The page.
+/// Renders the page.
 pub(super) fn page(report: &Report, series: &Series) -> String {
     let mut body = String::from("<h1>Service-level burn</h1>");
     for line in text::summary(report).lines() {
@@ -115,7 +115,7 @@
     html
 }
 
-/// Text that is no markup, whatever a name holds.
+/// Escapes text for HTML.
 fn escape_html(text: &str) -> String {
     let mut safe = String::with_capacity(text.len());
     for character in text.chars() {
--- a/crates/cli/src/burn/plot.rs
+++ b/crates/cli/src/burn/plot.rs
@@ -9,19 +9,20 @@
 const LEFT_MARGIN: f64 = 56.0;
 const BOTTOM_MARGIN: f64 = 22.0;
 const TOP_MARGIN: f64 = 10.0;
-/// Least top of the scale of a burn rate, so that the line at 1 is seen.
+/// Minimum of the top of the burn rate scale, so that the line at 1 is
+/// visible.
 const MIN_PLOT_MAX_RATE: f64 = 2.0;
 
-/// One step of a plot, from a sample to the next.
+/// One step of a plot, from one sample to the next.
 struct Step {
     from_ms: u64,
     to_ms: u64,
     value: f64,
-    /// Second value of a stacked bar.
+    /// Second value of an overlaid bar.
     bad: f64,
 }
 
-/// Burn rate of a service from sample to sample, with a line at 1.
+/// Plots the burn rate of a service between samples, with a line at 1.
 pub(super) fn burn_plot(
     series: &Series,
     service: &str,
@@ -37,8 +38,8 @@
     let y = axes.y(1.0);
     let _ = write!(
         body,
-        "<line class=\"limit\" x1=\"{LEFT_MARGIN}\" x2=\"{WIDTH}\" y1=\"{y:.1}\" \
-         y2=\"{y:.1}\"/>"
+        "<line class=\"limit\" x1=\"{LEFT_MARGIN}\" x2=\"{WIDTH}\" \
+         y1=\"{y:.1}\" y2=\"{y:.1}\"/>"
     );
     let points: Vec<String> = steps
         .iter()
@@ -53,7 +54,7 @@
     svg("Burn rate from sample to sample", &body)
 }
 
-/// Good and bad requests of a service from sample to sample.
+/// Plots good and bad requests of a service between samples.
 pub(super) fn request_plot(series: &Series, service: &str) -> String {
     let steps = steps(series, service, |increase| {
         let bad = increase.bad() as f64;
@@ -84,7 +85,7 @@
     steps.iter().map(|step| step.value).fold(0.0, f64::max)
 }
 
-/// Where values lie on the drawing.
+/// Maps times and values to coordinates.
 struct Axes {
     first_ms: u64,
     span_ms: u64,
--- a/crates/cli/src/burn/report.rs
+++ b/crates/cli/src/burn/report.rs
@@ -1,13 +1,12 @@
-//! The figures.
+//! Figures of the report.
 //!
-//! A request is good when its answer was whole and its first token came in
-//! time; one that was wrong itself counts nowhere. The burn rate is the share
-//! of bad requests over the share that the objective allows: at 1 the budget
-//! lasts just as long as the objective's period.
+//! A request is good if its response was complete and its first token was
+//! within the target. Invalid requests do not count. The burn rate is the
+//! share of bad requests over the share that the objective allows: at 1 the
+//! budget lasts exactly for the period of the objective.
 //!
-//! Daemons count by service. What a class of accounts got is not counted
-//! apart, so an objective of a class is listed without figures rather than
-//! with those of the whole service.
+//! Daemons count by service and not by class of account, so an objective of a
+//! class is listed without figures instead of with those of the whole service.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr};
 
@@ -20,28 +19,28 @@
 };
 
 const OBJECTIVE_SCALE: u32 = 10_000;
-/// Why an objective of a class has no figures.
+/// Reason why an objective of a class has no figures.
 pub(super) const CLASS_NOTE: &str =
     "not measured: daemons count by service, not by class of account";
 
-/// Burn of every service.
+/// Burn rates of all services.
 #[derive(Debug, Serialize)]
 pub(super) struct Report {
     /// Time of the newest sample.
     pub(super) at_unix_ms: u64,
     pub(super) samples: usize,
-    /// From the first sample to the newest.
+    /// Time from the first to the newest sample.
     pub(super) span_ms: u64,
     /// Restarts of daemons between samples.
     pub(super) restarts: usize,
     pub(super) unreached: Vec<Unreached>,
     pub(super) services: Vec<ServiceReport>,
     pub(super) classes: Vec<ClassReport>,
-    /// Counted by daemons, and not in the manifest.
+    /// Services that daemons count but that are not in the manifest.
     pub(super) services_without_objective: Vec<String>,
 }
 
-/// A daemon without a place in the newest sample.
+/// A daemon that is not in the newest sample.
 #[derive(Debug, Serialize)]
 pub(super) struct Unreached {
     pub(super) address: SocketAddr,
@@ -54,7 +53,7 @@
     }
 }
 
-/// Burn of one service.
+/// Burn rates of one service.
 #[derive(Debug, Serialize)]
 pub(super) struct ServiceReport {
     pub(super) service: String,
@@ -65,27 +64,27 @@
     pub(super) outcomes: Vec<OutcomeReport>,
 }
 
-/// Burn in one window.
+/// Burn rate in one window.
 #[derive(Debug, Serialize)]
 pub(super) struct WindowReport {
     pub(super) window: String,
-    /// Why there are no figures.
+    /// Reason why the window has no figures.
     pub(super) not_covered: Option<String>,
     pub(super) figures: Option<Figures>,
 }
 
-/// What happened in a window.
+/// Figures of a window.
 #[derive(Debug, Serialize)]
 pub(super) struct Figures {
-    /// Time between the two samples.
+    /// Time between the samples at the ends of the window.
     pub(super) span_ms: u64,
     pub(super) requests: u64,
     pub(super) bad: u64,
     /// Bad requests that the objective allows.
     pub(super) allowed_bad: f64,
-    /// None without requests.
+    /// `None` without requests.
     pub(super) good_percent: Option<f64>,
-    /// None where the objective leaves no budget and some were bad.
+    /// `None` if the objective leaves no budget and some requests were bad.
     pub(super) burn_rate: Option<f64>,
 }
 
@@ -109,7 +108,7 @@
 }
 
 impl Report {
-    /// The figures of every service of a manifest.
+    /// Computes the figures of every service of a manifest.
     pub(super) fn new(
         manifest: &Manifest,
         series: &Series,
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Names the daemons that gave no counters.
+    /// Sets the daemons that returned no counters.
     pub(super) fn unreached(mut self, unreached: Vec<Unreached>) -> Report {
         self.unreached = unreached;
         self
@@ -211,8 +210,8 @@
     }
 }
 
-/// How fast a share of bad requests uses up a budget; none where there is no
-/// budget to use up.
+/// The rate at which a share of bad requests uses up a budget, or `None` if
+/// requests were bad and the budget is 0.
 pub(super) fn burn_rate(bad_share: f64, budget: f64) -> Option<f64> {
     match (bad_share > 0.0, budget > 0.0) {
         (false, _) => Some(0.0),
--- a/crates/cli/src/burn/samples.rs
+++ b/crates/cli/src/burn/samples.rs
@@ -1,7 +1,7 @@
 //! The file of samples.
 //!
-//! It is replaced as a whole by a rename, so that a run that dies leaves the
-//! old one. A file that cannot be read is never overwritten.
+//! The file is replaced atomically by a rename, so that an interrupted run
+//! leaves the old file. An unreadable file is never overwritten.
 
 use std::{
     collections::BTreeMap,
@@ -15,11 +15,11 @@
 
 use super::window::Window;
 
-/// Form of the file.
+/// Format version of the file.
 const VERSION: u32 = 1;
-/// Samples are kept for at least this time.
+/// Minimum retention of samples.
 const MIN_RETENTION_MS: u64 = 3 * 24 * 60 * 60 * 1_000;
-/// Reason of requests that were wrong themselves; they count nowhere.
+/// Reason of invalid requests, which do not count towards the objective.
 const BAD_REQUEST: &str = "bad_request";
 
 /// Samples, oldest first.
@@ -30,7 +30,7 @@
     samples: Vec<Sample>,
 }
 
-/// The counters of the daemons that answered.
+/// The counters of the daemons that responded.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(super) struct Sample {
     pub(super) at_unix_ms: u64,
@@ -48,14 +48,14 @@
 /// The counters of one service.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct ServiceCounts {
-    /// Answered whole and within the target of the service.
+    /// Requests completed within the target of the service.
     pub(super) within_target: u64,
     /// Requests by outcome and reason.
     pub(super) outcomes: BTreeMap<String, BTreeMap<String, u64>>,
 }
 
 impl ServiceCounts {
-    /// Counts requests with an outcome.
+    /// Adds requests with an outcome and reason.
     pub(super) fn add(&mut self, outcome: &str, reason: &str, count: u64) {
         let reasons = self.outcomes.entry(outcome.to_owned()).or_default();
         *reasons.entry(reason.to_owned()).or_default() += count;
@@ -89,7 +89,7 @@
 }
 
 impl Samples {
-    /// The samples of a file; none when there is no file yet.
+    /// Loads the samples of a file; a missing file has no samples.
     pub(super) fn load(path: &Path) -> anyhow::Result<Samples> {
         let text = match fs::read_to_string(path) {
             Ok(text) => text,
@@ -103,13 +103,14 @@
         let version = samples.version;
         ensure!(
             version == VERSION,
-            "{}: form {version} is not known; this tool knows {VERSION}",
+            "{}: format version {version} is not supported; this tool \
+             supports {VERSION}",
             path.display(),
         );
         let times = samples.samples.iter().map(|sample| sample.at_unix_ms);
         ensure!(
             times.is_sorted(),
-            "{}: the samples are not in the order of their times",
+            "{}: the samples are not in time order",
             path.display(),
         );
         Ok(samples)
@@ -126,7 +127,7 @@
         fs::rename(&new, path).with_context(cannot_write)
     }
 
-    /// Adds the newest and forgets those that no window needs.
+    /// Adds the newest sample and drops samples that no window needs.
     pub(super) fn push(
         &mut self,
         sample: Sample,
@@ -136,8 +137,8 @@
         let now = sample.at_unix_ms;
         ensure!(
             now > last,
-            "the last sample is of {last} ms since 1970 and it is {now} ms \
-             now; the clock went back",
+            "the last sample was taken at Unix time {last} ms and it is now \
+             {now} ms; the system clock went backwards",
         );
         let longest = windows.iter().map(|w| w.length_ms()).max();
         let retention_ms =
@@ -147,12 +148,12 @@
         Ok(())
     }
 
-    /// Whether there is none.
+    /// Whether there are no samples.
     pub(super) fn is_empty(&self) -> bool {
         self.samples.is_empty()
     }
 
-    /// Oldest first.
+    /// The samples, oldest first.
     pub(super) fn iter(&self) -> std::slice::Iter<'_, Sample> {
         self.samples.iter()
     }
--- a/crates/cli/src/burn/scrape.rs
+++ b/crates/cli/src/burn/scrape.rs
@@ -1,7 +1,7 @@
-//! Counters of a daemon, from its operators' port.
+//! Fetches the counters of a daemon from its operations port.
 //!
-//! `/status` tells the boot id, so that a restart is seen even when the new
-//! process has counted further than the old one.
+//! `/status` has the boot id, which reveals a restart even if the counters of
+//! the new process are already higher than those of the old process.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -18,21 +18,21 @@
 const OUTCOME: &str = "outcome";
 const REASON: &str = "reason";
 
-/// What matters of `/status`.
+/// The fields of `/status` that the tool needs.
 #[derive(Deserialize)]
 struct Status {
     vm: String,
     boot_id: u64,
 }
 
-/// The counters of a daemon at this moment.
+/// Fetches the current counters of a daemon.
 pub(super) async fn scrape(
     address: SocketAddr,
     timeout: Duration,
 ) -> anyhow::Result<DaemonSample> {
     let status = fetch(address, "/status", timeout).await?;
     let status: Status = serde_json::from_str(&status)
-        .with_context(|| format!("{address} tells no status"))?;
+        .with_context(|| format!("the status of {address} is not valid"))?;
     let metrics = fetch(address, "/metrics", timeout).await?;
     let services = parse_services(&metrics)
         .with_context(|| format!("the metrics of {address}"))?;
@@ -48,13 +48,16 @@
     let client = Client::new(address, options);
     let url = client.url(target)?;
     let request = Request::new(Method::Get, url);
-    // The error's text names its cause already.
+    // The message of the error includes its cause.
     let (response, body) = client
         .send(request, timeout)
         .await
         .map_err(|e| anyhow!(e.to_string()))?;
     let status = response.status();
-    ensure!(status.is_success(), "{address} answers {target} with {status}");
+    ensure!(
+        status.is_success(),
+        "{address} responds to {target} with {status}"
+    );
     Ok(String::from_utf8(body)?)
 }
 
@@ -77,7 +80,7 @@
     Ok(services)
 }
 
-/// One line of the text format.
+/// One line of the Prometheus text format.
 struct MetricLine<'a> {
     name: &'a str,
     labels: BTreeMap<String, String>,
@@ -85,7 +88,7 @@
 }
 
 impl MetricLine<'_> {
-    /// None for a line that is not one of the two counters.
+    /// Parses a line; `None` if it is not one of the two counters.
     fn try_parse(line: &str) -> anyhow::Result<Option<MetricLine<'_>>> {
         let Some((name, rest)) = line.split_once('{') else {
             return Ok(None);
@@ -93,14 +96,14 @@
         if name != REQUESTS && name != WITHIN_TARGET {
             return Ok(None);
         }
-        let invalid = || format!("{line:?} is no series");
+        let invalid = || format!("{line:?} is not a valid series");
         let (labels, value) = parse_labels(rest).with_context(invalid)?;
         let value: f64 = value.trim().parse().with_context(invalid)?;
         Ok(Some(MetricLine { name, labels, value: value as u64 }))
     }
 }
 
-/// Labels up to the closing brace, and what follows it.
+/// Parses labels up to the closing brace and returns the rest of the line.
 fn parse_labels(mut rest: &str) -> Option<(BTreeMap<String, String>, &str)> {
     let mut labels = BTreeMap::new();
     loop {
@@ -115,7 +118,7 @@
     }
 }
 
-/// A value up to its closing quote, and what follows it.
+/// Parses a value up to its closing quote and returns the rest of the line.
 fn parse_quoted(quoted: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut characters = quoted.char_indices();
--- a/crates/cli/src/burn/series.rs
+++ b/crates/cli/src/burn/series.rs
@@ -1,17 +1,17 @@
-//! Samples as sums that only grow.
+//! Samples as monotonic sums.
 //!
-//! Counters begin at 0 again when a daemon restarts. Here each sample becomes
-//! the sum of all growth since the first one, over all daemons; a window is
-//! then the difference of two sums.
+//! Counters restart at 0 with their daemon. A point is the sum of all
+//! increases since the first sample, over all daemons; a window is the
+//! difference of two points.
 //!
-//! | case | what counts |
+//! | case | increase |
 //! |---|---|
 //! | the same process as before | the difference |
-//! | another boot id, or a counter that fell | the new value whole |
-//! | a daemon not reached for a while | all of it at its next sample |
-//! | an address seen first | nothing: when it counted is not known |
+//! | another boot id, or a lower counter | the whole new value |
+//! | a daemon missing from some samples | the difference, at its next sample |
+//! | a new address | none, because the time of its counts is unknown |
 //!
-//! What a daemon counted between its last sample and its end is lost.
+//! Counts between the last sample of a process and its exit are lost.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -20,25 +20,25 @@
     window::{Window, format_length},
 };
 
-/// A window may be longer than asked for by this part, since samples are not
-/// taken at its very start.
+/// Maximum length of a covered window over the requested length; samples
+/// rarely fall exactly on the start of a window.
 const MAX_WINDOW_STRETCH: f64 = 1.25;
 
-/// Growth since the first sample.
+/// Sum of increases since the first sample.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Point {
     pub(super) at_unix_ms: u64,
     services: BTreeMap<String, ServiceCounts>,
 }
 
-/// Sums at each sample.
+/// Points of all samples.
 #[derive(Debug)]
 pub(super) struct Series {
     points: Vec<Point>,
     restarts: usize,
 }
 
-/// Growth of one service between two samples.
+/// Increase of the counters of one service between two samples.
 #[derive(Debug)]
 pub(super) struct Increase {
     pub(super) span_ms: u64,
@@ -51,12 +51,14 @@
         self.counts.requests()
     }
 
-    /// Those that missed it. Counters of one scrape may be a request apart.
+    /// Requests that missed the objective. The counters of a scrape are not
+    /// read atomically and may be a request apart.
     pub(super) fn bad(&self) -> u64 {
         self.requests().saturating_sub(self.counts.within_target)
     }
 
-    /// Share that missed it; none without requests.
+    /// Share of requests that missed the objective, or `None` without
+    /// requests.
     pub(super) fn bad_share(&self) -> Option<f64> {
         let requests = self.requests();
         (requests > 0).then(|| self.bad() as f64 / requests as f64)
@@ -64,7 +66,7 @@
 }
 
 impl Series {
-    /// Sums over samples.
+    /// Sums the increases between samples.
     pub(super) fn new(samples: &Samples) -> Series {
         let mut previous: BTreeMap<SocketAddr, &DaemonSample> =
             BTreeMap::new();
@@ -92,7 +94,7 @@
         self.restarts
     }
 
-    /// Sums, oldest first.
+    /// The points, oldest first.
     pub(super) fn points(&self) -> &[Point] {
         &self.points
     }
@@ -102,21 +104,25 @@
         self.last().at_unix_ms - self.points[0].at_unix_ms
     }
 
-    /// The newest sum; there is always one.
+    /// The newest point.
+    ///
+    /// # Panics
+    ///
+    /// If there are no samples.
     pub(super) fn last(&self) -> &Point {
-        self.points.last().expect("a report needs a sample")
+        self.points.last().expect("a series has at least one sample")
     }
 
-    /// Services that have been counted.
+    /// Services that daemons have counted.
     pub(super) fn services(&self) -> impl Iterator<Item = &str> {
         self.last().services.keys().map(String::as_str)
     }
 
-    /// Growth of a service in a window that ends at the last sample.
+    /// Increase of a service in a window that ends at the last sample.
     ///
     /// # Errors
     ///
-    /// Why the samples don't cover it.
+    /// The reason why the samples don't cover the window.
     pub(super) fn window(
         &self,
         service: &str,
@@ -143,8 +149,8 @@
         Ok(increase)
     }
 
-    /// Growth of a service from each sample to the next, with the time of
-    /// the later one.
+    /// Increase of a service from each sample to the next, with the time of
+    /// the later sample.
     pub(super) fn steps<'a>(
         &'a self,
         service: &'a str,
@@ -192,7 +198,8 @@
     }
 }
 
-/// Whether the counters began anew; one that is gone has fallen too.
+/// Whether the daemon has restarted. A missing counter counts as 0 and so as
+/// lower than before.
 fn is_restart(old: &DaemonSample, new: &DaemonSample) -> bool {
     let none = ServiceCounts::default();
     let has_decreased = old.services.iter().any(|(name, old)| {
--- a/crates/cli/src/burn/text.rs
+++ b/crates/cli/src/burn/text.rs
@@ -1,4 +1,4 @@
-//! The figures as tables.
+//! The report as text.
 
 use super::{
     report::{ClassReport, Figures, Report, ServiceReport, WindowReport},
@@ -6,7 +6,7 @@
 };
 use crate::output::Table;
 
-/// The whole report.
+/// Formats the whole report.
 pub(super) fn text(report: &Report) -> String {
     let mut paragraphs = vec![summary(report), burn_table(report)];
     paragraphs.extend(outcome_table(report));
@@ -14,7 +14,7 @@
     paragraphs.join("\n\n")
 }
 
-/// What the report is made from, and what it lacks.
+/// Samples that the report is based on, and what is missing.
 pub(super) fn summary(report: &Report) -> String {
     let Report { samples, restarts, .. } = report;
     let span = format_length(report.span_ms);
@@ -30,13 +30,13 @@
     lines.join("\n")
 }
 
-/// An objective in words.
+/// Formats an objective.
 pub(super) fn objective(per_10000: u32, first_token_ms: u64) -> String {
     let percent = f64::from(per_10000) / 100.0;
     format!("{percent:.2} % within {first_token_ms} ms")
 }
 
-/// Columns of a window after its name.
+/// Cells of a window after its name.
 pub(super) fn window_cells(window: &WindowReport) -> [String; 5] {
     let Some(figures) = &window.figures else {
         let why = window.not_covered.as_deref().unwrap_or_default();
--- a/crates/cli/src/burn/window.rs
+++ b/crates/cli/src/burn/window.rs
@@ -1,4 +1,4 @@
-//! Lengths of time as operators write them: `90s`, `5m`, `6h`, `3d`.
+//! Durations such as `90s`, `5m`, `6h` and `3d`.
 
 use std::{fmt, str::FromStr};
 
@@ -13,14 +13,13 @@
 const UNITS: [(&str, u64); 4] =
     [("d", DAY_MS), ("h", HOUR_MS), ("m", MINUTE_MS), ("s", SECOND_MS)];
 
-/// A length of time to look back.
+/// A duration to look back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Window {
     length_ms: u64,
 }
 
 impl Window {
-    /// Its length.
     pub(super) fn length_ms(self) -> u64 {
         self.length_ms
     }
@@ -53,7 +52,7 @@
     }
 }
 
-/// A length in its two largest units.
+/// Formats a duration in its two largest non-zero units.
 pub(super) fn format_length(mut length_ms: u64) -> String {
     let mut parts = Vec::new();
     for (name, unit_ms) in UNITS {
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: everything found wrong in manifests.
+//! `check`: checks manifests and reports all findings.
 
 use std::path::PathBuf;
 
@@ -11,18 +11,18 @@
 pub(crate) const NAME: &str = "check";
 const FILE: &str = "file";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Checks manifests and prints every finding with its place")
+        .about("Checks manifests and prints every finding with its location")
         .arg(args::path(FILE, "Manifests").required(true).num_args(1..))
         .arg(args::json())
 }
 
-/// Checks each file.
+/// Checks the files and prints the findings.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let paths: Vec<&PathBuf> =
-        matches.get_many(FILE).expect("clap asks for it").collect();
+        matches.get_many(FILE).expect("clap requires the argument").collect();
     let mut findings = Vec::new();
     for path in &paths {
         if let Err(found) = source::load(path) {
@@ -55,7 +55,7 @@
     findings: Vec<FindingReport<'a>>,
 }
 
-/// A finding as JSON.
+/// JSON form of a finding.
 #[derive(Serialize)]
 pub(crate) struct FindingReport<'a> {
     file: &'a str,
@@ -66,7 +66,6 @@
 }
 
 impl FindingReport<'_> {
-    /// A finding as JSON.
     pub(crate) fn new(finding: &Finding) -> FindingReport<'_> {
         FindingReport {
             file: &finding.file,
--- a/crates/cli/src/daemons.rs
+++ b/crates/cli/src/daemons.rs
@@ -1,4 +1,4 @@
-//! Calls to the control ports of daemons.
+//! Client of the control ports of daemons.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,12 +13,13 @@
 /// Default of `--timeout-ms` for control calls.
 pub(crate) const TIMEOUT_MS: &str = "2000";
 
-/// `--control` with several addresses.
+/// The option `--control`, which takes several addresses.
 pub(crate) fn control() -> Arg {
     args::addresses(CONTROL, "Control addresses of daemons")
 }
 
-/// Dials a daemon; its calls have the same bound as the dialling.
+/// Connects to a daemon. `timeout` applies to the connection and to each
+/// call.
 pub(crate) async fn connect(
     address: SocketAddr,
     timeout: Duration,
@@ -27,8 +28,8 @@
     Ok(client.call_timeout(timeout))
 }
 
-/// Asks all at once, so that one that is silent delays no other; answers in
-/// the order of the addresses.
+/// Queries all addresses concurrently, so that an unresponsive daemon does not
+/// delay the others. The results are in the order of the addresses.
 pub(crate) async fn query_all<T, F>(
     addresses: &[SocketAddr],
     query: impl Fn(SocketAddr) -> F,
@@ -52,7 +53,7 @@
     executor.run(all).await
 }
 
-/// How a subcommand ends whose call has failed.
+/// The exit code after a failed control call.
 pub(crate) fn exit_of(error: &ControlError) -> Exit {
     match error {
         ControlError::NotReached { .. } | ControlError::Closed { .. } => {
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -1,7 +1,7 @@
-//! `drain`: taking a daemon or a backend server out of service.
+//! `drain`: takes a daemon or a backend server out of service.
 //!
-//! Work in progress goes on; with `--wait-ms` the tool looks until none is
-//! left. Ending a drain is the same call with `--undo`.
+//! Requests in flight continue; with `--wait-ms` the tool polls until none is
+//! left. `--undo` ends a drain.
 
 use std::{
     net::SocketAddr,
@@ -20,13 +20,13 @@
 const UNDO: &str = "undo";
 const WAIT_MS: &str = "wait-ms";
 const MAX_WAIT_MS: u64 = 86_400_000;
-/// Time between two looks at what is left.
+/// Interval at which `--wait-ms` polls the remaining requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Has a daemon or one backend server take no new work")
+        .about("Stops new work on a daemon or on one backend server")
         .arg(
             args::address(daemons::CONTROL, "Control address of the daemon")
                 .required(true),
@@ -35,27 +35,27 @@
             Arg::new(BACKEND)
                 .long(BACKEND)
                 .value_name("NAME")
-                .help("Only this backend server beside the daemon"),
+                .help("Drain only this backend server of the daemon"),
         )
         .arg(
             Arg::new(UNDO)
                 .long(UNDO)
                 .action(ArgAction::SetTrue)
                 .conflicts_with(WAIT_MS)
-                .help("Take new work again"),
+                .help("End the drain and accept new work again"),
         )
         .arg(
             Arg::new(WAIT_MS)
                 .long(WAIT_MS)
                 .value_name("N")
                 .value_parser(value_parser!(u64).range(0..=MAX_WAIT_MS))
-                .help("Wait at most so long until no work is left"),
+                .help("Time to wait until no request is left, in ms"),
         )
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
 }
 
-/// Gives the order, and waits if asked to.
+/// Starts or ends the drain, and waits if `--wait-ms` is given.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let address: SocketAddr = *args::required(matches, daemons::CONTROL);
     let wait_ms = matches.get_one::<u64>(WAIT_MS).copied();
@@ -137,7 +137,7 @@
     vm: String,
     backend: Option<String>,
     is_draining: bool,
-    /// Requests not ended yet.
+    /// Requests that have not ended.
     left: u64,
     was_waited_for: bool,
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,25 +1,25 @@
-//! What the process says when it ends.
+//! Exit codes.
 //!
-//! A script may depend on the codes: a meaning never changes, and a new one
-//! gets a new number. `clap` ends with [`FINDINGS`] itself when the command
-//! line is wrong.
+//! Scripts depend on the codes: the meaning of a code never changes, and a new
+//! meaning gets a new code. `clap` exits with [`FINDINGS`] if the command line
+//! is invalid.
 
 use std::{fmt::Write as _, process::ExitCode};
 
-/// Done.
+/// Success.
 pub(crate) const DONE: u8 = 0;
-/// Not done, or not known.
+/// A process or a store failed, or the requested item is unknown.
 pub(crate) const FAILED: u8 = 1;
-/// The command line or a file is wrong.
+/// The command line or a file is invalid.
 pub(crate) const FINDINGS: u8 = 2;
-/// Another manifest came first.
+/// Another manifest was accepted first, or the command is refused.
 pub(crate) const REFUSED: u8 = 3;
-/// A daemon is not reached or not yet as it should be.
+/// A daemon is unreachable, lags behind or has not drained.
 pub(crate) const LAGGING: u8 = 4;
-/// It may or may not have been done.
+/// The outcome is unknown.
 pub(crate) const UNKNOWN: u8 = 5;
 
-/// How a subcommand ended.
+/// Result of a subcommand.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Exit {
     Done,
@@ -77,7 +77,7 @@
     }
 }
 
-/// The codes, for `--help`.
+/// Lists the exit codes for `--help`.
 pub(crate) fn help() -> String {
     let mut text = "Exit codes:".to_owned();
     for exit in Exit::ALL {
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,8 +1,8 @@
-//! `explain`: why a chain is chosen.
+//! `explain`: explains the choice of a chain.
 //!
-//! The choice that was made for a request, or the one that an entry would
-//! make now for a request as described. Entries remember only their own
-//! requests, so each address given is asked until one knows the request.
+//! Shows the choices recorded for a request, or the choice that an entry would
+//! make now for a described request. An entry records only its own requests,
+//! so the tool queries the addresses until an entry knows the request.
 
 use std::net::SocketAddr;
 
@@ -29,12 +29,12 @@
 const OUTPUT_TOKENS: &str = "output-tokens";
 const DEADLINE_MS: &str = "deadline-ms";
 const PRIORITY: &str = "priority";
-/// Words of `--priority`.
+/// Values of `--priority`.
 const LOW: &str = "low";
 const NORMAL: &str = "normal";
 const HIGH: &str = "high";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     let described = |name: &'static str, value, help| {
         let option = Arg::new(name).long(name).value_name(value).help(help);
@@ -52,14 +52,18 @@
             Arg::new(REQUEST)
                 .long(REQUEST)
                 .value_name("ID")
-                .help("A request of late, by its x-request-id"),
+                .help("Recent request, by its x-request-id"),
         )
-        .arg(described(SERVICE, "NAME", "Service of a request as described"))
+        .arg(described(SERVICE, "NAME", "Service of a described request"))
         .group(ArgGroup::new("what").args([REQUEST, SERVICE]).required(true))
         .arg(described(ACCOUNT, "NAME", "Client account").default_value(""))
         .arg(number(PROMPT_TOKENS, "500", "Length of the prompt"))
-        .arg(number(OUTPUT_TOKENS, "200", "Most tokens of the answer"))
-        .arg(number(DEADLINE_MS, "60000", "What the caller waits"))
+        .arg(number(OUTPUT_TOKENS, "200", "Maximum output tokens"))
+        .arg(number(
+            DEADLINE_MS,
+            "60000",
+            "Time until the deadline of the caller, in ms",
+        ))
         .arg(
             described(PRIORITY, "PRIORITY", "Priority of the request")
                 .value_parser(PossibleValuesParser::new([LOW, NORMAL, HIGH]))
@@ -69,7 +73,7 @@
         .arg(args::json())
 }
 
-/// Asks the entries.
+/// Queries the entries and prints the explanation.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let addresses = args::addresses_of(matches, daemons::CONTROL);
     let query = query(matches);
@@ -85,7 +89,7 @@
                 Err(e) => failure = Some(more_informative(failure, e)),
             }
         }
-        Err(failure.expect("clap asks for an address"))
+        Err(failure.expect("clap requires an address"))
     });
     match response {
         Ok(text) => print(matches, &query, &text),
@@ -96,8 +100,8 @@
     }
 }
 
-/// Of two failures, the one that says more: "not remembered" is known only
-/// when every entry was reached.
+/// The more informative of two failures: an unknown request is reported only
+/// if every entry was reached, because an unreachable entry may know it.
 fn more_informative(
     old: Option<ControlError>,
     new: ControlError,
@@ -150,7 +154,8 @@
         ExplainQuery::Request { .. } => recorded::text(text),
         ExplainQuery::Described(_) => hypothetical::text(text),
     };
-    let formatted = formatted.context("the entry's answer cannot be read")?;
+    let formatted =
+        formatted.context("the response of the entry is not valid")?;
     output::print_text(&formatted)?;
     Ok(Exit::Done)
 }
--- a/crates/cli/src/explain/hypothetical.rs
+++ b/crates/cli/src/explain/hypothetical.rs
@@ -1,4 +1,4 @@
-//! The choice that an entry would make now, as text.
+//! Formats the choice that an entry would make now.
 
 use serde::Deserialize;
 
@@ -38,7 +38,7 @@
     weighted: f64,
 }
 
-/// The answer for a described request as text.
+/// Formats the response to a query for a described request.
 pub(super) fn text(json: &str) -> Result<String, serde_json::Error> {
     let choice: HypotheticalChoice = serde_json::from_str(json)?;
     Ok(format!("{}\n\n{}", choice.heading(), choice.table()))
--- a/crates/cli/src/explain/recorded.rs
+++ b/crates/cli/src/explain/recorded.rs
@@ -1,4 +1,4 @@
-//! The choices that were made for a request, as text.
+//! Formats the choices that an entry recorded for a request.
 
 use serde::Deserialize;
 
@@ -29,7 +29,7 @@
     at_fault: Option<String>,
 }
 
-/// The answer for a request as text.
+/// Formats the response to a query by request id.
 pub(super) fn text(json: &str) -> Result<String, serde_json::Error> {
     let request: RecordedRequest = serde_json::from_str(json)?;
     Ok(format!("{}\n{}", request.heading(), request.table()))
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,22 +1,22 @@
-//! The operators' command line of chestnutreach.
+//! Command-line tool for operators of chestnutreach.
 //!
-//! One module per subcommand; each has `command`, its arguments for `clap`,
+//! Each subcommand is a module with `command`, which defines its arguments,
 //! and `run`.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | `check` | everything found wrong in manifests |
-//! | `apply` | submitting a manifest |
-//! | `show` | the state of each daemon |
-//! | `drain` | taking daemons and backend servers out of service |
-//! | `explain` | why a chain is chosen |
-//! | `burn` | how fast services use up their error budgets |
-//! | `site` | an installation on the users' platform |
-//! | `args` | arguments that several subcommands take |
-//! | `daemons` | calls to the control ports of daemons |
-//! | `exit` | what the process says when it ends |
-//! | `output` | JSON and tables on the standard output |
-//! | `source` | manifests as files |
+//! | `check` | checks manifests and reports all findings |
+//! | `apply` | submits a manifest |
+//! | `show` | shows the state of each daemon |
+//! | `drain` | takes daemons and backend servers out of service |
+//! | `explain` | explains the choice of a chain |
+//! | `burn` | reports the error budget burn rates of services |
+//! | `site` | operates an installation on the users' platform |
+//! | `args` | arguments shared by subcommands |
+//! | `daemons` | client of the control ports of daemons |
+//! | `exit` | exit codes |
+//! | `output` | prints JSON and tables to standard output |
+//! | `source` | loads manifest files |
 
 mod apply;
 mod args;
@@ -51,7 +51,7 @@
 fn command() -> Command {
     Command::new("chestnutreach")
         .version(clap::crate_version!())
-        .about("Checks and applies manifests, and looks after the fleet")
+        .about("Checks and applies manifests, and operates the fleet")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands([
@@ -75,6 +75,6 @@
         Some((explain::NAME, matches)) => explain::run(matches),
         Some((burn::NAME, matches)) => burn::run(matches),
         Some((site::NAME, matches)) => site::run(matches),
-        _ => unreachable!("clap asks for a known subcommand"),
+        _ => unreachable!("clap rejects unknown subcommands"),
     }
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! JSON and tables on the standard output.
+//! Prints JSON and tables to standard output.
 
 use std::{
     fmt,
@@ -14,22 +14,23 @@
     print_text(&text)
 }
 
-/// Prints lines; a reader that went away is no failure.
+/// Prints text. A closed pipe is not an error, because the reader may stop
+/// early.
 pub(crate) fn print_text(text: &str) -> anyhow::Result<()> {
     let mut out = io::stdout().lock();
     match writeln!(out, "{text}").and_then(|()| out.flush()) {
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-        printed => printed.context("cannot print"),
+        printed => printed.context("cannot write to standard output"),
     }
 }
 
-/// Columns of text, each as wide as its widest cell.
+/// A text table whose columns are as wide as their widest cells.
 pub(crate) struct Table<const N: usize> {
     rows: Vec<[String; N]>,
 }
 
 impl<const N: usize> Table<N> {
-    /// A table with only its heading.
+    /// Creates a table that has only a heading.
     pub(crate) fn new(heading: [&str; N]) -> Table<N> {
         Table { rows: vec![heading.map(str::to_owned)] }
     }
@@ -39,7 +40,7 @@
         self.rows.push(row);
     }
 
-    /// Whether there is nothing below the heading.
+    /// Whether the table has no rows below its heading.
     pub(crate) fn is_empty(&self) -> bool {
         self.rows.len() == 1
     }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! `show`: the state of each daemon, and who lags behind.
+//! `show`: shows the state of each daemon and which daemons lag behind.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,20 +16,20 @@
 pub(crate) const NAME: &str = "show";
 const TABLE: &str = "table";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
         .about("Shows the state of daemons and which of them lag behind")
         .arg(daemons::control())
         .arg(args::address(
             TABLE,
-            "The table service, to compare with the accepted generation",
+            "Table service, to compare with the accepted generation",
         ))
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
 }
 
-/// Asks each daemon.
+/// Queries the daemons and prints their state.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let addresses = args::addresses_of(matches, daemons::CONTROL);
     let timeout = args::timeout_of(matches);
@@ -61,8 +61,8 @@
 }
 
 async fn fetch_accepted(table: SocketAddr, timeout: Duration) -> Accepted {
-    // A head is read from the table service alone; the object store is never
-    // called.
+    // `head` reads only the table service, so the address of the object store
+    // does not matter.
     let objects = ObjectClient::new(table, timeout);
     let table = TableClient::new(table, timeout);
     let store = ManifestStore::new(Arc::new(table), Arc::new(objects));
@@ -77,9 +77,9 @@
 
 #[derive(Serialize)]
 struct Report {
-    /// What the store has; none when it was not asked.
+    /// Accepted generation, or `None` without `--table`.
     store: Option<Accepted>,
-    /// Highest generation that was seen anywhere.
+    /// Highest generation of the daemons and the store.
     highest_generation: u64,
     daemons: Vec<Daemon>,
 }
@@ -95,7 +95,7 @@
     address: SocketAddr,
     status: Option<NodeStatus>,
     error: Option<String>,
-    /// Generations behind the highest.
+    /// Number of generations behind the highest.
     behind: Option<u64>,
 }
 
@@ -112,7 +112,8 @@
         Report { store, highest_generation, daemons }
     }
 
-    /// Whether everyone answered and has the highest generation.
+    /// Whether all daemons and the store responded, and all daemons have the
+    /// highest generation.
     fn is_current(&self) -> bool {
         let store_responded =
             self.store.as_ref().is_none_or(|s| s.error.is_none());
@@ -211,7 +212,7 @@
         ]
     }
 
-    /// What keeps the fleet from being whole.
+    /// Why the daemon is not current, if it is not.
     fn problem(&self) -> Option<String> {
         let address = self.address;
         match (&self.status, &self.error, self.behind) {
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -1,21 +1,21 @@
-//! `site`: an installation on the users' platform.
+//! `site`: operates an installation on the users' platform.
 //!
-//! There the configuration belongs to the platform's operator, who writes it
-//! to the store, so `apply` and `drain` have nothing to do; they are refused
-//! here by name. What is read comes from the store, from the entries, and
-//! from their logs.
+//! The operator of the platform writes the configuration to the store, and the
+//! platform stops processes, so `apply` and `drain` don't apply and are
+//! refused by name. The subcommands read the store, the status of the entries, and the
+//! logs of the entries.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | `check` | settings and deploy files |
-//! | `state` | what is in force, from the store and the entries |
-//! | `route` | which engines a described request would pass |
-//! | `trace` | from a request's id to its cause, from logs |
-//! | `needs` | what backend servers say that they need |
-//! | `quarantine` | requests that crash engines, and freeing them |
-//! | `statuses` | what all entries say that they know |
-//! | `burn` | how fast routes use up their error budgets, from logs |
-//! | `log` | lines of the logs |
+//! | `check` | checks settings and deploy files |
+//! | `state` | shows the current state, from the store and the entries |
+//! | `explain` | shows the path of a described request |
+//! | `trace` | explains the outcome of a request, from logs |
+//! | `needs` | shows rate limits, cooldowns and drains of backend servers |
+//! | `quarantine` | shows and frees requests that crash engines |
+//! | `statuses` | fetches the status of all entries |
+//! | `burn` | reports the error budget burn rates of routes, from logs |
+//! | `log` | parses logs |
 
 use clap::{ArgMatches, Command};
 
@@ -32,18 +32,18 @@
 mod trace;
 
 pub(crate) const NAME: &str = "site";
-/// Subcommands of the tool that can't apply here, and why.
+/// Subcommands of the tool that don't apply on the users' platform, and why.
 const UNAVAILABLE_SUBCOMMANDS: [(&str, &str); 2] = [
     ("apply", "the platform's operator writes the configuration"),
     ("drain", "the platform stops processes and replaces engines"),
 ];
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     let unavailable = UNAVAILABLE_SUBCOMMANDS
         .map(|(name, why)| Command::new(name).about(why).hide(true));
     Command::new(NAME)
-        .about("Looks after an installation on the users' platform")
+        .about("Operates an installation on the users' platform")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands([
@@ -74,9 +74,9 @@
                 .find(|r| r.0 == name)
                 .map(|r| r.1);
             let why = why.unwrap_or_default();
-            eprintln!("site {name} can't be done here: {why}");
+            eprintln!("site {name} is not available: {why}");
             Ok(Exit::Refused)
         }
-        None => unreachable!("clap asks for a subcommand"),
+        None => unreachable!("clap requires a subcommand"),
     }
 }
--- a/crates/cli/src/site/burn.rs
+++ b/crates/cli/src/site/burn.rs
@@ -1,8 +1,8 @@
-//! How fast routes use up their error budgets, from logs.
+//! `site burn`: reports the error budget burn rates of routes, from logs.
 //!
-//! A request is good when its answer was whole. The burn rate is the share
-//! of bad ones over the share that the objective allows: at 1 the budget
-//! lasts exactly as long as it should.
+//! A request is good if its response was complete. The burn rate is the share
+//! of bad requests over the share that the objective allows: at 1 the budget
+//! lasts exactly for the period of the objective.
 
 use std::{
     collections::BTreeMap,
@@ -21,14 +21,14 @@
 pub(crate) const NAME: &str = "burn";
 const OBJECTIVE: &str = "objective";
 const HTML: &str = "html";
-/// Characters of a time down to the second.
+/// Length of a timestamp up to the second.
 const TIMESTAMP_SECOND_LEN: usize = "2026-01-01T00:00:00".len();
-/// Size of a plot.
+/// Width and height of a plot.
 const PLOT_SIZE: (f64, f64) = (720.0, 120.0);
-/// Top of the scale of a plot, as a burn rate.
+/// Burn rate at the top of a plot; higher rates are clamped.
 const MAX_PLOTTED_RATE: f64 = 20.0;
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
         .about("Reports how fast routes use up their error budgets")
@@ -39,9 +39,15 @@
                 .value_name("SHARE")
                 .value_parser(value_parser!(f64))
                 .default_value("0.99")
-                .help("Share of requests that should be good, below 1"),
+                .help("Target share of good requests, below 1"),
+        )
+        .arg(
+            args::path(
+                HTML,
+                "Also write an HTML page with plots to this file",
+            )
+            .long(HTML),
         )
-        .arg(args::path(HTML, "Write a page with plots").long(HTML))
         .arg(args::json())
 }
 
@@ -58,7 +64,7 @@
     }
 }
 
-/// What is known of a route.
+/// Counts of a route.
 #[derive(Debug, Default)]
 struct Route {
     all: Count,
@@ -67,11 +73,13 @@
     path_changes: u64,
 }
 
-/// Reports.
+/// Prints the report.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let objective: f64 = *args::required(matches, OBJECTIVE);
     if !(0.0..1.0).contains(&objective) {
-        eprintln!("--objective {objective} is not from 0 to below 1");
+        eprintln!(
+            "--objective {objective} is out of range; it must be in 0..1"
+        );
         return Ok(Exit::Findings);
     }
     let budget = 1.0 - objective;
@@ -114,8 +122,8 @@
 fn count_by_route(lines: &[Line]) -> BTreeMap<String, Route> {
     let mut routes: BTreeMap<String, Route> = BTreeMap::new();
     for line in lines.iter().filter(|l| l.name() == "relay_ended") {
-        // What belongs to no route, or was given up by the client, says
-        // nothing of the service.
+        // Requests without a route and requests that the caller abandoned
+        // say nothing about the service.
         let is_counted = !line.field("route").is_empty()
             && line.field("outcome") != "caller_gone";
         if !is_counted {
@@ -182,7 +190,7 @@
         .with_context(|| format!("cannot write {}", path.display()))
 }
 
-/// Burn rate of each second, with a line at 1.
+/// Plots the burn rate of each second, with a line at 1.
 fn plot(route: &Route, budget: f64) -> String {
     let (width, height) = PLOT_SIZE;
     let bar = width / route.by_second.len().max(1) as f64;
--- a/crates/cli/src/site/check.rs
+++ b/crates/cli/src/site/check.rs
@@ -1,4 +1,4 @@
-//! Settings and deploy files.
+//! `site check`: checks settings and deploy files.
 
 use std::{fs, path::PathBuf};
 
@@ -13,7 +13,7 @@
 const SETTINGS: &str = "settings";
 const DEPLOY: &str = "deploy";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     let files = |name: &'static str, help: &'static str| {
         Arg::new(name)
@@ -24,14 +24,14 @@
             .help(help)
     };
     Command::new(NAME)
-        .about("Checks settings and deploy files, with all findings")
+        .about("Checks settings and deploy files and prints all findings")
         .arg(files(SETTINGS, "Settings file of a process"))
         .arg(files(DEPLOY, "Deploy file of the system"))
         .arg(args::json())
         .arg_required_else_help(true)
 }
 
-/// Checks all files.
+/// Checks the files and prints the findings.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let mut findings = Vec::new();
     for (kind, check) in [
--- a/crates/cli/src/site/explain.rs
+++ b/crates/cli/src/site/explain.rs
@@ -1,7 +1,7 @@
-//! Which engines a described request would pass.
+//! `site explain`: shows the path of a described request.
 //!
-//! From the store's list alone: what entries know of load and of engines
-//! that seem dead is not in it.
+//! The path is computed from the tables of the store only, without what the
+//! entries know about load and failed engines.
 
 use std::net::SocketAddr;
 
@@ -19,11 +19,11 @@
 const DATA_CENTRE: &str = "data-centre";
 const TOKENS: &str = "tokens";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Shows which engines a described request would pass")
-        .arg(args::address(STORE, "The platform's store").required(true))
+        .about("Shows the engines that would run a described request")
+        .arg(args::address(STORE, "Store of the platform").required(true))
         .arg(
             Arg::new(SERVICE)
                 .long(SERVICE)
@@ -41,7 +41,7 @@
                 .long(TOKENS)
                 .value_parser(value_parser!(u64))
                 .default_value("1000")
-                .help("Tokens that the request holds in memory"),
+                .help("Tokens that the request holds in KV memory"),
         )
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
@@ -145,7 +145,8 @@
     }
 }
 
-/// Layers that no ready engine holds, or that room is lacking.
+/// Reason why no path exists: layers that no ready engine holds, or
+/// insufficient KV capacity.
 fn no_path_reason(model: &Model, holders: &[LayerHolder]) -> String {
     let is_held = |layer: &u32| {
         holders.iter().any(|h| {
@@ -157,7 +158,9 @@
         .map(|layer| layer.to_string())
         .collect();
     match missing.is_empty() {
-        true => "all layers are held; room is lacking".to_owned(),
+        true => {
+            "all layers are held, but KV capacity is insufficient".to_owned()
+        }
         false => format!("no ready engine holds {}", missing.join(" ")),
     }
 }
--- a/crates/cli/src/site/log.rs
+++ b/crates/cli/src/site/log.rs
@@ -1,4 +1,4 @@
-//! Lines of the logs.
+//! Parses the logs of entries.
 
 use std::{fs, path::PathBuf};
 
@@ -8,7 +8,7 @@
 
 pub(crate) const LOGS: &str = "logs";
 
-/// An option with files of logs.
+/// The option `--logs`, which takes log files.
 pub(crate) fn arg() -> Arg {
     Arg::new(LOGS)
         .long(LOGS)
@@ -16,19 +16,19 @@
         .value_parser(value_parser!(PathBuf))
         .action(ArgAction::Append)
         .required(true)
-        .help("Logs of entries, as JSON lines; may be given again")
+        .help("Log file of entries, as JSON lines; may be repeated")
 }
 
-/// One line of the logs.
+/// One log line.
 #[derive(Clone, Debug)]
 pub(crate) struct Line {
-    /// Where it comes from.
+    /// Name of the process, or of the file if the line names no process.
     pub(crate) source: String,
-    /// When it was written, as it says.
+    /// Timestamp of the line.
     pub(crate) at: String,
-    /// Its fields.
+    /// Fields of the event.
     pub(crate) fields: Value,
-    /// What happened.
+    /// Message of the event.
     pub(crate) message: String,
 }
 
@@ -38,7 +38,7 @@
         self.field("name")
     }
 
-    /// A field as text; empty if it is not there.
+    /// A field as text; empty if the field is missing.
     pub(crate) fn field(&self, name: &str) -> &str {
         self.fields[name].as_str().unwrap_or("")
     }
@@ -48,7 +48,8 @@
         self.field(name).parse().ok()
     }
 
-    /// Fields but for the name, as text.
+    /// All non-empty fields as text, without the name, the event and the
+    /// request.
     pub(crate) fn text(&self) -> String {
         let Some(fields) = self.fields.as_object() else {
             return String::new();
@@ -67,8 +68,8 @@
     }
 }
 
-/// The lines of all files in order of time. Lines that are not ours are
-/// passed over: a platform may put its own between them.
+/// Loads the lines of all files in time order. Lines in another format are
+/// skipped, because a platform may insert its own lines.
 pub(crate) fn load(matches: &ArgMatches) -> anyhow::Result<Vec<Line>> {
     let mut lines = Vec::new();
     for path in matches.get_many::<PathBuf>(LOGS).into_iter().flatten() {
@@ -83,7 +84,7 @@
 }
 
 fn parse(source: &str, line: &str) -> Option<Line> {
-    // A platform may write its own columns before ours.
+    // A platform may write its own columns before the JSON object.
     let json = &line[line.find('{')?..];
     let value: Value = serde_json::from_str(json).ok()?;
     let prefix = line[..line.find('{')?].trim();
--- a/crates/cli/src/site/needs.rs
+++ b/crates/cli/src/site/needs.rs
@@ -1,4 +1,5 @@
-//! What backend servers say that they need, as the entries know it.
+//! `site needs`: shows backend servers that announced a rate limit, a cooldown
+//! or a drain, as the entries know them.
 
 use std::net::SocketAddr;
 
@@ -13,16 +14,18 @@
 
 pub(crate) const NAME: &str = "needs";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Shows backend servers that are limited, at rest or leaving")
-        .arg(args::address(STORE, "The platform's store").required(true))
+        .about(
+            "Shows backend servers that are limited, in cooldown or draining",
+        )
+        .arg(args::address(STORE, "Store of the platform").required(true))
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
 }
 
-/// Prints what the entries know.
+/// Prints the affected backend servers by entry.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let store: SocketAddr = *args::required(matches, STORE);
     let timeout = args::timeout_of(matches);
--- a/crates/cli/src/site/quarantine.rs
+++ b/crates/cli/src/site/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash engines, as the entries know them, and freeing them.
+//! `site quarantine`: shows requests that crash engines, as the entries know
+//! them, and frees them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,23 +18,23 @@
 pub(crate) const NAME: &str = "quarantine";
 const FREE: &str = "free";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Shows requests that crash engines, or frees one of them")
-        .arg(args::address(STORE, "The platform's store").required(true))
+        .about("Shows quarantined and suspect requests, or frees one")
+        .arg(args::address(STORE, "Store of the platform").required(true))
         .arg(
             Arg::new(FREE)
                 .long(FREE)
                 .value_name("FINGERPRINT")
                 .value_parser(value_parser!(Fingerprint))
-                .help("Free this request; entries tell each other"),
+                .help("Free this request on all entries"),
         )
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
 }
 
-/// Prints the requests, or frees one.
+/// Prints the requests, or frees a request.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let store: SocketAddr = *args::required(matches, STORE);
     let timeout = args::timeout_of(matches);
@@ -64,7 +65,7 @@
         "entries",
     ]);
     for (fingerprint, by_entry) in suspects {
-        // What most is known of.
+        // The entry that knows the most crashes has the most complete state.
         let crashes = |suspect: &&Value| {
             suspect["crashes"].as_array().map_or(0, Vec::len)
         };
@@ -102,7 +103,8 @@
     ]
 }
 
-/// Frees a request at the first entry that answers, which tells the others.
+/// Frees a request at the first entry that knows it; that entry announces the
+/// change to the others.
 async fn free(
     entries: &[(String, SocketAddr)],
     fingerprint: Fingerprint,
@@ -118,7 +120,7 @@
             return Ok(Exit::Done);
         }
     }
-    eprintln!("no entry that answers knows of {fingerprint}");
+    eprintln!("no reachable entry knows {fingerprint}");
     Ok(Exit::Failed)
 }
 
@@ -133,5 +135,5 @@
     let request = client.post_json(&target, body);
     let request = request.map_err(|e| anyhow::anyhow!(e))?;
     let (_, body) = client.send(request, timeout).await?;
-    serde_json::from_slice(&body).context("the answer is no JSON")
+    serde_json::from_slice(&body).context("the response is not valid JSON")
 }
--- a/crates/cli/src/site/state.rs
+++ b/crates/cli/src/site/state.rs
@@ -1,4 +1,4 @@
-//! What is in force, from the store and the entries.
+//! `site show`: shows the current state, from the store and the entries.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -20,20 +20,21 @@
 pub(crate) const NAME: &str = "show";
 pub(crate) const STORE: &str = "store";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Shows what is in force: configuration, layers, entries")
-        .arg(args::address(STORE, "The platform's store").required(true))
+        .about("Shows the current configuration, layers and entries")
+        .arg(args::address(STORE, "Store of the platform").required(true))
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
         .after_help(
-            "The entries are those that the store lists. One that does not \
-             answer, or has another configuration than the store, lags.",
+            "The entries are those that the store lists. An entry lags \
+             behind if it does not respond or if its configuration \
+             differs from that of the store.",
         )
 }
 
-/// What the store holds.
+/// State of an installation in the store.
 pub(crate) struct StoreState {
     pub(crate) configuration: Configuration,
     pub(crate) backends: Vec<Backend>,
@@ -41,7 +42,7 @@
     entries: Vec<(String, SocketAddr)>,
 }
 
-/// Reads the store.
+/// Reads the state of the store.
 pub(crate) async fn read_store(
     store: SocketAddr,
     timeout: Duration,
@@ -72,7 +73,7 @@
     Some((row.key.clone(), text.parse().ok()?))
 }
 
-/// Prints what is in force.
+/// Prints the current state.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let store: SocketAddr = *args::required(matches, STORE);
     let timeout = args::timeout_of(matches);
@@ -108,7 +109,7 @@
     Ok(if is_lagging { Exit::Lagging } else { Exit::Done })
 }
 
-/// What an entry says of itself; none if it does not answer.
+/// Fetches the status of an entry, or `None` if the entry does not respond.
 pub(crate) async fn fetch_status(
     address: SocketAddr,
     timeout: Duration,
@@ -119,7 +120,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-/// The entries that the store lists.
+/// Reads the entries that the store lists.
 pub(crate) async fn list_entries(
     store: SocketAddr,
     timeout: Duration,
@@ -129,7 +130,7 @@
     Ok(rows.iter().filter_map(parse_entry).collect())
 }
 
-/// How many ready engines hold each layer, by service and data centre.
+/// Number of ready engines that hold each layer, by service and data centre.
 fn coverage(
     stored: &StoreState,
 ) -> BTreeMap<String, BTreeMap<String, Vec<u32>>> {
--- a/crates/cli/src/site/statuses.rs
+++ b/crates/cli/src/site/statuses.rs
@@ -1,4 +1,4 @@
-//! What the entries say that they know, gathered from all of them.
+//! Fetches the status of all entries.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -7,16 +7,16 @@
 use super::state;
 use crate::{exit::Exit, output};
 
-/// Items by their names, as each entry tells of them.
+/// Items by name and by the entry that reports them.
 pub(super) type ItemsByEntry = BTreeMap<String, BTreeMap<String, Value>>;
 
-/// The statuses of entries by their names; none where one did not answer.
+/// Statuses by entry name, `None` for an entry that did not respond.
 pub(super) struct Statuses {
     by_entry: BTreeMap<String, Option<Value>>,
 }
 
 impl Statuses {
-    /// Asks these entries.
+    /// Fetches the status of each entry.
     pub(super) fn fetch_all(
         entries: Vec<(String, SocketAddr)>,
         timeout: Duration,
@@ -28,12 +28,12 @@
         Statuses { by_entry: entries.into_iter().map(status).collect() }
     }
 
-    /// How many were asked.
+    /// Number of queried entries.
     pub(super) fn len(&self) -> usize {
         self.by_entry.len()
     }
 
-    /// How the tool ends: lagging if one did not answer.
+    /// The exit code: lagging if an entry did not respond.
     pub(super) fn exit(&self) -> Exit {
         match self.by_entry.values().any(Option::is_none) {
             true => Exit::Lagging,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Tells which did not answer.
+    /// Prints the entries that did not respond.
     pub(super) fn print_unresponsive(&self) -> anyhow::Result<()> {
         for (entry, status) in &self.by_entry {
             if status.is_none() {
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// The entry whose field has this value.
+    /// The entry whose status has this value in a field.
     pub(super) fn entry_with(
         &self,
         field: &str,
@@ -64,7 +64,8 @@
         found.map(|(name, _)| name.as_str())
     }
 
-    /// Items of a list in each status, by a field that names them.
+    /// Collects the items of a list in each status by the value of the field
+    /// `name`.
     pub(super) fn items(&self, list: &str, name: &str) -> ItemsByEntry {
         let mut items = ItemsByEntry::new();
         for (entry, status) in &self.by_entry {
--- a/crates/cli/src/site/trace.rs
+++ b/crates/cli/src/site/trace.rs
@@ -1,8 +1,8 @@
-//! From a request's id to its cause, from logs.
+//! `site trace`: explains the outcome of a request, from logs.
 //!
-//! The lines of the request come first. Then what the entries noted of the
-//! backend servers that it names and of the store, from a little before its
-//! first line to its last, and of the same request under other ids.
+//! The output starts with the lines of the request. Then come lines, not later
+//! than the last line of the request, about the backend servers that the
+//! request names, the store, and the same request under other ids.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 
 pub(crate) const NAME: &str = "trace";
 const REQUEST: &str = "request";
-/// Events that tell of the store, and so explain refusals.
+/// Events about the store, which may explain refusals.
 const STORE_EVENTS: [&str; 6] = [
     "feed_lost",
     "feed_back",
@@ -23,20 +23,20 @@
     "lease_taken",
     "lease_lost",
 ];
-/// Fields that name backend servers.
+/// Fields that contain ids of backend servers.
 const BACKEND_FIELDS: [&str; 4] =
     ["backend", "backends", "without", "suspects"];
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Leads from a request's id to its cause")
+        .about("Explains the outcome of a request from logs")
         .arg(
             Arg::new(REQUEST)
                 .long(REQUEST)
                 .value_name("ID")
                 .required(true)
-                .help("Id of the request, of one try of the client"),
+                .help("Request id of one attempt of the client"),
         )
         .arg(log::arg())
         .arg(args::json())
@@ -87,7 +87,7 @@
     output::print_text(&format!("  {at} {source} {name} {text}"))
 }
 
-/// How it ended, in a sentence.
+/// One-line summary of the outcome.
 fn outcome(request_lines: &[&Line]) -> String {
     let last =
         request_lines.iter().rev().find(|line| line.name() == "relay_ended");
@@ -107,7 +107,7 @@
     )
 }
 
-/// Events of requests that crash backend servers.
+/// Events about requests that crash backend servers.
 const QUARANTINE_EVENTS: [&str; 4] = [
     "request_suspected",
     "request_quarantined",
@@ -115,13 +115,13 @@
     "trial_begun",
 ];
 
-/// Events of what backend servers say that they need; each names the request
-/// whose answer said so.
+/// Events about rate limits, cooldowns and drains of backend servers. Each
+/// names the request whose response announced the change.
 const SERVER_STATE_EVENTS: [&str; 4] =
     ["limit_named", "limit_ended", "rest_asked", "leaving_told"];
 
-/// Lines of the backend servers that the request names, of the store, and of
-/// the same request under other ids.
+/// Lines about the backend servers that the request names, the store, and the
+/// same request under other ids.
 fn related<'a>(lines: &'a [Line], request_lines: &[&Line]) -> Vec<&'a Line> {
     let named_backends: BTreeSet<String> =
         request_lines.iter().flat_map(|line| backends(line)).collect();
--- a/crates/cli/src/source.rs
+++ b/crates/cli/src/source.rs
@@ -1,10 +1,10 @@
-//! Manifests as files.
+//! Loads manifest files.
 
 use std::{fs, path::Path};
 
 use chestnutreach_config::{Finding, Findings, Manifest};
 
-/// Reads and checks a file; one that can't be read is a finding too.
+/// Reads and checks a file. An unreadable file is reported as a finding.
 pub(crate) fn load(path: &Path) -> Result<Manifest, Findings> {
     let file = path.display().to_string();
     match fs::read_to_string(path) {
--- a/crates/decisions/src/main.rs
+++ b/crates/decisions/src/main.rs
@@ -54,7 +54,7 @@
                     .long("load-percent")
                     .action(ArgAction::Append)
                     .value_parser(value_parser!(u32).range(1..=1_000))
-                    .help("Run only this load, in percent of the throughput bound"),
+                    .help("Run only this load, in percent of the bound"),
             ]),
             with_run_args(effects).arg(strategy_arg()),
             Command::new("time")
