--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -56,7 +56,7 @@
     Command::new(NAME)
         .about("Reports how fast services use up their error budgets")
         .arg(
-            args::addresses(OPS, "Operations addresses of the entries")
+            args::addresses(OPS, "Operators' addresses of the entries")
                 .required(false),
         )
         .arg(
--- a/crates/cli/src/burn/scrape.rs
+++ b/crates/cli/src/burn/scrape.rs
@@ -1,4 +1,4 @@
-//! Fetches the counters of a daemon from its operations port.
+//! Fetches the counters of a daemon from its operators' port.
 //!
 //! `/status` has the boot id, which reveals a restart even if the counters of
 //! the new process are already higher than those of the old process.
--- a/crates/cli/tests/cli/apply.rs
+++ b/crates/cli/tests/cli/apply.rs
@@ -1,58 +1,74 @@
-//! `apply` against the table service and the object store, also failing.
+//! `apply` against the table service and the object store, with and without
+//! faults.
 
 use chestnutreach_standins::platform::{Down, FaultSettings};
 use rstest::rstest;
 
 use crate::support::{
-    Platform, Ran, file, finish, manifest, manifest_with_weight, run, start,
+    CommandOutput, Platform, file, finish, manifest, manifest_with_weight,
+    run, start,
 };
 
-fn apply(platform: &Platform, rest: &str, content: &str) -> Ran {
+fn apply(
+    platform: &Platform,
+    extra_arguments: &str,
+    content: &str,
+) -> CommandOutput {
     let file = file("applied.ini", content);
-    run(&platform.apply(&format!("{rest} {file}")))
+    run(&platform.apply(&format!("{extra_arguments} {file}")))
 }
 
 #[test]
-fn first_next_and_repeated() {
+fn a_repeated_submission_keeps_its_generation() {
     let platform = Platform::start();
     let first = apply(&platform, "--submission one", &manifest());
-    assert_eq!((first.code, &*first.out), (0, "accepted as generation 1\n"));
-    assert!(first.err.contains("--submission one --base 0"), "{first:?}");
+    assert_eq!(
+        (first.exit_code, &*first.stdout),
+        (0, "accepted as generation 1\n")
+    );
+    assert!(first.stderr.contains("--submission one --base 0"), "{first:?}");
     let changed = manifest_with_weight(30);
     let next = apply(&platform, "--base 1 --submission two", &changed);
-    assert_eq!((next.code, &*next.out), (0, "accepted as generation 2\n"));
-    // The first one again, as its message says: not a new generation.
-    let again = apply(&platform, "--submission one --base 0", &manifest());
-    assert_eq!((again.code, &*again.out), (0, "accepted as generation 1\n"));
+    assert_eq!(
+        (next.exit_code, &*next.stdout),
+        (0, "accepted as generation 2\n")
+    );
+    // Repeats the first submission as its message on standard error states;
+    // the generation does not change.
+    let repeated = apply(&platform, "--submission one --base 0", &manifest());
+    assert_eq!(
+        (repeated.exit_code, &*repeated.stdout),
+        (0, "accepted as generation 1\n")
+    );
     let reused = apply(&platform, "--submission one --base 2", &changed);
-    assert_eq!(reused.code, 3, "{reused:?}");
+    assert_eq!(reused.exit_code, 3, "{reused:?}");
 }
 
 #[test]
-fn a_stale_base_shows_what_it_lost_to() {
+fn a_stale_base_is_refused_with_the_difference_to_the_accepted_manifest() {
     let platform = Platform::start();
     apply(&platform, "--submission one", &manifest());
     apply(&platform, "--submission two", &manifest_with_weight(30));
     let stale = manifest_with_weight(40);
-    let ran = apply(&platform, "--base 1", &stale);
-    assert_eq!(ran.code, 3);
-    let shown = "\
+    let output = apply(&platform, "--base 1", &stale);
+    assert_eq!(output.exit_code, 3);
+    let expected = "\
 refused: made for generation 1, but generation 2 of \"two\" is accepted
 from the accepted manifest to the submitted one:
 ~ [deployment]
 -   recovery-weight-percent = 30
 +   recovery-weight-percent = 40
 ";
-    assert_eq!(ran.out, shown);
-    let ran = apply(&platform, "--base 1 --json", &stale);
-    let json = ran.json();
-    assert_eq!((ran.code, &json["cause"]), (3, &"stale".into()));
+    assert_eq!(output.stdout, expected);
+    let output = apply(&platform, "--base 1 --json", &stale);
+    let json = output.json();
+    assert_eq!((output.exit_code, &json["cause"]), (3, &"stale".into()));
     assert_eq!(json["winner"]["generation"], 2);
     assert_eq!(json["difference"][0]["section"], "deployment");
 }
 
 #[test]
-fn one_of_a_race_wins() {
+fn one_of_several_concurrent_submissions_is_accepted() {
     let platform = Platform::start();
     platform
         .table_faults
@@ -64,81 +80,83 @@
         start(&line.split_whitespace().collect::<Vec<_>>())
     });
     let children: Vec<_> = children.collect();
-    let ran: Vec<Ran> = children.into_iter().map(finish).collect();
-    let (won, lost): (Vec<_>, Vec<_>) =
-        ran.iter().partition(|ran| ran.code == 0);
-    assert_eq!((won.len(), lost.len()), (1, 3), "{ran:?}");
-    for ran in lost {
-        assert_eq!(ran.code, 3);
-        assert!(ran.out.contains("~ [deployment]"), "{ran:?}");
+    let outputs: Vec<CommandOutput> =
+        children.into_iter().map(finish).collect();
+    let (accepted, refused): (Vec<_>, Vec<_>) =
+        outputs.iter().partition(|output| output.exit_code == 0);
+    assert_eq!((accepted.len(), refused.len()), (1, 3), "{outputs:?}");
+    for output in refused {
+        assert_eq!(output.exit_code, 3);
+        assert!(output.stdout.contains("~ [deployment]"), "{output:?}");
     }
 }
 
 struct Fault {
     settings: FaultSettings,
-    rest: &'static str,
-    code: i32,
-    /// On the standard output or the standard error.
-    says: &'static str,
-    /// Generation that the same submission gets when the store is well.
-    repeated: u64,
+    extra_arguments: &'static str,
+    exit_code: i32,
+    /// Text on standard output or standard error.
+    expected: &'static str,
+    /// Generation of the repeated submission after the store has recovered.
+    repeated_generation: u64,
 }
 
 #[rstest]
-#[case::answer_lost(Fault {
+#[case::response_lost(Fault {
     settings: FaultSettings { lose_answers: 1, ..FaultSettings::default() },
-    rest: "--submission one",
-    code: 0,
-    says: "accepted as generation 1",
-    repeated: 1,
+    extra_arguments: "--submission one",
+    exit_code: 0,
+    expected: "accepted as generation 1",
+    repeated_generation: 1,
 })]
 #[case::down(Fault {
     settings: FaultSettings {
         down: Down::Unavailable,
         ..FaultSettings::default()
     },
-    rest: "--submission one --base 0",
-    code: 1,
-    says: "not accepted: the table service is unavailable",
-    repeated: 1,
+    extra_arguments: "--submission one --base 0",
+    exit_code: 1,
+    expected: "not accepted: the table service is unavailable",
+    repeated_generation: 1,
 })]
 #[case::down_without_base(Fault {
     settings: FaultSettings { down: Down::Closed, ..FaultSettings::default() },
-    rest: "--submission one",
-    code: 1,
-    says: "the accepted generation is not known",
-    repeated: 1,
+    extra_arguments: "--submission one",
+    exit_code: 1,
+    expected: "the accepted generation is not known",
+    repeated_generation: 1,
 })]
 #[case::never_written(Fault {
     settings: FaultSettings {
         lose_requests: u64::MAX,
         ..FaultSettings::default()
     },
-    rest: "--submission one --base 0",
-    code: 5,
-    says: "may have been accepted, submit the same id again",
-    repeated: 1,
+    extra_arguments: "--submission one --base 0",
+    exit_code: 5,
+    expected: "may have been accepted, submit the same id again",
+    repeated_generation: 1,
 })]
-fn faults(#[case] fault: Fault) {
+fn store_faults_and_repeated_submission(#[case] fault: Fault) {
     let platform = Platform::start();
     platform.table_faults.set(fault.settings);
-    let ran = apply(&platform, fault.rest, &manifest());
-    assert_eq!(ran.code, fault.code, "{ran:?}");
-    let said = format!("{}{}", ran.out, ran.err);
-    assert!(said.contains(fault.says), "{ran:?}");
+    let output = apply(&platform, fault.extra_arguments, &manifest());
+    assert_eq!(output.exit_code, fault.exit_code, "{output:?}");
+    let text = format!("{}{}", output.stdout, output.stderr);
+    assert!(text.contains(fault.expected), "{output:?}");
     platform.table_faults.set(FaultSettings::default());
-    let again = apply(&platform, "--submission one --base 0", &manifest());
-    let accepted = format!("accepted as generation {}\n", fault.repeated);
-    assert_eq!((again.code, &*again.out), (0, &*accepted));
+    let repeated = apply(&platform, "--submission one --base 0", &manifest());
+    let accepted =
+        format!("accepted as generation {}\n", fault.repeated_generation);
+    assert_eq!((repeated.exit_code, &*repeated.stdout), (0, &*accepted));
 }
 
 #[test]
-fn findings_are_not_submitted() {
+fn an_invalid_manifest_is_not_submitted() {
     let platform = Platform::start();
     let wrong = manifest_with_weight(130);
-    let ran = apply(&platform, "", &wrong);
-    assert_eq!(ran.code, 2);
-    assert!(ran.out.contains("130 is out of range"), "{ran:?}");
-    let ran = apply(&platform, "", &manifest());
-    assert_eq!(ran.out, "accepted as generation 1\n");
+    let output = apply(&platform, "", &wrong);
+    assert_eq!(output.exit_code, 2);
+    assert!(output.stdout.contains("130 is out of range"), "{output:?}");
+    let output = apply(&platform, "", &manifest());
+    assert_eq!(output.stdout, "accepted as generation 1\n");
 }
--- a/crates/cli/tests/cli/burn.rs
+++ b/crates/cli/tests/cli/burn.rs
@@ -1,4 +1,4 @@
-//! `burn` over prepared samples, and against a real operators' port.
+//! `burn` over prepared samples and against a real operators' port.
 
 use std::{fs, sync::Arc, time::Duration};
 
@@ -7,16 +7,17 @@
 use serde_json::{Value, json};
 
 use crate::support::{
-    Ran, closed_address, executor, file, listen, manifest, path, run,
+    CommandOutput, closed_address, executor, file, listen, manifest, path, run,
 };
 
 const SERVICE: &str = "desk-llm";
 const MINUTE_MS: u64 = 60_000;
 
-/// Counters of one daemon: within target, completed, failed, wrong requests.
+/// Counters of one daemon: within target, completed, failed and invalid
+/// requests.
 type Counts = [u64; 4];
 
-/// One daemon in a sample: last number of its address, boot id, counters.
+/// One daemon in a sample: last byte of its address, boot id, counters.
 struct Daemon(u8, u64, Counts);
 
 fn sample(at_minute: u64, daemons: &[Daemon]) -> Value {
@@ -42,11 +43,13 @@
     json!({"at_unix_ms": (1000 + at_minute) * MINUTE_MS, "daemons": daemons})
 }
 
-fn burn(samples: &[Value], rest: &str) -> Ran {
+fn burn(samples: &[Value], extra_arguments: &str) -> CommandOutput {
     let samples = json!({"version": 1, "samples": samples}).to_string();
     let samples = file("samples.json", &samples);
     let manifest = file("manifest.ini", &manifest());
-    run(&format!("burn --manifest {manifest} --samples {samples} {rest}"))
+    run(&format!(
+        "burn --manifest {manifest} --samples {samples} {extra_arguments}"
+    ))
 }
 
 fn window<'a>(report: &'a Value, length: &str) -> &'a Value {
@@ -59,7 +62,7 @@
 struct Case {
     samples: Vec<Value>,
     window: &'static str,
-    /// Requests, bad ones, and the burn rate at an objective of 99.5 %.
+    /// Requests, bad requests and the burn rate at an objective of 99.5 %.
     figures: Option<(u64, u64, f64)>,
     not_covered: &'static str,
     restarts: u64,
@@ -100,7 +103,7 @@
 #[case::restart_by_boot_id(Case {
     samples: vec![
         sample(0, &[Daemon(1, 1, [100, 100, 0, 0])]),
-        // Further than before, and all of it is new.
+        // The counters are higher than before, but all counts are new.
         sample(5, &[Daemon(1, 2, [198, 200, 0, 0])]),
     ],
     window: "5m",
@@ -108,7 +111,7 @@
     not_covered: "",
     restarts: 1,
 })]
-#[case::restart_by_a_fallen_counter(Case {
+#[case::restart_by_a_lower_counter(Case {
     samples: vec![
         sample(0, &[Daemon(1, 1, [100, 100, 9, 0])]),
         sample(5, &[Daemon(1, 1, [100, 100, 0, 0])]),
@@ -118,7 +121,7 @@
     not_covered: "",
     restarts: 1,
 })]
-#[case::silent_for_a_while(Case {
+#[case::missing_from_one_sample(Case {
     samples: vec![
         sample(0, &[Daemon(1, 1, [0; 4]), Daemon(2, 1, [0; 4])]),
         sample(5, &[Daemon(1, 1, [50, 50, 0, 0])]),
@@ -146,11 +149,11 @@
     not_covered: "",
     restarts: 0,
 })]
-fn windows(#[case] case: Case) {
-    let ran =
+fn windows_are_computed_from_samples(#[case] case: Case) {
+    let output =
         burn(&case.samples, &format!("--json --windows {}", case.window));
-    assert_eq!(ran.code, 0, "{ran:?}");
-    let report = ran.json();
+    assert_eq!(output.exit_code, 0, "{output:?}");
+    let report = output.json();
     let window = window(&report, case.window);
     assert_eq!(report["restarts"], case.restarts);
     let Some((requests, bad, burn_rate)) = case.figures else {
@@ -166,25 +169,29 @@
 }
 
 #[test]
-fn text_says_what_is_not_covered_or_not_measured() {
+fn text_names_windows_and_classes_without_figures() {
     let samples = [
         sample(0, &[Daemon(1, 1, [0; 4])]),
         sample(5, &[Daemon(1, 1, [99, 99, 1, 0])]),
     ];
-    let ran = burn(&samples, "");
-    assert_eq!(ran.code, 0);
-    for says in [
+    let output = burn(&samples, "");
+    assert_eq!(output.exit_code, 0);
+    for expected in [
         "5m      100       1    0.5      99.00   2.00",
         "not covered: samples reach back 5m",
         "not measured: daemons count by service, not by class of account",
         "samples: 2 over 5m; restarts of daemons: 0",
     ] {
-        assert!(ran.out.contains(says), "{says}: {}", ran.out);
+        assert!(
+            output.stdout.contains(expected),
+            "{expected}: {}",
+            output.stdout
+        );
     }
 }
 
 #[test]
-fn the_page_needs_nothing_from_elsewhere() {
+fn the_html_page_is_self_contained() {
     let samples: Vec<Value> = (0..20)
         .map(|minute| {
             let bad = 2 * minute;
@@ -192,10 +199,10 @@
         })
         .collect();
     let page = path("burn.html");
-    assert_eq!(burn(&samples, &format!("--html {page}")).code, 0);
+    assert_eq!(burn(&samples, &format!("--html {page}")).exit_code, 0);
     let page = fs::read_to_string(page).unwrap();
-    for outside in ["http:", "https:", "<script", "<link", "src=", "url("] {
-        assert!(!page.contains(outside), "{outside}");
+    for reference in ["http:", "https:", "<script", "<link", "src=", "url("] {
+        assert!(!page.contains(reference), "{reference}");
     }
     assert!(page.matches("<svg").count() >= 2, "{page}");
     assert!(!page.contains("NaN") && !page.contains("inf"), "{page}");
@@ -204,14 +211,17 @@
 #[rstest]
 #[case::no_json("{", 1)]
 #[case::other_version(r#"{"version": 2, "samples": []}"#, 1)]
-fn a_file_that_cannot_be_read_stays(#[case] content: &str, #[case] code: i32) {
+fn an_unreadable_samples_file_is_not_overwritten(
+    #[case] content: &str,
+    #[case] exit_code: i32,
+) {
     let samples = file("samples.json", content);
     let manifest = file("manifest.ini", &manifest());
     let (ops, _) = serve_metrics();
-    let ran = run(&format!(
+    let output = run(&format!(
         "burn --ops {ops} --manifest {manifest} --samples {samples}"
     ));
-    assert_eq!(ran.code, code, "{ran:?}");
+    assert_eq!(output.exit_code, exit_code, "{output:?}");
     assert_eq!(fs::read_to_string(samples).unwrap(), content);
 }
 
@@ -231,36 +241,36 @@
 }
 
 #[test]
-fn samples_are_taken_and_added() {
+fn each_run_adds_a_sample_of_the_reachable_daemons() {
     let (address, metrics) = serve_metrics();
     let service = metrics.service(SERVICE);
     let manifest = file("manifest.ini", &manifest());
     let samples = path("samples.json");
     let line = format!("burn --manifest {manifest} --samples {samples}");
-    let ended = |outcome, reason| {
+    let record_request = |outcome, reason| {
         service.request_ended(outcome, reason, Duration::from_millis(5));
     };
-    ended("completed", "");
+    record_request("completed", "");
     service.requests_within_target.inc();
     let first = run(&format!("{line} --ops {address}"));
-    assert_eq!(first.code, 0, "{first:?}");
-    ended("not-run", "full");
-    ended("not-run", "full");
+    assert_eq!(first.exit_code, 0, "{first:?}");
+    record_request("not-run", "full");
+    record_request("not-run", "full");
     let closed = closed_address();
     let second = run(&format!("{line} --ops {address},{closed}"));
-    // The one that answered counts, and the other is named.
-    assert_eq!(second.code, 4, "{second:?}");
-    assert!(second.out.contains(&format!("{closed} was not sampled")));
-    let written = fs::read_to_string(&samples).unwrap();
-    let written: Value = serde_json::from_str(&written).unwrap();
+    // The sample has the reachable daemon, and the report names the other.
+    assert_eq!(second.exit_code, 4, "{second:?}");
+    assert!(second.stdout.contains(&format!("{closed} was not sampled")));
+    let saved = fs::read_to_string(&samples).unwrap();
+    let saved: Value = serde_json::from_str(&saved).unwrap();
     let counts = |at: usize| {
-        let daemon = &written["samples"][at]["daemons"][address.to_string()];
+        let daemon = &saved["samples"][at]["daemons"][address.to_string()];
         assert_eq!(daemon["boot_id"], u64::MAX);
         daemon["services"][SERVICE].clone()
     };
     let completed = json!({"completed": {"": 1}});
     assert_eq!(counts(0), json!({"within_target": 1, "outcomes": completed}),);
     assert_eq!(counts(1)["outcomes"]["not-run"]["full"], 2);
-    let none = run(&format!("{line} --ops {closed}"));
-    assert_eq!(none.code, 1, "{none:?}");
+    let unreachable = run(&format!("{line} --ops {closed}"));
+    assert_eq!(unreachable.exit_code, 1, "{unreachable:?}");
 }
--- a/crates/cli/tests/cli/check.rs
+++ b/crates/cli/tests/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check` tells every finding with its place.
+//! `check` reports every finding with its location.
 
 use rstest::rstest;
 
@@ -13,15 +13,15 @@
 
 struct Case {
     content: Option<&'static str>,
-    code: i32,
-    /// Each is the end of a line, after the name of the file.
+    exit_code: i32,
+    /// Ends of the printed lines, after the file name.
     findings: &'static [&'static str],
 }
 
 #[rstest]
 #[case::wrong(Case {
     content: Some(WRONG),
-    code: 2,
+    exit_code: 2,
     findings: &[
         ":3: [deployment] recovery-weight-percent: 130 is out of range; it \
          must be 0..=100 %",
@@ -30,29 +30,29 @@
 })]
 #[case::missing(Case {
     content: None,
-    code: 2,
+    exit_code: 2,
     findings: &[": cannot be read: No such file or directory (os error 2)"],
 })]
-fn findings(#[case] case: Case) {
+fn findings_are_printed_with_their_locations(#[case] case: Case) {
     let file = match case.content {
         Some(content) => file("wrong.ini", content),
         None => path("missing.ini"),
     };
     let good = file_of_example();
-    let ran = run(&format!("check {good} {file}"));
-    assert_eq!(ran.code, case.code, "{ran:?}");
+    let output = run(&format!("check {good} {file}"));
+    assert_eq!(output.exit_code, case.exit_code, "{output:?}");
     let mut lines: Vec<String> =
         case.findings.iter().map(|end| format!("{file}{end}")).collect();
     lines.push(format!("files: 2, findings: {}", lines.len()));
-    assert_eq!(ran.out.lines().collect::<Vec<_>>(), lines);
+    assert_eq!(output.stdout.lines().collect::<Vec<_>>(), lines);
 }
 
 #[test]
-fn json_has_the_places() {
+fn json_locates_each_finding() {
     let file = file("wrong.ini", WRONG);
-    let ran = run(&format!("check --json {file}"));
-    assert_eq!(ran.code, 2);
-    let findings = &ran.json()["findings"];
+    let output = run(&format!("check --json {file}"));
+    assert_eq!(output.exit_code, 2);
+    let findings = &output.json()["findings"];
     let place = |at: usize| {
         let finding = &findings[at];
         (finding["line"].clone(), finding["key"].clone())
@@ -63,16 +63,19 @@
 }
 
 #[test]
-fn nothing_wrong() {
-    let ran = run(&format!("check {}", file_of_example()));
-    assert_eq!((ran.code, &*ran.out), (0, "files: 1, findings: 0\n"));
+fn a_valid_manifest_has_no_findings() {
+    let output = run(&format!("check {}", file_of_example()));
+    assert_eq!(
+        (output.exit_code, &*output.stdout),
+        (0, "files: 1, findings: 0\n")
+    );
 }
 
 #[test]
 fn help_lists_the_exit_codes() {
-    let help = run("--help").out;
-    for code in ["0  done", "3  refused", "4  a daemon", "5  it may"] {
-        assert!(help.contains(code), "{help}");
+    let help = run("--help").stdout;
+    for exit_code in ["0  done", "3  refused", "4  a daemon", "5  it may"] {
+        assert!(help.contains(exit_code), "{help}");
     }
 }
 
--- a/crates/cli/tests/cli/control.rs
+++ b/crates/cli/tests/cli/control.rs
@@ -1,4 +1,4 @@
-//! `show`, `drain` and `explain` against control servers with a fake handler.
+//! `show`, `drain` and `explain` against control servers of fake daemons.
 
 use std::{
     net::SocketAddr,
@@ -23,7 +23,7 @@
 };
 
 const REQUEST: &str = "da223fc640200db829a106daa334ee18";
-/// As an entry answered in a run of the demo's fleet.
+/// Response of an entry, captured from a run of the demo fleet.
 const CHOICES: &str = r#"{"request":"da223fc640200db829a106daa334ee18",
 "service":"desk-llm","account":"caisse-medina","choices":[{"at_ms":0,
 "stages":["desk-0a","desk-1b"],"avoided":["desk-0b"],"prompt_tokens":7,
@@ -33,32 +33,32 @@
 "elapsed_ms":37}"#;
 
 #[derive(Default)]
-struct Node {
+struct FakeDaemon {
     generation: u64,
-    remembers: bool,
-    orders: Mutex<Vec<String>>,
+    knows_request: bool,
+    calls: Mutex<Vec<String>>,
     queries: Mutex<Vec<ExplainQuery>>,
-    /// One request ends with each look at the status.
+    /// Each query of the status ends one request.
     in_flight: AtomicU64,
 }
 
-impl Node {
-    fn order(&self, call: &str, name: Option<&str>) {
-        let order = format!("{call} {}", name.unwrap_or("all"));
-        self.orders.lock().unwrap().push(order);
+impl FakeDaemon {
+    fn record_call(&self, call: &str, name: Option<&str>) {
+        let call = format!("{call} {}", name.unwrap_or("all"));
+        self.calls.lock().unwrap().push(call);
     }
 }
 
-impl ControlHandler for Node {
+impl ControlHandler for FakeDaemon {
     fn info(&self) -> NodeInfo {
         NodeInfo::default()
     }
 
     fn status(&self) -> NodeStatus {
-        let less = |left: u64| left.checked_sub(1);
-        let order = Ordering::SeqCst;
-        let _ = self.in_flight.fetch_update(order, order, less);
-        let left = self.in_flight.load(order);
+        let decremented = |left: u64| left.checked_sub(1);
+        let ordering = Ordering::SeqCst;
+        let _ = self.in_flight.fetch_update(ordering, ordering, decremented);
+        let left = self.in_flight.load(ordering);
         let generation = self.generation;
         NodeStatus {
             vm: format!("vm-{generation}"),
@@ -81,12 +81,12 @@
             let backend = "nope".to_owned();
             return Err(ControlRefusal::UnknownBackend { backend });
         }
-        self.order("drain", backend);
+        self.record_call("drain", backend);
         Ok(())
     }
 
     fn undrain(&self, backend: Option<&str>) -> Result<(), ControlRefusal> {
-        self.order("undrain", backend);
+        self.record_call("undrain", backend);
         Ok(())
     }
 
@@ -101,7 +101,7 @@
     fn explain(&self, query: &ExplainQuery) -> Result<String, ControlRefusal> {
         self.queries.lock().unwrap().push(query.clone());
         match query {
-            ExplainQuery::Request { .. } if self.remembers => {
+            ExplainQuery::Request { .. } if self.knows_request => {
                 Ok(CHOICES.to_owned())
             }
             ExplainQuery::Request { request_id } => {
@@ -157,26 +157,26 @@
     }
 }
 
-fn serve(node: Node) -> (SocketAddr, Arc<Node>) {
-    let node = Arc::new(node);
+fn serve(daemon: FakeDaemon) -> (SocketAddr, Arc<FakeDaemon>) {
+    let daemon = Arc::new(daemon);
     let (listener, address) = listen();
     let executor = executor();
-    let serving = serve_control(listener, executor.clone(), node.clone());
+    let serving = serve_control(listener, executor.clone(), daemon.clone());
     executor.spawn(serving).detach();
-    (address, node)
+    (address, daemon)
 }
 
 fn at_generation(generation: u64) -> SocketAddr {
-    serve(Node { generation, ..Node::default() }).0
+    serve(FakeDaemon { generation, ..FakeDaemon::default() }).0
 }
 
 struct ShowCase {
     generations: &'static [u64],
     has_closed: bool,
-    /// Submissions that the store accepted; none without `--table`.
+    /// Number of accepted submissions, or `None` without `--table`.
     accepted: Option<u64>,
-    code: i32,
-    says: &'static [&'static str],
+    exit_code: i32,
+    expected: &'static [&'static str],
 }
 
 #[rstest]
@@ -184,31 +184,31 @@
     generations: &[7, 7],
     has_closed: false,
     accepted: None,
-    code: 0,
-    says: &["generation 7 on 2 of 2 daemons", "desk-0a"],
+    exit_code: 0,
+    expected: &["generation 7 on 2 of 2 daemons", "desk-0a"],
 })]
 #[case::lagging(ShowCase {
     generations: &[7, 5],
     has_closed: false,
     accepted: None,
-    code: 4,
-    says: &["behind: vm-5", "2 behind", "generation 7 on 1 of 2 daemons"],
+    exit_code: 4,
+    expected: &["behind: vm-5", "2 behind", "generation 7 on 1 of 2 daemons"],
 })]
 #[case::behind_the_store(ShowCase {
     generations: &[1, 1],
     has_closed: false,
     accepted: Some(2),
-    code: 4,
-    says: &["generation 2 on 0 of 2 daemons; accepted: 2"],
+    exit_code: 4,
+    expected: &["generation 2 on 0 of 2 daemons; accepted: 2"],
 })]
 #[case::not_reached(ShowCase {
     generations: &[1],
     has_closed: true,
     accepted: Some(1),
-    code: 4,
-    says: &["not reached: ", "generation 1 on 1 of 2 daemons; accepted: 1"],
+    exit_code: 4,
+    expected: &["not reached: ", "generation 1 on 1 of 2 daemons; accepted: 1"],
 })]
-fn show(#[case] case: ShowCase) {
+fn show_reports_lagging_and_unreachable_daemons(#[case] case: ShowCase) {
     let mut addresses: Vec<String> = case
         .generations
         .iter()
@@ -222,91 +222,97 @@
         let platform = Platform::start();
         for _ in 0..accepted {
             let file = file("shown.ini", &manifest());
-            assert_eq!(run(&platform.apply(&file)).code, 0);
+            assert_eq!(run(&platform.apply(&file)).exit_code, 0);
         }
         line.push_str(&format!(" --table {}", platform.table));
     }
-    let ran = run(&line);
-    assert_eq!(ran.code, case.code, "{ran:?}");
-    for says in case.says {
-        assert!(ran.out.contains(says), "{says}: {}", ran.out);
+    let output = run(&line);
+    assert_eq!(output.exit_code, case.exit_code, "{output:?}");
+    for expected in case.expected {
+        assert!(
+            output.stdout.contains(expected),
+            "{expected}: {}",
+            output.stdout
+        );
     }
     let json = run(&format!("{line} --json")).json();
     assert_eq!(json["daemons"].as_array().unwrap().len(), addresses.len());
 }
 
 struct DrainCase {
-    rest: &'static str,
+    extra_arguments: &'static str,
     in_flight: u64,
-    code: i32,
-    orders: &'static [&'static str],
-    says: &'static str,
+    exit_code: i32,
+    calls: &'static [&'static str],
+    expected: &'static str,
 }
 
 #[rstest]
 #[case::all(DrainCase {
-    rest: "",
+    extra_arguments: "",
     in_flight: 5,
-    code: 0,
-    orders: &["drain all"],
-    says: "vm-0 drains; requests left: 4",
+    exit_code: 0,
+    calls: &["drain all"],
+    expected: "vm-0 drains; requests left: 4",
 })]
 #[case::waited_for(DrainCase {
-    rest: "--backend desk-0a --wait-ms 60000",
+    extra_arguments: "--backend desk-0a --wait-ms 60000",
     in_flight: 3,
-    code: 0,
-    orders: &["drain desk-0a"],
-    says: "desk-0a beside vm-0 drains; requests left: 0",
+    exit_code: 0,
+    calls: &["drain desk-0a"],
+    expected: "desk-0a beside vm-0 drains; requests left: 0",
 })]
-#[case::not_in_time(DrainCase {
-    rest: "--wait-ms 0",
+#[case::wait_expired(DrainCase {
+    extra_arguments: "--wait-ms 0",
     in_flight: 9,
-    code: 4,
-    orders: &["drain all"],
-    says: "vm-0 drains; requests left: 8",
+    exit_code: 4,
+    calls: &["drain all"],
+    expected: "vm-0 drains; requests left: 8",
 })]
 #[case::undone(DrainCase {
-    rest: "--backend desk-0a --undo",
+    extra_arguments: "--backend desk-0a --undo",
     in_flight: 0,
-    code: 0,
-    orders: &["undrain desk-0a"],
-    says: "desk-0a beside vm-0 takes new work again",
+    exit_code: 0,
+    calls: &["undrain desk-0a"],
+    expected: "desk-0a beside vm-0 takes new work again",
 })]
 #[case::unknown(DrainCase {
-    rest: "--backend nope",
+    extra_arguments: "--backend nope",
     in_flight: 0,
-    code: 1,
-    orders: &[],
-    says: "no backend server \"nope\" is beside this process",
+    exit_code: 1,
+    calls: &[],
+    expected: "no backend server \"nope\" is beside this process",
 })]
-fn drain(#[case] case: DrainCase) {
+fn drain_reports_the_remaining_requests(#[case] case: DrainCase) {
     let in_flight = AtomicU64::new(case.in_flight);
-    let (address, node) = serve(Node { in_flight, ..Node::default() });
-    let ran = run(&format!("drain --control {address} {}", case.rest));
-    assert_eq!(ran.code, case.code, "{ran:?}");
-    let said = format!("{}{}", ran.out, ran.err);
-    assert!(said.contains(case.says), "{ran:?}");
-    assert_eq!(*node.orders.lock().unwrap(), case.orders);
+    let (address, daemon) =
+        serve(FakeDaemon { in_flight, ..FakeDaemon::default() });
+    let output =
+        run(&format!("drain --control {address} {}", case.extra_arguments));
+    assert_eq!(output.exit_code, case.exit_code, "{output:?}");
+    let text = format!("{}{}", output.stdout, output.stderr);
+    assert!(text.contains(case.expected), "{output:?}");
+    assert_eq!(*daemon.calls.lock().unwrap(), case.calls);
 }
 
 #[test]
-fn drain_of_a_daemon_that_is_gone() {
-    let ran = run(&format!("drain --control {}", closed_address()));
-    assert_eq!(ran.code, 4, "{ran:?}");
+fn drain_of_an_unreachable_daemon_exits_as_lagging() {
+    let output = run(&format!("drain --control {}", closed_address()));
+    assert_eq!(output.exit_code, 4, "{output:?}");
 }
 
 #[test]
-fn explain_described() {
-    let (address, node) = serve(Node::default());
+fn explain_prints_the_choice_for_a_described_request() {
+    let (address, daemon) = serve(FakeDaemon::default());
     let line = format!(
         "explain --control {address} --service desk-llm --account \
          caisse-medina --prompt-tokens 900 --output-tokens 200 --deadline-ms \
          8000 --priority high"
     );
-    let ran = run(&line);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let output = run(&line);
+    assert_eq!(output.exit_code, 0, "{output:?}");
     let row = |name: &str| {
-        let mut lines = ran.out.lines();
+        let mut lines = output.stdout.lines();
         let line = lines.find(|line| line.starts_with(name)).unwrap();
         line.split_whitespace().collect::<Vec<_>>().join(" ")
     };
@@ -315,7 +321,7 @@
     assert_eq!(row("desk-0a"), chosen);
     let left_out = "desk-0b 0..24 left out: not present - - - - - - - -";
     assert_eq!(row("desk-0b"), left_out);
-    let queries = node.queries.lock().unwrap();
+    let queries = daemon.queries.lock().unwrap();
     let ExplainQuery::Described(described) = &queries[0] else {
         panic!("{queries:?}");
     };
@@ -328,26 +334,32 @@
 }
 
 #[test]
-fn explain_asks_until_an_entry_remembers() {
-    let (first, _) = serve(Node::default());
-    let (second, _) = serve(Node { remembers: true, ..Node::default() });
-    let ran = run(&format!(
+fn explain_queries_entries_until_one_knows_the_request() {
+    let (first, _) = serve(FakeDaemon::default());
+    let (second, _) =
+        serve(FakeDaemon { knows_request: true, ..FakeDaemon::default() });
+    let output = run(&format!(
         "explain --control {first},{second} --request {REQUEST}"
     ));
-    assert_eq!(ran.code, 0, "{ran:?}");
-    for says in [
+    assert_eq!(output.exit_code, 0, "{output:?}");
+    for expected in [
         "not-run after 37 ms, no_chain, no attempts are left",
         "desk-0a > desk-1b",
         "failed",
     ] {
-        assert!(ran.out.contains(says), "{says}: {}", ran.out);
+        assert!(
+            output.stdout.contains(expected),
+            "{expected}: {}",
+            output.stdout
+        );
     }
-    let ran = run(&format!("explain --control {first} --request {REQUEST}"));
-    assert_eq!(ran.code, 1, "{ran:?}");
-    // One that was not reached may have remembered it.
+    let output =
+        run(&format!("explain --control {first} --request {REQUEST}"));
+    assert_eq!(output.exit_code, 1, "{output:?}");
+    // An unreachable entry may know the request.
     let closed = closed_address();
-    let ran = run(&format!(
+    let output = run(&format!(
         "explain --control {closed},{first} --request {REQUEST}"
     ));
-    assert_eq!(ran.code, 4, "{ran:?}");
+    assert_eq!(output.exit_code, 4, "{output:?}");
 }
--- a/crates/cli/tests/cli/main.rs
+++ b/crates/cli/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! The built tool against stand-ins of the platform and of daemons.
+//! Runs the built tool against stand-ins of the platform and of daemons.
 
 mod apply;
 mod burn;
--- a/crates/cli/tests/cli/site.rs
+++ b/crates/cli/tests/cli/site.rs
@@ -1,4 +1,4 @@
-//! `site`, against the emulator's store and files of logs.
+//! `site` against the store of the emulator and log files.
 
 use std::{fs, process::Command};
 
@@ -12,22 +12,22 @@
 use rstest::rstest;
 use serde_json::Value;
 
-struct Run {
-    code: i32,
-    out: String,
-    error: String,
+struct CommandOutput {
+    exit_code: i32,
+    stdout: String,
+    stderr: String,
 }
 
-fn run(arguments: &[&str]) -> Run {
+fn run(arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_chestnutreach"))
         .arg("site")
         .args(arguments)
         .output()
         .unwrap();
-    Run {
-        code: output.status.code().unwrap(),
-        out: String::from_utf8(output.stdout).unwrap(),
-        error: String::from_utf8(output.stderr).unwrap(),
+    CommandOutput {
+        exit_code: output.status.code().unwrap(),
+        stdout: String::from_utf8(output.stdout).unwrap(),
+        stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
@@ -44,7 +44,7 @@
     "\nnot ours\n",
 );
 
-fn with_logs(arguments: &[&str]) -> Run {
+fn with_logs(arguments: &[&str]) -> CommandOutput {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("logs");
     fs::write(&path, LOGS).unwrap();
@@ -54,58 +54,62 @@
 }
 
 #[test]
-fn a_trace_names_the_outcome_and_what_was_noted_of_its_engines() {
-    let run = with_logs(&["trace", "--request", "r1"]);
-    assert_eq!(run.code, 0, "{}", run.error);
-    assert!(run.out.contains("completed; 2 attempts"), "{}", run.out);
-    assert!(run.out.contains("i-2"), "{}", run.out);
-    assert!(!run.out.contains("i-9"), "{}", run.out);
-    let json = with_logs(&["trace", "--request", "r1", "--json"]).out;
+fn a_trace_contains_the_outcome_and_the_events_of_its_engines() {
+    let output = with_logs(&["trace", "--request", "r1"]);
+    assert_eq!(output.exit_code, 0, "{}", output.stderr);
+    assert!(
+        output.stdout.contains("completed; 2 attempts"),
+        "{}",
+        output.stdout
+    );
+    assert!(output.stdout.contains("i-2"), "{}", output.stdout);
+    assert!(!output.stdout.contains("i-9"), "{}", output.stdout);
+    let json = with_logs(&["trace", "--request", "r1", "--json"]).stdout;
     let json: Value = serde_json::from_str(&json).unwrap();
     assert_eq!(json["lines"].as_array().unwrap().len(), 2);
     let unknown = with_logs(&["trace", "--request", "r9"]);
-    assert_eq!(unknown.code, 1);
-    assert!(unknown.error.contains("r9"));
+    assert_eq!(unknown.exit_code, 1);
+    assert!(unknown.stderr.contains("r9"));
 }
 
 #[test]
-fn burn_is_told_as_text_json_and_page() {
-    let run = with_logs(&["burn", "--objective", "0.9"]);
-    assert_eq!(run.code, 0, "{}", run.error);
-    assert!(run.out.contains("5.00"), "half are bad: {}", run.out);
-    let json = with_logs(&["burn", "--json"]).out;
+fn burn_is_reported_as_text_json_and_html() {
+    let output = with_logs(&["burn", "--objective", "0.9"]);
+    assert_eq!(output.exit_code, 0, "{}", output.stderr);
+    assert!(output.stdout.contains("5.00"), "half are bad: {}", output.stdout);
+    let json = with_logs(&["burn", "--json"]).stdout;
     let json: Value = serde_json::from_str(&json).unwrap();
     assert_eq!(json["r-a"]["good"], 1);
     let dir = tempfile::tempdir().unwrap();
     let page = dir.path().join("page.html");
-    let run = with_logs(&["burn", "--html", page.to_str().unwrap()]);
-    assert_eq!(run.code, 0);
+    let output = with_logs(&["burn", "--html", page.to_str().unwrap()]);
+    assert_eq!(output.exit_code, 0);
     assert!(fs::read_to_string(page).unwrap().contains("<svg"));
-    assert_eq!(with_logs(&["burn", "--objective", "1"]).code, 2);
+    assert_eq!(with_logs(&["burn", "--objective", "1"]).exit_code, 2);
 }
 
 #[rstest]
 #[case("apply")]
 #[case("drain")]
-fn what_can_not_apply_is_refused_by_name(#[case] name: &str) {
-    let run = run(&[name]);
-    assert_eq!(run.code, 3);
-    assert!(run.error.contains(name), "{}", run.error);
+fn unavailable_subcommands_are_refused_by_name(#[case] name: &str) {
+    let output = run(&[name]);
+    assert_eq!(output.exit_code, 3);
+    assert!(output.stderr.contains(name), "{}", output.stderr);
 }
 
 #[test]
-fn files_are_checked_with_all_findings() {
+fn check_reports_all_findings_of_a_file() {
     let deploy =
         concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/system.toml");
     let good = run(&["check", "--deploy", deploy]);
-    assert_eq!(good.code, 0, "{}{}", good.out, good.error);
+    assert_eq!(good.exit_code, 0, "{}{}", good.stdout, good.stderr);
     let dir = tempfile::tempdir().unwrap();
     let bad = dir.path().join("bad.toml");
     fs::write(&bad, "[roles.a]\non = \"x\"\nshare = 2.0\nmetrics = \"x/y\"\n")
         .unwrap();
     let bad = bad.to_str().unwrap();
-    let run = run(&["check", "--deploy", bad, "--settings", bad]);
-    assert_eq!(run.code, 2);
+    let output = run(&["check", "--deploy", bad, "--settings", bad]);
+    assert_eq!(output.exit_code, 2);
     for place in [
         "build",
         "roles.a.run",
@@ -114,12 +118,12 @@
         "roles.a.metrics",
         "node-name",
     ] {
-        assert!(run.out.contains(place), "{place}: {}", run.out);
+        assert!(output.stdout.contains(place), "{place}: {}", output.stdout);
     }
 }
 
 #[test]
-fn the_store_tells_configuration_cover_and_paths() {
+fn show_and_explain_follow_the_layers_in_the_store() {
     let executor = start_executor().unwrap();
     let site = Site::small();
     let (store, address) = Store::start(&executor).unwrap();
@@ -136,9 +140,9 @@
         "--data-centre",
         "hall-a",
     ];
-    let lacking = run(&explain);
-    assert_eq!(lacking.code, 1);
-    assert!(lacking.error.contains("no ready engine holds 0 1"));
+    let no_path = run(&explain);
+    assert_eq!(no_path.exit_code, 1);
+    assert!(no_path.stderr.contains("no ready engine holds 0 1"));
     for (index, engine) in world.engines().into_iter().enumerate() {
         let first = 4 * (index as u32 % 3);
         let held = Some((first, first + 4));
@@ -146,14 +150,14 @@
         world.tell(engine);
     }
     let shown = run(&["show", "--store", &at, "--json"]);
-    assert_eq!(shown.code, 0, "{}", shown.error);
-    let json: Value = serde_json::from_str(&shown.out).unwrap();
+    assert_eq!(shown.exit_code, 0, "{}", shown.stderr);
+    let json: Value = serde_json::from_str(&shown.stdout).unwrap();
     assert_eq!(json["configuration"], 7);
     let cover = &json["cover"][MODEL_SERVICE];
     assert_eq!(cover["hall-a"].as_array().unwrap().len(), 12);
-    let found = run(&explain);
-    assert_eq!(found.code, 0, "{}", found.error);
-    assert_eq!(found.out.lines().count(), 3, "{}", found.out);
+    let path = run(&explain);
+    assert_eq!(path.exit_code, 0, "{}", path.stderr);
+    assert_eq!(path.stdout.lines().count(), 3, "{}", path.stdout);
 }
 
 const QUARANTINE: &str = concat!(
@@ -170,16 +174,20 @@
 );
 
 #[test]
-fn a_trace_of_a_refused_id_leads_to_the_crashes_under_other_ids() {
+fn a_trace_of_a_quarantined_request_contains_crashes_under_other_ids() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("logs");
     fs::write(&path, QUARANTINE).unwrap();
     let logs = path.to_str().unwrap();
-    let run = run(&["trace", "--request", "r3", "--logs", logs]);
-    assert_eq!(run.code, 0, "{}", run.error);
-    assert!(run.out.contains("not_run, quarantined"), "{}", run.out);
-    let (_, around) = run.out.split_once("under other ids").unwrap();
-    assert!(around.contains("request_suspected"), "{around}");
-    assert!(around.contains("request_quarantined"), "{around}");
-    assert!(!around.contains("f2"), "{around}");
+    let output = run(&["trace", "--request", "r3", "--logs", logs]);
+    assert_eq!(output.exit_code, 0, "{}", output.stderr);
+    assert!(
+        output.stdout.contains("not_run, quarantined"),
+        "{}",
+        output.stdout
+    );
+    let (_, related) = output.stdout.split_once("under other ids").unwrap();
+    assert!(related.contains("request_suspected"), "{related}");
+    assert!(related.contains("request_quarantined"), "{related}");
+    assert!(!related.contains("f2"), "{related}");
 }
--- a/crates/cli/tests/cli/support.rs
+++ b/crates/cli/tests/cli/support.rs
@@ -1,4 +1,4 @@
-//! Running the tool, and what it talks to.
+//! Runs the tool and the services that the tool calls.
 
 use std::{
     fs,
@@ -16,21 +16,21 @@
 use async_io::{Async, block_on};
 use chestnutreach_standins::platform::{Faults, serve_objects, serve_table};
 
-/// How a run ended.
+/// Exit code and output of a finished run.
 #[derive(Debug)]
-pub struct Ran {
-    pub code: i32,
-    pub out: String,
-    pub err: String,
+pub struct CommandOutput {
+    pub exit_code: i32,
+    pub stdout: String,
+    pub stderr: String,
 }
 
-impl Ran {
+impl CommandOutput {
     pub fn json(&self) -> serde_json::Value {
-        serde_json::from_str(&self.out).expect(&self.out)
+        serde_json::from_str(&self.stdout).expect(&self.stdout)
     }
 }
 
-/// Starts the tool.
+/// Starts the tool without waiting for its exit.
 pub fn start(arguments: &[&str]) -> Child {
     Command::new(env!("CARGO_BIN_EXE_chestnutreach"))
         .args(arguments)
@@ -40,23 +40,23 @@
         .unwrap()
 }
 
-/// Waits for a run.
-pub fn finish(child: Child) -> Ran {
-    let output = child.wait_with_output().unwrap();
-    Ran {
-        code: output.status.code().unwrap(),
-        out: String::from_utf8(output.stdout).unwrap(),
-        err: String::from_utf8(output.stderr).unwrap(),
+/// Waits for the exit of the tool.
+pub fn finish(child: Child) -> CommandOutput {
+    let process_output = child.wait_with_output().unwrap();
+    CommandOutput {
+        exit_code: process_output.status.code().unwrap(),
+        stdout: String::from_utf8(process_output.stdout).unwrap(),
+        stderr: String::from_utf8(process_output.stderr).unwrap(),
     }
 }
 
-/// Runs the tool with arguments divided by spaces.
-pub fn run(line: &str) -> Ran {
+/// Runs the tool with arguments separated by spaces.
+pub fn run(line: &str) -> CommandOutput {
     let arguments: Vec<&str> = line.split_whitespace().collect();
     finish(start(&arguments))
 }
 
-/// A path in a directory of tests that no other call gives.
+/// A unique path in the temporary directory of the tests.
 pub fn path(name: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -67,7 +67,7 @@
     path.to_str().unwrap().to_owned()
 }
 
-/// A file with this content.
+/// Creates a file with this content and returns its path.
 pub fn file(name: &str, content: &str) -> String {
     let path = path(name);
     fs::write(&path, content).unwrap();
@@ -80,7 +80,7 @@
     fs::read_to_string(format!("{examples}kaolack.ini")).unwrap()
 }
 
-/// It with another recovery weight.
+/// The example manifest of Kaolack with another recovery weight.
 pub fn manifest_with_weight(percent: u32) -> String {
     let line = "recovery-weight-percent = 20";
     let text = manifest();
@@ -88,29 +88,31 @@
     text.replace(line, &format!("recovery-weight-percent = {percent}"))
 }
 
-/// An executor on a thread of its own, until the tests end.
+/// An executor on its own thread, which runs until the tests end.
 pub fn executor() -> Arc<Executor<'static>> {
     let executor = Arc::new(Executor::new());
-    let running = executor.clone();
-    thread::spawn(move || block_on(running.run(std::future::pending::<()>())));
+    let driven_executor = executor.clone();
+    thread::spawn(move || {
+        block_on(driven_executor.run(std::future::pending::<()>()))
+    });
     executor
 }
 
-/// A free port.
+/// Listens on a free port.
 pub fn listen() -> (Async<TcpListener>, SocketAddr) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
     (listener, address)
 }
 
-/// An address where nobody listens.
+/// An address on which nothing listens.
 pub fn closed_address() -> SocketAddr {
     let (listener, address) = listen();
     drop(listener);
     address
 }
 
-/// The platform's stand-ins.
+/// Stand-ins of the platform's services.
 pub struct Platform {
     pub table: SocketAddr,
     pub objects: SocketAddr,
@@ -132,9 +134,9 @@
         Platform { table, objects, table_faults }
     }
 
-    /// Arguments of `apply`.
-    pub fn apply(&self, rest: &str) -> String {
+    /// Arguments of `apply` with the addresses of the stand-ins.
+    pub fn apply(&self, extra_arguments: &str) -> String {
         let Platform { table, objects, .. } = self;
-        format!("apply --table {table} --objects {objects} {rest}")
+        format!("apply --table {table} --objects {objects} {extra_arguments}")
     }
 }
