--- a/crates/decisions/src/baseline_chain.rs
+++ b/crates/decisions/src/baseline_chain.rs
@@ -1,9 +1,9 @@
 //! Baseline strategies that the router is compared with.
 //!
 //! Like the router, the baselines know which servers tile the layers and
-//! which are present. They pick one server after another in layer order and
-//! differ only in the weight that they minimise. The slot queue of a backend
-//! server is the same for all strategies.
+//! which are present. The baselines pick one server after another in layer
+//! order and differ only in how they choose among the servers of a layer. The
+//! slot queue of a backend server is the same for all strategies.
 
 use std::collections::BTreeMap;
 
--- a/crates/decisions/src/engine.rs
+++ b/crates/decisions/src/engine.rs
@@ -15,7 +15,8 @@
 //! token at this server for the server's share of the layers, so `B` is half
 //! of `max_running` times that share. The factor is one half because operators
 //! leave slots for requests in prefill or in a queue. The fixed part of an
-//! iteration, which reads the weights, is half of the time of a full batch.
+//! iteration, which reads the weights, is half of the time of a full batch; an
+//! iteration without decode steps has no batch time.
 //! Past `B` the time grows with the tokens, so the engine never exceeds `rate`
 //! and the throughput bound is a true upper bound.
 //!
