--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -1,8 +1,8 @@
-//! `apply`: submitting a manifest.
+//! `apply`: submits a manifest.
 //!
-//! The submission's id is told before anything is sent, so that it can be
-//! repeated whatever becomes of this process: the same id with the same
-//! manifest is accepted once.
+//! The tool prints the submission id before it sends anything, so that an
+//! operator can repeat the submission even if this process fails: a manifest
+//! is accepted once per id.
 
 use std::{collections::BTreeMap, path::PathBuf, sync::Arc};
 
@@ -18,7 +18,7 @@
 
 mod report;
 
-use report::{ApplyReport, ChangeReport, Ended};
+use report::{ApplyReport, ChangeReport, Outcome};
 
 pub(crate) const NAME: &str = "apply";
 const FILE: &str = "file";
@@ -27,7 +27,7 @@
 const BASE: &str = "base";
 const SUBMISSION: &str = "submission";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
         .about("Checks a manifest and submits it as the next generation")
@@ -40,28 +40,28 @@
                 .value_name("N")
                 .value_parser(value_parser!(u64))
                 .help(
-                    "Generation that the manifest was made for, 0 for none; \
-                     without it, the accepted one",
+                    "Generation that the manifest is based on, 0 for none; \
+                     the default is the accepted generation",
                 ),
         )
         .arg(
             Arg::new(SUBMISSION)
                 .long(SUBMISSION)
                 .value_name("ID")
-                .help("Id of the submission; random without it"),
+                .help("Id of the submission; the default is random"),
         )
         .arg(args::timeout("2000"))
         .arg(args::json())
 }
 
-/// Submits the file.
+/// Checks and submits the file.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let path: &PathBuf = args::required(matches, FILE);
     let sections = match source::load(path) {
         Ok(manifest) => manifest.to_sections(),
         Err(findings) => {
-            let ended = Ended::findings(&findings);
-            report::print(matches, &ApplyReport::unsent(ended))?;
+            let outcome = Outcome::findings(&findings);
+            report::print(matches, &ApplyReport::not_submitted(outcome))?;
             return Ok(Exit::Findings);
         }
     };
@@ -103,14 +103,14 @@
              --submission {submission} --base {base}",
         );
         let result = self.store.submit(base, &self.sections, submission).await;
-        let (ended, exit) = match result {
+        let (outcome, exit) = match result {
             Ok(accepted) => {
                 let generation = accepted.generation;
-                (Ended::Accepted { generation }, Exit::Done)
+                (Outcome::Accepted { generation }, Exit::Done)
             }
-            Err(e) => self.ended(e).await,
+            Err(e) => self.outcome_of(e).await,
         };
-        let report = ApplyReport::sent(submission, base, ended);
+        let report = ApplyReport::submitted(submission, base, outcome);
         report::print(matches, &report)?;
         Ok(exit)
     }
@@ -121,40 +121,44 @@
         Ok(head.map_or(0, |head| head.generation))
     }
 
-    async fn ended(&self, error: SubmitError) -> (Ended<'static>, Exit) {
+    async fn outcome_of(
+        &self,
+        error: SubmitError,
+    ) -> (Outcome<'static>, Exit) {
         let detail = error.to_string();
         match error {
             SubmitError::Stale { current, .. } => {
-                let ended = self.refused("stale", detail, current).await;
-                (ended, Exit::Refused)
+                let outcome = self.refused("stale", detail, current).await;
+                (outcome, Exit::Refused)
             }
             SubmitError::LostRace { winner } => {
-                let ended =
+                let outcome =
                     self.refused("lost-race", detail, Some(winner)).await;
-                (ended, Exit::Refused)
+                (outcome, Exit::Refused)
             }
             SubmitError::IdReused { .. } => {
-                (Ended::IdReused { detail }, Exit::Refused)
+                (Outcome::IdReused { detail }, Exit::Refused)
             }
             SubmitError::Invalid { .. } => {
-                (Ended::Invalid { detail }, Exit::Findings)
+                (Outcome::Invalid { detail }, Exit::Findings)
             }
             SubmitError::Unavailable { .. } => {
-                (Ended::NotAccepted { detail }, Exit::Failed)
+                (Outcome::NotAccepted { detail }, Exit::Failed)
             }
             SubmitError::Unknown { .. } => {
-                (Ended::Unknown { detail }, Exit::Unknown)
+                (Outcome::Unknown { detail }, Exit::Unknown)
             }
         }
     }
 
-    /// What it lost to. The refusal stands also where that can't be read.
+    /// Adds the difference to the accepted manifest. The refusal is reported
+    /// even if the accepted manifest can't be read.
     async fn refused(
         &self,
         cause: &'static str,
         detail: String,
         winner: Option<Head>,
-    ) -> Ended<'static> {
+    ) -> Outcome<'static> {
         let winner_sections = match &winner {
             Some(head) => self.store.fetch(head, &mut PartCache::new()).await,
             None => Ok(BTreeMap::new()),
@@ -166,6 +170,6 @@
         };
         let difference = changes.ok().map(ChangeReport::all);
         let winner = winner.map(report::WinnerReport::new);
-        Ended::Refused { cause, detail, winner, difference, text }
+        Outcome::Refused { cause, detail, winner, difference, text }
     }
 }
--- a/crates/cli/src/apply/report.rs
+++ b/crates/cli/src/apply/report.rs
@@ -1,4 +1,4 @@
-//! How a submission ended, as text and JSON.
+//! Outcome of a submission, as text and JSON.
 
 use chestnutreach_config::{Findings, manifest::SectionChange};
 use chestnutreach_platform::manifest_store::Head;
@@ -7,10 +7,10 @@
 
 use crate::{args, check::FindingReport, output};
 
-/// How a submission ended.
+/// Outcome of a submission.
 #[derive(Serialize)]
 #[serde(tag = "ended", rename_all = "kebab-case")]
-pub(super) enum Ended<'a> {
+pub(super) enum Outcome<'a> {
     Accepted {
         generation: u64,
     },
@@ -23,8 +23,8 @@
         cause: &'static str,
         detail: String,
         winner: Option<WinnerReport>,
-        /// From the accepted manifest to the submitted one; none where the
-        /// accepted one could not be read.
+        /// Changes from the accepted manifest to the submitted one, or
+        /// `None` if the accepted manifest could not be read.
         difference: Option<Vec<ChangeReport>>,
         #[serde(skip)]
         text: String,
@@ -43,33 +43,33 @@
     },
 }
 
-impl Ended<'_> {
-    pub(super) fn findings(findings: &Findings) -> Ended<'_> {
-        Ended::Findings {
+impl Outcome<'_> {
+    pub(super) fn findings(findings: &Findings) -> Outcome<'_> {
+        Outcome::Findings {
             findings: findings.iter().map(FindingReport::new).collect(),
             text: findings.to_string(),
         }
     }
 }
 
-/// A submission and its end.
+/// A submission and its outcome.
 #[derive(Serialize)]
 pub(super) struct ApplyReport<'a> {
     submission: Option<&'a str>,
     base_generation: Option<u64>,
     #[serde(flatten)]
-    ended: Ended<'a>,
+    ended: Outcome<'a>,
 }
 
 impl<'a> ApplyReport<'a> {
-    pub(super) fn unsent(ended: Ended<'a>) -> ApplyReport<'a> {
+    pub(super) fn not_submitted(ended: Outcome<'a>) -> ApplyReport<'a> {
         ApplyReport { submission: None, base_generation: None, ended }
     }
 
-    pub(super) fn sent(
+    pub(super) fn submitted(
         submission: &'a str,
         base: u64,
-        ended: Ended<'a>,
+        ended: Outcome<'a>,
     ) -> ApplyReport<'a> {
         ApplyReport {
             submission: Some(submission),
@@ -80,20 +80,20 @@
 
     fn text(&self) -> String {
         match &self.ended {
-            Ended::Accepted { generation } => {
+            Outcome::Accepted { generation } => {
                 format!("accepted as generation {generation}")
             }
-            Ended::Findings { text, .. } => {
+            Outcome::Findings { text, .. } => {
                 format!("{text}\nnot submitted")
             }
-            Ended::Refused { detail, text, .. } => format!(
+            Outcome::Refused { detail, text, .. } => format!(
                 "refused: {detail}\n\
                  from the accepted manifest to the submitted one:\n{text}"
             ),
-            Ended::IdReused { detail } | Ended::Invalid { detail } => {
+            Outcome::IdReused { detail } | Outcome::Invalid { detail } => {
                 format!("refused: {detail}")
             }
-            Ended::NotAccepted { detail } | Ended::Unknown { detail } => {
+            Outcome::NotAccepted { detail } | Outcome::Unknown { detail } => {
                 detail.clone()
             }
         }
@@ -114,7 +114,7 @@
     }
 }
 
-/// A section that differs.
+/// A changed section.
 #[derive(Serialize)]
 pub(super) struct ChangeReport {
     section: String,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Prints the report in the form asked for.
+/// Prints the report as JSON or text.
 pub(super) fn print(
     matches: &ArgMatches,
     report: &ApplyReport<'_>,
--- a/crates/cli/src/site/quarantine.rs
+++ b/crates/cli/src/site/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash engines, as the entries know them, and freeing them.
+//! `site quarantine`: shows requests that crash engines, as the entries know
+//! them, and frees them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,38 +11,38 @@
 
 use super::{
     state::{self, STORE},
-    statuses::{ByName, Statuses},
+    statuses::{ItemsByEntry, Statuses},
 };
 use crate::{args, daemons, exit::Exit, output, output::Table};
 
 pub(crate) const NAME: &str = "quarantine";
 const FREE: &str = "free";
 
-/// Its arguments.
+/// Defines the subcommand.
 pub(crate) fn command() -> Command {
     Command::new(NAME)
-        .about("Shows requests that crash engines, or frees one of them")
-        .arg(args::address(STORE, "The platform's store").required(true))
+        .about("Shows quarantined and suspect requests, or frees one")
+        .arg(args::address(STORE, "Store of the platform").required(true))
         .arg(
             Arg::new(FREE)
                 .long(FREE)
                 .value_name("FINGERPRINT")
                 .value_parser(value_parser!(Fingerprint))
-                .help("Free this request; entries tell each other"),
+                .help("Free this request on all entries"),
         )
         .arg(args::timeout(daemons::TIMEOUT_MS))
         .arg(args::json())
 }
 
-/// Prints the requests, or frees one.
+/// Prints the requests, or frees a request.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let store: SocketAddr = *args::required(matches, STORE);
     let timeout = args::timeout_of(matches);
-    let entries = async_io::block_on(state::entries(store, timeout))?;
+    let entries = async_io::block_on(state::list_entries(store, timeout))?;
     if let Some(fingerprint) = matches.get_one::<Fingerprint>(FREE) {
         return async_io::block_on(free(&entries, *fingerprint, timeout));
     }
-    let statuses = Statuses::read(entries, timeout);
+    let statuses = Statuses::fetch_all(entries, timeout);
     let suspects = statuses.items("suspects", "fingerprint");
     if args::is_json(matches) {
         output::print_json(&suspects)?;
@@ -51,8 +52,8 @@
     Ok(statuses.exit())
 }
 
-fn print(statuses: &Statuses, suspects: &ByName) -> anyhow::Result<()> {
-    statuses.print_silent()?;
+fn print(statuses: &Statuses, suspects: &ItemsByEntry) -> anyhow::Result<()> {
+    statuses.print_unresponsive()?;
     let mut table = Table::new([
         "fingerprint",
         "state",
@@ -63,64 +64,67 @@
         "last s ago",
         "entries",
     ]);
-    for (fingerprint, of_entries) in suspects {
-        // What most is known of.
-        let crashes =
-            |told: &&Value| told["crashes"].as_array().map_or(0, Vec::len);
-        let Some(told) = of_entries.values().max_by_key(crashes) else {
+    for (fingerprint, by_entry) in suspects {
+        // The entry that knows the most crashes has the most complete state.
+        let crashes = |suspect: &&Value| {
+            suspect["crashes"].as_array().map_or(0, Vec::len)
+        };
+        let Some(suspect) = by_entry.values().max_by_key(crashes) else {
             continue;
         };
-        table.push(row(fingerprint, told, of_entries.len(), statuses.len()));
+        table.push(row(fingerprint, suspect, by_entry.len(), statuses.len()));
     }
     output::print_text(&table.to_string())
 }
 
 fn row(
     fingerprint: &str,
-    told: &Value,
-    knowing: usize,
-    entries: usize,
+    suspect: &Value,
+    reporting: usize,
+    entry_count: usize,
 ) -> [String; 8] {
-    let crashes = told["crashes"].as_array().cloned().unwrap_or_default();
+    let crashes = suspect["crashes"].as_array().cloned().unwrap_or_default();
     let count = |name: &str| {
         let with = crashes.iter().filter(|crash| crash[name] == true);
         with.count().to_string()
     };
     let ages = crashes.iter().filter_map(|crash| crash["age_ms"].as_u64());
     let last_ms = ages.min().unwrap_or(0);
-    let left_ms = told["left_ms"].as_u64().unwrap_or(0);
+    let left_ms = suspect["left_ms"].as_u64().unwrap_or(0);
     [
         fingerprint.to_owned(),
-        told["verdict"].as_str().unwrap_or("").to_owned(),
+        suspect["verdict"].as_str().unwrap_or("").to_owned(),
         (left_ms / 1_000).to_string(),
         crashes.len().to_string(),
         count("is_in_trial"),
         count("is_void"),
         (last_ms / 1_000).to_string(),
-        format!("{knowing} of {entries}"),
+        format!("{reporting} of {entry_count}"),
     ]
 }
 
-/// Frees a request at the first entry that answers, which tells the others.
+/// Frees a request at the first entry that knows it; that entry announces the
+/// change to the others.
 async fn free(
     entries: &[(String, SocketAddr)],
     fingerprint: Fingerprint,
     timeout: Duration,
 ) -> anyhow::Result<Exit> {
     for (name, address) in entries {
-        let Ok(answer) = order(*address, fingerprint, timeout).await else {
+        let Ok(response) = post_free(*address, fingerprint, timeout).await
+        else {
             continue;
         };
-        if answer["is_freed"] == true {
+        if response["is_freed"] == true {
             output::print_text(&format!("{fingerprint} freed at {name}"))?;
             return Ok(Exit::Done);
         }
     }
-    eprintln!("no entry that answers knows of {fingerprint}");
+    eprintln!("no reachable entry knows {fingerprint}");
     Ok(Exit::Failed)
 }
 
-async fn order(
+async fn post_free(
     address: SocketAddr,
     fingerprint: Fingerprint,
     timeout: Duration,
@@ -131,5 +135,5 @@
     let request = client.post_json(&target, body);
     let request = request.map_err(|e| anyhow::anyhow!(e))?;
     let (_, body) = client.send(request, timeout).await?;
-    serde_json::from_slice(&body).context("the answer is no JSON")
+    serde_json::from_slice(&body).context("the response is not valid JSON")
 }
--- a/crates/decisions/src/bounds.rs
+++ b/crates/decisions/src/bounds.rs
@@ -1,5 +1,6 @@
-//! Regression bounds: the figures of one short suite against a committed
-//! file. All are counts, virtual time or ratios, so they are the same on
+//! Compares the figures of a short suite with committed regression bounds.
+//!
+//! All figures are counts, virtual times or ratios, so they are the same on
 //! every machine.
 
 use std::{collections::BTreeMap, fmt};
@@ -8,45 +9,46 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    case::{Case, Later, Way},
+    case::{Case, LaterStagePolicy, Strategy},
+    decision_cost,
     deployment::{Deployment, Site},
     suite::{self, Settings},
-    work, world,
+    world,
 };
 
 const COMMITTED: &str = include_str!("../bounds.json");
-/// Short, so that every build can run it.
+/// Short enough to run with every build.
 const SETTINGS: Settings = Settings {
     seed: 1,
     warm_up_ms: 10_000,
     measure_ms: 20_000,
-    later: Later::Waits,
+    later_stage_policy: LaterStagePolicy::Wait,
 };
 
-/// Least and most of one figure.
+/// Allowed range of one figure.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// The least, if any.
+    /// Lower bound, if any.
     pub at_least: Option<f64>,
-    /// The most, if any.
+    /// Upper bound, if any.
     pub at_most: Option<f64>,
 }
 
 /// A figure outside its bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Broken {
+pub struct Violation {
     /// Name of the figure.
     pub figure: String,
-    /// What it is; none where it was not measured.
+    /// Value of the figure, or `None` if it was not measured.
     pub value: Option<f64>,
-    /// What it must not pass.
+    /// Bound that the value violates.
     pub bound: f64,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Broken { figure, value, bound } = self;
+        let Violation { figure, value, bound } = self;
         let Some(value) = value else {
             return write!(f, "{figure} was not measured");
         };
@@ -56,38 +58,38 @@
     }
 }
 
-/// The bounds that are committed.
+/// Parses the committed bounds.
 pub fn committed() -> Result<BTreeMap<String, Bound>> {
     serde_json::from_str(COMMITTED).context("bounds.json")
 }
 
-/// Figures outside their bounds. A bound without a figure counts as broken:
-/// it would guard nothing.
-pub fn broken(
+/// Figures outside their bounds. A bound without a figure is a violation,
+/// because a renamed or missing figure would otherwise go unchecked.
+pub fn violations(
     figures: &BTreeMap<String, f64>,
     bounds: &BTreeMap<String, Bound>,
-) -> Vec<Broken> {
+) -> Vec<Violation> {
     let mut all = Vec::new();
     for (figure, bound) in bounds {
         let value = figures.get(figure).copied();
         let mut push = |bound| {
-            all.push(Broken { figure: figure.clone(), value, bound });
+            all.push(Violation { figure: figure.clone(), value, bound });
         };
-        if let Some(least) = bound.at_least
-            && value.is_none_or(|value| value < least)
+        if let Some(min) = bound.at_least
+            && value.is_none_or(|value| value < min)
         {
-            push(least);
+            push(min);
         }
-        if let Some(most) = bound.at_most
-            && value.is_none_or(|value| value > most)
+        if let Some(max) = bound.at_most
+            && value.is_none_or(|value| value > max)
         {
-            push(most);
+            push(max);
         }
     }
     all
 }
 
-/// The figures that have bounds.
+/// Measures the figures that have bounds.
 pub fn figures() -> Result<BTreeMap<String, f64>> {
     let mut figures = BTreeMap::new();
     for site in Site::ALL {
@@ -95,7 +97,7 @@
         push_loads(&deployment, site, &mut figures);
         push_effects(&deployment, site, &mut figures);
     }
-    for row in work::rows() {
+    for row in decision_cost::rows() {
         let name = format!("work.{}.servers_looked_at", row.servers);
         figures.insert(name, row.looked_at);
         let name = format!("work.{}.cost_times_full_scan", row.servers);
@@ -110,7 +112,7 @@
     figures: &mut BTreeMap<String, f64>,
 ) {
     for load_percent in [50, 100] {
-        let case = SETTINGS.apply(Case::new(Way::Sampled, load_percent));
+        let case = SETTINGS.apply(Case::new(Strategy::Sampled, load_percent));
         let run = world::run(deployment, &case);
         let values = [
             ("share_of_bound", run.share_of_bound),
@@ -128,7 +130,7 @@
     site: Site,
     figures: &mut BTreeMap<String, f64>,
 ) {
-    for row in suite::effects(deployment, &SETTINGS, &[Way::Sampled]) {
+    for row in suite::effects(deployment, &SETTINGS, &[Strategy::Sampled]) {
         let values = [
             ("jain_backlogged", row.jain_backlogged),
             ("harm_percent_at_half", row.harm_at_half.percent),
--- a/crates/decisions/src/case.rs
+++ b/crates/decisions/src/case.rs
@@ -1,65 +1,66 @@
-//! One run: which way of choosing, under which load.
+//! Settings of one run.
 
 use std::fmt;
 
-/// A way of choosing chains.
+/// A strategy that chooses chains.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Way {
-    /// The router's own choice over sampled candidates.
+pub enum Strategy {
+    /// The router's choice over sampled candidates.
     Sampled,
-    /// The same cost over all servers.
+    /// The router's cost function over all servers.
     FullScan,
-    /// Each entry takes the servers of a layer in turn.
+    /// Each entry cycles through the servers of a layer.
     RoundRobin,
-    /// Fewest requests in flight from this entry.
+    /// Lowest number of requests in flight from this entry.
     LeastRequests,
-    /// Fewest requests in flight for its places, counted exactly in the
-    /// table service.
+    /// Lowest number of requests in flight per slot, counted exactly in
+    /// the table service.
     SharedCounters,
 }
 
-impl Way {
-    /// Every way, in the order of reports.
-    pub const ALL: [Way; 5] = [
-        Way::Sampled,
-        Way::FullScan,
-        Way::RoundRobin,
-        Way::LeastRequests,
-        Way::SharedCounters,
+impl Strategy {
+    /// Every strategy, in the order of reports.
+    pub const ALL: [Strategy; 5] = [
+        Strategy::Sampled,
+        Strategy::FullScan,
+        Strategy::RoundRobin,
+        Strategy::LeastRequests,
+        Strategy::SharedCounters,
     ];
 
-    /// Its name in arguments and reports.
+    /// Name in arguments and reports.
     pub fn name(self) -> &'static str {
         match self {
-            Way::Sampled => "sampled",
-            Way::FullScan => "full-scan",
-            Way::RoundRobin => "round-robin",
-            Way::LeastRequests => "least-requests",
-            Way::SharedCounters => "shared-counters",
+            Strategy::Sampled => "sampled",
+            Strategy::FullScan => "full-scan",
+            Strategy::RoundRobin => "round-robin",
+            Strategy::LeastRequests => "least-requests",
+            Strategy::SharedCounters => "shared-counters",
         }
     }
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Strategy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
 }
 
-/// How much each account asks for, against its share of the weights.
+/// Load of each account, relative to its share by weight.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Demand {
-    /// Its share.
+    /// Every account sends its share.
     Even,
-    /// Its share and twice its share in turns, so that at twice the bound
-    /// every account is backlogged by another factor.
+    /// Accounts send once and twice their share in alternation, so that at
+    /// 200 % load accounts are backlogged by different factors.
     Skewed,
-    /// The account at this place ten times its share, the others theirs.
+    /// The account of this index sends ten times its share, the others
+    /// their share.
     Greedy(usize),
 }
 
 impl Demand {
-    pub(crate) fn multiple(self, account: usize) -> f64 {
+    pub(crate) fn demand_factor(self, account: usize) -> f64 {
         match self {
             Demand::Even => 1.0,
             Demand::Skewed if account.is_multiple_of(2) => 1.0,
@@ -70,33 +71,34 @@
     }
 }
 
-/// What a later stage does that has no place free.
+/// What a later stage without a free slot does.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Later {
-    /// Refuses; all later stages are asked at the same time.
-    Refuses,
-    /// Lets the request wait for a while; stages are asked in the order of
-    /// their layers.
-    Waits,
+pub enum LaterStagePolicy {
+    /// Refuses. All later stages are asked at the same time.
+    Refuse,
+    /// Queues the request for a limited time. Stages are asked in layer
+    /// order.
+    Wait,
 }
 
-impl Later {
-    /// Both.
-    pub const ALL: [Later; 2] = [Later::Refuses, Later::Waits];
+impl LaterStagePolicy {
+    /// Every policy.
+    pub const ALL: [LaterStagePolicy; 2] =
+        [LaterStagePolicy::Refuse, LaterStagePolicy::Wait];
 
-    /// Its name in arguments.
+    /// Name in arguments.
     pub fn name(self) -> &'static str {
         match self {
-            Later::Refuses => "refuses",
-            Later::Waits => "waits",
+            LaterStagePolicy::Refuse => "refuses",
+            LaterStagePolicy::Wait => "waits",
         }
     }
 }
 
-/// Settings of a run, set by chained methods.
+/// Settings of a run, set by builder methods.
 #[derive(Clone, Debug)]
 pub struct Case {
-    pub(crate) way: Way,
+    pub(crate) strategy: Strategy,
     pub(crate) load_percent: u32,
     pub(crate) seed: u64,
     pub(crate) warm_up_ms: u64,
@@ -107,16 +109,16 @@
     pub(crate) recovery_weight_percent: Option<u32>,
     pub(crate) demand: Demand,
     pub(crate) refuses_late: bool,
-    pub(crate) comebacks: u32,
-    pub(crate) joins: bool,
-    pub(crate) later: Later,
+    pub(crate) max_caller_retries: u32,
+    pub(crate) adds_server: bool,
+    pub(crate) later_stage_policy: LaterStagePolicy,
 }
 
 impl Case {
-    /// A run at so many percent of the flow bound.
-    pub fn new(way: Way, load_percent: u32) -> Case {
+    /// A run at this load, in percent of the throughput bound.
+    pub fn new(strategy: Strategy, load_percent: u32) -> Case {
         Case {
-            way,
+            strategy,
             load_percent,
             seed: 1,
             warm_up_ms: 20_000,
@@ -127,57 +129,62 @@
             recovery_weight_percent: None,
             demand: Demand::Even,
             refuses_late: true,
-            comebacks: 2,
-            joins: false,
-            later: Later::Waits,
+            max_caller_retries: 2,
+            adds_server: false,
+            later_stage_policy: LaterStagePolicy::Wait,
         }
     }
 
-    /// Seed of everything random.
+    /// Sets the seed of all random numbers.
     pub fn seed(mut self, seed: u64) -> Case {
         self.seed = seed;
         self
     }
 
-    /// Time before the measured part.
+    /// Sets the virtual time before the measurement.
     pub fn warm_up_ms(mut self, ms: u64) -> Case {
         self.warm_up_ms = ms;
         self
     }
 
-    /// Length of the measured part.
+    /// Sets the virtual time of the measurement.
     pub fn measure_ms(mut self, ms: u64) -> Case {
         self.measure_ms = ms;
         self
     }
 
-    /// The operators' weight; the deployment's own where not set.
+    /// Sets the recovery weight; the default is that of the deployment.
     pub fn recovery_weight_percent(mut self, percent: u32) -> Case {
         self.recovery_weight_percent = Some(percent);
         self
     }
 
-    /// How much each account asks for.
+    /// Sets the load of each account.
     pub fn demand(mut self, demand: Demand) -> Case {
         self.demand = demand;
         self
     }
 
-    /// Whether what cannot finish in time is refused at once.
+    /// Sets whether requests that can't finish by their deadline are
+    /// refused at admission.
     pub fn refuses_late(mut self, refuses_late: bool) -> Case {
         self.refuses_late = refuses_late;
         self
     }
 
-    /// Whether a server of the dearest kind joins as measuring begins.
-    pub fn joins(mut self, joins: bool) -> Case {
-        self.joins = joins;
+    /// Sets whether a server of the most expensive kind is added when the
+    /// measurement starts.
+    pub fn adds_server(mut self, adds_server: bool) -> Case {
+        self.adds_server = adds_server;
         self
     }
 
-    /// What a later stage does that has no place free.
-    pub fn later(mut self, later: Later) -> Case {
-        self.later = later;
+    /// Sets what a later stage without a free slot does.
+    pub fn later_stage_policy(
+        mut self,
+        later_stage_policy: LaterStagePolicy,
+    ) -> Case {
+        self.later_stage_policy = later_stage_policy;
         self
     }
 
--- a/crates/decisions/src/work.rs
+++ b/crates/decisions/src/decision_cost.rs
@@ -1,9 +1,9 @@
-//! Work and time of one decision by the fleet's size.
+//! Candidates and time per decision, by fleet size.
 //!
-//! The work is the count of servers that a choice looks at, which is the same
-//! on every machine. The time is of the real clock and holds only as ratios
-//! of one run: the fleets are measured in turns, so that a busy machine slows
-//! all of them.
+//! The number of candidates that a choice evaluates is the same on every
+//! machine. Times are from the real clock, and only their ratios within one
+//! run are comparable: the fleets are measured in alternation, so that a busy
+//! machine slows all of them.
 
 use std::{hint::black_box, time::Instant};
 
@@ -16,7 +16,7 @@
 
 use crate::text;
 
-/// Sizes of fleets.
+/// Number of servers of each measured fleet.
 pub const FLEET_SIZES: [usize; 3] = [50, 500, 1_100];
 
 const LAYER_COUNT: u32 = 80;
@@ -26,8 +26,8 @@
 const NOW_MS: u64 = 1_000_000;
 const SEED: u64 = 11;
 const MAX_RUNNING: u32 = 32;
-/// Parts of three cuts of the layers; servers take them in turn.
-const PARTS: [(u32, u32); 9] = [
+/// Layer ranges of three partitions; servers get them in round-robin order.
+const LAYER_RANGES: [(u32, u32); 9] = [
     (0, 40),
     (40, 80),
     (0, 20),
@@ -38,39 +38,39 @@
     (27, 54),
     (54, 80),
 ];
-/// Price an hour in millionths, prompt and output tokens a second.
-const KINDS: [(u64, u32, u32); 4] = [
+/// Price per hour in micros, prompt and output tokens per second.
+const ACCELERATOR_KINDS: [(u64, u32, u32); 4] = [
     (600_000, 2_500, 500),
     (1_100_000, 6_000, 1_300),
     (2_400_000, 14_000, 2_400),
     (1_000_000, 3_000, 700),
 ];
 
-/// One size of a fleet.
+/// Candidates per decision at one fleet size.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkRow {
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Mean count of servers that a choice looks at.
+    /// Mean number of servers that a choice evaluates.
     pub looked_at: f64,
-    /// Mean cost of the chains over that by a full scan.
+    /// Mean cost of the chosen chains over that of a full scan.
     pub cost_times_full_scan: f64,
 }
 
-/// One size of a fleet, on the real clock.
+/// Time per decision at one fleet size, on the real clock.
 #[derive(Clone, Debug, Serialize)]
 pub struct TimeRow {
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Time of a decision with one reading of the clock.
+    /// Median time of a decision, clock overhead included.
     pub median_ns: u64,
-    /// Likewise.
+    /// 99th percentile of the time of a decision, clock overhead included.
     pub p99_ns: u64,
-    /// Against the smallest fleet.
+    /// Median over that of the smallest fleet.
     pub median_times: f64,
-    /// Against the smallest fleet.
+    /// 99th percentile over that of the smallest fleet.
     pub p99_times: f64,
-    /// Mean cost of the chains over that by a full scan.
+    /// Mean cost of the chosen chains over that of a full scan.
     pub cost_times_full_scan: f64,
 }
 
@@ -79,7 +79,7 @@
     live: LiveState,
 }
 
-/// Servers looked at by the size of the fleet.
+/// Measures the candidates per decision by fleet size.
 pub fn rows() -> Vec<WorkRow> {
     FLEET_SIZES
         .iter()
@@ -88,7 +88,7 @@
             let mut rng = fastrand::Rng::with_seed(SEED);
             let count = 200;
             let sum: usize =
-                (0..count).map(|_| looked_at(&snapshot, &mut rng)).sum();
+                (0..count).map(|_| candidate_count(&snapshot, &mut rng)).sum();
             let looked_at = sum as f64 / f64::from(count);
             let mut chooser = Chooser::new();
             let mut times = histogram();
@@ -99,16 +99,16 @@
         .collect()
 }
 
-fn looked_at(snapshot: &Snapshot, rng: &mut fastrand::Rng) -> usize {
+fn candidate_count(snapshot: &Snapshot, rng: &mut fastrand::Rng) -> usize {
     let shape = shape(rng);
     let policy = Policy::default();
     let Snapshot { fleet, live } = snapshot;
-    let need = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS);
-    let explanation = explain(&need, rng);
+    let request = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS);
+    let explanation = explain(&request, rng);
     explanation.candidates.len()
 }
 
-/// Time of a decision by the size of the fleet.
+/// Measures the time per decision by fleet size.
 pub fn times() -> Vec<TimeRow> {
     let snapshots = FLEET_SIZES.map(snapshot);
     let mut times = FLEET_SIZES.map(|_| histogram());
@@ -136,7 +136,8 @@
         .collect()
 }
 
-/// Records the times of a round; its cost over that by a full scan.
+/// Records the decision times of a round and returns the cost of its
+/// chains over that of a full scan.
 fn measure(
     snapshot: &Snapshot,
     times: &mut Histogram<u64>,
@@ -149,24 +150,24 @@
     for at in 0..DECISIONS_PER_ROUND {
         let shape = shape(rng);
         let avoid = [BackendIndex((at % fleet.len()) as u32)];
-        let need = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS)
+        let request = ChainRequest::new(fleet, live, &shape, &policy, NOW_MS)
             .avoid(&avoid);
         let start = Instant::now();
-        let choice = chooser.choose(&need, rng);
+        let choice = chooser.choose(&request, rng);
         let elapsed = start.elapsed();
         sampled += black_box(choice).expect("a chain").cost;
-        // Unlike `saturating_record`, this widens the histogram.
+        // `saturating_record` would clamp instead of resizing the histogram.
         times
             .record(elapsed.as_nanos() as u64)
-            .expect("an automatic histogram takes any value");
-        let choice = chooser.choose_by_full_scan(&need, rng);
+            .expect("an auto-resizing histogram accepts any value");
+        let choice = chooser.choose_by_full_scan(&request, rng);
         scanned += choice.expect("a chain").cost;
     }
     sampled / scanned
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+    Histogram::new(3).expect("three significant digits are valid")
 }
 
 fn shape(rng: &mut fastrand::Rng) -> RequestShape {
@@ -189,8 +190,9 @@
 }
 
 fn spec(at: usize) -> BackendSpec {
-    let (first_layer, end_layer) = PARTS[at % PARTS.len()];
-    let kind = KINDS[at / PARTS.len() % KINDS.len()];
+    let (first_layer, end_layer) = LAYER_RANGES[at % LAYER_RANGES.len()];
+    let kind =
+        ACCELERATOR_KINDS[at / LAYER_RANGES.len() % ACCELERATOR_KINDS.len()];
     BackendSpec {
         name: format!("server-{at}"),
         data_centre: at as u32 % DATA_CENTRE_COUNT,
@@ -216,7 +218,7 @@
     }
 }
 
-/// The times as a table.
+/// The decision times as a table.
 pub fn table(rows: &[TimeRow]) -> String {
     let mut table = text::head(&[
         "servers",
--- a/crates/decisions/src/request.rs
+++ b/crates/decisions/src/request.rs
@@ -1,62 +1,62 @@
-//! One caller's request on its way.
+//! State of a simulated request.
 
 use chestnutreach_routing::{BackendIndex, RequestShape};
 
-use crate::workload::Asking;
+use crate::workload::Arrival;
 
-/// Where a request is.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// At its caller or its entry.
+    /// At the caller or the entry.
     Idle,
-    /// On its way to the first stage, or waits there.
-    Offered,
-    /// Holds the first stage and asks for the others, or was refused: its
-    /// entry hears of it soon.
+    /// In transit to the first stage or queued there.
+    Dispatched,
+    /// Holds the first stage and requests the others, or the refusal is in
+    /// transit to the entry.
     Reserving,
-    /// Holds its first stages and waits for a place at the next.
+    /// Holds its first stages and is queued at the next.
     Waiting,
     /// Holds all stages.
     Running,
-    /// All tokens are there; the last is on its way to the entry.
-    Answered,
-    /// Answered, given up or out of time.
-    Over,
+    /// All tokens are generated; the last is in transit to the entry.
+    Generated,
+    /// Completed, refused for good or past the deadline.
+    Done,
 }
 
-/// One caller's request.
+/// A simulated request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    pub(crate) asking: Asking,
+    pub(crate) arrival: Arrival,
     pub(crate) entry: usize,
     pub(crate) phase: Phase,
     pub(crate) stages: Vec<BackendIndex>,
     pub(crate) avoid: Vec<BackendIndex>,
-    /// Attempts since the caller asked last.
+    /// Attempts since the last arrival from the caller.
     pub(crate) attempts: u32,
-    pub(crate) comebacks: u32,
-    /// How many stages it holds, from the first.
+    pub(crate) caller_retries: u32,
+    /// Number of stages that the request holds, from the first.
     pub(crate) held: usize,
-    /// How often it has waited at a later stage.
+    /// Number of waits at later stages; identifies the current wait.
     pub(crate) waits: u32,
-    /// Place in the chain of the step that is under way.
+    /// Index of the stage that runs the current step.
     pub(crate) at_stage: usize,
     pub(crate) produced: u32,
-    /// When the chain that runs it was chosen.
+    /// Time at which the current chain was chosen.
     pub(crate) sent_us: u64,
     pub(crate) last_retry_after_ms: Option<u64>,
 }
 
 impl Request {
-    pub(crate) fn new(asking: Asking, entry: usize) -> Request {
+    pub(crate) fn new(arrival: Arrival, entry: usize) -> Request {
         Request {
-            asking,
+            arrival,
             entry,
             phase: Phase::Idle,
             stages: Vec::new(),
             avoid: Vec::new(),
             attempts: 0,
-            comebacks: 0,
+            caller_retries: 0,
             held: 0,
             waits: 0,
             at_stage: 0,
@@ -67,30 +67,32 @@
     }
 
     pub(crate) fn deadline_us(&self) -> u64 {
-        self.asking.at_us + self.asking.deadline_ms * 1_000
+        self.arrival.at_us + self.arrival.deadline_ms * 1_000
     }
 
-    /// As the entry states it.
+    /// The request as the entry describes it to the router.
     pub(crate) fn shape(&self, now_us: u64, is_bounded: bool) -> RequestShape {
-        let asking = &self.asking;
-        let shape =
-            RequestShape::new(asking.prompt_tokens, asking.max_output_tokens)
-                .priority(asking.trade.priority());
+        let arrival = &self.arrival;
+        let shape = RequestShape::new(
+            arrival.prompt_tokens,
+            arrival.max_output_tokens,
+        )
+        .priority(arrival.kind.priority());
         if !is_bounded {
             return shape;
         }
-        let rest_us = self.deadline_us().saturating_sub(now_us);
-        shape.deadline_ms(rest_us / 1_000)
+        let remaining_us = self.deadline_us().saturating_sub(now_us);
+        shape.deadline_ms(remaining_us / 1_000)
     }
 
-    /// What its account is charged before it runs.
+    /// Tokens charged to the account before the request runs.
     pub(crate) fn cost_tokens(&self) -> u32 {
-        self.asking.prompt_tokens + self.asking.max_output_tokens
+        self.arrival.prompt_tokens + self.arrival.max_output_tokens
     }
 
-    /// What an answer takes.
+    /// Tokens that the request uses in total.
     pub(crate) fn used_tokens(&self) -> u32 {
-        self.asking.prompt_tokens + self.asking.output_tokens
+        self.arrival.prompt_tokens + self.arrival.output_tokens
     }
 
     pub(crate) fn is_last_stage(&self) -> bool {
