--- a/crates/bench/src/change.rs
+++ b/crates/bench/src/change.rs
@@ -1,9 +1,10 @@
-//! Time until a new generation is in force on every node, and its cost.
+//! Time and cost of putting a new generation in force on every node.
 //!
-//! Nodes note in their logs when a generation is in force there; the logs
-//! are read while they grow, which asks nothing of the nodes. The time
-//! counts from the submission's acceptance. The manifest has as many client
-//! accounts as the target, and each change is of one of them.
+//! Nodes log an event when a generation is in force; the benchmark follows
+//! their log files, which costs the nodes nothing. Times start when the
+//! submission is accepted. The manifest has as many client accounts as the
+//! target deployment; each change gives one account a new weight and resets
+//! the account of the change before.
 
 use std::{
     collections::BTreeMap,
@@ -23,24 +24,25 @@
 
 use crate::{
     control::control_bytes,
-    idle::plan,
+    idle::fleet_plan,
     load::{Quantiles, histogram},
     machine::Snapshot,
-    report::{Show, Table, places},
+    report::{Show, Table, decimals},
 };
 
-/// Time between two looks at the logs: how exact times are.
-const LOOK: Duration = Duration::from_millis(5);
-/// Time that a change may take.
-const LIMIT: Duration = Duration::from_secs(20);
-/// The process that is started again.
-const BOOTED: &str = "side-desk-0a";
-/// Time after a change until its last messages have passed.
-const SETTLE: Duration = Duration::from_millis(2_500);
-/// Tries to submit while the store fails.
-const SUBMIT_TRIES: usize = 40;
-
-/// What is measured.
+/// Interval between two reads of the logs, which limits the precision of the
+/// times.
+const LOG_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after which a change counts as not in force.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The process that is restarted to measure its boot time.
+const RESTARTED_PROCESS: &str = "side-desk-0a";
+/// Time after a change until its last messages have been delivered.
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
+/// Attempts to submit a manifest while the store has faults.
+const SUBMIT_ATTEMPTS: usize = 40;
+
+/// Parameters of the benchmark.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Options {
     pub(crate) sides: usize,
@@ -48,11 +50,11 @@
     pub(crate) accounts: usize,
     pub(crate) changes: usize,
     pub(crate) request_timeout_ms: u64,
-    /// Leaves the states out in which the store fails.
+    /// Skips the conditions with faults of the store.
     pub(crate) is_healthy_only: bool,
 }
 
-/// Figures with each state of the store.
+/// Figures of all store conditions.
 #[derive(Debug, Serialize)]
 pub(crate) struct Change {
     pub(crate) nodes: usize,
@@ -62,21 +64,24 @@
     pub(crate) rows: Vec<Row>,
 }
 
-/// Figures with one state of the store.
+/// Figures of one store condition.
 #[derive(Debug, Serialize)]
 pub(crate) struct Row {
     pub(crate) store: &'static str,
-    /// Time until a node has the generation in force, over all nodes.
+    /// Time until a node has the generation in force, over all nodes and
+    /// changes.
     pub(crate) node: Quantiles,
-    /// Time until the last node has it, the longest of all changes.
+    /// Time until the last node has the generation in force, the maximum of
+    /// all changes.
     pub(crate) last_ms: f64,
     pub(crate) submit_ms: f64,
     /// Changes that were not in force everywhere within the limit.
     pub(crate) not_in_force: usize,
-    /// Time until a process that has just started has its first generation;
-    /// none if it had none within the limit.
+    /// Time until a restarted process has its first generation in force;
+    /// `None` if it takes longer than the limit.
     pub(crate) boot_ms: Option<f64>,
-    /// Per change and node, less what nodes without changes cost.
+    /// Cost per change and node, from here on; the cost of nodes without
+    /// changes is subtracted.
     pub(crate) object_reads: f64,
     pub(crate) object_bytes: f64,
     pub(crate) table_reads: f64,
@@ -86,22 +91,25 @@
     pub(crate) side_cpu_ms: f64,
 }
 
-/// How the store fares.
-struct Store {
+/// Faults injected into the table and object services.
+struct StoreCondition {
     name: &'static str,
     faults: fn() -> Value,
 }
 
-const STORES: [Store; 3] = [
-    Store { name: "healthy", faults: || json!({}) },
-    Store { name: "30% errors", faults: || json!({"error_permille": 300}) },
-    Store { name: "500 ms slow", faults: || json!({"slow_ms": 500}) },
+const STORE_CONDITIONS: [StoreCondition; 3] = [
+    StoreCondition { name: "healthy", faults: || json!({}) },
+    StoreCondition {
+        name: "30% errors",
+        faults: || json!({"error_permille": 300}),
+    },
+    StoreCondition { name: "500 ms slow", faults: || json!({"slow_ms": 500}) },
 ];
 
-/// Measures changes with each state of the store.
+/// Measures changes under each store condition.
 pub(crate) fn measure(options: Options) -> anyhow::Result<Change> {
     let timeout_ms = options.request_timeout_ms.to_string();
-    let plan = plan(options.sides, options.entries).setting(
+    let plan = fleet_plan(options.sides, options.entries).setting(
         "platform",
         "request-timeout-ms",
         &timeout_ms,
@@ -109,12 +117,18 @@
     let fleet = Fleet::start(plan)?;
     let mut run =
         Run { logs: Logs::new(&fleet), fleet, options, generation: 1 };
-    // The accounts come first, so that each change is of one of them only.
-    run.change(0)?;
-    thread::sleep(SETTLE);
-    let stores = if options.is_healthy_only { &STORES[..1] } else { &STORES };
-    let rows: Result<Vec<Row>, _> =
-        stores.iter().map(|store| run.row(store)).collect();
+    // Adds the accounts, so that later changes only update their weights.
+    run.apply_change(0)?;
+    thread::sleep(SETTLE_TIME);
+    let conditions = if options.is_healthy_only {
+        &STORE_CONDITIONS[..1]
+    } else {
+        &STORE_CONDITIONS
+    };
+    let rows: Result<Vec<Row>, _> = conditions
+        .iter()
+        .map(|condition| run.measure_row(condition))
+        .collect();
     Ok(Change {
         nodes: options.sides + options.entries,
         accounts: options.accounts,
@@ -135,10 +149,10 @@
 struct Times {
     submit: Duration,
     nodes: Vec<Duration>,
-    is_everywhere: bool,
+    is_complete: bool,
 }
 
-/// Counts at one moment.
+/// Counters at one moment.
 struct Counts {
     at: Instant,
     cpu: Snapshot,
@@ -148,7 +162,7 @@
     object_bytes: f64,
 }
 
-/// Counts per second.
+/// Increase of the counters per second.
 #[derive(Clone, Copy, Default)]
 struct Rates {
     table_reads: f64,
@@ -161,37 +175,40 @@
 }
 
 impl Run {
-    fn row(&mut self, store: &Store) -> anyhow::Result<Row> {
-        let faults = (store.faults)();
+    fn measure_row(
+        &mut self,
+        condition: &StoreCondition,
+    ) -> anyhow::Result<Row> {
+        let faults = (condition.faults)();
         for service in ["table", "objects"] {
             self.fleet.set_faults(service, &faults);
         }
-        let idle = self.idle();
+        let idle = self.idle_rates();
         let before = self.counts();
         let mut node = histogram();
         let mut last = Duration::ZERO;
         let mut submit = Duration::ZERO;
         let mut not_in_force = 0;
         for number in 0..self.options.changes {
-            let times = self.change(number + 1)?;
+            let times = self.apply_change(number + 1)?;
             submit += times.submit;
-            not_in_force += usize::from(!times.is_everywhere);
+            not_in_force += usize::from(!times.is_complete);
             for time in times.nodes {
                 node.saturating_record(time.as_nanos() as u64);
                 last = last.max(time);
             }
-            thread::sleep(SETTLE);
+            thread::sleep(SETTLE_TIME);
         }
         let after = self.counts();
-        let boot = self.boot()?;
-        self.heal()?;
+        let boot = self.measure_boot()?;
+        self.clear_faults()?;
         let changes = self.options.changes as f64;
-        let cost = before.rates_until(&after).less(&idle);
+        let cost = before.rates_until(&after).minus(&idle);
         let seconds = after.at.duration_since(before.at).as_secs_f64();
         let per_change = |rate: f64| rate * seconds / changes;
         let nodes = (self.options.sides + self.options.entries) as f64;
         Ok(Row {
-            store: store.name,
+            store: condition.name,
             node: Quantiles::of(&node),
             last_ms: last.as_secs_f64() * 1e3,
             not_in_force,
@@ -207,8 +224,9 @@
         })
     }
 
-    /// Has the store work, and waits until all nodes agree again.
-    fn heal(&mut self) -> anyhow::Result<()> {
+    /// Clears the faults of the store and waits until all sides have the
+    /// current generation.
+    fn clear_faults(&mut self) -> anyhow::Result<()> {
         for service in ["table", "objects"] {
             self.fleet.set_faults(service, &json!({}));
         }
@@ -219,17 +237,23 @@
             .into_keys()
             .filter_map(|n| n.strip_prefix("side-").map(str::to_owned))
             .collect();
-        self.fleet.wait_for("all sides to agree", |fleet| {
-            let of = |side| fleet.side_status(side)["generation"].as_u64();
-            sides.iter().all(|side| of(side) == Some(generation))
-        })?;
-        thread::sleep(SETTLE);
+        self.fleet.wait_for(
+            "all sides to have the current generation",
+            |fleet| {
+                let generation_of =
+                    |side| fleet.side_status(side)["generation"].as_u64();
+                sides
+                    .iter()
+                    .all(|side| generation_of(side) == Some(generation))
+            },
+        )?;
+        thread::sleep(SETTLE_TIME);
         Ok(())
     }
 
-    fn idle(&self) -> Rates {
+    fn idle_rates(&self) -> Rates {
         let before = self.counts();
-        thread::sleep(SETTLE * 2);
+        thread::sleep(SETTLE_TIME * 2);
         before.rates_until(&self.counts())
     }
 
@@ -248,58 +272,61 @@
         }
     }
 
-    /// Changes one account, and waits until all nodes have it in force.
-    fn change(&mut self, number: usize) -> anyhow::Result<Times> {
+    /// Submits a change of one account and waits until all nodes have it in
+    /// force, or the timeout.
+    fn apply_change(&mut self, number: usize) -> anyhow::Result<Times> {
         let text = self.manifest_text(number);
         let started = Instant::now();
         self.submit(&text)?;
         let submit = started.elapsed();
         let accepted = Instant::now();
         let mut nodes = Vec::new();
-        while self.logs.has_unfinished() && accepted.elapsed() < LIMIT {
-            let count = self.logs.look(self.generation);
+        while self.logs.has_pending() && accepted.elapsed() < CHANGE_TIMEOUT {
+            let count = self.logs.count_newly_in_force(self.generation);
             nodes.resize(nodes.len() + count, accepted.elapsed());
-            thread::sleep(LOOK);
+            thread::sleep(LOG_POLL_INTERVAL);
         }
-        let is_everywhere = !self.logs.has_unfinished();
-        self.logs.begin_again();
-        Ok(Times { submit, nodes, is_everywhere })
+        let is_complete = !self.logs.has_pending();
+        self.logs.reset();
+        Ok(Times { submit, nodes, is_complete })
     }
 
-    /// Starts a process again, as on a new VM, and waits until it has the
-    /// manifest in force.
-    fn boot(&mut self) -> anyhow::Result<Option<Duration>> {
-        let log = self.fleet.directory().join(format!("{BOOTED}.log"));
-        let mut log = Log { path: log, read: 0, is_finished: false };
-        self.fleet.process(BOOTED).kill();
-        log.new_text();
-        self.fleet.process(BOOTED).start_again()?;
+    /// Restarts a process, as on a new VM, and waits until it has the manifest
+    /// in force.
+    fn measure_boot(&mut self) -> anyhow::Result<Option<Duration>> {
+        let log =
+            self.fleet.directory().join(format!("{RESTARTED_PROCESS}.log"));
+        let mut log = Log { path: log, read_bytes: 0, has_generation: false };
+        self.fleet.process(RESTARTED_PROCESS).kill();
+        log.read_new_lines();
+        self.fleet.process(RESTARTED_PROCESS).start_again()?;
         let started = Instant::now();
-        while !log.look(self.generation) {
-            if started.elapsed() > LIMIT {
+        while !log.check_in_force(self.generation) {
+            if started.elapsed() > CHANGE_TIMEOUT {
                 return Ok(None);
             }
-            thread::sleep(LOOK);
+            thread::sleep(LOG_POLL_INTERVAL);
         }
         Ok(Some(started.elapsed()))
     }
 
-    /// Submits until it is accepted.
+    /// Submits a manifest, with retries until the manifest is accepted.
     fn submit(&mut self, text: &str) -> anyhow::Result<()> {
-        let mut last = None;
-        for _ in 0..SUBMIT_TRIES {
+        let mut last_error = None;
+        for _ in 0..SUBMIT_ATTEMPTS {
             match self.fleet.apply_text(self.generation, text) {
                 Ok(generation) => {
                     self.generation = generation;
                     return Ok(());
                 }
-                Err(e) => last = Some(e),
+                Err(e) => last_error = Some(e),
             }
         }
-        bail!("the manifest was not accepted: {last:?}")
+        bail!("the manifest was not accepted: {last_error:?}")
     }
 
-    /// The manifest with one account's weight set by the number.
+    /// Returns a manifest in which the account of this number has a new weight
+    /// and all other accounts have the same weight.
     fn manifest_text(&self, number: usize) -> String {
         let mut text = self.fleet.manifest_text();
         for account in 0..self.options.accounts {
@@ -324,7 +351,7 @@
         let per_s = |after: f64, before: f64| (after - before) / elapsed_s;
         let links = |role| per_s(later.links[role], self.links[role]);
         let cpu_ms = |role| {
-            let rate: crate::machine::Rate = cpu[role];
+            let rate: crate::machine::CpuRate = cpu[role];
             rate.cores * 1e3 / rate.processes as f64
         };
         Rates {
@@ -340,7 +367,7 @@
 }
 
 impl Rates {
-    fn less(self, other: &Rates) -> Rates {
+    fn minus(self, other: &Rates) -> Rates {
         Rates {
             table_reads: self.table_reads - other.table_reads,
             object_reads: self.object_reads - other.object_reads,
@@ -353,15 +380,15 @@
     }
 }
 
-/// The logs of all nodes, read as they grow.
+/// The logs of all nodes, read while the nodes append to them.
 struct Logs {
     logs: Vec<Log>,
 }
 
 struct Log {
     path: PathBuf,
-    read: u64,
-    is_finished: bool,
+    read_bytes: u64,
+    has_generation: bool,
 }
 
 impl Logs {
@@ -369,49 +396,51 @@
         let names = fleet.ops_addresses().into_keys();
         let logs = names.map(|name| {
             let path = fleet.directory().join(format!("{name}.log"));
-            Log { path, read: 0, is_finished: false }
+            Log { path, read_bytes: 0, has_generation: false }
         });
         Logs { logs: logs.collect() }
     }
 
-    /// How many more nodes have a generation in force now.
-    fn look(&mut self, generation: u64) -> usize {
-        let open = self.logs.iter_mut().filter(|log| !log.is_finished);
-        open.filter_map(|log| log.look(generation).then_some(())).count()
+    /// Returns how many nodes put the generation in force since the last call.
+    fn count_newly_in_force(&mut self, generation: u64) -> usize {
+        let pending = self.logs.iter_mut().filter(|log| !log.has_generation);
+        pending
+            .filter_map(|log| log.check_in_force(generation).then_some(()))
+            .count()
     }
 
-    fn has_unfinished(&self) -> bool {
-        self.logs.iter().any(|log| !log.is_finished)
+    fn has_pending(&self) -> bool {
+        self.logs.iter().any(|log| !log.has_generation)
     }
 
-    fn begin_again(&mut self) {
-        self.logs.iter_mut().for_each(|log| log.is_finished = false);
+    fn reset(&mut self) {
+        self.logs.iter_mut().for_each(|log| log.has_generation = false);
     }
 }
 
 impl Log {
-    fn look(&mut self, generation: u64) -> bool {
-        let text = self.new_text();
+    fn check_in_force(&mut self, generation: u64) -> bool {
+        let text = self.read_new_lines();
         let number = format!("\"generation\":\"{generation}\"");
         let mut lines = text.lines();
-        self.is_finished = lines.any(|line| {
+        self.has_generation = lines.any(|line| {
             line.contains("\"manifest_in_force\"") && line.contains(&number)
         });
-        self.is_finished
+        self.has_generation
     }
 
-    /// Whole lines written since the last look.
-    fn new_text(&mut self) -> String {
+    /// Returns the complete lines appended since the last call.
+    fn read_new_lines(&mut self) -> String {
         let mut text = String::new();
         let read = File::open(&self.path).and_then(|mut file| {
-            file.seek(SeekFrom::Start(self.read))?;
+            file.seek(SeekFrom::Start(self.read_bytes))?;
             file.read_to_string(&mut text)
         });
         if read.is_err() {
             return String::new();
         }
         text.truncate(text.rfind('\n').map_or(0, |at| at + 1));
-        self.read += text.len() as u64;
+        self.read_bytes += text.len() as u64;
         text
     }
 }
@@ -437,26 +466,26 @@
             "side CPU ms",
         ]);
         for row in &self.rows {
-            let ms = |us: f64| places(us / 1e3, 0);
-            times.row(vec![
+            let ms = |us: f64| decimals(us / 1e3, 0);
+            times.push_row(vec![
                 row.store.to_owned(),
                 ms(row.node.p50_us),
                 ms(row.node.p95_us),
                 ms(row.node.p99_us),
-                places(row.last_ms, 0),
-                places(row.submit_ms, 0),
+                decimals(row.last_ms, 0),
+                decimals(row.submit_ms, 0),
                 row.not_in_force.to_string(),
-                row.boot_ms.map_or("never".to_owned(), |ms| places(ms, 0)),
+                row.boot_ms.map_or("never".to_owned(), |ms| decimals(ms, 0)),
             ]);
-            costs.row(vec![
+            costs.push_row(vec![
                 row.store.to_owned(),
-                places(row.object_reads, 2),
-                places(row.object_bytes, 0),
-                places(row.table_reads, 2),
-                places(row.entry_link_bytes, 0),
-                places(row.side_link_bytes, 0),
-                places(row.entry_cpu_ms, 1),
-                places(row.side_cpu_ms, 1),
+                decimals(row.object_reads, 2),
+                decimals(row.object_bytes, 0),
+                decimals(row.table_reads, 2),
+                decimals(row.entry_link_bytes, 0),
+                decimals(row.side_link_bytes, 0),
+                decimals(row.entry_cpu_ms, 1),
+                decimals(row.side_cpu_ms, 1),
             ]);
         }
         format!(
--- a/crates/bench/src/check.rs
+++ b/crates/bench/src/check.rs
@@ -1,8 +1,9 @@
-//! Small versions of the benchmarks against the committed bounds.
+//! Compares small runs of the benchmarks with the committed bounds.
 //!
-//! Bounds are counts, or ratios of figures of one run: they hold on any
-//! machine. Ratios of times still move when a machine is busy, so the check
-//! is for a quiet one and not for CI; the counts alone are exact anywhere.
+//! The bounds are counts, or ratios of figures of one run, so that they hold
+//! on any machine. Ratios of times still vary on a busy machine, so the check
+//! is meant for an idle machine and not for CI; only the counts are exact
+//! anywhere.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,14 +12,13 @@
 
 use crate::{
     change, claims, decision, idle, memory, overhead,
-    report::{Show, Table, places},
+    report::{Show, Table, decimals},
     run_once,
 };
 
-/// The committed bounds.
-const BOUNDS: &str = include_str!("../bounds.json");
+const BOUNDS_JSON: &str = include_str!("../bounds.json");
 
-/// A bound of one figure.
+/// Upper bound of one figure.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Bound {
     pub(crate) name: String,
@@ -27,7 +27,7 @@
 
 /// A figure and its bound.
 #[derive(Debug, Serialize)]
-pub(crate) struct Checked {
+pub(crate) struct CheckedFigure {
     pub(crate) bound: Bound,
     pub(crate) measured: f64,
 }
@@ -35,26 +35,26 @@
 /// All figures with their bounds.
 #[derive(Debug, Serialize)]
 pub(crate) struct Check {
-    pub(crate) figures: Vec<Checked>,
+    pub(crate) figures: Vec<CheckedFigure>,
 }
 
-impl Checked {
-    fn is_broken(&self) -> bool {
-        // A figure that is no number has not been measured.
+impl CheckedFigure {
+    fn is_exceeded(&self) -> bool {
+        // NaN means that the figure could not be measured.
         self.measured.is_nan() || self.measured > self.bound.at_most
     }
 }
 
 impl Check {
-    /// Whether a bound is broken.
-    pub(crate) fn is_broken(&self) -> bool {
-        self.figures.iter().any(Checked::is_broken)
+    /// Whether any figure exceeds its bound.
+    pub(crate) fn is_exceeded(&self) -> bool {
+        self.figures.iter().any(CheckedFigure::is_exceeded)
     }
 }
 
-/// Measures, and compares with the bounds.
+/// Measures all figures and compares them with their bounds.
 pub(crate) fn measure() -> anyhow::Result<Check> {
-    let bounds: Vec<Bound> = serde_json::from_str(BOUNDS)?;
+    let bounds: Vec<Bound> = serde_json::from_str(BOUNDS_JSON)?;
     let mut measured = BTreeMap::new();
     measure_run_once(&mut measured);
     measure_decision(&mut measured);
@@ -73,32 +73,32 @@
     let check = |bound: Bound| {
         let value = measured.get(bound.name.as_str());
         let measured = *value.with_context(|| {
-            format!("the bound of {:?} has no figure", bound.name)
+            format!("no figure was measured for the bound {:?}", bound.name)
         })?;
-        Ok(Checked { bound, measured })
+        Ok(CheckedFigure { bound, measured })
     };
     let figures: anyhow::Result<_> = bounds.into_iter().map(check).collect();
     Ok(Check { figures: figures? })
 }
 
-type Measured = BTreeMap<&'static str, f64>;
+type Figures = BTreeMap<&'static str, f64>;
 
-fn measure_run_once(measured: &mut Measured) {
+fn measure_run_once(measured: &mut Figures) {
     let rows = run_once::measure(&[1_000, 200_000]).rows;
     let ratio = rows[1].request_ns() / rows[0].request_ns();
     measured.insert("run-once time, 200,000 to 1,000 records", ratio);
 }
 
-fn measure_decision(measured: &mut Measured) {
+fn measure_decision(measured: &mut Figures) {
     let rows = decision::measure(&[50, 1_100]).rows;
     let ratio = rows[1].median_ns / rows[0].median_ns;
     measured.insert("decision time, 1,100 to 50 servers", ratio);
 }
 
-fn measure_claims(measured: &mut Measured) -> anyhow::Result<()> {
-    let time = Duration::from_secs(3);
-    let rows = claims::measure(&[10.0, 1_000.0], &[1], time)?.rows;
-    let writes = |at: usize| rows[at].writes_per_request;
+fn measure_claims(measured: &mut Figures) -> anyhow::Result<()> {
+    let duration = Duration::from_secs(3);
+    let rows = claims::measure(&[10.0, 1_000.0], &[1], duration)?.rows;
+    let writes = |index: usize| rows[index].writes_per_request;
     measured.insert("store writes a keyed request at 10/s", writes(0));
     measured.insert("store writes a keyed request at 1,000/s", writes(1));
     let failed = rows.iter().map(|row| row.failed as f64).sum();
@@ -106,12 +106,12 @@
     Ok(())
 }
 
-fn measure_overhead(measured: &mut Measured) -> anyhow::Result<()> {
+fn measure_overhead(measured: &mut Figures) -> anyhow::Result<()> {
     let options = overhead::Options {
         rates_per_s: vec![200.0],
         max_tokens: 8,
-        turn: Duration::from_secs(2),
-        turns: 3,
+        round_time: Duration::from_secs(2),
+        rounds: 3,
         entries: 1,
         chains: 1,
         engine_arguments: Vec::new(),
@@ -122,17 +122,17 @@
     measured.insert("first token, routed to direct", first);
     let between = row.between_tokens_ratio.p50_us;
     measured.insert("between tokens, routed to direct", between);
-    let cores = |way: &overhead::Way| -> f64 {
-        way.cores.values().map(|rate| rate.cores).sum()
+    let cores = |route: &overhead::RouteFigures| -> f64 {
+        route.cores.values().map(|rate| rate.cores).sum()
     };
     let ratio = cores(&row.routed) / cores(&row.direct);
     measured.insert("processor time, routed to direct", ratio);
-    let not_whole = row.routed.begun - row.routed.whole;
-    measured.insert("requests that were not whole", not_whole as f64);
+    let incomplete = row.routed.begun - row.routed.whole;
+    measured.insert("requests that were not whole", incomplete as f64);
     Ok(())
 }
 
-fn measure_memory(measured: &mut Measured) -> anyhow::Result<()> {
+fn measure_memory(measured: &mut Figures) -> anyhow::Result<()> {
     let memory = memory::measure(&[0, 500], 1)?;
     let entry = memory.entry_kib_per_stream;
     measured.insert("KiB of an open stream at an entry", entry);
@@ -141,7 +141,7 @@
     Ok(())
 }
 
-fn measure_idle(measured: &mut Measured) -> anyhow::Result<()> {
+fn measure_idle(measured: &mut Figures) -> anyhow::Result<()> {
     let rows = idle::measure(&[4, 16], &[1], 6)?.rows;
     let bytes = |row: &idle::Row| {
         let entry = &row.roles["entry"];
@@ -154,7 +154,7 @@
     Ok(())
 }
 
-fn measure_change(measured: &mut Measured) -> anyhow::Result<()> {
+fn measure_change(measured: &mut Figures) -> anyhow::Result<()> {
     let options = change::Options {
         sides: 8,
         entries: 1,
@@ -176,16 +176,16 @@
         let mut table =
             Table::new(&["figure", "measured", "at most", "verdict"]);
         for figure in &self.figures {
-            let Checked { bound, measured } = figure;
+            let CheckedFigure { bound, measured } = figure;
             let over = measured - bound.at_most;
-            let verdict = match figure.is_broken() {
+            let verdict = match figure.is_exceeded() {
                 true => format!("broken by {over:.2}"),
                 false => "holds".to_owned(),
             };
-            table.row(vec![
+            table.push_row(vec![
                 bound.name.clone(),
-                places(*measured, 2),
-                places(bound.at_most, 2),
+                decimals(*measured, 2),
+                decimals(bound.at_most, 2),
                 verdict,
             ]);
         }
--- a/crates/bench/src/core.rs
+++ b/crates/bench/src/core.rs
@@ -1,7 +1,8 @@
-//! Requests and tokens a second that one core of an entry or a side carries.
+//! Requests and tokens per second that one core of an entry or a side handles.
 //!
-//! Two loads of the same rate with different counts of tokens, less what the
-//! processes use when idle, give the cost of a request and of a token apart.
+//! Two loads with the same request rate and different counts of tokens are
+//! measured, and the CPU usage of idle processes is subtracted. The difference
+//! of the loads separates the cost of a request from that of a token.
 
 use std::{collections::BTreeMap, sync::Arc, thread, time::Duration};
 
@@ -10,24 +11,24 @@
 use serde::Serialize;
 
 use crate::{
-    load::{Load, Routed},
-    machine::{Rate, Snapshot},
-    overhead::plan,
-    report::{Show, Table, places},
+    load::{Load, RoutedTarget},
+    machine::{CpuRate, Snapshot},
+    overhead::fleet_plan,
+    report::{Show, Table, decimals},
 };
 
-/// Time for which idle processes are watched.
-const IDLE_TIME: Duration = Duration::from_secs(4);
-/// Stages that a request crosses: each is work for one side.
+/// Measurement time of the idle processes.
+const IDLE_DURATION: Duration = Duration::from_secs(4);
+/// Stages of a chain; each stage of a request is served by one side.
 const STAGES: f64 = 2.0;
 
-/// What is measured.
+/// Parameters of the benchmark.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Options {
     pub(crate) rate_per_s: f64,
     pub(crate) few_tokens: u32,
     pub(crate) many_tokens: u32,
-    pub(crate) time: Duration,
+    pub(crate) load_time: Duration,
     pub(crate) entries: usize,
     pub(crate) chains: usize,
 }
@@ -41,8 +42,7 @@
     pub(crate) roles: BTreeMap<&'static str, RoleCost>,
 }
 
-/// What one role spends, in microseconds of a core. Those of a side are of
-/// one stage.
+/// CPU cost of one role. The costs of a side are per stage.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct RoleCost {
     pub(crate) idle_cores: f64,
@@ -56,16 +56,16 @@
 
 /// Measures both roles.
 pub(crate) fn measure(options: Options) -> anyhow::Result<Core> {
-    let fleet = Fleet::start(plan(options.entries, options.chains))?;
-    let routed = Arc::new(Routed::new(&fleet, options.entries));
+    let fleet = Fleet::start(fleet_plan(options.entries, options.chains))?;
+    let routed = Arc::new(RoutedTarget::new(&fleet, options.entries));
     let warm_up = Load::new(options.rate_per_s).max_tokens(2);
-    warm_up.time(Duration::from_secs(1)).run(&routed);
-    let idle = idle(&fleet);
-    let few = loaded(&fleet, options, options.few_tokens, &routed)?;
-    let many = loaded(&fleet, options, options.many_tokens, &routed)?;
+    warm_up.duration(Duration::from_secs(1)).run(&routed);
+    let idle = measure_idle(&fleet);
+    let few = measure_load(&fleet, options, options.few_tokens, &routed)?;
+    let many = measure_load(&fleet, options, options.many_tokens, &routed)?;
     let roles = ["entry", "side"].map(|role| {
-        let used = [&idle, &few, &many].map(|m| m[role].cores);
-        (role, cost(options, role, used))
+        let cores = [&idle, &few, &many].map(|rates| rates[role].cores);
+        (role, role_cost(options, role, cores))
     });
     Ok(Core {
         rate_per_s: options.rate_per_s,
@@ -75,20 +75,20 @@
     })
 }
 
-fn idle(fleet: &Fleet) -> BTreeMap<&'static str, Rate> {
+fn measure_idle(fleet: &Fleet) -> BTreeMap<&'static str, CpuRate> {
     let before = Snapshot::take(fleet);
-    thread::sleep(IDLE_TIME);
+    thread::sleep(IDLE_DURATION);
     before.rates_until(&Snapshot::take(fleet))
 }
 
-fn loaded(
+fn measure_load(
     fleet: &Fleet,
     options: Options,
     max_tokens: u32,
-    routed: &Arc<Routed>,
-) -> anyhow::Result<BTreeMap<&'static str, Rate>> {
+    routed: &Arc<RoutedTarget>,
+) -> anyhow::Result<BTreeMap<&'static str, CpuRate>> {
     let load = Load::new(options.rate_per_s)
-        .time(options.time)
+        .duration(options.load_time)
         .max_tokens(max_tokens);
     let before = Snapshot::take(fleet);
     let samples = load.run(routed);
@@ -103,22 +103,22 @@
     Ok(before.rates_until(&after))
 }
 
-fn cost(options: Options, role: &str, used: [f64; 3]) -> RoleCost {
-    let [idle_cores, cores_with_few, cores_with_many] = used;
+fn role_cost(options: Options, role: &str, cores: [f64; 3]) -> RoleCost {
+    let [idle_cores, cores_with_few, cores_with_many] = cores;
     let stages = if role == "side" { STAGES } else { 1.0 };
-    let each = options.rate_per_s * stages;
-    let few = (cores_with_few - idle_cores) / each;
-    let many = (cores_with_many - idle_cores) / each;
-    let more_tokens = f64::from(options.many_tokens - options.few_tokens);
-    let token_s = (many - few) / more_tokens;
-    let request_s = few - token_s * f64::from(options.few_tokens);
+    let stage_requests_per_s = options.rate_per_s * stages;
+    let few_s = (cores_with_few - idle_cores) / stage_requests_per_s;
+    let many_s = (cores_with_many - idle_cores) / stage_requests_per_s;
+    let extra_tokens = f64::from(options.many_tokens - options.few_tokens);
+    let token_s = (many_s - few_s) / extra_tokens;
+    let request_s = few_s - token_s * f64::from(options.few_tokens);
     RoleCost {
         idle_cores,
         cores_with_few,
         cores_with_many,
         request_us: request_s * 1e6,
         token_us: token_s * 1e6,
-        requests_per_core_s: 1.0 / few,
+        requests_per_core_s: 1.0 / few_s,
         tokens_per_core_s: 1.0 / token_s,
     }
 }
@@ -136,15 +136,15 @@
             "tokens/s a core",
         ]);
         for (role, cost) in &self.roles {
-            table.row(vec![
+            table.push_row(vec![
                 (*role).to_owned(),
-                places(cost.idle_cores, 4),
-                places(cost.cores_with_few, 3),
-                places(cost.cores_with_many, 3),
-                places(cost.request_us, 1),
-                places(cost.token_us, 2),
-                places(cost.requests_per_core_s, 0),
-                places(cost.tokens_per_core_s, 0),
+                decimals(cost.idle_cores, 4),
+                decimals(cost.cores_with_few, 3),
+                decimals(cost.cores_with_many, 3),
+                decimals(cost.request_us, 1),
+                decimals(cost.token_us, 2),
+                decimals(cost.requests_per_core_s, 0),
+                decimals(cost.tokens_per_core_s, 0),
             ]);
         }
         format!(
--- a/crates/bench/src/idle.rs
+++ b/crates/bench/src/idle.rs
@@ -1,4 +1,4 @@
-//! What nodes without requests spend, against the count of sides.
+//! Resource usage of nodes without requests, by count of sides and entries.
 
 use std::{collections::BTreeMap, thread, time::Duration};
 
@@ -9,13 +9,13 @@
     control::control_bytes,
     machine::{Snapshot, resident_by_role},
     polls::{self, PollBytes},
-    report::{Show, Table, places},
+    report::{Show, Table, decimals},
 };
 
-/// Time for links and manifests to come to rest.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Time until links are set up and manifests are in force.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Figures of all sizes.
+/// Figures of all fleet sizes.
 #[derive(Debug, Serialize)]
 pub(crate) struct Idle {
     pub(crate) seconds: u64,
@@ -23,19 +23,19 @@
     pub(crate) polls: Vec<PollBytes>,
 }
 
-/// Figures of one size.
+/// Figures of one fleet size.
 #[derive(Debug, Serialize)]
 pub(crate) struct Row {
     pub(crate) sides: usize,
     pub(crate) entries: usize,
     pub(crate) roles: BTreeMap<&'static str, RoleIdle>,
-    /// Reads of the table service, per node.
+    /// Reads from the table service.
     pub(crate) table_reads_per_node_s: f64,
-    /// Reads of the list of VMs, per entry.
+    /// Reads of the VM list.
     pub(crate) list_reads_per_entry_s: f64,
 }
 
-/// What one node of a role spends, the mean.
+/// Mean resource usage per node of one role.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct RoleIdle {
     pub(crate) link_sent_bytes_per_s: f64,
@@ -44,7 +44,7 @@
     pub(crate) resident_mib: f64,
 }
 
-/// Measures each count of sides with each count of entries.
+/// Measures each combination of side count and entry count.
 pub(crate) fn measure(
     sides: &[usize],
     entries: &[usize],
@@ -53,27 +53,31 @@
     let mut rows = Vec::new();
     for entries in entries {
         for sides in sides {
-            rows.push(row(*sides, *entries, seconds)?);
+            rows.push(measure_row(*sides, *entries, seconds)?);
         }
     }
     Ok(Idle { seconds, rows, polls: polls::measure()? })
 }
 
-/// A fleet of about this many sides, in chains of two stages, or of four
-/// where there are many.
-pub(crate) fn plan(sides: usize, entries: usize) -> Plan {
-    let bounds: &[u32] =
+/// Plans a fleet whose chains have two stages, or four if there are more than
+/// 16 sides. The count of sides is rounded down to whole chains.
+pub(crate) fn fleet_plan(sides: usize, entries: usize) -> Plan {
+    let layer_bounds: &[u32] =
         if sides <= 16 { &[0, 12, 24] } else { &[0, 6, 12, 18, 24] };
-    let stages = bounds.len() - 1;
+    let stages = layer_bounds.len() - 1;
     Plan::new()
         .entries(entries)
-        .stages(bounds, sides / stages)
+        .stages(layer_bounds, sides / stages)
         .plain_servers(0)
 }
 
-fn row(sides: usize, entries: usize, seconds: u64) -> anyhow::Result<Row> {
-    let fleet = Fleet::start(plan(sides, entries))?;
-    thread::sleep(SETTLE);
+fn measure_row(
+    sides: usize,
+    entries: usize,
+    seconds: u64,
+) -> anyhow::Result<Row> {
+    let fleet = Fleet::start(fleet_plan(sides, entries))?;
+    thread::sleep(SETTLE_TIME);
     let reads = |name: &str| fleet.stats(name)["reads"].as_u64();
     let before = (control_bytes(&fleet), reads("table"), reads("vm-list"));
     let cpu_before = Snapshot::take(&fleet);
@@ -93,16 +97,17 @@
         };
         (role, idle)
     });
-    let more = |after: Option<u64>, before: Option<u64>| {
+    let reads_per_s = |after: Option<u64>, before: Option<u64>| {
         per_s(after.unwrap_or(0) as f64, before.unwrap_or(0) as f64)
     };
     Ok(Row {
         sides,
         entries,
         roles: roles.into(),
-        table_reads_per_node_s: more(after.1, before.1)
+        table_reads_per_node_s: reads_per_s(after.1, before.1)
             / (sides + entries) as f64,
-        list_reads_per_entry_s: more(after.2, before.2) / entries as f64,
+        list_reads_per_entry_s: reads_per_s(after.2, before.2)
+            / entries as f64,
     })
 }
 
@@ -121,16 +126,16 @@
         ]);
         for row in &self.rows {
             for (role, idle) in &row.roles {
-                table.row(vec![
+                table.push_row(vec![
                     row.sides.to_string(),
                     row.entries.to_string(),
                     (*role).to_owned(),
-                    places(idle.link_sent_bytes_per_s, 0),
-                    places(idle.link_received_bytes_per_s, 0),
-                    places(idle.core_percent, 3),
-                    places(idle.resident_mib, 1),
-                    places(row.table_reads_per_node_s, 3),
-                    places(row.list_reads_per_entry_s, 3),
+                    decimals(idle.link_sent_bytes_per_s, 0),
+                    decimals(idle.link_received_bytes_per_s, 0),
+                    decimals(idle.core_percent, 3),
+                    decimals(idle.resident_mib, 1),
+                    decimals(row.table_reads_per_node_s, 3),
+                    decimals(row.list_reads_per_entry_s, 3),
                 ]);
             }
         }
--- a/crates/bench/src/load/direct.rs
+++ b/crates/bench/src/load/direct.rs
@@ -1,9 +1,9 @@
-//! Requests straight to the engines: the baseline without a router.
+//! Requests sent straight to the engines: the baseline without a router.
 //!
-//! Each request picks one engine of each stage and drives its steps itself,
-//! one call a step, over the same client that side processes use. There is
-//! no queue, no limit, no batch and no record, which is as little as can be
-//! done between a caller and the engines.
+//! Each request picks one engine of each stage at random and runs its steps
+//! itself, with one call per step and stage, through the engine client that
+//! sides use. Without queues, limits, batching and records, this is the
+//! minimum of work between a caller and the engines.
 
 use std::{
     net::SocketAddr,
@@ -18,44 +18,50 @@
 
 use super::{Target, request_json};
 
-/// Longest wait for a call.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
-/// Sampling settings that go with the first step.
-const PARAMETERS: &[u8] = b"{}";
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Sampling parameters passed on with the first step.
+const SAMPLING_PARAMETERS: &[u8] = b"{}";
 
-/// The engines of a fleet, by stage.
-pub(crate) struct Direct {
+/// The engines of a fleet, grouped by stage.
+pub(crate) struct DirectTarget {
     stages: Vec<Vec<EngineClient>>,
-    bounds: Vec<u32>,
+    layer_bounds: Vec<u32>,
 }
 
-impl Direct {
-    /// The engines with these names, for layers between these bounds.
+impl DirectTarget {
+    /// Creates clients of the named engines of each stage. Stage `i` has the
+    /// layers from `layer_bounds[i]` up to, but not including,
+    /// `layer_bounds[i + 1]`.
     pub(crate) fn new(
         fleet: &Fleet,
         names: &[Vec<String>],
-        bounds: &[u32],
-    ) -> Direct {
+        layer_bounds: &[u32],
+    ) -> DirectTarget {
         let address =
             |name: &String| -> SocketAddr { fleet.standin_address(name) };
         let client = |name| EngineClient::new(address(name), "desk-llm");
         let stages = names.iter().map(|s| s.iter().map(client).collect());
-        Direct { stages: stages.collect(), bounds: bounds.to_vec() }
+        DirectTarget {
+            stages: stages.collect(),
+            layer_bounds: layer_bounds.to_vec(),
+        }
     }
 
-    /// One step through all stages; the token and how many positions the
-    /// step covered.
+    /// Runs one step through all stages and returns its token, with the count
+    /// of positions that the step covered.
     async fn step(
         &self,
         chain: &[&EngineClient],
         mut step: SequenceStep,
     ) -> anyhow::Result<Token> {
-        for (at, engine) in chain.iter().enumerate() {
-            let (first, end) = (self.bounds[at], self.bounds[at + 1]);
+        for (stage, engine) in chain.iter().enumerate() {
+            let (first, end) =
+                (self.layer_bounds[stage], self.layer_bounds[stage + 1]);
             let steps = std::slice::from_ref(&step);
-            let results = engine.infer(first, end, steps, CALL_LIMIT).await?;
+            let results =
+                engine.infer(first, end, steps, CALL_TIMEOUT).await?;
             let Some(result) = results.into_iter().next() else {
-                bail!("an engine answered no row");
+                bail!("an engine returned no result for the step");
             };
             let output = result?;
             let span = output.span;
@@ -63,7 +69,7 @@
                 StepOutput::Activation(bytes) => {
                     step.input = StepInput::Activation { span, bytes };
                     if step.position == 0 {
-                        step.parameters_json = PARAMETERS.to_vec();
+                        step.parameters_json = SAMPLING_PARAMETERS.to_vec();
                     }
                 }
                 StepOutput::Token { token, is_stop, .. } => {
@@ -71,7 +77,7 @@
                 }
             }
         }
-        bail!("no token from {} stages", chain.len())
+        bail!("none of the {} stages returned a token", chain.len())
     }
 }
 
@@ -81,16 +87,16 @@
     is_stop: bool,
 }
 
-impl Target for Direct {
+impl Target for DirectTarget {
     async fn request(
         &self,
-        intended: Instant,
+        scheduled: Instant,
         max_tokens: u32,
     ) -> anyhow::Result<Vec<Duration>> {
-        let pick =
+        let random_index =
             |engines: &'_ Vec<EngineClient>| fastrand::usize(..engines.len());
         let chain: Vec<&EngineClient> =
-            self.stages.iter().map(|s| &s[pick(s)]).collect();
+            self.stages.iter().map(|s| &s[random_index(s)]).collect();
         let request = fastrand::u128(..);
         let sequence = SequenceId { request, attempt: 1 };
         let mut input = StepInput::Prompt {
@@ -108,10 +114,10 @@
                 parameters_json: Vec::new(),
             };
             let token = self.step(&chain, step).await?;
-            times.push(intended.elapsed());
+            times.push(scheduled.elapsed());
             position += token.span;
             input = StepInput::Token(token.token);
-            ensure!(!token.is_stop, "the answer ended early");
+            ensure!(!token.is_stop, "the answer stopped before max_tokens");
         }
         for engine in chain {
             engine.release(&[sequence]).await?;
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! An open-loop load generator on threads of its own.
+//! An open-loop load generator with its own threads.
 //!
-//! Requests begin at times drawn beforehand, whether earlier ones have ended
-//! or not, and every time is counted from when a request was meant to begin.
-//! A server that stalls is thus charged with all that waited for it.
+//! Requests start at scheduled times, whether or not earlier requests have
+//! finished, and every time is measured from the scheduled start. The figures
+//! of a stalled server thus include the wait of all requests that it delayed.
 
 mod direct;
 mod routed;
@@ -20,56 +20,56 @@
 use futures_lite::FutureExt as _;
 
 pub(crate) use self::{
-    direct::Direct,
-    routed::Routed,
+    direct::DirectTarget,
+    routed::RoutedTarget,
     samples::{Quantiles, Samples, histogram},
 };
 
-/// Time that requests may take after the last one has begun.
-const DRAIN_LIMIT: Duration = Duration::from_secs(20);
-/// The prompt of every request, with a number before it so that no engine
-/// finds it in its prefix cache.
+/// Time that open requests have to finish after the last scheduled start.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
+/// The prompt of every request. A number is put before the prompt so that no
+/// engine finds it in its prefix cache.
 const PROMPT: &str = "Summarise loan file of the Ndiaye cooperative";
 
-/// Where requests go.
+/// A destination of requests.
 pub(crate) trait Target: Send + Sync + 'static {
-    /// Makes one request; the times of its tokens since `intended`.
+    /// Sends one request and returns its token times since `scheduled`.
     fn request(
         &self,
-        intended: Instant,
+        scheduled: Instant,
         max_tokens: u32,
     ) -> impl Future<Output = anyhow::Result<Vec<Duration>>>;
 }
 
-/// A load, set by chained methods.
+/// Parameters of a load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Load {
     rate_per_s: f64,
-    time: Duration,
+    duration: Duration,
     max_tokens: u32,
     threads: u32,
 }
 
 impl Load {
-    /// Requests at this rate, one token each, for five seconds.
+    /// Requests at this rate with one token each, for five seconds.
     pub(crate) fn new(rate_per_s: f64) -> Load {
-        let time = Duration::from_secs(5);
-        Load { rate_per_s, time, max_tokens: 1, threads: 3 }
+        let duration = Duration::from_secs(5);
+        Load { rate_per_s, duration, max_tokens: 1, threads: 3 }
     }
 
-    /// How long requests begin.
-    pub(crate) fn time(mut self, time: Duration) -> Load {
-        self.time = time;
+    /// Sets for how long new requests are started.
+    pub(crate) fn duration(mut self, duration: Duration) -> Load {
+        self.duration = duration;
         self
     }
 
-    /// Tokens of each request.
+    /// Sets the count of tokens per request.
     pub(crate) fn max_tokens(mut self, count: u32) -> Load {
         self.max_tokens = count;
         self
     }
 
-    /// Makes the load and waits for its end.
+    /// Runs the load on several threads and returns the merged samples.
     pub(crate) fn run<T: Target>(self, target: &Arc<T>) -> Samples {
         let start = Instant::now();
         let threads: Vec<_> = (0..self.threads)
@@ -78,11 +78,12 @@
                 thread::spawn(move || self.run_thread(start, &*target))
             })
             .collect();
-        let mut all = Samples::new();
+        let mut merged = Samples::new();
         for thread in threads {
-            all.add(&thread.join().expect("a load thread does not panic"));
+            merged
+                .merge(&thread.join().expect("a load thread does not panic"));
         }
-        all
+        merged
     }
 
     fn run_thread<T: Target>(self, start: Instant, target: &T) -> Samples {
@@ -91,43 +92,43 @@
         let executor = LocalExecutor::new();
         let run = async {
             let mut tasks = Vec::new();
-            let end = start + self.time;
-            let mut intended = start + self.next_gap();
-            while intended < end {
-                Timer::at(intended).await;
-                samples.borrow_mut().begun(intended.elapsed());
-                let one = async move {
-                    let times = target.request(intended, max_tokens).await;
-                    samples.borrow_mut().ended(times);
+            let end = start + self.duration;
+            let mut scheduled = start + self.next_interval();
+            while scheduled < end {
+                Timer::at(scheduled).await;
+                samples.borrow_mut().record_begun(scheduled.elapsed());
+                let request = async move {
+                    let times = target.request(scheduled, max_tokens).await;
+                    samples.borrow_mut().record_ended(times);
                 };
-                tasks.push(executor.spawn(one));
-                intended += self.next_gap();
+                tasks.push(executor.spawn(request));
+                scheduled += self.next_interval();
             }
-            let all = async {
+            let all_requests = async {
                 for task in tasks {
                     task.await;
                 }
             };
-            let limit = async {
-                Timer::after(DRAIN_LIMIT).await;
+            let timeout = async {
+                Timer::after(DRAIN_TIMEOUT).await;
             };
-            all.or(limit).await;
+            all_requests.or(timeout).await;
         };
         block_on(executor.run(run));
         drop(executor);
         samples.take()
     }
 
-    /// Time to the next request of one thread, so that arrivals are a
-    /// Poisson process.
-    fn next_gap(&self) -> Duration {
+    /// Returns a random time until the next request of one thread, distributed
+    /// so that arrivals form a Poisson process.
+    fn next_interval(&self) -> Duration {
         let mean_s = f64::from(self.threads) / self.rate_per_s;
-        let share = 1.0 - fastrand::f64();
-        Duration::from_secs_f64(-share.ln() * mean_s)
+        let uniform = 1.0 - fastrand::f64();
+        Duration::from_secs_f64(-uniform.ln() * mean_s)
     }
 }
 
-/// The JSON of a request, with a prompt unlike any other.
+/// Returns the JSON of a request with a unique prompt.
 fn request_json(max_tokens: u32) -> String {
     let number = fastrand::u64(..);
     format!(
--- a/crates/bench/src/load/routed.rs
+++ b/crates/bench/src/load/routed.rs
@@ -1,4 +1,4 @@
-//! Requests through the entries of a fleet, as streamed answers.
+//! Streamed requests through the entries of a fleet.
 
 use std::{
     net::SocketAddr,
@@ -14,46 +14,44 @@
 
 use super::{Target, request_json};
 
-/// Longest time of a request, in milliseconds.
 const DEADLINE_MS: &str = "60000";
-/// The line that ends a streamed answer.
 const END_MARK: &str = "data: [DONE]";
 
 /// The entries of a fleet.
-pub(crate) struct Routed {
+pub(crate) struct RoutedTarget {
     entries: Vec<Entry>,
 }
 
 struct Entry {
     address: SocketAddr,
     url: Url,
-    idle: Mutex<Vec<SharedStream>>,
+    idle_streams: Mutex<Vec<SharedStream>>,
 }
 
-impl Routed {
-    /// All of `count` entries.
-    pub(crate) fn new(fleet: &Fleet, count: usize) -> Routed {
+impl RoutedTarget {
+    /// Creates a target for the first `count` entries.
+    pub(crate) fn new(fleet: &Fleet, count: usize) -> RoutedTarget {
         let entry = |number| {
             let address = fleet.entry_address(number);
             let url = format!("http://{address}/v1/chat/completions");
-            let url = Url::parse(&url).expect("an address makes a URL");
-            Entry { address, url, idle: Mutex::default() }
+            let url = Url::parse(&url).expect("the address forms a valid URL");
+            Entry { address, url, idle_streams: Mutex::default() }
         };
-        Routed { entries: (0..count).map(entry).collect() }
+        RoutedTarget { entries: (0..count).map(entry).collect() }
     }
 }
 
 impl Entry {
-    async fn stream(&self) -> anyhow::Result<SharedStream> {
-        let idle = self.idle.lock().expect("no holder panics").pop();
+    async fn acquire_stream(&self) -> anyhow::Result<SharedStream> {
+        let idle = self.idle_streams.lock().expect("no holder panics").pop();
         match idle {
             Some(stream) => Ok(stream),
             None => Ok(SharedStream::connect(self.address).await?),
         }
     }
 
-    fn keep(&self, stream: SharedStream) {
-        self.idle.lock().expect("no holder panics").push(stream);
+    fn return_stream(&self, stream: SharedStream) {
+        self.idle_streams.lock().expect("no holder panics").push(stream);
     }
 
     fn http_request(&self, max_tokens: u32) -> Request {
@@ -67,14 +65,14 @@
     }
 }
 
-impl Target for Routed {
+impl Target for RoutedTarget {
     async fn request(
         &self,
-        intended: Instant,
+        scheduled: Instant,
         max_tokens: u32,
     ) -> anyhow::Result<Vec<Duration>> {
         let entry = &self.entries[fastrand::usize(..self.entries.len())];
-        let stream = entry.stream().await?;
+        let stream = entry.acquire_stream().await?;
         let request = entry.http_request(max_tokens);
         let sent = async_h1::connect(stream.clone(), request);
         let mut response = sent.await.map_err(|e| anyhow!("{e}"))?;
@@ -84,26 +82,31 @@
             return Err(anyhow!("{status}: {body}"));
         }
         let mut times = Vec::with_capacity(max_tokens as usize);
-        let mut is_whole = false;
+        let mut is_complete = false;
         let mut body = response.take_body();
         let mut line = String::new();
         while body.read_line(&mut line).await? > 0 {
             if has_text(&line) {
-                times.push(intended.elapsed());
+                times.push(scheduled.elapsed());
             } else if line.trim_end() == END_MARK {
-                is_whole = true;
+                is_complete = true;
             }
             line.clear();
         }
-        ensure!(is_whole, "the answer broke off after {}", times.len());
-        entry.keep(stream);
+        ensure!(
+            is_complete,
+            "the answer ended after {} tokens, without [DONE]",
+            times.len()
+        );
+        entry.return_stream(stream);
         Ok(times)
     }
 }
 
-/// Whether an event carries text; the first names only the role.
+/// Whether an event carries text; the first event has only the role and an
+/// empty text.
 fn has_text(line: &str) -> bool {
     const CONTENT: &str = "\"content\":\"";
-    let at = line.find(CONTENT).map(|at| at + CONTENT.len());
-    at.is_some_and(|at| !line[at..].starts_with('"'))
+    let start = line.find(CONTENT).map(|at| at + CONTENT.len());
+    start.is_some_and(|start| !line[start..].starts_with('"'))
 }
--- a/crates/bench/src/load/samples.rs
+++ b/crates/bench/src/load/samples.rs
@@ -1,33 +1,29 @@
-//! Times of requests, as histograms.
+//! Histograms of request times.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Digits of a time that are kept.
-const DIGITS: u8 = 3;
-/// Longest time told apart, in nanoseconds; longer ones count as this.
-const MAX_NS: u64 = 120_000_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Maximum of the histograms; longer times are recorded as this value.
+const MAX_TIME_NS: u64 = 120_000_000_000;
 
 /// Times of many requests.
 #[derive(Clone, Debug)]
 pub(crate) struct Samples {
-    /// From the intended begin to the first token.
+    /// From the scheduled start to the first token.
     first_token: Histogram<u64>,
     /// From one token to the next.
     between_tokens: Histogram<u64>,
-    /// From the intended begin to the real one.
+    /// From the scheduled to the actual start.
     lateness: Histogram<u64>,
-    /// Requests begun.
     pub(crate) begun: u64,
-    /// Requests that ended whole.
+    /// Requests that completed.
     pub(crate) whole: u64,
-    /// Requests that failed.
     pub(crate) failed: u64,
-    /// Tokens of whole requests.
+    /// Tokens of completed requests.
     pub(crate) tokens: u64,
-    /// The first failure.
     pub(crate) first_error: Option<String>,
 }
 
@@ -46,8 +42,8 @@
         Quantiles { p50_us: at(0.5), p95_us: at(0.95), p99_us: at(0.99) }
     }
 
-    /// What these are above others.
-    pub(crate) fn above(&self, base: &Quantiles) -> Quantiles {
+    /// Returns the differences from a baseline.
+    pub(crate) fn minus(&self, base: &Quantiles) -> Quantiles {
         Quantiles {
             p50_us: self.p50_us - base.p50_us,
             p95_us: self.p95_us - base.p95_us,
@@ -55,7 +51,7 @@
         }
     }
 
-    /// How many times others these are.
+    /// Returns the ratios to a baseline.
     pub(crate) fn ratio(&self, base: &Quantiles) -> Quantiles {
         Quantiles {
             p50_us: self.p50_us / base.p50_us,
@@ -67,8 +63,8 @@
 
 /// An empty histogram of nanoseconds.
 pub(crate) fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_NS, DIGITS)
-        .expect("these bounds are sound")
+    Histogram::new_with_bounds(1, MAX_TIME_NS, SIGNIFICANT_DIGITS)
+        .expect("the bounds and precision are valid")
 }
 
 impl Default for Samples {
@@ -91,14 +87,17 @@
         }
     }
 
-    /// A request begins, this much late.
-    pub(crate) fn begun(&mut self, lateness: Duration) {
+    /// Records a started request and its delay after the scheduled start.
+    pub(crate) fn record_begun(&mut self, lateness: Duration) {
         self.begun += 1;
         self.lateness.saturating_record(lateness.as_nanos() as u64);
     }
 
-    /// A request has ended.
-    pub(crate) fn ended(&mut self, times: anyhow::Result<Vec<Duration>>) {
+    /// Records the result of a request: the times of its tokens, or its error.
+    pub(crate) fn record_ended(
+        &mut self,
+        times: anyhow::Result<Vec<Duration>>,
+    ) {
         let times = match times {
             Ok(times) => times,
             Err(e) => {
@@ -118,12 +117,12 @@
         }
     }
 
-    /// Takes in other samples.
-    pub(crate) fn add(&mut self, other: &Samples) {
-        let sound = "histograms of one precision";
-        self.first_token.add(&other.first_token).expect(sound);
-        self.between_tokens.add(&other.between_tokens).expect(sound);
-        self.lateness.add(&other.lateness).expect(sound);
+    /// Adds the samples of another thread or round.
+    pub(crate) fn merge(&mut self, other: &Samples) {
+        let same_bounds = "all histograms have the same bounds";
+        self.first_token.add(&other.first_token).expect(same_bounds);
+        self.between_tokens.add(&other.between_tokens).expect(same_bounds);
+        self.lateness.add(&other.lateness).expect(same_bounds);
         self.begun += other.begun;
         self.whole += other.whole;
         self.failed += other.failed;
--- a/crates/bench/src/machine.rs
+++ b/crates/bench/src/machine.rs
@@ -1,9 +1,9 @@
-//! What processes use of the machine, from `/proc`.
+//! CPU time and memory of processes, from `/proc`.
 //!
-//! Processor time of daemons is summed over threads from `schedstat`, which
-//! counts nanoseconds; the ticks of `stat` are too coarse for idle processes.
-//! That of this process is taken from `stat`, which goes on counting threads
-//! that have ended.
+//! The CPU time of daemons is the sum of `schedstat` over their threads,
+//! which counts nanoseconds; the ticks of `stat` are too coarse for idle
+//! processes. The CPU time of this process is read from `stat`, which includes
+//! threads that have exited.
 
 use std::{
     collections::BTreeMap,
@@ -14,37 +14,34 @@
 use chestnutreach_fleet::Fleet;
 use serde::Serialize;
 
-/// Place of the time in user mode among the fields of `stat` after the name;
-/// that in kernel mode follows.
+/// Index of the user time among the fields of `stat` that follow the process
+/// name; the kernel time is the next field.
 const USER_TIME_FIELD: usize = 11;
-/// Milliseconds of a tick; the same on every Linux of these machines.
+/// Milliseconds per clock tick of `stat`; the same on all machines in use.
 const TICK_MS: u64 = 10;
 
-/// Processor time of a group of processes.
+/// CPU time of a group of processes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Used {
-    /// Time on a processor.
+pub(crate) struct CpuUsage {
     pub(crate) cpu: Duration,
-    /// Processes counted.
     pub(crate) processes: usize,
 }
 
-/// What a group of processes used per second.
+/// CPU usage of a group of processes over a period.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(crate) struct Rate {
-    /// Cores in use by all processes of the group together.
+pub(crate) struct CpuRate {
+    /// Cores in use by all processes of the group together, on average.
     pub(crate) cores: f64,
-    /// Processes in the group.
     pub(crate) processes: usize,
 }
 
-/// Processor time of all groups at one moment.
+/// CPU time of all groups at one moment.
 pub(crate) struct Snapshot {
     at: Instant,
-    used: BTreeMap<&'static str, Used>,
+    usage: BTreeMap<&'static str, CpuUsage>,
 }
 
-/// The load average of one minute and the count of cores.
+/// Load average of the machine and its count of cores.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct MachineLoad {
     pub(crate) load_average_1_min: f64,
@@ -64,36 +61,36 @@
 }
 
 impl Snapshot {
-    /// Processor time so far of a fleet and of this process.
+    /// Reads the CPU time of the processes of a fleet and of this process.
     pub(crate) fn take(fleet: &Fleet) -> Snapshot {
-        let mut used: BTreeMap<&'static str, Used> = BTreeMap::new();
+        let mut usage: BTreeMap<&'static str, CpuUsage> = BTreeMap::new();
         for (name, id) in fleet.process_ids() {
-            let group = used.entry(role_of(&name)).or_default();
+            let group = usage.entry(role_of(&name)).or_default();
             group.cpu += cpu_time(id);
             group.processes += 1;
         }
-        let own = Used { cpu: own_cpu_time(), processes: 1 };
-        used.insert("load generator", own);
-        Snapshot { at: Instant::now(), used }
+        let own = CpuUsage { cpu: own_cpu_time(), processes: 1 };
+        usage.insert("load generator", own);
+        Snapshot { at: Instant::now(), usage }
     }
 
-    /// What each group has used per second since then.
+    /// Returns the CPU usage of each group from this snapshot to a later one.
     pub(crate) fn rates_until(
         &self,
         later: &Snapshot,
-    ) -> BTreeMap<&'static str, Rate> {
+    ) -> BTreeMap<&'static str, CpuRate> {
         let elapsed_s = later.at.duration_since(self.at).as_secs_f64();
-        let groups = later.used.iter().map(|(group, after)| {
-            let before = self.used.get(group).copied().unwrap_or_default();
+        let groups = later.usage.iter().map(|(group, after)| {
+            let before = self.usage.get(group).copied().unwrap_or_default();
             let cpu = after.cpu.saturating_sub(before.cpu);
             let cores = cpu.as_secs_f64() / elapsed_s;
-            (*group, Rate { cores, processes: after.processes })
+            (*group, CpuRate { cores, processes: after.processes })
         });
         groups.collect()
     }
 }
 
-/// Role of a process of a fleet by its name.
+/// Returns the role of a fleet process, given its name.
 pub(crate) fn role_of(name: &str) -> &'static str {
     match name {
         "table" | "objects" | "vm-list" => "platform",
@@ -117,7 +114,7 @@
 
 fn own_cpu_time() -> Duration {
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name before may hold spaces; what follows it does not.
+    // The process name can contain spaces; the fields after it cannot.
     let rest = text.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = rest.split_whitespace().collect();
     let ticks = fields.iter().skip(USER_TIME_FIELD).take(2);
@@ -125,7 +122,7 @@
     Duration::from_millis(ticks * TICK_MS)
 }
 
-/// Memory that a process holds, in KiB.
+/// Returns the resident memory of a process in KiB, or 0 if unknown.
 pub(crate) fn resident_kib(id: u32) -> u64 {
     let path = format!("/proc/{id}/status");
     let text = fs::read_to_string(path).unwrap_or_default();
@@ -134,7 +131,7 @@
     number.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// Memory of one process of each role, the mean, in KiB.
+/// Returns the mean resident memory per process of each role, in KiB.
 pub(crate) fn resident_by_role(fleet: &Fleet) -> BTreeMap<&'static str, f64> {
     let mut sums: BTreeMap<&'static str, (u64, u64)> = BTreeMap::new();
     for (name, id) in fleet.process_ids() {
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,26 +1,26 @@
 //! Benchmarks of chestnutreach over separate processes on loopback.
 //!
-//! Build everything in release first (`cargo build --release --workspace`):
-//! the daemons and stand-ins are those beside this program. Times hold for
-//! the machine and its load only; ratios and counts within a run are what
-//! can be compared.
+//! Build the workspace in release mode first (`cargo build --release
+//! --workspace`): the benchmarks start the daemons and stand-ins from the
+//! directory of this program. Times depend on the machine and its load;
+//! compare only ratios and counts of one run.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | `load` | the open-loop load generator |
-//! | `machine` | what processes use, from `/proc` |
-//! | `report` | figures as text or JSON |
-//! | `overhead` | time added by entries and sides |
-//! | `core` | requests and tokens a second of one core |
-//! | `memory` | memory of an open stream |
-//! | `idle` | what nodes without requests spend |
-//! | `change` | time until a new generation is in force, and its cost |
-//! | `claims` | store writes and time of claims |
+//! | `machine` | CPU time and memory of processes, from `/proc` |
+//! | `report` | output of figures as text or JSON |
+//! | `overhead` | latency added by entries and sides |
+//! | `core` | requests and tokens per second of one core |
+//! | `memory` | memory per open stream |
+//! | `idle` | resource usage of nodes without requests |
+//! | `change` | time and cost of putting a new generation in force |
+//! | `claims` | store writes and latency of claims |
 //! | `run_once` | time of the run-once table's operations |
-//! | `decision` | time of the choice of a chain |
-//! | `check` | small versions against the committed bounds |
-//! | `polls` | bytes of one poll of the platform's services |
-//! | `control` | bytes over links, from metrics |
+//! | `decision` | time to choose a chain |
+//! | `check` | small runs, compared with the committed bounds |
+//! | `polls` | bytes per poll of the platform services |
+//! | `control` | bytes sent over control links, from metrics |
 
 mod change;
 mod check;
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,7 +1,8 @@
-//! Time that entries and sides add to the first token and between tokens.
+//! Latency that entries and sides add to the first token and between tokens.
 //!
-//! The same engines are asked through the router and without it, in turns of
-//! one run, so that what else the machine does meets both.
+//! The same engines receive requests through the router (routed) and straight
+//! from the load generator (direct). The rounds of both routes alternate, so
+//! that background load affects both.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -9,29 +10,29 @@
 use serde::Serialize;
 
 use crate::{
-    load::{Direct, Load, Quantiles, Routed, Samples, Target},
-    machine::{Rate, Snapshot},
-    report::{Show, Table, places},
+    load::{DirectTarget, Load, Quantiles, RoutedTarget, Samples, Target},
+    machine::{CpuRate, Snapshot},
+    report::{Show, Table, decimals},
 };
 
-/// Layers by stage.
-pub(crate) const BOUNDS: [u32; 3] = [0, 12, 24];
-/// Requests at once at a backend server: more than ever come.
+/// Bounds of the layers of each stage.
+pub(crate) const LAYER_BOUNDS: [u32; 3] = [0, 12, 24];
+/// Concurrent requests per backend server; too high to be reached.
 const MAX_RUNNING: u32 = 1_024;
-/// Rate and time of the load that opens connections.
+/// Rate and duration of the load that opens connections.
 const WARM_UP: (f64, Duration) = (200.0, Duration::from_secs(1));
 
-/// What is measured.
+/// Parameters of the benchmark.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     pub(crate) rates_per_s: Vec<f64>,
     pub(crate) max_tokens: u32,
-    pub(crate) turn: Duration,
-    pub(crate) turns: usize,
+    pub(crate) round_time: Duration,
+    pub(crate) rounds: usize,
     pub(crate) entries: usize,
     pub(crate) chains: usize,
     pub(crate) engine_arguments: Vec<String>,
-    /// The setting of the sides; the shipped one where none is given.
+    /// The setting `engine-calls` of the sides; `None` keeps the default.
     pub(crate) engine_calls: Option<u64>,
 }
 
@@ -48,41 +49,42 @@
 #[derive(Debug, Serialize)]
 pub(crate) struct Row {
     pub(crate) rate_per_s: f64,
-    pub(crate) direct: Way,
-    pub(crate) routed: Way,
+    pub(crate) direct: RouteFigures,
+    pub(crate) routed: RouteFigures,
     pub(crate) first_token_added: Quantiles,
     pub(crate) first_token_ratio: Quantiles,
     pub(crate) between_tokens_added: Quantiles,
     pub(crate) between_tokens_ratio: Quantiles,
 }
 
-/// Figures of one way to the engines.
+/// Figures of one route to the engines.
 #[derive(Debug, Serialize)]
-pub(crate) struct Way {
+pub(crate) struct RouteFigures {
     pub(crate) first_token: Quantiles,
     pub(crate) between_tokens: Quantiles,
-    /// How late requests began: time the load generator itself lost.
+    /// Delay of requests after their scheduled start, caused by the load
+    /// generator itself.
     pub(crate) lateness: Quantiles,
     pub(crate) begun: u64,
     pub(crate) whole: u64,
     pub(crate) failed: u64,
     pub(crate) first_error: Option<String>,
-    /// Cores in use by role, the load generator and the engines included.
-    pub(crate) cores: BTreeMap<&'static str, Rate>,
+    /// Cores in use by role, including the load generator and the engines.
+    pub(crate) cores: BTreeMap<&'static str, CpuRate>,
 }
 
-/// A fleet of `chains` chains of two stages, for measuring.
-pub(crate) fn plan(entries: usize, chains: usize) -> Plan {
+/// Plans a fleet with `chains` chains of two stages.
+pub(crate) fn fleet_plan(entries: usize, chains: usize) -> Plan {
     Plan::new()
         .entries(entries)
-        .stages(&BOUNDS, chains)
+        .stages(&LAYER_BOUNDS, chains)
         .plain_servers(0)
         .max_running(MAX_RUNNING)
 }
 
 /// Measures all rates.
 pub(crate) fn measure(options: &Options) -> anyhow::Result<Overhead> {
-    let mut plan = plan(options.entries, options.chains);
+    let mut plan = fleet_plan(options.entries, options.chains);
     for argument in &options.engine_arguments {
         plan = plan.engine_argument(argument);
     }
@@ -91,12 +93,13 @@
     }
     let names = [plan.stage_names(0), plan.stage_names(1)];
     let fleet = Fleet::start(plan)?;
-    let direct = Arc::new(Direct::new(&fleet, &names, &BOUNDS));
-    let routed = Arc::new(Routed::new(&fleet, options.entries));
+    let direct = Arc::new(DirectTarget::new(&fleet, &names, &LAYER_BOUNDS));
+    let routed = Arc::new(RoutedTarget::new(&fleet, options.entries));
     warm_up(options, &direct);
     warm_up(options, &routed);
     let rates = options.rates_per_s.iter();
-    let rows = rates.map(|r| row(options, &fleet, *r, &direct, &routed));
+    let rows =
+        rates.map(|r| measure_row(options, &fleet, *r, &direct, &routed));
     Ok(Overhead {
         entries: options.entries,
         chains: options.chains,
@@ -106,62 +109,69 @@
 }
 
 fn warm_up<T: Target>(options: &Options, target: &Arc<T>) {
-    let (rate, time) = WARM_UP;
-    let load = Load::new(rate).time(time).max_tokens(options.max_tokens);
+    let (rate, duration) = WARM_UP;
+    let load =
+        Load::new(rate).duration(duration).max_tokens(options.max_tokens);
     load.run(target);
 }
 
-fn row(
+fn measure_row(
     options: &Options,
     fleet: &Fleet,
     rate_per_s: f64,
-    direct: &Arc<Direct>,
-    routed: &Arc<Routed>,
+    direct: &Arc<DirectTarget>,
+    routed: &Arc<RoutedTarget>,
 ) -> Row {
     let load = Load::new(rate_per_s)
-        .time(options.turn)
+        .duration(options.round_time)
         .max_tokens(options.max_tokens);
-    let mut by_direct = Turns::new();
-    let mut by_routed = Turns::new();
-    for _ in 0..options.turns {
-        by_direct.take(fleet, load, direct);
-        by_routed.take(fleet, load, routed);
+    let mut direct_rounds = RouteRounds::new();
+    let mut routed_rounds = RouteRounds::new();
+    for _ in 0..options.rounds {
+        direct_rounds.run_round(fleet, load, direct);
+        routed_rounds.run_round(fleet, load, routed);
     }
-    let (direct, routed) = (by_direct.way(), by_routed.way());
+    let (direct, routed) =
+        (direct_rounds.into_figures(), routed_rounds.into_figures());
     let first = (routed.first_token, direct.first_token);
     let between = (routed.between_tokens, direct.between_tokens);
     Row {
         rate_per_s,
-        first_token_added: first.0.above(&first.1),
+        first_token_added: first.0.minus(&first.1),
         first_token_ratio: first.0.ratio(&first.1),
-        between_tokens_added: between.0.above(&between.1),
+        between_tokens_added: between.0.minus(&between.1),
         between_tokens_ratio: between.0.ratio(&between.1),
         direct,
         routed,
     }
 }
 
-/// The turns of one way.
-struct Turns {
+/// Accumulated results of the rounds of one route.
+struct RouteRounds {
     samples: Samples,
-    cores: Vec<BTreeMap<&'static str, Rate>>,
+    cores: Vec<BTreeMap<&'static str, CpuRate>>,
 }
 
-impl Turns {
-    fn new() -> Turns {
-        Turns { samples: Samples::new(), cores: Vec::new() }
+impl RouteRounds {
+    fn new() -> RouteRounds {
+        RouteRounds { samples: Samples::new(), cores: Vec::new() }
     }
 
-    fn take<T: Target>(&mut self, fleet: &Fleet, load: Load, target: &Arc<T>) {
+    fn run_round<T: Target>(
+        &mut self,
+        fleet: &Fleet,
+        load: Load,
+        target: &Arc<T>,
+    ) {
         let before = Snapshot::take(fleet);
-        self.samples.add(&load.run(target));
+        self.samples.merge(&load.run(target));
         let after = Snapshot::take(fleet);
         self.cores.push(before.rates_until(&after));
     }
 
-    fn way(self) -> Way {
+    fn into_figures(self) -> RouteFigures {
         let samples = self.samples;
-        Way {
+        RouteFigures {
             first_token: samples.first_token(),
             between_tokens: samples.between_tokens(),
             lateness: samples.lateness(),
@@ -169,19 +179,19 @@
             whole: samples.whole,
             failed: samples.failed,
             first_error: samples.first_error,
-            cores: mean(&self.cores),
+            cores: mean_rates(&self.cores),
         }
     }
 }
 
-fn mean(
-    turns: &[BTreeMap<&'static str, Rate>],
-) -> BTreeMap<&'static str, Rate> {
-    let mut means: BTreeMap<&'static str, Rate> = BTreeMap::new();
-    for turn in turns {
-        for (role, rate) in turn {
+fn mean_rates(
+    rounds: &[BTreeMap<&'static str, CpuRate>],
+) -> BTreeMap<&'static str, CpuRate> {
+    let mut means: BTreeMap<&'static str, CpuRate> = BTreeMap::new();
+    for round in rounds {
+        for (role, rate) in round {
             let mean = means.entry(role).or_default();
-            mean.cores += rate.cores / turns.len() as f64;
+            mean.cores += rate.cores / rounds.len() as f64;
             mean.processes = rate.processes;
         }
     }
@@ -195,15 +205,15 @@
              times in us: direct / routed / added (times)\n\n",
             self.entries, self.chains, self.max_tokens
         );
-        text += &self.times();
+        text += &self.times_table();
         text.push('\n');
-        text += &self.cores();
+        text += &self.cores_table();
         for row in &self.rows {
-            for way in [&row.direct, &row.routed] {
-                if let Some(error) = &way.first_error {
+            for route in [&row.direct, &row.routed] {
+                if let Some(error) = &route.first_error {
                     text += &format!(
                         "{}/s: {} of {} failed: {error}\n",
-                        row.rate_per_s, way.failed, way.begun
+                        row.rate_per_s, route.failed, route.begun
                     );
                 }
             }
@@ -213,7 +223,7 @@
 }
 
 impl Overhead {
-    fn times(&self) -> String {
+    fn times_table(&self) -> String {
         let mut table = Table::new(&[
             "requests/s",
             "what",
@@ -233,7 +243,7 @@
                 "{}/{} {}/{}",
                 direct.whole, direct.begun, routed.whole, routed.begun
             );
-            let rate = places(row.rate_per_s, 0);
+            let rate = decimals(row.rate_per_s, 0);
             let first = cells(
                 [&direct.first_token, &routed.first_token],
                 &row.first_token_added,
@@ -242,7 +252,7 @@
             let mut line = vec![rate.clone(), "first token".to_owned()];
             line.extend(first);
             line.extend([late, whole]);
-            table.row(line);
+            table.push_row(line);
             let between = cells(
                 [&direct.between_tokens, &routed.between_tokens],
                 &row.between_tokens_added,
@@ -250,12 +260,12 @@
             );
             let mut line = vec![rate, "between tokens".to_owned()];
             line.extend(between);
-            table.row(line);
+            table.push_row(line);
         }
         table.to_text()
     }
 
-    fn cores(&self) -> String {
+    fn cores_table(&self) -> String {
         let mut table = Table::new(&[
             "requests/s",
             "way",
@@ -266,17 +276,18 @@
             "all cores",
         ]);
         for row in &self.rows {
-            for (name, way) in
+            for (name, route) in
                 [("direct", &row.direct), ("routed", &row.routed)]
             {
-                let of = |role| way.cores.get(role).map_or(0.0, |r| r.cores);
-                let all: f64 = way.cores.values().map(|r| r.cores).sum();
+                let cores_of =
+                    |role| route.cores.get(role).map_or(0.0, |r| r.cores);
+                let all: f64 = route.cores.values().map(|r| r.cores).sum();
                 let mut line =
-                    vec![places(row.rate_per_s, 0), name.to_owned()];
+                    vec![decimals(row.rate_per_s, 0), name.to_owned()];
                 let roles = ["entry", "side", "engine", "load generator"];
-                line.extend(roles.map(|role| places(of(role), 2)));
-                line.push(places(all, 2));
-                table.row(line);
+                line.extend(roles.map(|role| decimals(cores_of(role), 2)));
+                line.push(decimals(all, 2));
+                table.push_row(line);
             }
         }
         table.to_text()
--- a/crates/bench/src/polls.rs
+++ b/crates/bench/src/polls.rs
@@ -1,6 +1,6 @@
-//! Bytes of one poll of the platform's services.
+//! Bytes per poll of the platform services.
 //!
-//! The clients that the daemons use are led through a relay that counts.
+//! The clients of the daemons connect through a relay that counts bytes.
 
 use std::{
     collections::BTreeMap,
@@ -28,15 +28,15 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// Polls of which the mean is taken, so that the first one's connection
-/// counts little.
-const POLLS: u64 = 100;
-/// Sizes of the list of VMs: of a small site, and of the target.
-const LISTED_VMS: [usize; 2] = [40, 370];
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Polls per measurement; the mean over many polls hides the connection setup
+/// of the first.
+const POLL_COUNT: u64 = 100;
+/// Lengths of the VM list: of a small site and of the target deployment.
+const VM_COUNTS: [usize; 2] = [40, 370];
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of a poll as the node sends and gets them, HTTP included and TCP
-/// left out.
+/// Bytes that a node sends and receives per poll, including HTTP headers and
+/// excluding TCP.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct PollBytes {
     pub(crate) what: String,
@@ -44,25 +44,27 @@
     pub(crate) received_bytes: u64,
 }
 
-/// Measures the polls of a node.
+/// Measures each kind of poll that a node makes.
 pub(crate) fn measure() -> anyhow::Result<Vec<PollBytes>> {
-    let executor = executor();
-    let mut polls = vec![head(&executor)?];
-    for vms in LISTED_VMS {
-        polls.push(vm_list(&executor, vms)?);
+    let executor = start_executor();
+    let mut polls = vec![measure_head(&executor)?];
+    for vms in VM_COUNTS {
+        polls.push(measure_vm_list(&executor, vms)?);
     }
     Ok(polls)
 }
 
-/// An executor on a thread that ends with the process.
-pub(crate) fn executor() -> Arc<Executor<'static>> {
+/// Starts an executor on a thread that runs until the process exits.
+pub(crate) fn start_executor() -> Arc<Executor<'static>> {
     let executor = Arc::new(Executor::new());
     let run = executor.clone();
     thread::spawn(move || block_on(run.run(future::pending::<()>())));
     executor
 }
 
-fn head(executor: &Arc<Executor<'static>>) -> anyhow::Result<PollBytes> {
+fn measure_head(
+    executor: &Arc<Executor<'static>>,
+) -> anyhow::Result<PollBytes> {
     let faults = Arc::new(Faults::new());
     let (table_listener, table) = listen()?;
     let serve = serve_table(table_listener, faults.clone(), executor.clone());
@@ -71,23 +73,23 @@
     let serve = serve_objects(object_listener, faults, executor.clone());
     executor.spawn(serve).detach();
     let sections = BTreeMap::new();
-    block_on(store(table, objects).submit(0, &sections, "bench"))?;
+    block_on(manifest_store(table, objects).submit(0, &sections, "bench"))?;
     let relay = Relay::start(table)?;
-    let store = store(relay.address, objects);
-    for _ in 0..POLLS {
+    let store = manifest_store(relay.address, objects);
+    for _ in 0..POLL_COUNT {
         block_on(store.head())?;
     }
     Ok(relay.per_poll("poll of the manifest's head".to_owned()))
 }
 
-fn store(table: SocketAddr, objects: SocketAddr) -> ManifestStore {
+fn manifest_store(table: SocketAddr, objects: SocketAddr) -> ManifestStore {
     ManifestStore::new(
-        Arc::new(TableClient::new(table, TIMEOUT)),
-        Arc::new(ObjectClient::new(objects, TIMEOUT)),
+        Arc::new(TableClient::new(table, REQUEST_TIMEOUT)),
+        Arc::new(ObjectClient::new(objects, REQUEST_TIMEOUT)),
     )
 }
 
-fn vm_list(
+fn measure_vm_list(
     executor: &Arc<Executor<'static>>,
     vms: usize,
 ) -> anyhow::Result<PollBytes> {
@@ -97,11 +99,11 @@
     executor.spawn(serve).detach();
     let entry = |n| json!({"vm": format!("vm-{n:04}"), "state": "live"});
     let list: serde_json::Value = (0..vms).map(entry).collect();
-    let setter = Caller::new(address, "");
-    setter.call("PUT", VM_LIST_PATH, &list.to_string());
+    let caller = Caller::new(address, "");
+    caller.call("PUT", VM_LIST_PATH, &list.to_string());
     let relay = Relay::start(address)?;
-    let client = VmListClient::new(relay.address, TIMEOUT);
-    for _ in 0..POLLS {
+    let client = VmListClient::new(relay.address, REQUEST_TIMEOUT);
+    for _ in 0..POLL_COUNT {
         block_on(client.list())?;
     }
     Ok(relay.per_poll(format!("poll of the list of {vms} VMs")))
@@ -113,7 +115,7 @@
     Ok((listener, address))
 }
 
-/// Passes connections on and counts their bytes.
+/// A TCP relay that counts the bytes of each direction.
 struct Relay {
     address: SocketAddr,
     sent: Arc<AtomicU64>,
@@ -121,7 +123,7 @@
 }
 
 impl Relay {
-    fn start(to: SocketAddr) -> anyhow::Result<Relay> {
+    fn start(server: SocketAddr) -> anyhow::Result<Relay> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let relay = Relay {
             address: listener.local_addr()?,
@@ -130,19 +132,20 @@
         };
         let (sent, received) = (relay.sent.clone(), relay.received.clone());
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(to) else {
+            for inbound in listener.incoming().flatten() {
+                let Ok(outbound) = TcpStream::connect(server) else {
                     continue;
                 };
-                pass(&near, &far, &sent);
-                pass(&far, &near, &received);
+                forward(&inbound, &outbound, &sent);
+                forward(&outbound, &inbound, &received);
             }
         });
         Ok(relay)
     }
 
     fn per_poll(&self, what: String) -> PollBytes {
-        let mean = |count: &AtomicU64| count.load(Ordering::Relaxed) / POLLS;
+        let mean =
+            |count: &AtomicU64| count.load(Ordering::Relaxed) / POLL_COUNT;
         PollBytes {
             what,
             sent_bytes: mean(&self.sent),
@@ -151,19 +154,20 @@
     }
 }
 
-/// Passes one direction on, on a thread that ends with the connection.
-fn pass(from: &TcpStream, to: &TcpStream, count: &Arc<AtomicU64>) {
+/// Forwards one direction of a connection on a thread that runs until the
+/// connection closes.
+fn forward(from: &TcpStream, to: &TcpStream, count: &Arc<AtomicU64>) {
     let (Ok(mut from), Ok(mut to)) = (from.try_clone(), to.try_clone()) else {
         return;
     };
     let count = count.clone();
     thread::spawn(move || {
-        let mut chunk = [0; 4096];
-        while let Ok(read) = from.read(&mut chunk)
+        let mut buffer = [0; 4096];
+        while let Ok(read) = from.read(&mut buffer)
             && read > 0
         {
             count.fetch_add(read as u64, Ordering::Relaxed);
-            if to.write_all(&chunk[..read]).is_err() {
+            if to.write_all(&buffer[..read]).is_err() {
                 return;
             }
         }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,26 +1,26 @@
-//! Tables of figures as text.
+//! Output of figures as text tables or JSON.
 
 use serde::Serialize;
 
 use crate::machine::MachineLoad;
 
-/// Figures of a subcommand, and what the machine did meanwhile.
+/// Figures of a subcommand, with the load of the machine before and after.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report<R> {
-    /// The command that gives such figures.
+    /// Subcommand that measured the figures.
     pub(crate) command: &'static str,
     pub(crate) load_before: MachineLoad,
     pub(crate) load_after: MachineLoad,
     pub(crate) figures: R,
 }
 
-/// What can be shown as text.
+/// Figures that can be formatted as text.
 pub(crate) trait Show {
     fn show(&self) -> String;
 }
 
-/// Measures, and prints the figures as text or JSON.
-pub(crate) fn print<R: Serialize + Show>(
+/// Runs the measurement and prints its figures as text or JSON.
+pub(crate) fn print_report<R: Serialize + Show>(
     command: &'static str,
     is_json: bool,
     measure: impl FnOnce() -> anyhow::Result<R>,
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// Rows of cells, the columns as wide as their widest cell.
+/// A right-aligned text table whose first row holds the headings.
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
@@ -54,7 +54,7 @@
         Table { rows: vec![headings] }
     }
 
-    pub(crate) fn row(&mut self, cells: Vec<String>) {
+    pub(crate) fn push_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// A number with this many places.
-pub(crate) fn places(number: f64, places: usize) -> String {
-    format!("{number:.places$}")
+/// Formats a number with a fixed count of decimal places.
+pub(crate) fn decimals(number: f64, decimals: usize) -> String {
+    format!("{number:.decimals$}")
 }
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -1,7 +1,6 @@
-//! Regenerates the committed types of the inner protocols.
+//! Regenerates the committed Rust types of the internal protocols.
 //!
-//! Run from the repository root after a change in
-//! `crates/protocol/proto`:
+//! After a change in `crates/protocol/proto`, run from the repository root:
 //! `cargo run --manifest-path tools/codegen/Cargo.toml`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
