--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -52,24 +52,24 @@
 }
 
 impl Served {
-    fn set_leaving(&self, is_leaving: bool) {
+    fn set_draining(&self, is_draining: bool) {
         match self {
-            Served::Entry(entry) => entry.set_draining(is_leaving),
-            Served::Side(side) => side.set_leaving(is_leaving),
+            Served::Entry(entry) => entry.set_draining(is_draining),
+            Served::Side(side) => side.set_draining(is_draining),
         }
     }
 
-    fn set_backend_leaving(
+    fn set_backend_draining(
         &self,
         call: &str,
         name: &str,
-        is_leaving: bool,
+        is_draining: bool,
     ) -> Result<(), ControlRefusal> {
         let Served::Side(side) = self else {
             let call = format!("{call} of a backend server");
             return Err(ControlRefusal::NotForRole { call });
         };
-        match side.set_backend_leaving(name, is_leaving) {
+        match side.set_backend_draining(name, is_draining) {
             true => Ok(()),
             false => {
                 let backend = name.to_owned();
@@ -78,10 +78,10 @@
         }
     }
 
-    fn is_leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         match self {
             Served::Entry(entry) => entry.is_draining(),
-            Served::Side(side) => side.is_leaving(None),
+            Served::Side(side) => side.is_draining(None),
         }
     }
 
@@ -137,7 +137,7 @@
     pub(crate) fn begin_stop(&self) {
         let mut is_stopping = self.stopping.lock();
         *is_stopping = true;
-        self.served.set_leaving(true);
+        self.served.set_draining(true);
     }
 
     /// Runs a change of a drain, unless the process stops.
@@ -153,13 +153,13 @@
     }
 
     fn drain_all(&self) {
-        self.served.set_leaving(true);
+        self.served.set_draining(true);
         self.readiness.block(IS_DRAINING, DRAIN_REASON);
         self.metrics.is_draining.set(1);
     }
 
     fn undrain_all(&self) {
-        self.served.set_leaving(false);
+        self.served.set_draining(false);
         self.readiness.clear(IS_DRAINING);
         self.metrics.is_draining.set(0);
     }
@@ -220,7 +220,7 @@
             boot_id: identity.boot_id,
             generation: self.served.generation(),
             is_ready: self.readiness.is_ready(),
-            is_draining: self.served.is_leaving(),
+            is_draining: self.served.is_draining(),
             requests_in_flight: self.served.in_flight() as u64,
             backends: self.served.backends(),
             links: links.open().iter().map(peer_status).collect(),
@@ -231,7 +231,7 @@
         self.unless_stopping(|| {
             match backend {
                 Some(name) => {
-                    self.served.set_backend_leaving("drain", name, true)?;
+                    self.served.set_backend_draining("drain", name, true)?;
                 }
                 None => self.drain_all(),
             }
@@ -244,7 +244,8 @@
         self.unless_stopping(|| {
             match backend {
                 Some(name) => {
-                    self.served.set_backend_leaving("undrain", name, false)?;
+                    self.served
+                        .set_backend_draining("undrain", name, false)?;
                 }
                 None => self.undrain_all(),
             }
--- a/crates/direct/src/cluster/peer_table.rs
+++ b/crates/direct/src/cluster/peer_table.rs
@@ -55,7 +55,7 @@
     is_stopping: bool,
     data_centre: String,
     feed_port: u16,
-    crossing_bytes_per_s: f64,
+    interconnect_bytes_per_s: f64,
     /// When the entry last reported use of the interconnect; 0 if never.
     interconnect_used_ms: u64,
 }
@@ -262,8 +262,8 @@
     }
 
     /// Traffic between data centres that all other entries reported.
-    pub(crate) fn crossing_bytes_per_s(&self) -> f64 {
-        self.lock().values().map(|peer| peer.crossing_bytes_per_s).sum()
+    pub(crate) fn interconnect_bytes_per_s(&self) -> f64 {
+        self.lock().values().map(|peer| peer.interconnect_bytes_per_s).sum()
     }
 
     /// Number of other entries that reported such traffic recently.
@@ -326,7 +326,7 @@
         peer.is_stopping = state.is_stopping;
         peer.data_centre.clone_from(&state.data_centre);
         peer.feed_port = u16::try_from(state.feed_port).unwrap_or(0);
-        peer.crossing_bytes_per_s =
+        peer.interconnect_bytes_per_s =
             f64::from(state.crossing_kilobytes_per_s) * 1e3;
         if state.crossing_kilobytes_per_s > 0 {
             peer.interconnect_used_ms = now_ms();
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -205,7 +205,7 @@
 /// unreachable. If `is_patient`, waits for a connect that decides an unclear
 /// case. A process at the address of a removed engine may be another one, but
 /// counts as the same.
-pub(crate) async fn has_ended(
+pub(crate) async fn has_exited(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
     is_patient: bool,
@@ -248,9 +248,9 @@
 fn has_crashed(engine: &Engine) -> bool {
     let state = engine.lock();
     let evidence = state.suspicion.map(|suspicion| suspicion.evidence);
-    let has_ended =
+    let has_exited =
         state.is_replaced || evidence == Some(FailureEvidence::Refused);
-    has_ended && state.leaving_since_ms.is_none()
+    has_exited && state.leaving_since_ms.is_none()
 }
 
 /// Connects to an engine, with another attempt after each timeout.
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -64,7 +64,7 @@
     pub(crate) request: String,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) engine: Arc<Engine>,
-    pub(crate) start: RunProgress,
+    pub(crate) progress: RunProgress,
     pub(crate) is_in_trial: bool,
 }
 
@@ -262,7 +262,7 @@
         let server = run.engine.hash;
         suspects.record_crash(fingerprint, server, run.is_in_trial, now_ms)
     });
-    let begun_ms = run.start.age_ms(now_ms());
+    let begun_ms = run.progress.age_ms(now_ms());
     let begun_ms = begun_ms.map_or_else(String::new, |ms| ms.to_string());
     emit(
         Event::RequestSuspected,
@@ -271,7 +271,7 @@
             ("fingerprint", &fingerprint),
             ("backend", &run.engine.id),
             ("begun_ms", &begun_ms),
-            ("attempt_events", &run.start.events()),
+            ("attempt_events", &run.progress.events()),
             ("is_in_trial", &run.is_in_trial),
             ("crashes", &changed.now.crashes()),
         ],
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -86,7 +86,7 @@
         let (stop, closing) = async_channel::bounded(1);
         let core = Arc::new(Core::new(settings, executor, closing));
         let settings = &core.settings;
-        let clients = listen("clients", settings.clients_address)?;
+        let callers = listen("clients", settings.clients_address)?;
         let ready = listen("readiness", settings.ready_address)?;
         let first_port = settings.internal_ports.0;
         let inner = SocketAddr::new(settings.ip, first_port);
@@ -110,7 +110,7 @@
         core.feed_port.store(feed_port, Relaxed);
         let lease = Arc::new(Lease::new(&core));
         let executor = core.executor.clone();
-        executor.spawn(serve_clients(core.clone(), clients)).detach();
+        executor.spawn(serve_callers(core.clone(), callers)).detach();
         executor.spawn(serve_ready(core.clone(), ready)).detach();
         let state = ops_state(&core);
         for ops in iter::once(ops).chain(extra_ops) {
@@ -186,7 +186,7 @@
     })
 }
 
-async fn serve_clients(core: Arc<Core>, listener: Async<TcpListener>) {
+async fn serve_callers(core: Arc<Core>, listener: Async<TcpListener>) {
     let descriptors = core.settings.max_descriptors;
     let max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     let max_connections = (max_connections / DESCRIPTORS_PER_REQUEST).max(1);
--- a/crates/direct/src/request/admit.rs
+++ b/crates/direct/src/request/admit.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use chestnutreach_adapter::clients;
+use chestnutreach_adapter::caller;
 use chestnutreach_http::relay::RelayRequest;
 use chestnutreach_routing::{Attempts, CountedBackends};
 use chestnutreach_site::{Configuration, Route, Service};
@@ -91,7 +91,7 @@
     Ok(AdmittedRequest {
         urgency: account_priority.unwrap_or(route.priority).min(LEAST_URGENT),
         account: account.map(|a| a.0),
-        id: request.header(clients::REQUEST_ID).map(str::to_owned),
+        id: request.header(caller::REQUEST_ID).map(str::to_owned),
         received_ms,
         deadline_ms: caller_deadline_ms.min(timeout_ms),
         configuration: configuration.version,
@@ -104,7 +104,7 @@
 /// Time for which the caller waits for the response.
 pub(crate) fn caller_timeout_ms(request: &RelayRequest) -> u64 {
     request
-        .header(clients::DEADLINE_MS)
+        .header(caller::DEADLINE_MS)
         .and_then(|value| value.trim().parse::<f64>().ok())
         .map_or(DEFAULT_TIMEOUT_MS, |ms| ms.max(0.0) as u64)
 }
@@ -120,7 +120,7 @@
         return Ok(None);
     };
     let key =
-        request.header(clients::AUTHORIZATION).and_then(clients::bearer_token);
+        request.header(caller::AUTHORIZATION).and_then(caller::bearer_token);
     let found = key.and_then(|key| accounts.get(key));
     if !core.are_keys_fresh() && !route.is_public {
         return Err(ErrorReason::KeysStale);
--- a/crates/direct/src/request/callers.rs
+++ b/crates/direct/src/request/callers.rs
@@ -7,7 +7,7 @@
 };
 
 use async_io::{Async, Timer};
-use chestnutreach_adapter::clients;
+use chestnutreach_adapter::caller;
 use chestnutreach_http::relay::{
     Inbound, InboundError, InboundLimits, RelayRequest,
 };
@@ -167,7 +167,7 @@
         let startup_wait = StartupWait {
             uptime_ms: core.age_ms(),
             is_store_unavailable: core.store_unavailable_ms() > 0,
-            client_remaining_ms: caller_timeout_ms
+            caller_remaining_ms: caller_timeout_ms
                 .saturating_sub(2 * waited_ms),
         };
         let Some(wait_ms) = startup_wait.max_wait_ms() else { return };
@@ -186,7 +186,7 @@
     started_ms: u64,
 ) {
     let elapsed_ms = crate::clock::now_ms().saturating_sub(started_ms);
-    let id = request.header(clients::REQUEST_ID).unwrap_or("");
+    let id = request.header(caller::REQUEST_ID).unwrap_or("");
     let configuration =
         admitted.map_or_else(|error| error.configuration, |a| a.configuration);
     let admitted = admitted.ok();
--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -9,7 +9,7 @@
 use std::{io, time::Duration};
 
 use async_io::Timer;
-use chestnutreach_adapter::{clients, engine};
+use chestnutreach_adapter::{caller, engine};
 use chestnutreach_http::relay::{
     Outbound, OutboundError, RelayRequest, ResponseHead, is_end_to_end,
     push_header,
@@ -53,7 +53,7 @@
     }
     push_header(
         &mut out,
-        clients::DEADLINE_MS,
+        caller::DEADLINE_MS,
         &values.remaining_ms.to_string(),
     );
     push_header(&mut out, engine::EXPECTED_INSTANCE, values.instance);
@@ -67,7 +67,7 @@
         push_header(&mut out, engine::PRIORITY, &priority.to_string());
     }
     if let Some(id) = values.last_event_id {
-        push_header(&mut out, clients::LAST_EVENT_ID, &id.to_string());
+        push_header(&mut out, caller::LAST_EVENT_ID, &id.to_string());
     }
     let has_body = !request.body.is_empty() || request.method == "POST";
     if has_body {
@@ -81,11 +81,11 @@
 
 fn is_set_by_entry(name: &str, values: &BackendHeaders<'_>) -> bool {
     let is = |other: &str| name.eq_ignore_ascii_case(other);
-    is(clients::AUTHORIZATION)
-        || is(clients::DEADLINE_MS)
+    is(caller::AUTHORIZATION)
+        || is(caller::DEADLINE_MS)
         || is("content-length")
-        || (is(clients::LAST_EVENT_ID) && values.last_event_id.is_some())
-        || clients::RESERVED_HEADERS.iter().any(|other| is(other))
+        || (is(caller::LAST_EVENT_ID) && values.last_event_id.is_some())
+        || caller::RESERVED_HEADERS.iter().any(|other| is(other))
 }
 
 /// Whether a response states that the request did not run.
@@ -102,7 +102,7 @@
 ) -> Result<ResponseHead, OutboundError> {
     loop {
         let head = connection.read_head().await?;
-        let answered = head.header(clients::REQUEST_ID);
+        let answered = head.header(caller::REQUEST_ID);
         let is_other_request = match (answered, request_id) {
             (Some(answered), Some(own)) => answered != own,
             _ => false,
--- a/crates/direct/src/request/interconnect.rs
+++ b/crates/direct/src/request/interconnect.rs
@@ -33,7 +33,7 @@
         }
         drop(quota);
         let total_bytes_per_s =
-            self.own_bytes_per_s() + peers.crossing_bytes_per_s();
+            self.own_bytes_per_s() + peers.interconnect_bytes_per_s();
         total_bytes_per_s / limits.bytes_per_s
     }
 
--- a/crates/direct/src/request/isolation.rs
+++ b/crates/direct/src/request/isolation.rs
@@ -192,14 +192,14 @@
     fn failed_run(
         &self,
         engine: &Arc<Engine>,
-        start: RunProgress,
+        progress: RunProgress,
         is_in_trial: bool,
     ) -> FailedRun {
         FailedRun {
             request: self.admitted.id_text().to_owned(),
             fingerprint: self.fingerprint(),
             engine: engine.clone(),
-            start,
+            progress,
             is_in_trial,
         }
     }
--- a/crates/direct/src/request/outcome.rs
+++ b/crates/direct/src/request/outcome.rs
@@ -1,6 +1,6 @@
 //! The outcome of a request, and what happens to its connection afterwards.
 
-use chestnutreach_adapter::clients;
+use chestnutreach_adapter::caller;
 use chestnutreach_http::relay::{Inbound, RelayRequest};
 
 use crate::request::response::{
@@ -71,7 +71,7 @@
     retry_after_ms: u64,
     is_last_request: bool,
 ) -> (RequestSummary, ConnectionAction) {
-    let id = request.header(clients::REQUEST_ID);
+    let id = request.header(caller::REQUEST_ID);
     let bytes = error_response(reason, id, retry_after_ms, is_last_request);
     let is_sent = inbound.write(&bytes).await.is_ok();
     let summary = RequestSummary {
--- a/crates/direct/src/request/response.rs
+++ b/crates/direct/src/request/response.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnutreach_adapter::{clients, engine, notices};
+use chestnutreach_adapter::{caller, engine, notices};
 use chestnutreach_http::relay::{ResponseHead, is_end_to_end, push_header};
 use chestnutreach_routing::{CooldownWait, cooldown_wait};
 
@@ -150,12 +150,12 @@
     push_header(&mut out, "content-type", "application/json");
     push_header(&mut out, "content-length", &body.len().to_string());
     if let Some(id) = request_id {
-        push_header(&mut out, clients::REQUEST_ID, id);
+        push_header(&mut out, caller::REQUEST_ID, id);
     }
     if status == 503 {
         let after_s = Duration::from_millis(retry_after_ms).as_secs_f64();
         let after = format!("{after_s:.2}");
-        push_header(&mut out, clients::RETRY_AFTER, &after);
+        push_header(&mut out, caller::RETRY_AFTER, &after);
     }
     if is_last_request {
         push_header(&mut out, "connection", "close");
--- a/crates/direct/src/request/route.rs
+++ b/crates/direct/src/request/route.rs
@@ -125,7 +125,7 @@
         is_bad: impl Fn(&Stage) -> bool,
     ) -> Option<Path> {
         let mut out = Path { stages: vec![path.stages[0].clone()] };
-        let rest = &path.stages[1..];
+        let later_stages = &path.stages[1..];
         let mut used: BTreeSet<String> = path
             .stages
             .iter()
@@ -134,20 +134,21 @@
             .map(|(_, stage)| stage.engine.incarnation.clone())
             .collect();
         let mut at = 0;
-        while at < rest.len() {
-            if !is_bad(&rest[at]) {
-                out.stages.push(rest[at].clone());
+        while at < later_stages.len() {
+            if !is_bad(&later_stages[at]) {
+                out.stages.push(later_stages[at].clone());
                 at += 1;
                 continue;
             }
             let run_length =
-                rest[at..].iter().take_while(|s| is_bad(s)).count();
+                later_stages[at..].iter().take_while(|s| is_bad(s)).count();
             let before = out.stages.last().expect("the first is there");
-            let after = rest[at + run_length..].iter().filter(|s| !is_bad(s));
+            let after =
+                later_stages[at + run_length..].iter().filter(|s| !is_bad(s));
             let kept_stages = out.stages.len() + after.count();
             let request = PathRequest {
-                first_layer: rest[at].first_layer,
-                end_layer: rest[at + run_length - 1].end_layer,
+                first_layer: later_stages[at].first_layer,
+                end_layer: later_stages[at + run_length - 1].end_layer,
                 tokens: query.tokens,
                 data_centre: before.engine.data_centre,
                 is_start: false,
--- a/crates/direct/src/request/stream.rs
+++ b/crates/direct/src/request/stream.rs
@@ -11,7 +11,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc};
 
-use chestnutreach_adapter::clients;
+use chestnutreach_adapter::caller;
 use chestnutreach_http::relay::{
     Inbound, LAST_CHUNK, RelayRequest, ResponseHead,
 };
@@ -191,16 +191,16 @@
 }
 
 fn last_event_id(request: &RelayRequest) -> Option<u64> {
-    request.header(clients::LAST_EVENT_ID)?.trim().parse().ok()
+    request.header(caller::LAST_EVENT_ID)?.trim().parse().ok()
 }
 
 /// Estimated tokens that a request holds in memory.
 fn needed_tokens(request: &RelayRequest, model: &Model) -> u64 {
-    let stated = request.header(clients::TOKEN_COUNT);
+    let stated = request.header(caller::TOKEN_COUNT);
     let (prompt, max_tokens) = stated
-        .and_then(clients::parse_token_counts)
+        .and_then(caller::parse_token_counts)
         .unwrap_or((model.typical_prompt_tokens, model.typical_output_tokens));
-    let length_hint = request.header(clients::LENGTH_HINT);
+    let length_hint = request.header(caller::LENGTH_HINT);
     let length_hint =
         length_hint.and_then(|value| value.trim().parse::<f64>().ok());
     let length_hint = length_hint
@@ -308,7 +308,7 @@
         let may_have_crashed =
             self.pace.run_progress.may_have_crashed_server(now_ms())
                 && (self.is_connection_lost || first.is_suspect());
-        match probe::has_ended(self.core, &first, false).await {
+        match probe::has_exited(self.core, &first, false).await {
             true => self.attempts.record_backend_exit(&first.incarnation),
             false => self.abandoned.push(first.clone()),
         }
@@ -321,7 +321,7 @@
             return;
         }
         for abandoned in std::mem::take(&mut self.abandoned) {
-            if probe::has_ended(self.core, &abandoned, true).await {
+            if probe::has_exited(self.core, &abandoned, true).await {
                 self.attempts.record_backend_exit(&abandoned.incarnation);
             }
         }
--- a/crates/direct/src/request/stream/supervise.rs
+++ b/crates/direct/src/request/stream/supervise.rs
@@ -175,8 +175,10 @@
             self.leave_reason = "the first engine is suspected to have failed";
             return !self.can_change_first_engine();
         }
-        let rest = &self.path.stages[1..];
-        if rest.iter().any(|stage| is_unreliable(stage, self.leave_after_ms))
+        let later_stages = &self.path.stages[1..];
+        if later_stages
+            .iter()
+            .any(|stage| is_unreliable(stage, self.leave_after_ms))
             && self.pace.may_order(now_ms())
         {
             return self.change_path().await;
@@ -265,8 +267,8 @@
     /// Whether an engine after the first is suspected to have failed, rather
     /// than draining.
     pub(super) fn has_failed_stage(&self) -> bool {
-        let rest = &self.path.stages[1..];
-        rest.iter().any(|stage| stage.engine.is_suspect())
+        let later_stages = &self.path.stages[1..];
+        later_stages.iter().any(|stage| stage.engine.is_suspect())
     }
 
     /// Orders the first engine to use another path; false if the stream must
--- a/crates/routing/src/startup_wait.rs
+++ b/crates/routing/src/startup_wait.rs
@@ -9,7 +9,7 @@
 const MAX_UPTIME_MS: u64 = 1_000;
 /// Part of the client's remaining time for which a request waits: one half, so
 /// that as much is left for an attempt at another entry.
-const CLIENT_TIME_DIVISOR: u64 = 2;
+const CALLER_TIME_DIVISOR: u64 = 2;
 
 /// State of an entry that has no configuration yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -19,7 +19,7 @@
     /// Whether a read of the store has failed.
     pub is_store_unavailable: bool,
     /// Time for which the client will still wait.
-    pub client_remaining_ms: u64,
+    pub caller_remaining_ms: u64,
 }
 
 impl StartupWait {
@@ -31,7 +31,7 @@
         }
         let until_max_ms = MAX_UPTIME_MS.saturating_sub(self.uptime_ms);
         let wait_ms =
-            until_max_ms.min(self.client_remaining_ms / CLIENT_TIME_DIVISOR);
+            until_max_ms.min(self.caller_remaining_ms / CALLER_TIME_DIVISOR);
         (wait_ms > 0).then_some(wait_ms)
     }
 }
--- a/crates/routing/tests/startup_wait.rs
+++ b/crates/routing/tests/startup_wait.rs
@@ -11,7 +11,7 @@
     /// Time after its start at which a read of the store fails.
     store_failed_ms: Option<u64>,
     /// Timeout of each client.
-    client_timeout_ms: u64,
+    caller_timeout_ms: u64,
     served: usize,
     /// Longest wait of a request that is refused in the end.
     max_refusal_wait_ms: u64,
@@ -27,31 +27,31 @@
 #[case(Case {
     name: "a small entry reads a large configuration: all requests are served",
     configured_ms: 330, store_failed_ms: None,
-    client_timeout_ms: 20_000,
+    caller_timeout_ms: 20_000,
     served: 22, max_refusal_wait_ms: 0,
 })]
 #[case(Case {
     name: "a fast read: all requests are served",
     configured_ms: 50, store_failed_ms: None,
-    client_timeout_ms: 600,
+    caller_timeout_ms: 600,
     served: 22, max_refusal_wait_ms: 0,
 })]
 #[case(Case {
     name: "the store fails: all waiting requests are refused at once",
     configured_ms: 5_000, store_failed_ms: Some(120),
-    client_timeout_ms: 20_000,
+    caller_timeout_ms: 20_000,
     served: 0, max_refusal_wait_ms: 120,
 })]
 #[case(Case {
     name: "the read neither ends nor fails: the wait has a limit",
     configured_ms: 5_000, store_failed_ms: None,
-    client_timeout_ms: 20_000,
+    caller_timeout_ms: 20_000,
     served: 0, max_refusal_wait_ms: 1_000,
 })]
 #[case(Case {
     name: "clients with a short timeout keep half of it for another entry",
     configured_ms: 400, store_failed_ms: None,
-    client_timeout_ms: 600,
+    caller_timeout_ms: 600,
     // The requests that arrived after 100 ms.
     served: 6, max_refusal_wait_ms: 300,
 })]
@@ -67,7 +67,7 @@
             is_store_unavailable: case
                 .store_failed_ms
                 .is_some_and(|failed_ms| arrival_ms >= failed_ms),
-            client_remaining_ms: case.client_timeout_ms,
+            caller_remaining_ms: case.caller_timeout_ms,
         };
         let until_ms = arrival_ms + wait.max_wait_ms().unwrap_or(0);
         let until_ms = case
--- a/crates/side/src/backend.rs
+++ b/crates/side/src/backend.rs
@@ -72,7 +72,7 @@
     pub(crate) cooldown: Cooldown,
     table: Mutex<RunOnceTable>,
     is_healthy: AtomicBool,
-    is_leaving: AtomicBool,
+    is_draining: AtomicBool,
     release_sender: async_channel::Sender<SequenceId>,
     release_receiver: async_channel::Receiver<SequenceId>,
 }
@@ -99,7 +99,7 @@
             cooldown: Cooldown::default(),
             table: Mutex::new(table),
             is_healthy: AtomicBool::new(true),
-            is_leaving: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
             release_sender,
             release_receiver,
         }
@@ -117,12 +117,12 @@
         self.is_healthy.load(Ordering::Acquire)
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.is_leaving.load(Ordering::Acquire)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.is_draining.load(Ordering::Acquire)
     }
 
-    pub(crate) fn set_leaving(&self, is_leaving: bool) {
-        self.is_leaving.store(is_leaving, Ordering::Release);
+    pub(crate) fn set_draining(&self, is_draining: bool) {
+        self.is_draining.store(is_draining, Ordering::Release);
     }
 
     /// Queues a sequence for release on the engine.
--- a/crates/side/src/frames.rs
+++ b/crates/side/src/frames.rs
@@ -38,8 +38,12 @@
                 self.release_reservations(id, m.attempt);
             }
             Body::Query(m) => self.handle_query(link, &m),
-            Body::Heartbeat(m) => self.heard.record_generation(m.generation),
-            Body::Status(m) => self.heard.record_generation(m.generation),
+            Body::Heartbeat(m) => {
+                self.peer_reports.record_generation(m.generation)
+            }
+            Body::Status(m) => {
+                self.peer_reports.record_generation(m.generation)
+            }
             // The link has handled these already, or they are meant for an
             // entry.
             Body::Hello(_)
@@ -59,7 +63,7 @@
             Role::Entry => self.send_status(),
             _ => drop(link.send(self.status())),
         }
-        self.heard.record_hello(link.peer());
+        self.peer_reports.record_hello(link.peer());
         emit(Event::LinkOpened, &[("peer_vm", &link.peer().vm)]);
     }
 
--- a/crates/side/src/node.rs
+++ b/crates/side/src/node.rs
@@ -53,13 +53,13 @@
     pub(crate) settings: SideSettings,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) heard: Arc<PeerReports>,
+    pub(crate) peer_reports: Arc<PeerReports>,
     pub(crate) backends: BTreeMap<String, Arc<Backend>>,
     executor: Arc<Executor<'static>>,
     links: OnceLock<Links>,
     pub(crate) generation: AtomicU64,
     pub(crate) permissions: ArcSwap<Permissions>,
-    pub(crate) is_leaving: AtomicBool,
+    pub(crate) is_draining: AtomicBool,
     runs: Mutex<BTreeMap<u128, Arc<Run>>>,
     reservations: Mutex<BTreeMap<(u128, u32), Arc<Reservation>>>,
     ended: Mutex<EndedRuns>,
@@ -106,13 +106,13 @@
             settings,
             clock: Clock::new(),
             metrics,
-            heard: parts.peer_reports,
+            peer_reports: parts.peer_reports,
             backends,
             executor: executor.clone(),
             links: OnceLock::new(),
             generation: AtomicU64::new(0),
             permissions: ArcSwap::default(),
-            is_leaving: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
             runs: Mutex::default(),
             reservations: Mutex::default(),
             ended: Mutex::default(),
@@ -150,18 +150,18 @@
 
     /// Sets whether the process is leaving and sends the new status on every
     /// link. A leaving process accepts no new requests.
-    pub fn set_leaving(&self, is_leaving: bool) {
-        self.shared.is_leaving.store(is_leaving, Ordering::Release);
+    pub fn set_draining(&self, is_draining: bool) {
+        self.shared.is_draining.store(is_draining, Ordering::Release);
         self.shared.send_status();
     }
 
     /// Sets whether one backend server is leaving. Returns false if this
     /// process has no such backend server.
-    pub fn set_backend_leaving(&self, name: &str, is_leaving: bool) -> bool {
+    pub fn set_backend_draining(&self, name: &str, is_draining: bool) -> bool {
         let Some(backend) = self.shared.backends.get(name) else {
             return false;
         };
-        backend.set_leaving(is_leaving);
+        backend.set_draining(is_draining);
         self.shared.send_status();
         true
     }
@@ -213,7 +213,7 @@
             "role": "side",
             "boot_id": self.links().identity().boot_id,
             "generation": self.shared.generation.load(Ordering::Acquire),
-            "is_leaving": self.is_leaving(None),
+            "is_leaving": self.is_draining(None),
             "runs": held.runs,
             "seats": held.reservations,
             "backends": backends,
@@ -221,10 +221,10 @@
     }
 
     /// Whether the process, or the given backend server, is leaving.
-    pub fn is_leaving(&self, backend: Option<&str>) -> bool {
-        let is_leaving = self.shared.is_leaving.load(Ordering::Acquire);
+    pub fn is_draining(&self, backend: Option<&str>) -> bool {
+        let is_draining = self.shared.is_draining.load(Ordering::Acquire);
         let backend = backend.and_then(|n| self.shared.backends.get(n));
-        is_leaving || backend.is_some_and(|b| b.is_leaving())
+        is_draining || backend.is_some_and(|b| b.is_draining())
     }
 }
 
--- a/crates/side/src/report.rs
+++ b/crates/side/src/report.rs
@@ -15,7 +15,7 @@
 
     pub(crate) fn status(&self) -> Body {
         Body::Status(Status {
-            is_leaving: self.is_leaving.load(Ordering::Acquire),
+            is_leaving: self.is_draining.load(Ordering::Acquire),
             generation: self.generation.load(Ordering::Acquire),
             loads: self.loads(),
             entry_count: self.entry_count(),
@@ -50,8 +50,8 @@
             cache_used_permille: 0,
             is_healthy: backend.is_healthy(),
             queue_wait_ms: load.queue_wait_ms.min(u32::MAX.into()) as u32,
-            is_leaving: self.is_leaving.load(Ordering::Acquire)
-                || backend.is_leaving(),
+            is_leaving: self.is_draining.load(Ordering::Acquire)
+                || backend.is_draining(),
         }
     }
 
--- a/crates/side/src/reservation/steps.rs
+++ b/crates/side/src/reservation/steps.rs
@@ -31,7 +31,7 @@
         let (order_check, is_first, parameters_json) = {
             let mut state = reservation.lock();
             let is_first = state.step_gate.next_position() == 0;
-            let order_check = state.step_gate.take(
+            let order_check = state.step_gate.accept(
                 m.attempt,
                 m.first_layer,
                 m.position,
--- a/crates/side/src/target.rs
+++ b/crates/side/src/target.rs
@@ -46,8 +46,8 @@
         if !is_range {
             return Err(RefusalReason::WrongTarget);
         }
-        let is_leaving = self.is_leaving.load(Ordering::Acquire);
-        if is_leaving || backend.is_leaving() {
+        let is_draining = self.is_draining.load(Ordering::Acquire);
+        if is_draining || backend.is_draining() {
             return Err(RefusalReason::Leaving);
         }
         if !backend.is_healthy() {
--- a/crates/state/src/step_gate.rs
+++ b/crates/state/src/step_gate.rs
@@ -52,7 +52,7 @@
     ///
     /// Returns the reason if the step is not the next one, and leaves the gate
     /// unchanged.
-    pub fn take(
+    pub fn accept(
         &mut self,
         attempt: u32,
         first_layer: u32,
--- a/crates/state/tests/step_gate.rs
+++ b/crates/state/tests/step_gate.rs
@@ -87,10 +87,10 @@
     let mut gate = StepGate::new(ATTEMPT, FIRST_LAYER);
     for span in case.accepted {
         let position = gate.next_position();
-        gate.take(ATTEMPT, FIRST_LAYER, position, *span).unwrap();
+        gate.accept(ATTEMPT, FIRST_LAYER, position, *span).unwrap();
     }
     let (attempt, first_layer, position, span) = case.step;
-    let outcome = gate.take(attempt, first_layer, position, span);
+    let outcome = gate.accept(attempt, first_layer, position, span);
     assert_eq!(outcome, case.outcome);
     assert_eq!(gate.next_position(), case.next_position);
 }
@@ -111,7 +111,7 @@
         let mut gate = StepGate::new(1, FIRST_LAYER);
         let mut accepted = Vec::new();
         for (attempt, position, span) in steps {
-            if gate.take(attempt, FIRST_LAYER, position, span).is_ok() {
+            if gate.accept(attempt, FIRST_LAYER, position, span).is_ok() {
                 prop_assert_eq!(attempt, 1);
                 accepted.extend(position..position + span);
             }
