--- a/crates/bench/src/change.rs
+++ b/crates/bench/src/change.rs
@@ -273,7 +273,7 @@
         let mut log = Log { path: log, read: 0, is_finished: false };
         self.fleet.process(BOOTED).kill();
         log.new_text();
-        self.fleet.process(BOOTED).start_again()?;
+        self.fleet.process(BOOTED).restart()?;
         let started = Instant::now();
         while !log.look(self.generation) {
             if started.elapsed() > LIMIT {
--- a/crates/daemon/tests/fleet_common/load.rs
+++ b/crates/daemon/tests/fleet_common/load.rs
@@ -15,7 +15,7 @@
 };
 
 use chestnutreach_fleet::{
-    Answer, Caller, Fleet,
+    Caller, Fleet, Response,
     fleet::{ACCOUNTS, entry_name},
 };
 use chestnutreach_standins::engine::expected_answer;
@@ -74,7 +74,7 @@
     pub kind: Kind,
     pub entry: usize,
     pub sent: Instant,
-    pub answer: Answer,
+    pub answer: Response,
     /// What is wrong with the answer; empty when it is whole and right.
     pub problem: String,
 }
@@ -204,7 +204,7 @@
         }
     }
 
-    fn send(&self, caller: &Caller, name: &str) -> Answer {
+    fn send(&self, caller: &Caller, name: &str) -> Response {
         let once = ("chestnutreach-non-idempotent", "true");
         match self.kind {
             Kind::Stream => caller.stream(name, self.plan.tokens, |_| {}),
@@ -222,7 +222,7 @@
         }
     }
 
-    fn problem(&self, name: &str, answer: &Answer) -> String {
+    fn problem(&self, name: &str, answer: &Response) -> String {
         if answer.status != 200 || answer.outcome() != Some("completed") {
             return format!("{:?}: {answer:?}", answer.outcome());
         }
--- a/crates/daemon/tests/fleet_common/mod.rs
+++ b/crates/daemon/tests/fleet_common/mod.rs
@@ -51,7 +51,7 @@
 impl Drop for StatesOnPanic<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("{}", self.0.states());
+            eprintln!("{}", self.0.process_states());
         }
     }
 }
--- a/crates/daemon/tests/fleet_manifest.rs
+++ b/crates/daemon/tests/fleet_manifest.rs
@@ -57,7 +57,7 @@
 
 fn restart(fleet: &mut Fleet, name: &str) {
     assert_eq!(fleet.stop(name).unwrap(), Some(0), "{name}");
-    fleet.start_again(name).unwrap();
+    fleet.restart(name).unwrap();
 }
 
 /// Each entry asks the side processes.
@@ -88,7 +88,8 @@
         for entry in 0..2 {
             fleet
                 .wait_for("both servers", |f| {
-                    f.present(entry).is_some_and(|names| names.len() == 2)
+                    f.routable_servers(entry)
+                        .is_some_and(|names| names.len() == 2)
                 })
                 .unwrap();
             let answer = fleet.caller(entry).chat("a b c", 5);
@@ -110,7 +111,7 @@
             fleet.process(name).kill();
         }
         for name in &names {
-            fleet.start_again(name).unwrap();
+            fleet.restart(name).unwrap();
         }
         for name in &names {
             fleet
--- a/crates/daemon/tests/fleet_members.rs
+++ b/crates/daemon/tests/fleet_members.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use chestnutreach_fleet::{Fleet, Plan, record::broken_promises};
+use chestnutreach_fleet::{Fleet, Plan, record::guarantee_violations};
 use fleet_common::{
     load::{Kind, Load, LoadPlan, Sent, problems},
     server_of, with_fleet,
@@ -35,7 +35,7 @@
         fleet.wait_for("three entries", |f| knows(f, 3)).unwrap();
         assert_eq!(fleet.stop("entry-2").unwrap(), Some(0));
         fleet.wait_for("two entries", |f| knows(f, 2)).unwrap();
-        fleet.process("entry-2").start_again().unwrap();
+        fleet.process("entry-2").restart().unwrap();
         fleet.wait_for("three entries again", |f| knows(f, 3)).unwrap();
     });
 }
@@ -66,7 +66,8 @@
         assert_eq!(server_of(fleet, 0, server), before);
         fleet
             .wait_for("the joining server", |f| {
-                f.present(0).is_some_and(|names| names.contains(&joined))
+                f.routable_servers(0)
+                    .is_some_and(|names| names.contains(&joined))
             })
             .unwrap();
         let answer = stream.join().unwrap();
@@ -167,7 +168,7 @@
         assert_eq!(status.code(), Some(0));
         assert_eq!(problems(&sent), [""; 0]);
         assert_no_new_work(&sent, &ran_on(fleet, "desk-0a"), left);
-        assert_eq!(broken_promises(&fleet.engine_records()), [""; 0]);
+        assert_eq!(guarantee_violations(&fleet.engine_records()), [""; 0]);
     });
 }
 
@@ -178,13 +179,13 @@
         let load = Load::start(fleet, LoadPlan::default());
         wait_for_new_work(fleet, "desk-0a");
         let left = Instant::now();
-        fleet.list_leaving(&["side-desk-0a"]);
+        fleet.set_leaving_vms(&["side-desk-0a"]);
         let sent = end_load(load, left);
         assert_eq!(fleet.side_status("desk-0a")["is_leaving"], false);
         assert_eq!(problems(&sent), [""; 0]);
         assert_no_new_work(&sent, &ran_on(fleet, "desk-0a"), left);
 
-        fleet.list_leaving(&[]);
+        fleet.set_leaving_vms(&[]);
         let load = Load::start(fleet, LoadPlan::default());
         wait_for_new_work(fleet, "desk-0a");
         assert_eq!(problems(&load.stop()), [""; 0]);
@@ -206,7 +207,7 @@
         fleet
             .wait_for("the joining server", |fleet| {
                 (0..2).all(|entry| {
-                    let present = fleet.present(entry);
+                    let present = fleet.routable_servers(entry);
                     present.is_some_and(|names| names.contains(&joined))
                 })
             })
@@ -242,7 +243,7 @@
         assert_eq!(problems(&sent), [""; 0]);
         let slow = sent
             .iter()
-            .filter_map(|s| s.answer.part_times.first())
+            .filter_map(|s| s.answer.chunk_times.first())
             .max()
             .unwrap();
         println!("longest wait for a first token {slow:?}");
@@ -256,7 +257,7 @@
         let load = Load::start(fleet, LoadPlan::default());
         wait_for_new_work(fleet, "desk-0a");
         assert_eq!(problems(&load.stop()), [""; 0]);
-        assert_eq!(broken_promises(&fleet.engine_records()), [""; 0]);
+        assert_eq!(guarantee_violations(&fleet.engine_records()), [""; 0]);
     });
 }
 
@@ -265,7 +266,7 @@
 #[test]
 fn a_list_that_is_down_takes_nobody_out() {
     with_fleet(loaded_plan(), |fleet| {
-        fleet.list_leaving(&["side-desk-0a"]);
+        fleet.set_leaving_vms(&["side-desk-0a"]);
         let shows = |fleet: &Fleet, presence: &str| {
             (0..2).all(|entry| {
                 server_of(fleet, entry, "desk-0a")["presence"] == presence
@@ -277,20 +278,21 @@
             fleet.wait_for_event(entry, "store_unavailable").unwrap();
         }
         assert_eq!(fleet.stop("side-desk-0a").unwrap(), Some(0));
-        fleet.start_again("side-desk-0a").unwrap();
+        fleet.restart("side-desk-0a").unwrap();
         for entry in 0..2 {
             fleet
                 .wait_for("the new process", |f| {
-                    f.present(entry).is_some_and(|names| names.len() == 2)
+                    f.routable_servers(entry)
+                        .is_some_and(|names| names.len() == 2)
                 })
                 .unwrap();
         }
         // An entry that starts while the list is down works without it.
         assert_eq!(fleet.stop("entry-0").unwrap(), Some(0));
-        fleet.start_again("entry-0").unwrap();
+        fleet.restart("entry-0").unwrap();
         fleet
             .wait_for("the new entry", |f| {
-                f.present(0).is_some_and(|names| names.len() == 2)
+                f.routable_servers(0).is_some_and(|names| names.len() == 2)
             })
             .unwrap();
         let load = Load::start(fleet, LoadPlan::default());
--- a/crates/daemon/tests/fleet_rests.rs
+++ b/crates/daemon/tests/fleet_rests.rs
@@ -5,7 +5,7 @@
 
 use std::{thread, time::Duration};
 
-use chestnutreach_fleet::{Answer, Fleet, Plan};
+use chestnutreach_fleet::{Fleet, Plan, Response};
 use fleet_common::{
     load::{Kind, Load, LoadPlan, Sent, problems},
     server_of, with_fleet,
@@ -33,7 +33,7 @@
 }
 
 fn turned_away(fleet: &Fleet, server: &str) -> u64 {
-    fleet.rests(server)["turned_away"].as_u64().unwrap_or(0)
+    fleet.cooldown_stats(server)["turned_away"].as_u64().unwrap_or(0)
 }
 
 fn runs(fleet: &Fleet, server: &str) -> u64 {
@@ -93,7 +93,7 @@
     );
     with_fleet(plan, |fleet| {
         let sent = play(fleet, &case);
-        let rests = fleet.rests(case.server);
+        let rests = fleet.cooldown_stats(case.server);
         // A health check goes first after a rest of an engine. A plain server
         // has none: what waited goes there together.
         let (counted, most) = match case.kinds.contains(&Kind::PlainOnce) {
@@ -116,6 +116,6 @@
 }
 
 /// Whether a client is told that nothing has run, and when to come back.
-fn is_refused(answer: &Answer) -> bool {
+fn is_refused(answer: &Response) -> bool {
     answer.status == 503 && answer.headers.contains_key("retry-after")
 }
--- a/crates/daemon/tests/fleet_stops.rs
+++ b/crates/daemon/tests/fleet_stops.rs
@@ -9,8 +9,8 @@
 };
 
 use chestnutreach_fleet::{
-    Answer, Caller, Fleet, Plan,
-    record::{Ran, attempts, broken_promises},
+    Caller, Fleet, Plan, Response,
+    record::{NumberedRun, guarantee_violations, highest_attempts},
 };
 use chestnutreach_standins::engine::expected_answer;
 use fleet_common::{
@@ -31,10 +31,10 @@
 
 /// The attempts of each request of which an engine ran anything.
 fn attempts_that_ran(
-    records: &BTreeMap<String, Vec<Ran>>,
+    records: &BTreeMap<String, Vec<NumberedRun>>,
 ) -> BTreeMap<String, BTreeSet<u32>> {
     let mut ran: BTreeMap<String, BTreeSet<u32>> = BTreeMap::new();
-    for Ran { entry, .. } in records.values().flatten() {
+    for NumberedRun { entry, .. } in records.values().flatten() {
         ran.entry(entry.request.clone()).or_default().insert(entry.attempt);
     }
     ran
@@ -50,7 +50,7 @@
     for entry in 0..ENTRIES {
         fleet
             .wait_for("all servers to be present", |fleet| {
-                let present = fleet.present(entry);
+                let present = fleet.routable_servers(entry);
                 present.is_some_and(|names| names.len() == servers)
             })
             .unwrap();
@@ -67,7 +67,7 @@
         assert_eq!(fleet.stop(&name).unwrap(), Some(0), "{name}");
         let ended = fleet.events(&name, "drain_ended");
         assert!(!ended.is_empty(), "{name}");
-        fleet.start_again(&name).unwrap();
+        fleet.restart(&name).unwrap();
         fleet
             .wait_for(&format!("{name} to be ready"), |f| f.is_ready(&name))
             .unwrap();
@@ -87,7 +87,7 @@
             assert!(sent.iter().any(|sent| sent.kind == *kind));
         }
         let records = fleet.engine_records();
-        assert_eq!(broken_promises(&records), [""; 0]);
+        assert_eq!(guarantee_violations(&records), [""; 0]);
         let ran = attempts_that_ran(&records);
         for sent in sent.iter().filter(|sent| sent.kind != Kind::Stream) {
             let attempts = &ran[sent.answer.request()];
@@ -176,7 +176,7 @@
         assert_eq!(first.outcome(), Some("completed"), "{first:?}");
         assert_eq!(fleet.stop("entry-0").unwrap(), Some(0));
         let records = fleet.engine_records();
-        let has_run = |runs: &Vec<Ran>| {
+        let has_run = |runs: &Vec<NumberedRun>| {
             runs.iter().any(|ran| ran.entry.request == first.request())
         };
         let ran = records.iter().find(|(_, runs)| has_run(runs));
@@ -188,7 +188,7 @@
     });
 }
 
-fn ask(caller: Caller, prompt: &str, tokens: u32) -> JoinHandle<Answer> {
+fn ask(caller: Caller, prompt: &str, tokens: u32) -> JoinHandle<Response> {
     let prompt = prompt.to_owned();
     thread::spawn(move || caller.chat(&prompt, tokens))
 }
@@ -197,7 +197,7 @@
     caller: Caller,
     prompt: &str,
     tokens: u32,
-) -> JoinHandle<Answer> {
+) -> JoinHandle<Response> {
     let prompt = prompt.to_owned();
     thread::spawn(move || caller.stream(&prompt, tokens, |_| {}))
 }
@@ -207,13 +207,13 @@
     fleet
         .wait_for("requests to run", |fleet| {
             let shown = &fleet.entry_status(entry)["in_flight"];
-            let running = attempts(&fleet.engine_records());
+            let running = highest_attempts(&fleet.engine_records());
             shown == requests && running.len() >= requests
         })
         .unwrap();
 }
 
-fn requests_of(runs: &[Ran]) -> BTreeSet<String> {
+fn requests_of(runs: &[NumberedRun]) -> BTreeSet<String> {
     runs.iter().map(|ran| ran.entry.request.clone()).collect()
 }
 
@@ -251,7 +251,7 @@
         wait_for_output(fleet, 0, 3);
         assert_cut(fleet, "entry-0");
         struct Case {
-            answer: Answer,
+            answer: Response,
             outcome: &'static str,
         }
         let cases = [
@@ -267,7 +267,7 @@
         let again = caller.header("idempotency-key", "letter");
         let again = again.chat("keyed", 60);
         assert_eq!(again.content(), text_of("keyed", 60), "{again:?}");
-        assert_eq!(broken_promises(&fleet.engine_records()), [""; 0]);
+        assert_eq!(guarantee_violations(&fleet.engine_records()), [""; 0]);
     });
 }
 
@@ -317,6 +317,6 @@
                 assert_eq!(answer.content(), text_of(&name, 60));
             }
         }
-        assert_eq!(broken_promises(&fleet.engine_records()), [""; 0]);
+        assert_eq!(guarantee_violations(&fleet.engine_records()), [""; 0]);
     });
 }
--- a/crates/daemon/tests/matrix/cell.rs
+++ b/crates/daemon/tests/matrix/cell.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnutreach_fleet::{Answer, Caller};
+use chestnutreach_fleet::{Caller, Response};
 use chestnutreach_standins::engine::expected_answer;
 
 /// Layers of the model.
@@ -198,7 +198,7 @@
 
 impl Kind {
     /// Sends the request.
-    pub fn send(self, caller: &Caller) -> Answer {
+    pub fn send(self, caller: &Caller) -> Response {
         let caller = caller.header("chestnutreach-deadline-ms", DEADLINE_MS);
         let keyed = caller.header("idempotency-key", "letter-2417");
         let once = caller.header("chestnutreach-non-idempotent", "true");
@@ -273,7 +273,7 @@
 }
 
 /// What a caller was told.
-pub fn told(answer: &Answer) -> Told {
+pub fn told(answer: &Response) -> Told {
     match answer.outcome() {
         Some("completed") => Told::Completed,
         Some("not-run") => Told::NotRun,
--- a/crates/daemon/tests/matrix/driver.rs
+++ b/crates/daemon/tests/matrix/driver.rs
@@ -7,7 +7,7 @@
 };
 
 use chestnutreach_fleet::{
-    Answer, Fleet, Plan, fleet::side_name, record::Ran,
+    Fleet, Plan, Response, fleet::side_name, record::NumberedRun,
 };
 use chestnutreach_standins::plain::PlainRecord;
 use serde_json::json;
@@ -70,7 +70,7 @@
     }
 }
 
-pub type Call = JoinHandle<(Answer, Instant)>;
+pub type Call = JoinHandle<(Response, Instant)>;
 
 /// A cell under way.
 pub struct Driver {
@@ -78,7 +78,7 @@
     pub fleet: Fleet,
     pub chain: Chain,
     /// Records of stand-ins that were killed.
-    pub lost_records: BTreeMap<String, Vec<Ran>>,
+    pub lost_records: BTreeMap<String, Vec<NumberedRun>>,
     pub lost_plain: Vec<PlainRecord>,
     /// Processes that go on when the caller has its answer.
     pub frozen: Vec<String>,
@@ -115,7 +115,7 @@
         spawn(self.cell.kind, self.fleet.caller(0))
     }
 
-    pub fn join(&mut self, call: Call, struck: Instant) -> Answer {
+    pub fn join(&mut self, call: Call, struck: Instant) -> Response {
         let (answer, at) = call.join().expect("no caller panics");
         self.waited = at.saturating_duration_since(struck);
         answer
@@ -163,7 +163,8 @@
     }
 
     pub fn is_holding(&mut self, name: &str) -> bool {
-        self.fleet.process(name).is_running() && self.fleet.held(name) > 0
+        self.fleet.process(name).is_running()
+            && self.fleet.held_calls(name) > 0
     }
 
     pub fn wait_until(
@@ -183,7 +184,7 @@
         let started = Instant::now();
         while !is_true(self) {
             if started.elapsed() > limit {
-                let states = self.fleet.states();
+                let states = self.fleet.process_states();
                 panic!("waited in vain for {what}; {states}");
             }
             thread::sleep(LOOK);
@@ -246,7 +247,7 @@
 
     /// The final answer to a repeat at the other entry, for requests that
     /// may be repeated.
-    pub fn repeat(&mut self) -> Option<Answer> {
+    pub fn repeat(&mut self) -> Option<Response> {
         let kind = self.cell.kind;
         if kind.is_once() && !kind.is_keyed() {
             return None;
--- a/crates/daemon/tests/matrix/invariants.rs
+++ b/crates/daemon/tests/matrix/invariants.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chestnutreach_fleet::{
-    Answer,
-    record::{Ran, broken_promises},
+    Response,
+    record::{NumberedRun, guarantee_violations},
 };
 use chestnutreach_standins::plain::PlainRecord;
 
@@ -14,7 +14,7 @@
 };
 
 /// Checks what the caller was told, and when.
-pub fn check_answer(driver: &Driver, answer: &Answer) {
+pub fn check_answer(driver: &Driver, answer: &Response) {
     let expect = driver.cell.expect;
     assert_eq!(told(answer), expect.told, "{answer:?}");
     check_text(driver.cell.kind, answer);
@@ -24,7 +24,7 @@
 
 /// Checks the text: whole if it completed, and a beginning of the expected
 /// one in any case.
-fn check_text(kind: Kind, answer: &Answer) {
+fn check_text(kind: Kind, answer: &Response) {
     if kind.is_plain() {
         let is_whole = answer.json()["run"].is_u64();
         let is_completed = told(answer) == Told::Completed;
@@ -35,7 +35,7 @@
     match told(answer) {
         Told::Completed => assert_eq!(answer.content(), expected),
         _ => {
-            let text = if answer.parts > 0 { &*answer.text } else { "" };
+            let text = if answer.chunks > 0 { &*answer.text } else { "" };
             assert!(expected.starts_with(text), "{answer:?}");
         }
     }
@@ -52,7 +52,7 @@
 }
 
 /// Checks what has run, over all that was asked for.
-pub fn check_records(driver: &Driver, answer: &Answer) {
+pub fn check_records(driver: &Driver, answer: &Response) {
     let expect = driver.cell.expect;
     let ran = runs(driver);
     if driver.cell.kind.is_once() {
@@ -74,7 +74,7 @@
 }
 
 /// Checks that a later attempt goes on after what was delivered.
-fn check_resumed(driver: &Driver, answer: &Answer, ran: &BTreeSet<Run>) {
+fn check_resumed(driver: &Driver, answer: &Response, ran: &BTreeSet<Run>) {
     let is_between = driver.cell.step == Step::BetweenTokens;
     if driver.cell.kind != Kind::Stream || !is_between {
         return;
@@ -94,7 +94,7 @@
 }
 
 /// Checks a repeat: the same answer, or an honest word that there is none.
-pub fn check_repeat(driver: &Driver, answer: &Answer, repeat: &Answer) {
+pub fn check_repeat(driver: &Driver, answer: &Response, repeat: &Response) {
     assert_eq!(told(repeat), driver.cell.expect.repeat, "{repeat:?}");
     check_text(driver.cell.kind, repeat);
     let are_whole =
@@ -120,12 +120,12 @@
         return plain_runs(driver);
     }
     let records = engine_records(driver);
-    let broken = broken_promises(&records);
+    let broken = guarantee_violations(&records);
     assert!(broken.is_empty(), "promises broken: {broken:#?}");
     engine_runs(driver, &records)
 }
 
-fn engine_records(driver: &Driver) -> BTreeMap<String, Vec<Ran>> {
+fn engine_records(driver: &Driver) -> BTreeMap<String, Vec<NumberedRun>> {
     let mut records = driver.fleet.engine_records();
     records.extend(driver.lost_records.clone());
     records
@@ -133,7 +133,7 @@
 
 fn engine_runs(
     driver: &Driver,
-    records: &BTreeMap<String, Vec<Ran>>,
+    records: &BTreeMap<String, Vec<NumberedRun>>,
 ) -> BTreeSet<Run> {
     let runs = records.values().flatten().map(|ran| Run {
         request: ran.entry.request.clone(),
--- a/crates/daemon/tests/matrix/steps.rs
+++ b/crates/daemon/tests/matrix/steps.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, time::Instant};
 
-use chestnutreach_fleet::{Answer, fleet::side_name};
+use chestnutreach_fleet::{Response, fleet::side_name};
 use serde_json::json;
 
 use crate::{
@@ -21,7 +21,7 @@
 
 impl Driver {
     /// The answer to the cell's request.
-    pub fn answer(&mut self) -> Answer {
+    pub fn answer(&mut self) -> Response {
         match self.cell.step {
             Step::Accepted => self.struck_before(),
             Step::AcceptedAlone => self.struck_alone(),
@@ -39,7 +39,7 @@
 
     /// What shows at once is found by the first request that meets it,
     /// whichever chain that is; for the rest the request is led there.
-    fn struck_before(&mut self) -> Answer {
+    fn struck_before(&mut self) -> Response {
         let is_hidden = self.cell.fault.is_hidden();
         if is_hidden {
             self.steer();
@@ -59,7 +59,7 @@
         self.join(call, struck)
     }
 
-    fn struck_alone(&mut self) -> Answer {
+    fn struck_alone(&mut self) -> Response {
         self.steer();
         self.strike();
         let call = self.call();
@@ -68,7 +68,7 @@
         answer
     }
 
-    fn struck_in_queue(&mut self) -> Answer {
+    fn struck_in_queue(&mut self) -> Response {
         self.steer();
         let names = vec![self.chain.first.clone()];
         let call = self.queue_call(&names);
@@ -76,7 +76,7 @@
         let plan = plan(&self.cell);
         let all = [plan.engine_names(), plan.plain_names()].concat();
         self.wait_until("the entry to see who stays", |driver| {
-            let present = driver.fleet.present(0);
+            let present = driver.fleet.routable_servers(0);
             present.is_some_and(|names| names.len() == all.len())
         });
         let struck = Instant::now();
@@ -104,7 +104,7 @@
             self.wait_until("the call to be queued", |driver| {
                 let status = driver.fleet.side_status(&names[0]);
                 is_queued = status["backends"][0]["queued"] == 1;
-                let has_place = driver.fleet.held(&names[0]) == 1
+                let has_place = driver.fleet.held_calls(&names[0]) == 1
                     && !call.is_finished()
                     && !filler.is_finished();
                 is_queued || !has_place
@@ -122,7 +122,7 @@
         panic!("the place was lost {MOST_ARRANGEMENTS} times");
     }
 
-    fn struck_at_table(&mut self, hold: &str) -> Answer {
+    fn struck_at_table(&mut self, hold: &str) -> Response {
         self.fleet.set_faults("table", &json!({hold: true}));
         let call = self.call();
         self.wait_held(&["table".to_owned()], Some(&call));
@@ -137,7 +137,7 @@
         self.join(call, struck)
     }
 
-    fn struck_at_end(&mut self, hold: &str) -> Answer {
+    fn struck_at_end(&mut self, hold: &str) -> Response {
         let names = self.stage(At::Last);
         let gate = match self.cell.kind.is_plain() {
             true => json!({"hold_after_position": 0}),
@@ -156,13 +156,13 @@
             // What is held would still be written.
             self.fleet.set_faults("table", &json!({"lose_requests": 1}));
             self.wait_until("the write to be lost", |driver| {
-                driver.fleet.held("table") == 0
+                driver.fleet.held_calls("table") == 0
             });
         }
         answer
     }
 
-    fn struck_afterwards(&mut self) -> Answer {
+    fn struck_afterwards(&mut self) -> Response {
         let names = self.stage(At::First);
         self.hold(&names, json!({"hold_before_position": 0}));
         let call = self.call();
@@ -179,7 +179,7 @@
         answer
     }
 
-    fn struck_at_engine(&mut self) -> Answer {
+    fn struck_at_engine(&mut self) -> Response {
         let names = self.stage(self.cell.fault.at());
         self.hold(&names, self.gate());
         let call = self.call();
@@ -227,10 +227,10 @@
             .map(|name| side_name(name))
             .collect();
         let others: Vec<&str> = others.iter().map(String::as_str).collect();
-        self.fleet.list_leaving(&others);
+        self.fleet.set_leaving_vms(&others);
         let kept = Some(BTreeSet::from(kept));
         self.wait_until("the entries to see who leaves", |driver| {
-            (0..2).all(|entry| driver.fleet.present(entry) == kept)
+            (0..2).all(|entry| driver.fleet.routable_servers(entry) == kept)
         });
     }
 
@@ -241,6 +241,6 @@
     }
 
     fn release_steering(&mut self) {
-        self.fleet.list_leaving(&[]);
+        self.fleet.set_leaving_vms(&[]);
     }
 }
--- a/crates/daemon/tests/matrix/strike.rs
+++ b/crates/daemon/tests/matrix/strike.rs
@@ -47,7 +47,7 @@
             Fault::SideRestarted(at) => {
                 let name = side_name(self.chain.server(at));
                 self.fleet.process(&name).kill();
-                let started = self.fleet.process(&name).start_again();
+                let started = self.fleet.process(&name).restart();
                 started.expect("a side process starts");
             }
             Fault::SideFrozen(at, thaw) => {
@@ -70,7 +70,7 @@
                 self.fleet.relay(self.chain.server(at)).reset();
             }
             Fault::Silent(at) => {
-                self.fleet.relay(self.chain.server(at)).silence();
+                self.fleet.relay(self.chain.server(at)).blackhole();
             }
             Fault::Stalled(at) => {
                 let name = self.chain.server(at).to_owned();
@@ -78,7 +78,7 @@
                 self.stalled.push(name);
             }
             Fault::Slow(at) => {
-                self.fleet.relay(self.chain.server(at)).slow(SLOW);
+                self.fleet.relay(self.chain.server(at)).set_delay(SLOW);
             }
             Fault::StoreDown => {
                 let down = json!({"down": "unavailable"});
@@ -94,7 +94,7 @@
             }
             Fault::ListedLeaving(at) => {
                 let name = side_name(self.chain.server(at));
-                self.fleet.list_leaving(&[&name]);
+                self.fleet.set_leaving_vms(&[&name]);
             }
             Fault::SideTerminated(at) => {
                 let server = self.chain.server(at).to_owned();
@@ -128,7 +128,7 @@
             matches!(self.cell.step, Step::Accepted | Step::AcceptedAlone);
         if is_before {
             self.wait_until("the entry to notice", |driver| {
-                let present = driver.fleet.present(0);
+                let present = driver.fleet.routable_servers(0);
                 present.is_some_and(|names| !names.contains(server))
             });
         }
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use chestnutreach_fleet::{Relay, Way};
+use chestnutreach_fleet::{Direction, Relay};
 
 /// How a link fails.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -27,13 +27,17 @@
     /// Begins on a link, or ends where it lasts.
     pub(crate) fn set(self, relay: &Relay, is_on: bool) {
         match (self, is_on) {
-            (LinkFault::Delayed(delay), true) => relay.slow(delay),
-            (LinkFault::Delayed(_), false) => relay.slow(Duration::ZERO),
+            (LinkFault::Delayed(delay), true) => relay.set_delay(delay),
+            (LinkFault::Delayed(_), false) => relay.set_delay(Duration::ZERO),
             (LinkFault::Reset, true) => relay.reset(),
-            (LinkFault::Silent, true) => relay.silence(),
+            (LinkFault::Silent, true) => relay.blackhole(),
             (LinkFault::Reset | LinkFault::Silent, false) => {}
-            (LinkFault::CutForth, is_cut) => relay.cut(Way::Forth, is_cut),
-            (LinkFault::CutBack, is_cut) => relay.cut(Way::Back, is_cut),
+            (LinkFault::CutForth, is_cut) => {
+                relay.set_partition(Direction::ToTarget, is_cut)
+            }
+            (LinkFault::CutBack, is_cut) => {
+                relay.set_partition(Direction::ToCaller, is_cut)
+            }
         }
     }
 }
--- a/crates/engine/examples/infer_rate.rs
+++ b/crates/engine/examples/infer_rate.rs
@@ -14,7 +14,9 @@
 use chestnutreach_engine::{
     EngineClient, SequenceId, SequenceStep, StepInput, wire,
 };
-use chestnutreach_standins::{engine::EngineOptions, running::Running};
+use chestnutreach_standins::{
+    engine::EngineOptions, standin_thread::StandinThread,
+};
 
 const MODEL: &str = "desk-llm";
 const LAYER_COUNT: u32 = 24;
@@ -27,7 +29,7 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let options = EngineOptions::new(MODEL, 0, LAYER_COUNT, LAYER_COUNT)?;
-    let running = Running::engine(options.cache_tokens(u64::MAX))?;
+    let running = StandinThread::engine(options.cache_tokens(u64::MAX))?;
     let address = match env::args().nth(1) {
         Some(address) => address.parse::<SocketAddr>()?,
         None => running.address(),
--- a/crates/fleet/examples/recovery.rs
+++ b/crates/fleet/examples/recovery.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-use chestnutreach_fleet::{Answer, Caller, Fleet, Plan, fleet::side_name};
+use chestnutreach_fleet::{Caller, Fleet, Plan, Response, fleet::side_name};
 use chestnutreach_standins::engine::expected_answer;
 
 const LAYER_COUNT: u32 = 24;
@@ -91,7 +91,7 @@
 }
 
 /// The answer to a request whose chain is struck in the middle of it.
-fn struck(fleet: &mut Fleet, fault: Fault, servers: &[String]) -> Answer {
+fn struck(fleet: &mut Fleet, fault: Fault, servers: &[String]) -> Response {
     let caller = fleet.caller(0);
     let (sender, reached) = mpsc::channel();
     let call = thread::spawn(move || {
@@ -124,12 +124,12 @@
         Fault::EngineKilled => fleet.process(name).kill(),
         Fault::EngineFrozen => fleet.process(name).freeze(),
         Fault::Reset => fleet.relay(name).reset(),
-        Fault::Silent => fleet.relay(name).silence(),
+        Fault::Silent => fleet.relay(name).blackhole(),
     }
 }
 
-fn longest_gap_ms(answer: &Answer) -> u128 {
-    let pairs = answer.part_times.windows(2);
+fn longest_gap_ms(answer: &Response) -> u128 {
+    let pairs = answer.chunk_times.windows(2);
     let gaps = pairs.map(|pair| pair[1].saturating_sub(pair[0]));
     gaps.max().unwrap_or_default().as_millis()
 }
@@ -140,7 +140,7 @@
     words.join(" ")
 }
 
-fn is_whole(answer: &Answer, max_tokens: u32) -> bool {
+fn is_whole(answer: &Response, max_tokens: u32) -> bool {
     let expected = expected_answer(&prompt(), LAYER_COUNT, max_tokens);
     let text: String = expected.into_iter().map(|(_, text)| text).collect();
     answer.outcome() == Some("completed") && answer.text == text
@@ -221,7 +221,7 @@
         let name = &engines[killed % engines.len()];
         fleet.process(name).kill();
         thread::sleep(AWAY);
-        fleet.process(name).start_again()?;
+        fleet.process(name).restart()?;
         killed += 1;
         thread::sleep(BETWEEN_DEATHS - AWAY);
     }
--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -8,14 +8,14 @@
 };
 
 use serde_json::{Value, json};
-use ureq::{Agent, Body, http::Response};
+use ureq::{Agent, Body, http::Response as HttpResponse};
 
 /// Time after which a caller of the tests gives up.
 const CALL_LIMIT: Duration = Duration::from_secs(60);
 
 /// What a caller got.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status; 0 when the connection broke before one.
     pub status: u16,
     /// Headers by name.
@@ -23,22 +23,22 @@
     /// The body, or the text of all parts of a streamed answer.
     pub text: String,
     /// Parts of a streamed answer.
-    pub parts: usize,
+    pub chunks: usize,
     /// Whether the answer came to its end.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The error that came inside a streamed answer.
     pub stream_error: Option<Value>,
     /// Times from the call to each part.
-    pub part_times: Vec<Duration>,
+    pub chunk_times: Vec<Duration>,
 }
 
-impl Answer {
+impl Response {
     /// The outcome as the caller was told it; none when it was not told.
     pub fn outcome(&self) -> Option<&str> {
         if let Some(error) = &self.stream_error {
             return error["outcome"].as_str();
         }
-        if self.parts > 0 && self.is_whole {
+        if self.chunks > 0 && self.is_complete {
             return Some("completed");
         }
         let header = self.headers.get("chestnutreach-outcome");
@@ -57,7 +57,7 @@
 
     /// Text of a whole chat answer.
     pub fn content(&self) -> String {
-        if self.parts > 0 {
+        if self.chunks > 0 {
             return self.text.clone();
         }
         let json = self.json();
@@ -98,7 +98,7 @@
     }
 
     /// Asks the model for a whole answer.
-    pub fn chat(&self, prompt: &str, max_tokens: u32) -> Answer {
+    pub fn chat(&self, prompt: &str, max_tokens: u32) -> Response {
         let body = chat_body(prompt, max_tokens, false);
         self.call("POST", "/v1/chat/completions", &body.to_string())
     }
@@ -110,12 +110,12 @@
         prompt: &str,
         max_tokens: u32,
         mut on_part: impl FnMut(usize),
-    ) -> Answer {
+    ) -> Response {
         let body = chat_body(prompt, max_tokens, true).to_string();
         let started = Instant::now();
         let sent = self.send("POST", "/v1/chat/completions", &body);
         let Ok(mut response) = sent else {
-            return Answer::default();
+            return Response::default();
         };
         let mut answer = head_of(&response);
         if answer.status != 200 {
@@ -131,27 +131,27 @@
                 continue;
             };
             if data == "[DONE]" {
-                answer.is_whole = true;
+                answer.is_complete = true;
                 continue;
             }
             take_event(&mut answer, data);
-            if answer.part_times.len() < answer.parts {
-                answer.part_times.push(started.elapsed());
-                on_part(answer.parts);
+            if answer.chunk_times.len() < answer.chunks {
+                answer.chunk_times.push(started.elapsed());
+                on_part(answer.chunks);
             }
         }
         answer
     }
 
     /// Makes any call.
-    pub fn call(&self, method: &str, target: &str, body: &str) -> Answer {
+    pub fn call(&self, method: &str, target: &str, body: &str) -> Response {
         match self.send(method, target, body) {
             Ok(mut response) => {
                 let mut answer = head_of(&response);
                 read_whole(&mut response, &mut answer);
                 answer
             }
-            Err(_) => Answer::default(),
+            Err(_) => Response::default(),
         }
     }
 
@@ -160,7 +160,7 @@
         method: &str,
         target: &str,
         body: &str,
-    ) -> Result<Response<Body>, ureq::Error> {
+    ) -> Result<HttpResponse<Body>, ureq::Error> {
         let mut request = ureq::http::Request::builder()
             .method(method)
             .uri(format!("{}{target}", self.base))
@@ -186,25 +186,25 @@
     })
 }
 
-fn head_of(response: &Response<Body>) -> Answer {
+fn head_of(response: &HttpResponse<Body>) -> Response {
     let headers = response.headers().iter().filter_map(|(name, value)| {
         Some((name.to_string(), value.to_str().ok()?.to_owned()))
     });
-    Answer {
+    Response {
         status: response.status().as_u16(),
         headers: headers.collect(),
-        ..Answer::default()
+        ..Response::default()
     }
 }
 
-fn read_whole(response: &mut Response<Body>, answer: &mut Answer) {
+fn read_whole(response: &mut HttpResponse<Body>, answer: &mut Response) {
     if let Ok(text) = response.body_mut().read_to_string() {
         answer.text = text;
-        answer.is_whole = true;
+        answer.is_complete = true;
     }
 }
 
-fn take_event(answer: &mut Answer, data: &str) {
+fn take_event(answer: &mut Response, data: &str) {
     let event: Value = serde_json::from_str(data).unwrap_or(Value::Null);
     if !event["error"].is_null() {
         answer.stream_error = Some(event["error"].clone());
@@ -213,6 +213,6 @@
     let text = event["choices"][0]["delta"]["content"].as_str();
     if let Some(text) = text.filter(|text| !text.is_empty()) {
         answer.text.push_str(text);
-        answer.parts += 1;
+        answer.chunks += 1;
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -281,7 +281,7 @@
         let names = self.sides.len();
         for number in 0..self.entries.len() {
             self.wait_for(&format!("entry {number} to reach all"), |f| {
-                f.present(number).is_some_and(|p| p.len() == names)
+                f.routable_servers(number).is_some_and(|p| p.len() == names)
             })?;
         }
         let sides: Vec<String> = self.sides.keys().cloned().collect();
@@ -306,7 +306,7 @@
         let started = Instant::now();
         while !is_true(self) {
             if started.elapsed() > READY_LIMIT {
-                bail!("waited in vain for {what}; {}", self.states());
+                bail!("waited in vain for {what}; {}", self.process_states());
             }
             thread::sleep(LOOK);
         }
@@ -314,7 +314,7 @@
     }
 
     /// Which processes run, and the last lines that the others wrote.
-    pub fn states(&mut self) -> String {
+    pub fn process_states(&mut self) -> String {
         let mut text = String::new();
         for (name, process) in &mut self.processes {
             let state =
@@ -330,7 +330,7 @@
     }
 
     /// Backend servers that an entry gives work; none if it does not say.
-    pub fn present(&self, entry: usize) -> Option<BTreeSet<String>> {
+    pub fn routable_servers(&self, entry: usize) -> Option<BTreeSet<String>> {
         let status = self.entry_status(entry);
         let services = status["services"].as_object()?;
         let servers = services.values().filter_map(Value::as_object);
--- a/crates/fleet/src/fleet/members.rs
+++ b/crates/fleet/src/fleet/members.rs
@@ -47,8 +47,8 @@
     /// # Errors
     ///
     /// The program cannot be started.
-    pub fn start_again(&mut self, name: &str) -> anyhow::Result<()> {
-        self.process(name).start_again()
+    pub fn restart(&mut self, name: &str) -> anyhow::Result<()> {
+        self.process(name).restart()
     }
 
     /// Adds a line to the `[node]` section of a daemon's settings, which
--- a/crates/fleet/src/fleet/standins.rs
+++ b/crates/fleet/src/fleet/standins.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use super::{Fleet, side_name};
-use crate::{client::Caller, record::Ran};
+use crate::{client::Caller, record::NumberedRun};
 
 impl Fleet {
     /// Address of a stand-in: `table`, `objects`, `vm-list`, or the name of
@@ -30,7 +30,7 @@
     }
 
     /// Sets which VMs the platform lists as leaving; all others are live.
-    pub fn list_leaving(&self, leaving: &[&str]) {
+    pub fn set_leaving_vms(&self, leaving: &[&str]) {
         let names = self.sides.keys().map(|name| side_name(name));
         let entries: Vec<Value> = names
             .map(|vm| {
@@ -44,14 +44,14 @@
     }
 
     /// Calls that a stand-in holds now.
-    pub fn held(&self, name: &str) -> u64 {
+    pub fn held_calls(&self, name: &str) -> u64 {
         let answer = self.standin(name).call("GET", "/held", "");
         answer.json().as_u64().unwrap_or(0)
     }
 
     /// Calls that a stand-in turned away, and those of them that came while
     /// it had asked for rest.
-    pub fn rests(&self, name: &str) -> Value {
+    pub fn cooldown_stats(&self, name: &str) -> Value {
         self.standin(name).call("GET", "/rests", "").json()
     }
 
@@ -66,7 +66,7 @@
 
     /// What each engine has run. One that does not answer has lost its
     /// record with its memory and is left out.
-    pub fn engine_records(&self) -> BTreeMap<String, Vec<Ran>> {
+    pub fn engine_records(&self) -> BTreeMap<String, Vec<NumberedRun>> {
         let names = self.plan.engine_names();
         let records = names.into_iter().map(|name| {
             let runs = self.engine_record(&name);
@@ -76,7 +76,7 @@
     }
 
     /// What one engine has run.
-    pub fn engine_record(&self, name: &str) -> Vec<Ran> {
+    pub fn engine_record(&self, name: &str) -> Vec<NumberedRun> {
         self.record_lines(name)
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod record;
 pub mod relay;
 
-pub use client::{Answer, Caller};
+pub use client::{Caller, Response};
 pub use fleet::Fleet;
 pub use plan::Plan;
-pub use relay::{Relay, Way};
+pub use relay::{Direction, Relay};
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -7,9 +7,9 @@
 
 use anyhow::ensure;
 use chestnutreach_fleet::{
-    Answer, Caller, Fleet, Plan,
+    Caller, Fleet, Plan, Response,
     fleet::ACCOUNTS,
-    record::{Ran, broken_promises},
+    record::{NumberedRun, guarantee_violations},
 };
 use chestnutreach_standins::engine::expected_answer;
 use clap::{Arg, ArgAction, Command};
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-fn ask_letter(caller: &Caller) -> Answer {
+fn ask_letter(caller: &Caller) -> Response {
     caller
         .header("idempotency-key", "letter-2417")
         .header("chestnutreach-priority", "high")
@@ -134,7 +134,7 @@
     );
     let record = fleet.plain_record("ledger-0");
     let runs =
-        record.iter().filter(|r| r.entry.answer.path == "/receipts").count();
+        record.iter().filter(|r| r.entry.response.path == "/receipts").count();
     println!("  asked for twice, ran {runs} time");
     ensure!(runs == 1, "the receipt ran {runs} times");
     Ok(())
@@ -144,9 +144,9 @@
     fleet: &Fleet,
     prompt: &str,
     count: u32,
-    answer: &Answer,
+    answer: &Response,
 ) -> anyhow::Result<()> {
-    ensure!(answer.is_whole, "the answer is not whole: {answer:?}");
+    ensure!(answer.is_complete, "the answer is not whole: {answer:?}");
     println!("  {}", answer.content());
     let chain = chain_of(&fleet.engine_records(), answer.request());
     println!("  request {} crossed {}", answer.request(), chain.join(", "));
@@ -162,7 +162,7 @@
     Ok(())
 }
 
-fn show_plain(answer: &Answer) -> anyhow::Result<()> {
+fn show_plain(answer: &Response) -> anyhow::Result<()> {
     ensure!(answer.status == 200, "the call failed: {answer:?}");
     println!("  {}", answer.text.trim());
     Ok(())
@@ -170,7 +170,7 @@
 
 /// Engines that ran a request, with their layers.
 fn chain_of(
-    records: &BTreeMap<String, Vec<Ran>>,
+    records: &BTreeMap<String, Vec<NumberedRun>>,
     request: &str,
 ) -> Vec<String> {
     let mut chain = Vec::new();
@@ -184,8 +184,10 @@
     chain
 }
 
-fn check_records(records: &BTreeMap<String, Vec<Ran>>) -> anyhow::Result<()> {
-    let broken = broken_promises(records);
+fn check_records(
+    records: &BTreeMap<String, Vec<NumberedRun>>,
+) -> anyhow::Result<()> {
+    let broken = guarantee_violations(records);
     ensure!(broken.is_empty(), "promises broken: {broken:#?}");
     let runs: usize = records.values().map(Vec::len).sum();
     println!(
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -43,7 +43,7 @@
             log: log.to_owned(),
             child: None,
         };
-        process.start_again()?;
+        process.restart()?;
         Ok(process)
     }
 
@@ -52,7 +52,7 @@
     /// # Errors
     ///
     /// The program cannot be started.
-    pub fn start_again(&mut self) -> anyhow::Result<()> {
+    pub fn restart(&mut self) -> anyhow::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.program)
             .args(&self.arguments)
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -5,13 +5,15 @@
 use chestnutreach_standins::{engine::RunRecord, record::Numbered};
 
 /// One entry of an engine's record.
-pub type Ran = Numbered<RunRecord>;
+pub type NumberedRun = Numbered<RunRecord>;
 
 /// Finds what breaks the promise that each layer runs exactly once for each
 /// position of an attempt, in order; nothing when it held.
 ///
 /// `records` holds the record of each engine by name.
-pub fn broken_promises(records: &BTreeMap<String, Vec<Ran>>) -> Vec<String> {
+pub fn guarantee_violations(
+    records: &BTreeMap<String, Vec<NumberedRun>>,
+) -> Vec<String> {
     let mut broken = Vec::new();
     let mut seen: BTreeMap<(String, u32), Vec<LayerRun>> = BTreeMap::new();
     for (engine, runs) in records {
@@ -37,8 +39,8 @@
 }
 
 /// Highest attempt that ran of each request.
-pub fn attempts(
-    records: &BTreeMap<String, Vec<Ran>>,
+pub fn highest_attempts(
+    records: &BTreeMap<String, Vec<NumberedRun>>,
 ) -> BTreeMap<String, u32> {
     let mut highest = BTreeMap::new();
     for ran in records.values().flatten() {
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -32,11 +32,11 @@
 
 /// Which way bytes pass.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
+pub enum Direction {
     /// From the caller.
-    Forth,
+    ToTarget,
     /// To the caller.
-    Back,
+    ToCaller,
 }
 
 /// A relay before one address; it ends when dropped.
@@ -119,7 +119,7 @@
     }
 
     /// Makes the connections that are open silent for good.
-    pub fn silence(&self) {
+    pub fn blackhole(&self) {
         for pair in self.shared.lock().iter() {
             pair.is_silent.store(true, Ordering::Release);
         }
@@ -140,12 +140,12 @@
     }
 
     /// Holds up what passes one way, or no longer does.
-    pub fn cut(&self, way: Way, is_cut: bool) {
+    pub fn set_partition(&self, way: Direction, is_cut: bool) {
         self.shared.cut_flag(way).store(is_cut, Ordering::Release);
     }
 
     /// Delays what passes either way by this time.
-    pub fn slow(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         let delay_ms = delay.as_millis() as u64;
         self.shared.delay_ms.store(delay_ms, Ordering::Release);
     }
@@ -167,10 +167,10 @@
         self.pairs.lock().expect("no holder panics")
     }
 
-    fn cut_flag(&self, way: Way) -> &AtomicBool {
+    fn cut_flag(&self, way: Direction) -> &AtomicBool {
         match way {
-            Way::Forth => &self.is_cut_forth,
-            Way::Back => &self.is_cut_back,
+            Direction::ToTarget => &self.is_cut_forth,
+            Direction::ToCaller => &self.is_cut_back,
         }
     }
 
@@ -201,19 +201,19 @@
         let (to_target, to_caller) = (pair.clone(), pair);
         let (shared, back) = (self.clone(), self.clone());
         thread::spawn(move || {
-            shared.pass(&to_target, Way::Forth);
+            shared.pass(&to_target, Direction::ToTarget);
         });
         thread::spawn(move || {
-            back.pass(&to_caller, Way::Back);
+            back.pass(&to_caller, Direction::ToCaller);
         });
         Ok(())
     }
 
     /// Passes bytes one way until either end closes.
-    fn pass(&self, pair: &Pair, way: Way) {
+    fn pass(&self, pair: &Pair, way: Direction) {
         let (from, mut to) = match way {
-            Way::Forth => (&pair.caller, &pair.target),
-            Way::Back => (&pair.target, &pair.caller),
+            Direction::ToTarget => (&pair.caller, &pair.target),
+            Direction::ToCaller => (&pair.target, &pair.caller),
         };
         let is_cut = self.cut_flag(way);
         let mut waiting = Vec::new();
--- a/crates/side/tests/attach.rs
+++ b/crates/side/tests/attach.rs
@@ -11,7 +11,9 @@
     CloseReason, Link, LinkEvent, Links, RequestId,
     wire::{self, Role, frame::Body},
 };
-use chestnutreach_standins::{engine::EngineOptions, running::Running};
+use chestnutreach_standins::{
+    engine::EngineOptions, standin_thread::StandinThread,
+};
 use futures_lite::FutureExt as _;
 
 const TOKENS: u32 = 400;
@@ -25,7 +27,7 @@
 #[test]
 fn an_output_moves_between_connections_without_a_gap() {
     let engine = EngineOptions::new("desk-llm", 0, 4, 4).unwrap();
-    let engine = Running::engine(engine).unwrap();
+    let engine = StandinThread::engine(engine).unwrap();
     let executor = Arc::new(Executor::new());
     threads::start(&executor, 4).unwrap();
     let address = support::start_side(&executor, engine.address(), 0);
--- a/crates/side/tests/later_stage.rs
+++ b/crates/side/tests/later_stage.rs
@@ -12,7 +12,9 @@
     Link, LinkEvent, RequestId,
     wire::{self, RefusalReason, Role, frame::Body},
 };
-use chestnutreach_standins::{engine::EngineOptions, running::Running};
+use chestnutreach_standins::{
+    engine::EngineOptions, standin_thread::StandinThread,
+};
 use futures_lite::FutureExt as _;
 
 const LIMIT: Duration = Duration::from_secs(30);
@@ -60,7 +62,7 @@
     test: impl FnOnce(Link, Replies, SocketAddr, Vec<RequestId>) -> F,
 ) {
     let engine = EngineOptions::new("desk-llm", 2, 4, 4).unwrap();
-    let engine = Running::engine(engine).unwrap();
+    let engine = StandinThread::engine(engine).unwrap();
     let executor = Arc::new(Executor::new());
     threads::start(&executor, 2).unwrap();
     let address = support::start_side(&executor, engine.address(), 2);
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`plain`] | a plain service whose runs are counted |
 //! | [`faults`] | faults switched on and off while a stand-in runs |
 //! | [`record`] | what a stand-in has run, for tests to check |
-//! | [`running`] | a stand-in on a thread of the calling process |
+//! | [`standin_thread`] | a stand-in on a thread of the calling process |
 //!
 //! # Example
 //!
@@ -24,5 +24,5 @@
 pub mod plain;
 pub mod platform;
 pub mod record;
-pub mod running;
 mod serving;
+pub mod standin_thread;
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -35,7 +35,7 @@
 
 /// The answer to a call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// Method of the call.
     pub method: String,
     /// Path of the call.
@@ -53,7 +53,7 @@
     pub request_id: String,
     /// What was run.
     #[serde(flatten)]
-    pub answer: PlainAnswer,
+    pub response: PlainResponse,
 }
 
 /// Serves until the listener fails.
@@ -118,7 +118,7 @@
         self.switches.hold(HoldPoint::Before, &[CALL_POSITION]).await;
         let answer = self.count(received);
         let request_id = header(received, REQUEST_ID_HEADER).to_owned();
-        let entry = PlainRecord { request_id, answer: answer.clone() };
+        let entry = PlainRecord { request_id, response: answer.clone() };
         self.record.push(entry);
         if let Ok(sleep_ms) = header(received, SLEEP_HEADER).parse() {
             Timer::after(Duration::from_millis(sleep_ms)).await;
@@ -131,7 +131,7 @@
         serving::json(&answer)
     }
 
-    fn count(&self, received: &ReceivedRequest) -> PlainAnswer {
+    fn count(&self, received: &ReceivedRequest) -> PlainResponse {
         let key = RunKey {
             method: received.request.method().to_string(),
             path: received.request.url().path().to_owned(),
@@ -141,7 +141,7 @@
         let run = runs.entry(key.clone()).or_insert(0);
         *run += 1;
         let RunKey { method, path, body_digest } = key;
-        PlainAnswer { method, path, body_digest, run: *run }
+        PlainResponse { method, path, body_digest, run: *run }
     }
 
     fn stats(&self) -> Stats {
--- a/crates/standins/src/running.rs
+++ b/crates/standins/src/standin_thread.rs
@@ -21,20 +21,20 @@
 
 /// A running stand-in; it stops when dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct StandinThread {
     address: SocketAddr,
     stop: async_channel::Sender<()>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl StandinThread {
     /// Starts an engine at a free port.
     ///
     /// # Errors
     ///
     /// There is no free port, or no thread.
-    pub fn engine(options: EngineOptions) -> io::Result<Running> {
-        Running::start(|executor, listener| {
+    pub fn engine(options: EngineOptions) -> io::Result<StandinThread> {
+        StandinThread::start(|executor, listener| {
             engine::serve(executor, listener, options)
         })
     }
@@ -44,11 +44,11 @@
     /// # Errors
     ///
     /// There is no free port, or no thread.
-    pub fn plain() -> io::Result<Running> {
-        Running::start(plain::serve)
+    pub fn plain() -> io::Result<StandinThread> {
+        StandinThread::start(plain::serve)
     }
 
-    fn start<S, F>(serve: S) -> io::Result<Running>
+    fn start<S, F>(serve: S) -> io::Result<StandinThread>
     where
         S: FnOnce(Arc<Executor<'static>>, Async<TcpListener>) -> F,
         S: Send + 'static,
@@ -67,7 +67,7 @@
             let _ = block_on(executor.run(serving.or(until_stopped)));
         };
         let thread = thread::Builder::new().spawn(run)?;
-        Ok(Running { address, stop, thread: Some(thread) })
+        Ok(StandinThread { address, stop, thread: Some(thread) })
     }
 
     /// Where it listens.
@@ -76,7 +76,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for StandinThread {
     fn drop(&mut self) {
         self.stop.close();
         if let Some(thread) = self.thread.take() {
--- a/crates/standins/tests/engine/common.rs
+++ b/crates/standins/tests/engine/common.rs
@@ -6,7 +6,9 @@
     EngineClient, SequenceError, SequenceId, SequenceOutput, SequenceStep,
     StepInput, StepOutput,
 };
-use chestnutreach_standins::{engine::EngineOptions, running::Running};
+use chestnutreach_standins::{
+    engine::EngineOptions, standin_thread::StandinThread,
+};
 
 pub const LAYER_COUNT: u32 = 24;
 pub const MODEL: &str = "desk-llm";
@@ -23,14 +25,14 @@
 }
 
 pub struct Stage {
-    pub running: Running,
+    pub running: StandinThread,
     pub client: EngineClient,
     pub layers: Range<u32>,
 }
 
 impl Stage {
     pub fn start(options: EngineOptions, layers: Range<u32>) -> Stage {
-        let running = Running::engine(options).unwrap();
+        let running = StandinThread::engine(options).unwrap();
         let client = EngineClient::new(running.address(), MODEL);
         Stage { running, client, layers }
     }
--- a/crates/standins/tests/plain.rs
+++ b/crates/standins/tests/plain.rs
@@ -5,9 +5,9 @@
 use async_io::block_on;
 use chestnutreach_http::{Client, ClientError, ClientOptions};
 use chestnutreach_standins::{
-    plain::{PlainAnswer, PlainRecord},
+    plain::{PlainRecord, PlainResponse},
     record::Numbered,
-    running::Running,
+    standin_thread::StandinThread,
 };
 use http_types::{Method, Request};
 
@@ -32,7 +32,7 @@
 
 #[test]
 fn counts_runs_per_body() {
-    let running = Running::plain().unwrap();
+    let running = StandinThread::plain().unwrap();
     let client = Client::new(running.address(), ClientOptions::new());
     block_on(async {
         let mut runs = Vec::new();
@@ -48,7 +48,8 @@
             );
             let (status, answer) = sent.await.unwrap();
             assert_eq!(status, 200);
-            let answer: PlainAnswer = serde_json::from_slice(&answer).unwrap();
+            let answer: PlainResponse =
+                serde_json::from_slice(&answer).unwrap();
             assert_eq!(answer.path, "/receipts");
             runs.push(answer.run);
         }
@@ -64,7 +65,7 @@
 
 #[test]
 fn a_slow_call_has_run() {
-    let running = Running::plain().unwrap();
+    let running = StandinThread::plain().unwrap();
     let client = Client::new(running.address(), ClientOptions::new());
     let short = Duration::from_millis(100);
     block_on(async {
@@ -78,7 +79,7 @@
 
 #[test]
 fn a_lost_answer_has_run() {
-    let running = Running::plain().unwrap();
+    let running = StandinThread::plain().unwrap();
     let client = Client::new(running.address(), ClientOptions::new());
     block_on(async {
         let faults = r#"{"lose_answers":true}"#;
