--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,20 +1,20 @@
-//! A model engine that holds a range of layers.
+//! A model engine that serves a range of layers.
 //!
-//! It speaks the protocol of `chestnutreach-engine` and runs a toy model
-//! whose answer depends on every layer having run once, in order, at every
-//! position. Time and memory are modelled roughly: iterations over a batch
-//! take a set time, KV memory counts positions.
+//! The engine implements the protocol of `chestnutreach-engine` and runs a toy
+//! model whose answer is only correct if every layer ran once, in order, at
+//! every position. Time and memory are modelled roughly: iterations over a
+//! batch take a configured time, and KV memory is counted in positions.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | `model` | the toy model |
-//! | `prompt` | tokens of a caller's request |
-//! | `stage` | the KV state of sequences and the run of a step |
-//! | `prefix_cache` | prompt prefixes seen lately |
-//! | `scheduler` | the queue and the iterations |
-//! | `orders` | orders and fencing numbers |
-//! | `routes` | calls over HTTP |
-//! | `options` | settings |
+//! | `prompt` | prompt tokens of a caller's request |
+//! | `stage` | the KV state of sequences, and how a step runs |
+//! | `prefix_cache` | recently used prompt prefixes |
+//! | `scheduler` | the step queue and the iterations |
+//! | `orders` | load orders and fencing numbers |
+//! | `routes` | the HTTP routes |
+//! | `options` | engine settings |
 
 mod model;
 mod options;
--- a/crates/standins/src/engine/options.rs
+++ b/crates/standins/src/engine/options.rs
@@ -20,7 +20,7 @@
     pub(super) checks_fencing: bool,
 }
 
-/// Layers that are no range within the model.
+/// Error for layers that aren't a non-empty range within the model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LayerRangeError {
     pub(super) first_layer: u32,
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "layers {}..{} are no range within 0..{}",
+            "layers {}..{} are not a non-empty range within 0..{}",
             self.first_layer, self.end_layer, self.layer_count
         )
     }
@@ -40,7 +40,7 @@
 
 impl error::Error for LayerRangeError {}
 
-/// Checks that layers are a range within the model.
+/// Checks that the layers are a non-empty range within the model.
 pub(super) fn check_layers(
     first_layer: u32,
     end_layer: u32,
@@ -53,12 +53,14 @@
 }
 
 impl EngineOptions {
-    /// An engine for `first_layer..end_layer` of a model with `layer_count`
-    /// layers, that takes no time and checks no fencing numbers.
+    /// Creates the settings of an engine for `first_layer..end_layer` of a
+    /// model with `layer_count` layers. By default, steps and loads take no
+    /// time and fencing numbers aren't checked.
     ///
     /// # Errors
     ///
-    /// The layers are no range within the model.
+    /// Returns an error if the layers aren't a non-empty range within the
+    /// model.
     pub fn new(
         model: &str,
         first_layer: u32,
@@ -83,58 +85,59 @@
         })
     }
 
-    /// Rate at which prompts are read; 0 takes no time.
+    /// Sets the rate of prefill in tokens per second; 0 takes no time.
     pub fn prompt_tokens_per_s(mut self, rate: u64) -> EngineOptions {
         self.prompt_tokens_per_s = rate;
         self
     }
 
-    /// Rate at which tokens of answers are made, over all sequences of a
+    /// Sets the rate of decoding in tokens per second, over all sequences of a
     /// batch; 0 takes no time.
     pub fn output_tokens_per_s(mut self, rate: u64) -> EngineOptions {
         self.output_tokens_per_s = rate;
         self
     }
 
-    /// Time of an iteration besides its tokens, in microseconds.
+    /// Sets the fixed time per iteration in microseconds, to which the time per
+    /// token is added.
     pub fn step_us(mut self, time_us: u64) -> EngineOptions {
         self.step_us = time_us;
         self
     }
 
-    /// Positions that KV memory holds.
+    /// Sets the capacity of KV memory in positions.
     pub fn cache_tokens(mut self, count: u64) -> EngineOptions {
         self.cache_tokens = count;
         self
     }
 
-    /// How long a sequence that is not used keeps its memory when another
-    /// needs it, in milliseconds.
+    /// Sets the idle time in milliseconds after which a sequence may be evicted
+    /// when another one needs memory.
     pub fn sequence_idle_ms(mut self, time_ms: u64) -> EngineOptions {
         self.sequence_idle_ms = time_ms;
         self
     }
 
-    /// Most steps in an iteration, at least 1.
+    /// Sets the maximum number of steps per iteration, at least 1.
     pub fn max_batch(mut self, count: usize) -> EngineOptions {
         self.max_batch = count.max(1);
         self
     }
 
-    /// Time between two looks at the load that is reported, in milliseconds;
-    /// 0 reports the present load.
+    /// Sets the interval in milliseconds at which the load report is refreshed;
+    /// 0 reports the current load.
     pub fn report_lag_ms(mut self, lag_ms: u64) -> EngineOptions {
         self.report_lag_ms = lag_ms;
         self
     }
 
-    /// Time that loading the weights of a layer takes, in milliseconds.
+    /// Sets the time to load the weights of a layer, in milliseconds.
     pub fn load_ms_per_layer(mut self, time_ms: u64) -> EngineOptions {
         self.load_ms_per_layer = time_ms;
         self
     }
 
-    /// Refuses orders with an old fencing number.
+    /// Sets whether orders with an old fencing number are rejected.
     pub fn checks_fencing(mut self, checks: bool) -> EngineOptions {
         self.checks_fencing = checks;
         self
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -1,8 +1,8 @@
-//! Orders and fencing numbers.
+//! Load orders and fencing numbers.
 //!
-//! An order takes effect at once and the engine is not ready until the
-//! weights are loaded. An order for what is held already changes nothing, so
-//! that a holder may repeat one whose answer was lost.
+//! An order takes effect immediately, and the engine isn't ready until the
+//! weights are loaded. An order for weights that are loaded already changes
+//! nothing, so the sender can repeat an order whose response was lost.
 
 use std::{
     ops::Range,
@@ -15,94 +15,95 @@
 use super::options::EngineOptions;
 use crate::record::Record;
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderResult {
-    /// Other weights are loaded.
+    /// The engine loads other weights.
     Taken,
-    /// They were held already.
+    /// The engine had loaded these weights already.
     Unchanged,
-    /// It carried an old fencing number.
+    /// The order had an old fencing number.
     Refused,
 }
 
-/// An order that came.
+/// Record of an order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderRecord {
     /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: String,
-    /// Adapter on top of them.
+    /// Adapter applied to the weights.
     pub adapter: Option<String>,
-    /// First layer to hold.
+    /// First layer to load.
     pub first_layer: u32,
-    /// Layer after the last one to hold.
+    /// Layer after the last one to load.
     pub end_layer: u32,
     /// The order's fencing number.
     pub fencing_number: u64,
-    /// What became of it.
+    /// Result of the order.
     pub result: OrderResult,
 }
 
-/// What an order leads to.
+/// How the engine responds to an order.
 pub(super) enum Decision {
     Load,
     Keep,
     Refuse { held: u64 },
 }
 
-/// The weights held and the number of the order they came with.
+/// State and log of the load orders.
 #[derive(Debug)]
 pub(super) struct Orders {
     checks_fencing: bool,
-    held: Mutex<Held>,
+    state: Mutex<OrderState>,
     record: Record<OrderRecord>,
 }
 
+/// The model to serve, as of the last order.
 #[derive(Debug)]
-struct Held {
+struct OrderState {
     model: String,
-    /// Unknown until the first order.
+    /// None until the first order.
     version: Option<String>,
     adapter: Option<String>,
     layers: Range<u32>,
     fencing_number: u64,
-    /// Loads that have not ended.
-    loads: u32,
+    /// Number of loads in progress.
+    loads_in_progress: u32,
 }
 
-/// A load that has not ended.
-pub(super) struct Loading<'a> {
+/// Guard of a load in progress; the load ends when the guard is dropped.
+pub(super) struct LoadGuard<'a> {
     orders: &'a Orders,
 }
 
-impl Drop for Loading<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
-        self.orders.held().loads -= 1;
+        self.orders.state().loads_in_progress -= 1;
     }
 }
 
 impl Orders {
     pub(super) fn new(options: &EngineOptions) -> Orders {
-        let held = Held {
+        let state = OrderState {
             model: options.model.clone(),
             version: None,
             adapter: None,
             layers: options.first_layer..options.end_layer,
             fencing_number: 0,
-            loads: 0,
+            loads_in_progress: 0,
         };
         Orders {
             checks_fencing: options.checks_fencing,
-            held: Mutex::new(held),
+            state: Mutex::new(state),
             record: Record::new(),
         }
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().expect("no holder panics")
+    fn state(&self) -> MutexGuard<'_, OrderState> {
+        self.state.lock().expect("no holder panics")
     }
 
     pub(super) fn record(&self) -> &Record<OrderRecord> {
@@ -110,42 +111,43 @@
     }
 
     pub(super) fn is_ready(&self) -> bool {
-        self.held().loads == 0
+        self.state().loads_in_progress == 0
     }
 
     pub(super) fn serves(&self, model: &str) -> bool {
-        self.held().model == model
+        self.state().model == model
     }
 
     pub(super) fn model(&self) -> String {
-        self.held().model.clone()
+        self.state().model.clone()
     }
 
-    /// Decides on an order and records it.
-    pub(super) fn take(&self, order: &LoadOrder) -> Decision {
-        let mut held = self.held();
-        let is_old = order.fencing_number < held.fencing_number;
+    /// Records an order and applies it. If fencing is checked, an order with an
+    /// old number is only recorded.
+    pub(super) fn handle(&self, order: &LoadOrder) -> Decision {
+        let mut state = self.state();
+        let is_old = order.fencing_number < state.fencing_number;
         if is_old && self.checks_fencing {
-            self.push(order, OrderResult::Refused);
-            return Decision::Refuse { held: held.fencing_number };
+            self.record_order(order, OrderResult::Refused);
+            return Decision::Refuse { held: state.fencing_number };
         }
-        held.fencing_number = order.fencing_number;
-        if held.is_same(order) {
-            self.push(order, OrderResult::Unchanged);
+        state.fencing_number = order.fencing_number;
+        if state.matches(order) {
+            self.record_order(order, OrderResult::Unchanged);
             return Decision::Keep;
         }
-        held.replace(order);
-        self.push(order, OrderResult::Taken);
+        state.apply(order);
+        self.record_order(order, OrderResult::Taken);
         Decision::Load
     }
 
-    /// Not ready until the answer is dropped.
-    pub(super) fn begin_load(&self) -> Loading<'_> {
-        self.held().loads += 1;
-        Loading { orders: self }
+    /// Starts a load; the engine isn't ready until the guard is dropped.
+    pub(super) fn start_load(&self) -> LoadGuard<'_> {
+        self.state().loads_in_progress += 1;
+        LoadGuard { orders: self }
     }
 
-    fn push(&self, order: &LoadOrder, result: OrderResult) {
+    fn record_order(&self, order: &LoadOrder, result: OrderResult) {
         self.record.push(OrderRecord {
             model: order.model.clone(),
             version: order.version.clone(),
@@ -158,15 +160,15 @@
     }
 }
 
-impl Held {
-    fn is_same(&self, order: &LoadOrder) -> bool {
+impl OrderState {
+    fn matches(&self, order: &LoadOrder) -> bool {
         self.model == order.model
             && self.version.as_deref() == Some(&order.version)
             && self.adapter == order.adapter
             && self.layers == (order.first_layer..order.end_layer)
     }
 
-    fn replace(&mut self, order: &LoadOrder) {
+    fn apply(&mut self, order: &LoadOrder) {
         self.model = order.model.clone();
         self.version = Some(order.version.clone());
         self.adapter = order.adapter.clone();
--- a/crates/standins/src/engine/prefix_cache.rs
+++ b/crates/standins/src/engine/prefix_cache.rs
@@ -1,69 +1,70 @@
-//! Prompt prefixes seen lately.
+//! Cache of recently used prompt prefixes.
 //!
-//! Prefixes are kept in blocks. The input of a block's last position depends
-//! on every token before it, so that it names the whole prefix. The cache
-//! only saves time; what a step computes does not depend on it.
+//! Prefixes are cached in blocks. The input of a block's last position is a
+//! hash of all tokens up to this position, so it identifies the whole prefix.
+//! The cache only saves time and doesn't affect the result of a step.
 
 use std::collections::BTreeMap;
 
 /// Positions in a block.
 const BLOCK_TOKENS: usize = 16;
 
-/// Blocks by name and by last use.
+/// Cached blocks by hash and by last use.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
-    last_use_by_name: BTreeMap<u64, u64>,
-    name_by_last_use: BTreeMap<u64, u64>,
+    last_use_by_hash: BTreeMap<u64, u64>,
+    hash_by_last_use: BTreeMap<u64, u64>,
     clock: u64,
 }
 
 impl PrefixCache {
-    /// Positions held.
+    /// Number of cached positions.
     pub(super) fn used_tokens(&self) -> u64 {
-        (self.last_use_by_name.len() * BLOCK_TOKENS) as u64
+        (self.last_use_by_hash.len() * BLOCK_TOKENS) as u64
     }
 
-    /// Positions at the start of a prompt that are held.
-    pub(super) fn hit(&mut self, inputs: &[u64]) -> u32 {
-        let mut hit = 0;
-        for name in names(inputs) {
-            if !self.last_use_by_name.contains_key(&name) {
+    /// Number of cached positions at the start of a prompt. Marks their blocks
+    /// as used.
+    pub(super) fn lookup(&mut self, inputs: &[u64]) -> u32 {
+        let mut hit_tokens = 0;
+        for hash in block_hashes(inputs) {
+            if !self.last_use_by_hash.contains_key(&hash) {
                 break;
             }
-            self.touch(name);
-            hit += BLOCK_TOKENS as u32;
+            self.touch(hash);
+            hit_tokens += BLOCK_TOKENS as u32;
         }
-        hit
+        hit_tokens
     }
 
-    /// Keeps the blocks of a prompt.
+    /// Caches the complete blocks of a prompt.
     pub(super) fn insert(&mut self, inputs: &[u64]) {
-        for name in names(inputs) {
-            self.touch(name);
+        for hash in block_hashes(inputs) {
+            self.touch(hash);
         }
     }
 
-    /// Drops blocks, the longest unused first, until at most `limit`
-    /// positions are held.
+    /// Evicts the least recently used blocks until at most `limit` positions
+    /// are cached.
     pub(super) fn shrink_to(&mut self, limit: u64) {
         while self.used_tokens() > limit {
-            let Some((_, name)) = self.name_by_last_use.pop_first() else {
+            let Some((_, hash)) = self.hash_by_last_use.pop_first() else {
                 return;
             };
-            self.last_use_by_name.remove(&name);
+            self.last_use_by_hash.remove(&hash);
         }
     }
 
-    fn touch(&mut self, name: u64) {
+    fn touch(&mut self, hash: u64) {
         self.clock += 1;
-        let old = self.last_use_by_name.insert(name, self.clock);
-        if let Some(old) = old {
-            self.name_by_last_use.remove(&old);
+        let previous_use = self.last_use_by_hash.insert(hash, self.clock);
+        if let Some(previous_use) = previous_use {
+            self.hash_by_last_use.remove(&previous_use);
         }
-        self.name_by_last_use.insert(self.clock, name);
+        self.hash_by_last_use.insert(self.clock, hash);
     }
 }
 
-fn names(inputs: &[u64]) -> impl Iterator<Item = u64> {
+fn block_hashes(inputs: &[u64]) -> impl Iterator<Item = u64> {
     inputs.chunks_exact(BLOCK_TOKENS).map(|block| block[BLOCK_TOKENS - 1])
 }
--- a/crates/standins/src/engine/prompt.rs
+++ b/crates/standins/src/engine/prompt.rs
@@ -1,17 +1,17 @@
-//! Tokens of a caller's request.
+//! Prompt tokens of a caller's request.
 //!
-//! The words of all messages of a chat, or of the prompt of a completion,
-//! each a token. A request without words has the empty word as its only one.
+//! Each word of the messages of a chat, or of the prompt of a completion, is a
+//! token. A request without words has the empty word as its only token.
 
 use serde::Deserialize;
 
 use super::model::token_of_word;
 
-/// What the engine needs of a request.
+/// The fields of a request that the engine uses.
 pub(super) struct Prompt {
-    /// Tokens, at least one.
+    /// Tokens of the prompt, at least one.
     pub(super) tokens: Vec<u32>,
-    /// The engine stops at this token of the answer, counted from 1.
+    /// Token of the answer after which the engine stops, counted from 1.
     pub(super) stop_after: Option<u32>,
 }
 
--- a/crates/standins/src/engine/routes.rs
+++ b/crates/standins/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP.
+//! HTTP routes of the engine.
 
 use std::{
     io,
@@ -28,11 +28,12 @@
     serving::{self, Reply},
 };
 
-/// Serves until the listener fails; the engine's work runs on the executor.
+/// Serves connections until the listener fails. Iterations and load reports
+/// run as tasks of the executor.
 ///
 /// # Errors
 ///
-/// The listener failed.
+/// Returns the error of the listener.
 pub async fn serve(
     executor: Arc<Executor<'static>>,
     listener: Async<TcpListener>,
@@ -40,11 +41,12 @@
 ) -> io::Result<()> {
     let engine = Arc::new(Engine::new(options));
     let runner = engine.clone();
-    // Tasks end when dropped, with this future.
+    // Both tasks are cancelled when this future drops them.
     let _iterations =
         executor.spawn(async move { runner.scheduler.run().await });
     let reporter = engine.clone();
-    let _reports = executor.spawn(async move { reporter.report().await });
+    let _reports =
+        executor.spawn(async move { reporter.refresh_reports().await });
     let handle = move |received| {
         let engine = engine.clone();
         async move { engine.handle(received).await }
@@ -55,10 +57,10 @@
 #[derive(Debug)]
 struct Engine {
     options: EngineOptions,
-    switches: Arc<FaultSwitches>,
+    faults: Arc<FaultSwitches>,
     scheduler: Scheduler,
     orders: Orders,
-    reported: Mutex<EngineLoad>,
+    reported_load: Mutex<EngineLoad>,
 }
 
 #[derive(Serialize)]
@@ -68,17 +70,17 @@
 
 impl Engine {
     fn new(options: EngineOptions) -> Engine {
-        let switches = Arc::new(FaultSwitches::default());
-        let scheduler = Scheduler::new(options.clone(), switches.clone());
-        let reported = Mutex::new(scheduler.load());
+        let faults = Arc::new(FaultSwitches::default());
+        let scheduler = Scheduler::new(options.clone(), faults.clone());
+        let reported_load = Mutex::new(scheduler.load());
         let orders = Orders::new(&options);
-        Engine { options, switches, scheduler, orders, reported }
+        Engine { options, faults, scheduler, orders, reported_load }
     }
 
     async fn handle(&self, received: ReceivedRequest) -> Reply {
         let record = self.scheduler.record();
         if let Some(response) =
-            serving::control(&received, &self.switches, record)
+            serving::handle_control(&received, &self.faults, record)
         {
             return response.into();
         }
@@ -90,7 +92,7 @@
             }
             _ => {
                 let run = self.call(&received);
-                serving::with_faults(&self.switches, run).await
+                serving::with_faults(&self.faults, run).await
             }
         }
     }
@@ -102,45 +104,45 @@
         let body = &received.body;
         match (method, segments.as_slice()) {
             (Method::Get, ["v2", "health", "live"]) => serving::json(&()),
-            (Method::Get, ["v2", "health", "ready"]) => self.ready(),
+            (Method::Get, ["v2", "health", "ready"]) => self.readiness(),
             (Method::Post, ["v2", "repository", "models", model, "load"]) => {
                 self.load(model, body).await
             }
-            (method, ["v2", "models", model, rest @ ..]) => {
+            (method, ["v2", "models", model, subpath @ ..]) => {
                 if !self.orders.serves(model) {
-                    return no_such(&format!("model {model:?}"));
+                    return not_found(&format!("model {model:?}"));
                 }
-                self.call_model(method, rest, body).await
+                self.call_model(method, subpath, body).await
             }
-            _ => no_such("path"),
+            _ => not_found("path"),
         }
     }
 
     async fn call_model(
         &self,
         method: Method,
-        rest: &[&str],
+        subpath: &[&str],
         body: &[u8],
     ) -> Response {
-        match (method, rest) {
-            (Method::Get, ["ready"]) => self.ready(),
+        match (method, subpath) {
+            (Method::Get, ["ready"]) => self.readiness(),
             (Method::Get, ["load-report"]) => self.load_report(),
             (Method::Post, ["infer"]) => self.infer(body).await,
             (Method::Post, ["sequences", "release"]) => self.release(body),
-            _ => no_such("path"),
+            _ => not_found("path"),
         }
     }
 
-    fn ready(&self) -> Response {
+    fn readiness(&self) -> Response {
         if self.orders.is_ready() {
             return serving::json(&());
         }
-        loading()
+        loading_response()
     }
 
     async fn infer(&self, body: &[u8]) -> Response {
         if !self.orders.is_ready() {
-            return loading();
+            return loading_response();
         }
         let call = match wire::decode_request(body) {
             Ok(call) => call,
@@ -153,9 +155,9 @@
             .filter_map(|row| Some(row.step.as_ref().ok()?.position))
             .collect();
         let rows = call.rows.into_iter().map(|row| (row.sequence, row.step));
-        self.switches.hold(HoldPoint::Before, &positions).await;
+        self.faults.hold(HoldPoint::Before, &positions).await;
         let results = self.scheduler.infer(layers, rows.collect()).await;
-        self.switches.hold(HoldPoint::After, &positions).await;
+        self.faults.hold(HoldPoint::After, &positions).await;
         match results {
             Some(results) => {
                 let model = self.orders.model();
@@ -164,13 +166,13 @@
             }
             None => serving::error(
                 StatusCode::InternalServerError,
-                "the engine went down",
+                "the engine went down before all rows had run",
             ),
         }
     }
 
     fn release(&self, body: &[u8]) -> Response {
-        serving::parsed(body, |body: ReleaseBody| {
+        serving::with_json_body(body, |body: ReleaseBody| {
             let ids = body.sequences.iter().map(|text| text.parse());
             match ids.collect::<Result<Vec<SequenceId>, _>>() {
                 Ok(ids) => {
@@ -186,11 +188,11 @@
         if self.options.report_lag_ms == 0 {
             return serving::json(&self.scheduler.load());
         }
-        serving::json(&*self.reported.lock().expect("no holder panics"))
+        serving::json(&*self.reported_load.lock().expect("no holder panics"))
     }
 
-    /// Looks at the load once in each lag.
-    async fn report(&self) {
+    /// Refreshes the load report at the configured interval.
+    async fn refresh_reports(&self) {
         let lag_ms = self.options.report_lag_ms;
         if lag_ms == 0 {
             return;
@@ -198,7 +200,7 @@
         loop {
             Timer::after(Duration::from_millis(lag_ms)).await;
             let load = self.scheduler.load();
-            *self.reported.lock().expect("no holder panics") = load;
+            *self.reported_load.lock().expect("no holder panics") = load;
         }
     }
 
@@ -212,7 +214,7 @@
         if let Err(e) = check_layers(first_layer, end_layer, layer_count) {
             return bad_request(&e.to_string());
         }
-        match self.orders.take(&order) {
+        match self.orders.handle(&order) {
             Decision::Keep => serving::json(&()),
             Decision::Refuse { held } => old_fencing_number(held),
             Decision::Load => {
@@ -223,7 +225,7 @@
     }
 
     async fn load_weights(&self, order: &LoadOrder) {
-        let _loading = self.orders.begin_load();
+        let _guard = self.orders.start_load();
         let layers = order.first_layer..order.end_layer;
         let count = layers.len() as u64;
         self.scheduler.stage().replace_layers(layers);
@@ -234,21 +236,21 @@
     }
 }
 
-fn loading() -> Response {
+fn loading_response() -> Response {
     let status = StatusCode::ServiceUnavailable;
-    serving::error(status, "weights are being loaded")
+    serving::error(status, "the engine is loading weights")
 }
 
 fn bad_request(message: &str) -> Response {
     serving::error(StatusCode::BadRequest, message)
 }
 
-fn no_such(what: &str) -> Response {
+fn not_found(what: &str) -> Response {
     serving::error(StatusCode::NotFound, &format!("no such {what}"))
 }
 
 fn old_fencing_number(held: u64) -> Response {
-    let error = format!("fencing number {held} is held");
+    let error = format!("the order's fencing number is older than {held}");
     let body = ErrorBody { error, fencing_number: Some(held) };
     serving::json_with_status(StatusCode::Conflict, &body)
 }
--- a/crates/standins/src/engine/scheduler.rs
+++ b/crates/standins/src/engine/scheduler.rs
@@ -1,8 +1,8 @@
-//! The queue and the iterations.
+//! The step queue and the iterations.
 //!
-//! Steps of all calls wait in one queue and are run in iterations, the most
-//! urgent first when more wait than an iteration takes. A step is recorded
-//! when its layers are run; the answers are sent at the iteration's end.
+//! The steps of all calls are queued together and run in iterations, in order
+//! of priority. A step is recorded when its layers run; the results are sent
+//! at the end of the iteration.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -25,12 +25,12 @@
 use super::{options::EngineOptions, stage::Stage};
 use crate::{faults::FaultSwitches, record::Record};
 
-/// A step whose layers were run.
+/// Record of a step whose layers ran.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunRecord {
-    /// The request, 32 hex digits.
+    /// Request ID, 32 hex digits.
     pub request: String,
-    /// The attempt at it.
+    /// Attempt of the request.
     pub attempt: u32,
     /// First position covered.
     pub position: u32,
@@ -42,38 +42,38 @@
     pub end_layer: u32,
 }
 
-/// What an engine has done since it started.
+/// Counts of an engine since its start.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub struct EngineStats {
     /// Iterations with at least one step.
     pub iterations: u64,
-    /// Steps that were run.
+    /// Steps that ran.
     pub steps: u64,
-    /// Positions that were run.
+    /// Positions that ran.
     pub positions: u64,
-    /// Steps that were refused.
+    /// Steps that were rejected.
     pub refused: u64,
-    /// Sequences in memory now.
+    /// Sequences currently in memory.
     pub sequences: u64,
-    /// Positions in memory now.
+    /// Positions currently in memory, including cached prefixes.
     pub cache_used_tokens: u64,
 }
 
-/// Rows of one call, in its order.
+/// Rows of one call, in the order of the call.
 pub(super) type Steps = Vec<(SequenceId, Result<SequenceStep, SequenceError>)>;
 
 /// The queue, the stage and their counters.
 #[derive(Debug)]
 pub(super) struct Scheduler {
     options: EngineOptions,
-    switches: Arc<FaultSwitches>,
+    faults: Arc<FaultSwitches>,
     record: Record<RunRecord>,
     stage: Mutex<Stage>,
     queue: Mutex<Queue>,
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    notify: Sender<()>,
+    notified: Receiver<()>,
     running: AtomicU32,
     counters: Counters,
 }
@@ -86,51 +86,51 @@
     refused: AtomicU64,
 }
 
-/// Steps that wait, by priority.
+/// Queued steps by priority.
 #[derive(Debug, Default)]
 struct Queue {
-    waiting: BTreeMap<u8, VecDeque<Waiting>>,
+    steps: BTreeMap<u8, VecDeque<QueuedStep>>,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedStep {
     step: SequenceStep,
     layers: Range<u32>,
     row: usize,
-    answer: Sender<RowResult>,
+    result_sender: Sender<RowResult>,
 }
 
-/// What came of the row with this index.
+/// Index of a row and its result.
 type RowResult = (usize, InferResult);
 
 impl Queue {
     fn len(&self) -> usize {
-        self.waiting.values().map(VecDeque::len).sum()
+        self.steps.values().map(VecDeque::len).sum()
     }
 
-    fn push(&mut self, waiting: Waiting) {
-        let priority = waiting.step.priority;
-        self.waiting.entry(priority).or_default().push_back(waiting);
+    fn push(&mut self, queued: QueuedStep) {
+        let priority = queued.step.priority;
+        self.steps.entry(priority).or_default().push_back(queued);
     }
 
-    /// At most `limit` steps, the most urgent first.
-    fn take(&mut self, limit: usize) -> Vec<Waiting> {
+    /// Removes at most `limit` steps, those of the highest priority first.
+    fn pop_batch(&mut self, limit: usize) -> Vec<QueuedStep> {
         let mut batch = Vec::new();
-        for steps in self.waiting.values_mut().rev() {
+        for steps in self.steps.values_mut().rev() {
             let count = steps.len().min(limit - batch.len());
             batch.extend(steps.drain(..count));
         }
         batch
     }
 
-    /// Drops the steps of a sequence.
+    /// Drops the queued steps of a sequence, with an error for their callers.
     fn cancel(&mut self, sequence: SequenceId) {
-        for steps in self.waiting.values_mut() {
-            steps.retain(|waiting| {
-                let is_kept = waiting.step.sequence != sequence;
+        for steps in self.steps.values_mut() {
+            steps.retain(|queued| {
+                let is_kept = queued.step.sequence != sequence;
                 if !is_kept {
-                    let why = "the sequence was released".to_owned();
-                    waiting.finish(Err(SequenceError::Other(why)));
+                    let message = "the sequence was released".to_owned();
+                    queued.send_result(Err(SequenceError::Other(message)));
                 }
                 is_kept
             });
@@ -138,28 +138,28 @@
     }
 }
 
-impl Waiting {
-    fn finish(&self, result: InferResult) {
-        // A call that is gone needs no answer.
-        let _ = self.answer.try_send((self.row, result));
+impl QueuedStep {
+    fn send_result(&self, result: InferResult) {
+        // The send fails if the caller has disconnected.
+        let _ = self.result_sender.try_send((self.row, result));
     }
 }
 
 impl Scheduler {
     pub(super) fn new(
         options: EngineOptions,
-        switches: Arc<FaultSwitches>,
+        faults: Arc<FaultSwitches>,
     ) -> Scheduler {
         let stage = Stage::new(&options);
-        let (wake, woken) = async_channel::bounded(1);
+        let (notify, notified) = async_channel::bounded(1);
         Scheduler {
             options,
-            switches,
+            faults,
             record: Record::new(),
             stage: Mutex::new(stage),
             queue: Mutex::default(),
-            wake,
-            woken,
+            notify,
+            notified,
             running: AtomicU32::new(0),
             counters: Counters::default(),
         }
@@ -177,8 +177,8 @@
         self.queue.lock().expect("no holder panics")
     }
 
-    /// Runs the rows of a call; nothing when the engine went down before it
-    /// had run them all.
+    /// Runs the rows of a call. Returns none if the engine went down before all
+    /// of them had run.
     pub(super) async fn infer(
         &self,
         layers: Range<u32>,
@@ -196,21 +196,23 @@
     }
 
     fn submit(&self, layers: Range<u32>, rows: Steps) -> Receiver<RowResult> {
-        let (answer, results) = async_channel::unbounded();
+        let (result_sender, results) = async_channel::unbounded();
         let mut queue = self.queue();
         for (row, (_, step)) in rows.into_iter().enumerate() {
             let layers = layers.clone();
-            let answer = answer.clone();
+            let result_sender = result_sender.clone();
             match step {
-                Ok(step) => queue.push(Waiting { step, layers, row, answer }),
+                Ok(step) => {
+                    queue.push(QueuedStep { step, layers, row, result_sender })
+                }
                 Err(e) => {
                     self.counters.refused.fetch_add(1, Ordering::Relaxed);
-                    let _ = answer.try_send((row, Err(e)));
+                    let _ = result_sender.try_send((row, Err(e)));
                 }
             }
         }
         drop(queue);
-        let _ = self.wake.try_send(());
+        let _ = self.notify.try_send(());
         results
     }
 
@@ -223,56 +225,57 @@
         sequences.iter().filter(|id| stage.release(**id)).count()
     }
 
-    /// Runs iterations for ever.
+    /// Runs iterations until cancelled.
     pub(super) async fn run(&self) {
         loop {
-            let batch = self.queue().take(self.options.max_batch);
+            let batch = self.queue().pop_batch(self.options.max_batch);
             if batch.is_empty() {
-                let _ = self.woken.recv().await;
+                let _ = self.notified.recv().await;
                 continue;
             }
             self.run_iteration(batch).await;
-            // Without a step time the loop would never let calls in.
+            // Without a step time, the loop would never yield to the tasks that
+            // serve calls.
             future::yield_now().await;
         }
     }
 
-    async fn run_iteration(&self, batch: Vec<Waiting>) {
+    async fn run_iteration(&self, batch: Vec<QueuedStep>) {
         self.running.store(batch.len() as u32, Ordering::Relaxed);
         self.counters.iterations.fetch_add(1, Ordering::Relaxed);
         let mut time = Duration::from_micros(self.options.step_us);
         let mut results = Vec::with_capacity(batch.len());
-        for waiting in &batch {
-            // An engine that went down drops the rest of its batch.
-            if self.switches.is_down() {
+        for queued in &batch {
+            // An engine that goes down drops the rest of the batch.
+            if self.faults.is_down() {
                 break;
             }
-            let result = self.run_step(waiting);
-            time += self.cost(&waiting.step, &result);
+            let result = self.run_step(queued);
+            time += self.token_time(&queued.step, &result);
             results.push(result);
         }
         if time > Duration::ZERO {
             Timer::after(time).await;
         }
         self.running.store(0, Ordering::Relaxed);
-        for (waiting, result) in batch.iter().zip(results) {
-            waiting.finish(result);
+        for (queued, result) in batch.iter().zip(results) {
+            queued.send_result(result);
         }
     }
 
-    fn run_step(&self, waiting: &Waiting) -> InferResult {
+    fn run_step(&self, queued: &QueuedStep) -> InferResult {
         let mut stage = self.stage();
-        let held = stage.layers();
-        let result = if held == waiting.layers {
-            stage.run(&waiting.step)
+        let loaded = stage.layers();
+        let result = if loaded == queued.layers {
+            stage.run(&queued.step)
         } else {
             Err(SequenceError::BadRequest(format!(
-                "layers {:?} were asked for, {held:?} are held",
-                waiting.layers
+                "layers {:?} were requested, but {loaded:?} are loaded",
+                queued.layers
             )))
         };
         match &result {
-            Ok(output) => self.count_run(&waiting.step, output.span, held),
+            Ok(output) => self.record_run(&queued.step, output.span, loaded),
             Err(_) => {
                 self.counters.refused.fetch_add(1, Ordering::Relaxed);
             }
@@ -280,9 +283,9 @@
         result
     }
 
-    /// Counts and records a run; called under the stage's lock, so that the
-    /// record has the order of the runs.
-    fn count_run(&self, step: &SequenceStep, span: u32, layers: Range<u32>) {
+    /// Counts and records a run. The caller holds the lock of the stage, so
+    /// the record has the order of the runs.
+    fn record_run(&self, step: &SequenceStep, span: u32, layers: Range<u32>) {
         self.record.push(RunRecord {
             request: format!("{:032x}", step.sequence.request),
             attempt: step.sequence.attempt,
@@ -293,15 +296,19 @@
         });
         self.counters.steps.fetch_add(1, Ordering::Relaxed);
         self.counters.positions.fetch_add(span.into(), Ordering::Relaxed);
-        self.switches.count_positions(span);
+        self.faults.count_positions(span);
     }
 
-    fn cost(&self, step: &SequenceStep, result: &InferResult) -> Duration {
+    fn token_time(
+        &self,
+        step: &SequenceStep,
+        result: &InferResult,
+    ) -> Duration {
         let Ok(output) = result else { return Duration::ZERO };
         let count = u64::from(output.span - output.cached_tokens);
         match step.position {
-            0 => time_of(count, self.options.prompt_tokens_per_s),
-            _ => time_of(count, self.options.output_tokens_per_s),
+            0 => time_at_rate(count, self.options.prompt_tokens_per_s),
+            _ => time_at_rate(count, self.options.output_tokens_per_s),
         }
     }
 
@@ -331,8 +338,8 @@
     }
 }
 
-/// Time of tokens at a rate; a rate of 0 takes no time.
-fn time_of(tokens: u64, rate_per_s: u64) -> Duration {
+/// Time to process tokens at a rate; zero for a rate of 0.
+fn time_at_rate(tokens: u64, rate_per_s: u64) -> Duration {
     let nanos = (tokens * 1_000_000_000).checked_div(rate_per_s);
     Duration::from_nanos(nanos.unwrap_or(0))
 }
--- a/crates/standins/src/engine/stage.rs
+++ b/crates/standins/src/engine/stage.rs
@@ -1,8 +1,8 @@
-//! The KV state of sequences and the run of a step.
+//! The KV state of sequences, and how a step runs.
 //!
-//! A step is checked whole before any of its layers is run: one that is
-//! refused leaves no trace. An activation is a header with what the last
-//! layer must know of the prompt, and the hidden state of each position.
+//! A step is validated completely before any of its layers runs, so a rejected
+//! step changes no state. An activation consists of a header, with the data of
+//! the prompt that the last layer needs, and the hidden state of each position.
 
 use std::{
     collections::BTreeMap,
@@ -22,12 +22,12 @@
     prompt::Prompt,
 };
 
-/// Bytes of an activation's header: two numbers of 32 bits.
+/// Bytes of an activation's header, which holds two 32-bit integers.
 const HEADER_BYTES: usize = 8;
-/// Bytes of the hidden state of a position.
+/// Bytes of the hidden state of one position.
 const STATE_BYTES: usize = 8;
 
-/// The layers an engine holds and the sequences in its memory.
+/// The layers that an engine has loaded, and the sequences in its memory.
 #[derive(Debug)]
 pub(super) struct Stage {
     layers: Range<u32>,
@@ -44,22 +44,22 @@
 struct Sequence {
     next_position: u32,
     last_run: Instant,
-    /// Hash of the tokens so far; only on the first stage.
+    /// Hash of the tokens so far; 0 on later stages.
     context: u64,
-    /// Each layer's output at the position before.
-    before: Vec<u64>,
+    /// Each layer's output at the previous position.
+    previous_outputs: Vec<u64>,
     header: Header,
 }
 
-/// What the last layer must know of a prompt.
+/// Data of a prompt that the last layer needs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Header {
     prompt_tokens: u32,
-    /// 0 for an answer without an end of its own.
+    /// Token of the answer after which the engine stops; 0 for none.
     stop_after: u32,
 }
 
-/// The input of the first layer held, and the context after it.
+/// Input of the first loaded layer, and the context after the input.
 struct Inputs {
     header: Header,
     context: u64,
@@ -91,7 +91,7 @@
         self.sequence_tokens + self.prefixes.used_tokens()
     }
 
-    /// Takes other layers and forgets every sequence.
+    /// Replaces the loaded layers and drops every sequence.
     pub(super) fn replace_layers(&mut self, layers: Range<u32>) {
         self.layers = layers;
         self.sequences.clear();
@@ -99,7 +99,7 @@
         self.prefixes = PrefixCache::default();
     }
 
-    /// Forgets a sequence; whether it was known.
+    /// Drops a sequence. Returns whether the sequence was in memory.
     pub(super) fn release(&mut self, id: SequenceId) -> bool {
         let Some(sequence) = self.sequences.remove(&id) else {
             return false;
@@ -108,18 +108,18 @@
         true
     }
 
-    /// Runs the layers held on a step.
+    /// Runs the loaded layers on a step.
     pub(super) fn run(
         &mut self,
         step: &SequenceStep,
     ) -> Result<SequenceOutput, SequenceError> {
-        let mut sequence = self.sequence(step)?;
+        let mut sequence = self.sequence_for(step)?;
         let inputs = self.inputs(step, &sequence)?;
         let span = inputs.states.len() as u32;
         self.reserve(step.sequence, span)?;
         let is_prompt = step.position == 0;
         let cached_tokens =
-            if is_prompt { self.cache(&inputs.states) } else { 0 };
+            if is_prompt { self.cache_prompt(&inputs.states) } else { 0 };
         sequence.last_run = Instant::now();
         sequence.context = inputs.context;
         sequence.header = inputs.header;
@@ -133,8 +133,13 @@
         Ok(SequenceOutput { span, prompt_tokens, cached_tokens, output })
     }
 
-    /// The sequence of a step, if it is the next one of it.
-    fn sequence(
+    /// Returns the sequence of a step, new if it isn't in memory.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the step doesn't start at the sequence's next
+    /// position.
+    fn sequence_for(
         &self,
         step: &SequenceStep,
     ) -> Result<Sequence, SequenceError> {
@@ -142,7 +147,7 @@
         let next = known.map_or(0, |sequence| sequence.next_position);
         if step.position != next {
             return Err(SequenceError::OutOfOrder(format!(
-                "sequence {}: position {} where {next} is next",
+                "sequence {}: the step starts at position {}, expected {next}",
                 step.sequence, step.position
             )));
         }
@@ -170,14 +175,14 @@
                 activation_inputs(*span, bytes)
             }
             _ => Err(SequenceError::BadRequest(format!(
-                "no such input at layer {}, position {}",
+                "unexpected kind of input at layer {}, position {}",
                 self.layers.start, step.position
             ))),
         }
     }
 
-    /// Takes memory for positions, from idle sequences and cached prefixes
-    /// if need be.
+    /// Reserves memory for positions, evicting idle sequences and cached
+    /// prefixes if necessary.
     fn reserve(
         &mut self,
         id: SequenceId,
@@ -187,16 +192,16 @@
         if self.sequence_tokens + span > self.cache_tokens {
             self.release_idle(id);
         }
-        let wanted = self.sequence_tokens + span;
-        let Some(room) = self.cache_tokens.checked_sub(wanted) else {
+        let used = self.sequence_tokens + span;
+        let Some(free) = self.cache_tokens.checked_sub(used) else {
             return Err(SequenceError::NoMemory);
         };
-        self.prefixes.shrink_to(room);
-        self.sequence_tokens = wanted;
+        self.prefixes.shrink_to(free);
+        self.sequence_tokens = used;
         Ok(())
     }
 
-    /// Forgets sequences that were not used for long, but for one.
+    /// Drops the sequences that have been idle for too long, except for one.
     fn release_idle(&mut self, kept: SequenceId) {
         let limit = self.sequence_idle;
         let is_idle =
@@ -209,19 +214,22 @@
         }
     }
 
-    /// How much of a prompt was cached; caches the rest.
-    fn cache(&mut self, states: &[u64]) -> u32 {
-        let hit = self.prefixes.hit(states);
+    /// Caches a prompt. Returns how many of its positions were cached already.
+    fn cache_prompt(&mut self, states: &[u64]) -> u32 {
+        let cached_tokens = self.prefixes.lookup(states);
         self.prefixes.insert(states);
         self.prefixes.shrink_to(self.cache_tokens - self.sequence_tokens);
-        hit
+        cached_tokens
     }
 
     fn output(&self, sequence: &Sequence, states: &[u64]) -> StepOutput {
         if self.layers.end < self.layer_count {
-            return StepOutput::Activation(encode(sequence.header, states));
+            return StepOutput::Activation(encode_activation(
+                sequence.header,
+                states,
+            ));
         }
-        let last = states.last().expect("a step covers a position");
+        let last = states.last().expect("a step covers at least one position");
         let token = token_of_state(*last);
         let text = text_of_token(token);
         StepOutput::Token { token, text, is_stop: sequence.is_stop() }
@@ -234,24 +242,27 @@
             next_position: 0,
             last_run: Instant::now(),
             context: 0,
-            before: vec![0; layers.len()],
+            previous_outputs: vec![0; layers.len()],
             header: Header::default(),
         }
     }
 
-    /// The output of the layers at each position.
+    /// Returns the output of the layers at each position.
     fn run(&mut self, layers: Range<u32>, mut states: Vec<u64>) -> Vec<u64> {
         for state in &mut states {
-            for (layer, before) in layers.clone().zip(&mut self.before) {
-                *state = run_layer(*state, layer, self.next_position, *before);
-                *before = *state;
+            for (layer, previous) in
+                layers.clone().zip(&mut self.previous_outputs)
+            {
+                *state =
+                    run_layer(*state, layer, self.next_position, *previous);
+                *previous = *state;
             }
             self.next_position += 1;
         }
         states
     }
 
-    /// Whether the token after the positions so far ends the answer.
+    /// Whether the token generated after the positions so far ends the answer.
     fn is_stop(&self) -> bool {
         let Header { prompt_tokens, stop_after } = self.header;
         let ordinal = (self.next_position + 1).saturating_sub(prompt_tokens);
@@ -264,7 +275,7 @@
     delivered_tokens: &[u32],
 ) -> Result<Inputs, SequenceError> {
     let prompt = Prompt::parse(request_json).map_err(|e| {
-        SequenceError::BadRequest(format!("the request is unreadable: {e}"))
+        SequenceError::BadRequest(format!("the request can't be parsed: {e}"))
     })?;
     let header = Header {
         prompt_tokens: prompt.tokens.len() as u32,
@@ -286,7 +297,7 @@
     let expected = HEADER_BYTES + span as usize * STATE_BYTES;
     if span == 0 || bytes.len() != expected {
         return Err(SequenceError::BadRequest(format!(
-            "{} bytes of activation for {span} positions, not {expected}",
+            "{} bytes of activation for {span} positions, expected {expected}",
             bytes.len()
         )));
     }
@@ -300,7 +311,7 @@
     Ok(Inputs { header, context: 0, states })
 }
 
-fn encode(header: Header, states: &[u64]) -> Vec<u8> {
+fn encode_activation(header: Header, states: &[u64]) -> Vec<u8> {
     let length = HEADER_BYTES + states.len() * STATE_BYTES;
     let mut bytes = Vec::with_capacity(length);
     bytes.extend(header.prompt_tokens.to_le_bytes());
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,8 +1,8 @@
-//! Faults switched on and off while a stand-in runs.
+//! Faults that tests inject into a running stand-in.
 //!
-//! `PUT /faults` replaces all of them; what the body leaves out is off. The
-//! paths `/faults`, `/held`, `/rests`, `/record` and `/stats` work whatever is switched
-//! on. A call that is held goes on as soon as its fault is switched off.
+//! `PUT /faults` replaces all faults; a fault that the body omits is off. The
+//! paths `/faults`, `/held`, `/rests`, `/record` and `/stats` are not affected by
+//! faults. A held call continues as soon as its fault is switched off.
 
 use std::{
     sync::{
@@ -15,72 +15,75 @@
 use async_io::Timer;
 use serde::{Deserialize, Serialize};
 
-/// The faults of a stand-in.
+/// Faults of a stand-in, the body of `PUT /faults`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Closes connections when a call comes.
+    /// Closes the connection when a call arrives.
     pub down: bool,
-    /// Reads calls and never answers.
+    /// Reads calls and never responds.
     pub silent: bool,
-    /// Delay of answers, after the run.
+    /// Delay of responses after the run, in milliseconds.
     pub slow_ms: u64,
-    /// Of a thousand calls, how many are answered 500 without a run.
+    /// Share of calls that get status 500 without a run, in thousandths.
     pub error_permille: u32,
-    /// Goes down after so many more positions have been run.
+    /// Switches `down` on after this many more positions have run.
     pub fail_after_positions: Option<u64>,
-    /// Runs calls and closes the connection in place of an answer.
+    /// Runs calls and closes the connection instead of responding.
     pub lose_answers: bool,
-    /// Turns calls away without a run, and asks for so much rest.
+    /// Rejects calls without a run and requests a cooldown of this many
+    /// milliseconds.
     pub rest_ms: Option<u64>,
-    /// Holds calls with a step that begins at this position, before the run.
+    /// Holds calls with a step that starts at this position, before the run.
     pub hold_before_position: Option<u32>,
-    /// Holds the answers of such calls, after the run.
+    /// Holds the responses of calls with a step that starts at this position,
+    /// after the run.
     pub hold_after_position: Option<u32>,
 }
 
-/// Time between two looks at whether a call is still held.
-const HOLD_LOOK: Duration = Duration::from_millis(1);
+/// Interval at which a held call checks whether its fault is still on.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Where a call is held.
+/// Point at which a call is held, relative to its run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum HoldPoint {
     Before,
     After,
 }
 
-/// What happens to a call before it is run.
+/// How a call is handled under the current faults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Before {
+pub(crate) enum CallAction {
     Run,
     Close,
-    StaySilent,
+    Hang,
     Fail,
-    /// It is turned away by a server that wants so much rest.
-    Rest(Duration),
+    /// The call is rejected with a cooldown of this length.
+    Reject(Duration),
 }
 
-/// Answer to `GET /rests`.
+/// Response to `GET /rests`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub(crate) struct Rests {
-    /// Calls that were turned away.
+pub(crate) struct CooldownStats {
+    /// Calls that were rejected with a cooldown.
     turned_away: u64,
-    /// Of these, how many came while an earlier one had asked for rest.
+    /// Rejected calls that arrived during the cooldown of an earlier one.
     in_rest: u64,
-    /// The same in one rest, at most; those that come make it longer.
+    /// Maximum of `in_rest` over single cooldowns. A call that arrives during
+    /// a cooldown extends it.
     most_in_one: u64,
     #[serde(skip)]
-    in_this_one: u64,
+    in_current_cooldown: u64,
     #[serde(skip)]
-    until: Option<Instant>,
+    ends_at: Option<Instant>,
 }
 
-/// The switches of one stand-in.
+/// Current faults of one stand-in, and counts of the calls they affected.
 #[derive(Debug, Default)]
 pub(crate) struct FaultSwitches {
     faults: Mutex<Faults>,
-    held: AtomicU32,
-    rests: Mutex<Rests>,
+    held_calls: AtomicU32,
+    cooldowns: Mutex<CooldownStats>,
 }
 
 impl FaultSwitches {
@@ -96,44 +99,45 @@
         *self.lock() = faults;
     }
 
-    pub(crate) fn before_run(&self) -> Before {
+    pub(crate) fn next_action(&self) -> CallAction {
         let faults = self.lock();
         if faults.down {
-            Before::Close
+            CallAction::Close
         } else if faults.silent {
-            Before::StaySilent
+            CallAction::Hang
         } else if fastrand::u32(0..1000) < faults.error_permille {
-            Before::Fail
+            CallAction::Fail
         } else if let Some(rest_ms) = faults.rest_ms {
-            let rest = Duration::from_millis(rest_ms);
-            self.turn_away(rest);
-            Before::Rest(rest)
+            let cooldown = Duration::from_millis(rest_ms);
+            self.record_rejection(cooldown);
+            CallAction::Reject(cooldown)
         } else {
-            Before::Run
+            CallAction::Run
         }
     }
 
-    fn turn_away(&self, rest: Duration) {
+    fn record_rejection(&self, cooldown: Duration) {
         let now = Instant::now();
-        let mut rests = self.rests.lock().expect("no holder panics");
-        rests.turned_away += 1;
-        if rests.until.is_some_and(|until| now < until) {
-            rests.in_rest += 1;
-            rests.in_this_one += 1;
-            rests.most_in_one = rests.most_in_one.max(rests.in_this_one);
+        let mut cooldowns = self.cooldowns.lock().expect("no holder panics");
+        cooldowns.turned_away += 1;
+        if cooldowns.ends_at.is_some_and(|ends_at| now < ends_at) {
+            cooldowns.in_rest += 1;
+            cooldowns.in_current_cooldown += 1;
+            cooldowns.most_in_one =
+                cooldowns.most_in_one.max(cooldowns.in_current_cooldown);
         } else {
-            rests.in_this_one = 0;
+            cooldowns.in_current_cooldown = 0;
         }
-        rests.until = Some(now + rest);
+        cooldowns.ends_at = Some(now + cooldown);
     }
 
-    /// Calls that were turned away so far.
-    pub(crate) fn rests(&self) -> Rests {
-        *self.rests.lock().expect("no holder panics")
+    /// Counts of the calls rejected with a cooldown so far.
+    pub(crate) fn cooldown_stats(&self) -> CooldownStats {
+        *self.cooldowns.lock().expect("no holder panics")
     }
 
-    /// Whether the answer of a call that was run is lost.
-    pub(crate) fn loses_answer(&self) -> bool {
+    /// Whether the response of a call that ran is lost.
+    pub(crate) fn loses_response(&self) -> bool {
         let faults = self.lock();
         faults.down || faults.lose_answers
     }
@@ -146,7 +150,7 @@
         self.lock().down
     }
 
-    /// Counts positions that were run towards `fail_after_positions`.
+    /// Counts positions that ran towards `fail_after_positions`.
     pub(crate) fn count_positions(&self, count: u32) {
         let mut faults = self.lock();
         let Some(left) = faults.fail_after_positions else { return };
@@ -155,29 +159,29 @@
         faults.down |= left == 0;
     }
 
-    /// Waits while a call with steps that begin at these positions is held.
+    /// Waits while calls with steps that start at these positions are held.
     pub(crate) async fn hold(&self, point: HoldPoint, positions: &[u32]) {
         if !self.is_held(point, positions) {
             return;
         }
-        self.held.fetch_add(1, Ordering::AcqRel);
+        self.held_calls.fetch_add(1, Ordering::AcqRel);
         while self.is_held(point, positions) {
-            Timer::after(HOLD_LOOK).await;
+            Timer::after(HOLD_POLL_INTERVAL).await;
         }
-        self.held.fetch_sub(1, Ordering::AcqRel);
+        self.held_calls.fetch_sub(1, Ordering::AcqRel);
     }
 
     fn is_held(&self, point: HoldPoint, positions: &[u32]) -> bool {
         let faults = self.lock();
-        let held = match point {
+        let held_position = match point {
             HoldPoint::Before => faults.hold_before_position,
             HoldPoint::After => faults.hold_after_position,
         };
-        held.is_some_and(|at| positions.contains(&at))
+        held_position.is_some_and(|at| positions.contains(&at))
     }
 
-    /// Calls held now.
-    pub(crate) fn held(&self) -> u32 {
-        self.held.load(Ordering::Acquire)
+    /// Number of calls that are currently held.
+    pub(crate) fn held_calls(&self) -> u32 {
+        self.held_calls.load(Ordering::Acquire)
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,12 +1,13 @@
-//! Stand-ins for what the system meets, for tests and the demo.
+//! Stand-ins for the outside systems that the fleet talks to, for tests and
+//! the demo.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`engine`] | a model engine that holds a range of layers |
-//! | [`platform`] | the table service, the object store, the list of VMs |
-//! | [`plain`] | a plain service whose runs are counted |
-//! | [`faults`] | faults switched on and off while a stand-in runs |
-//! | [`record`] | what a stand-in has run, for tests to check |
+//! | [`engine`] | a model engine that serves a range of layers |
+//! | [`platform`] | the table service, the object store and the VM list |
+//! | [`plain`] | a plain service that counts how often each call ran |
+//! | [`faults`] | faults that tests inject into a running stand-in |
+//! | [`record`] | the log of calls that a stand-in ran, for tests to check |
 //! | [`standin_thread`] | a stand-in on a thread of the calling process |
 //!
 //! # Example
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::{
     io::{self, Write as _},
@@ -17,8 +17,8 @@
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// Threads besides the one that accepts connections.
-const EXTRA_THREADS: usize = 1;
+/// Executor threads in addition to the main thread.
+const EXTRA_EXECUTOR_THREADS: usize = 1;
 
 fn main() -> anyhow::Result<()> {
     let matches = command().get_matches();
@@ -34,18 +34,20 @@
         Some(("vm-list", matches)) => run(matches, |executor, listener| {
             serve_vm_list(listener, Arc::new(Faults::new()), executor)
         }),
-        _ => unreachable!("clap asks for a known subcommand"),
+        _ => unreachable!("clap accepts only the listed subcommands"),
     }
 }
 
 fn command() -> Command {
     Command::new("chestnutreach-standin")
-        .about("Stands in for engines, plain services and the platform")
+        .about(
+            "Runs a stand-in for an engine, a plain service or the platform",
+        )
         .subcommand_required(true)
         .subcommand(engine_command())
         .subcommand(
             Command::new("plain")
-                .about("A plain service whose runs are counted")
+                .about("A plain service that counts how often each call ran")
                 .arg(listen_arg()),
         )
         .subcommand(
@@ -60,32 +62,60 @@
         )
         .subcommand(
             Command::new("vm-list")
-                .about("The platform's list of live and leaving VMs")
+                .about("The platform's list of VMs with their states")
                 .arg(listen_arg()),
         )
 }
 
 fn engine_command() -> Command {
     Command::new("engine")
-        .about("A model engine that holds a range of layers")
+        .about("A model engine that serves a range of layers")
         .arg(listen_arg())
         .arg(Arg::new("model").long("model").default_value("desk-llm"))
-        .arg(number("first-layer", "0", "First layer to hold"))
-        .arg(number("end-layer", "24", "Layer after the last to hold"))
-        .arg(number("layer-count", "24", "Layers of the whole model"))
-        .arg(number("prompt-tokens-per-s", "0", "0 takes no time"))
-        .arg(number("output-tokens-per-s", "0", "0 takes no time"))
-        .arg(number("step-us", "0", "Time of an iteration"))
-        .arg(number("cache-tokens", "1000000", "KV memory in positions"))
-        .arg(number("sequence-idle-ms", "60000", "Idle time in memory"))
-        .arg(number("max-batch", "64", "Most steps in an iteration"))
-        .arg(number("report-lag-ms", "0", "Lag of the reported load"))
-        .arg(number("load-ms-per-layer", "0", "Time to load weights"))
+        .arg(number("first-layer", "0", "First layer to load"))
+        .arg(number("end-layer", "24", "Layer after the last one to load"))
+        .arg(number(
+            "layer-count",
+            "24",
+            "Number of layers of the whole model",
+        ))
+        .arg(number(
+            "prompt-tokens-per-s",
+            "0",
+            "Prefill rate; 0 is unlimited",
+        ))
+        .arg(number("output-tokens-per-s", "0", "Decode rate; 0 is unlimited"))
+        .arg(number("step-us", "0", "Fixed time per iteration"))
+        .arg(number(
+            "cache-tokens",
+            "1000000",
+            "KV cache capacity in positions",
+        ))
+        .arg(number(
+            "sequence-idle-ms",
+            "60000",
+            "Idle time before a sequence may be evicted",
+        ))
+        .arg(number(
+            "max-batch",
+            "64",
+            "Maximum number of steps per iteration",
+        ))
+        .arg(number(
+            "report-lag-ms",
+            "0",
+            "Interval at which the load report is refreshed",
+        ))
+        .arg(number(
+            "load-ms-per-layer",
+            "0",
+            "Time to load the weights of a layer",
+        ))
         .arg(
             Arg::new("checks-fencing")
                 .long("checks-fencing")
                 .action(ArgAction::SetTrue)
-                .help("Refuse orders with an old fencing number"),
+                .help("Reject load orders with an old fencing number"),
         )
 }
 
@@ -94,7 +124,7 @@
         .long("listen")
         .value_parser(value_parser!(SocketAddr))
         .default_value("127.0.0.1:0")
-        .help("Where to listen; port 0 takes a free one")
+        .help("Address to listen on; port 0 selects a free port")
 }
 
 fn number(
@@ -145,7 +175,7 @@
     *matches.get_one(name).expect("has a default")
 }
 
-/// Serves at the address asked for until the process is ended.
+/// Listens on the address of `--listen` and serves until the process exits.
 fn run<S, F>(matches: &ArgMatches, serve: S) -> anyhow::Result<()>
 where
     S: FnOnce(Arc<Executor<'static>>, Async<TcpListener>) -> F,
@@ -156,7 +186,7 @@
         .with_context(|| format!("cannot listen on {address}"))?;
     let address = listener.get_ref().local_addr()?;
     let executor = Arc::new(Executor::new());
-    for _ in 0..EXTRA_THREADS {
+    for _ in 0..EXTRA_EXECUTOR_THREADS {
         let executor = executor.clone();
         thread::spawn(move || {
             block_on(executor.run(std::future::pending::<()>()))
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -1,8 +1,8 @@
-//! A plain service whose runs are counted.
+//! A plain service that counts how often each call ran.
 //!
-//! It takes any method and path, counts how often each body was sent to each
-//! path, and answers what it saw. A run counts from the moment the call is
-//! read, before any delay: a caller that gives up has still caused it.
+//! The service accepts any method and path, counts how often each body was
+//! sent to each path, and returns what it received. A run is counted before
+//! any delay, so a call whose caller times out is counted as well.
 
 use std::{
     collections::BTreeMap,
@@ -24,43 +24,45 @@
     serving::{self, Reply},
 };
 
-/// Header that names the request.
+/// Header with the request ID.
 const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header that asks for a delay, in milliseconds.
-const SLEEP_HEADER: &str = "x-sleep-ms";
-/// Path that is always answered 500.
+/// Header with a delay before the response, in milliseconds.
+const DELAY_HEADER: &str = "x-sleep-ms";
+/// Path that always returns status 500.
 const FAIL_PATH: &str = "/fail";
-/// Position that a call counts as where calls are held.
-const CALL_POSITION: u32 = 0;
+/// Position that stands for every call in the hold faults; a plain call has no
+/// token positions.
+const HOLD_POSITION: u32 = 0;
 
-/// The answer to a call.
+/// Response to a call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlainResponse {
-    /// Method of the call.
+    /// HTTP method of the call.
     pub method: String,
     /// Path of the call.
     pub path: String,
     /// BLAKE3 digest of the body, in hex.
     pub body_digest: String,
-    /// How often this body has been sent to this path, this time included.
+    /// How often this body has been sent to this path with this method,
+    /// including this call.
     pub run: u64,
 }
 
-/// A call that was run.
+/// Record of a call that ran.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlainRecord {
-    /// The header `x-request-id`, or nothing.
+    /// Value of the header `x-request-id`; empty if missing.
     pub request_id: String,
-    /// What was run.
+    /// Response to the call.
     #[serde(flatten)]
     pub response: PlainResponse,
 }
 
-/// Serves until the listener fails.
+/// Serves connections until the listener fails.
 ///
 /// # Errors
 ///
-/// The listener failed.
+/// Returns the error of the listener.
 pub async fn serve(
     executor: Arc<Executor<'static>>,
     listener: Async<TcpListener>,
@@ -75,7 +77,7 @@
 
 #[derive(Debug)]
 struct Service {
-    switches: FaultSwitches,
+    faults: FaultSwitches,
     record: Record<PlainRecord>,
     runs: Mutex<BTreeMap<RunKey, u64>>,
 }
@@ -96,42 +98,42 @@
 impl Service {
     fn new() -> Service {
         Service {
-            switches: FaultSwitches::default(),
+            faults: FaultSwitches::default(),
             record: Record::new(),
             runs: Mutex::default(),
         }
     }
 
     async fn handle(&self, received: ReceivedRequest) -> Reply {
-        let control =
-            serving::control(&received, &self.switches, &self.record);
-        if let Some(response) = control {
+        let control_response =
+            serving::handle_control(&received, &self.faults, &self.record);
+        if let Some(response) = control_response {
             return response.into();
         }
         if received.request.url().path() == "/stats" {
             return serving::json(&self.stats()).into();
         }
-        serving::with_faults(&self.switches, self.run(&received)).await
+        serving::with_faults(&self.faults, self.run(&received)).await
     }
 
     async fn run(&self, received: &ReceivedRequest) -> Response {
-        self.switches.hold(HoldPoint::Before, &[CALL_POSITION]).await;
-        let answer = self.count(received);
+        self.faults.hold(HoldPoint::Before, &[HOLD_POSITION]).await;
+        let response = self.count_run(received);
         let request_id = header(received, REQUEST_ID_HEADER).to_owned();
-        let entry = PlainRecord { request_id, response: answer.clone() };
+        let entry = PlainRecord { request_id, response: response.clone() };
         self.record.push(entry);
-        if let Ok(sleep_ms) = header(received, SLEEP_HEADER).parse() {
-            Timer::after(Duration::from_millis(sleep_ms)).await;
+        if let Ok(delay_ms) = header(received, DELAY_HEADER).parse() {
+            Timer::after(Duration::from_millis(delay_ms)).await;
         }
-        self.switches.hold(HoldPoint::After, &[CALL_POSITION]).await;
-        if answer.path == FAIL_PATH {
+        self.faults.hold(HoldPoint::After, &[HOLD_POSITION]).await;
+        if response.path == FAIL_PATH {
             let status = StatusCode::InternalServerError;
-            return serving::json_with_status(status, &answer);
+            return serving::json_with_status(status, &response);
         }
-        serving::json(&answer)
+        serving::json(&response)
     }
 
-    fn count(&self, received: &ReceivedRequest) -> PlainResponse {
+    fn count_run(&self, received: &ReceivedRequest) -> PlainResponse {
         let key = RunKey {
             method: received.request.method().to_string(),
             path: received.request.url().path().to_owned(),
--- a/crates/standins/src/platform/faults.rs
+++ b/crates/standins/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that can be switched on while a stand-in serves.
+//! Faults that tests inject into a running stand-in of the platform.
 
 use std::{
     sync::{
@@ -11,68 +11,69 @@
 use async_io::Timer;
 use serde::{Deserialize, Serialize};
 
-/// How a stand-in is down.
+/// Whether and how a stand-in is down.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Down {
-    /// It is up.
+    /// Up.
     #[default]
     No,
-    /// It closes each connection when a request has come.
+    /// Closes the connection when a request has been received.
     Closed,
-    /// It answers 503 and does nothing.
+    /// Returns status 503 without handling the request.
     Unavailable,
 }
 
-/// Body of `PUT /faults`; what is left out is off.
+/// Body of `PUT /faults`; omitted faults are off.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultSettings {
-    /// Whether it is down.
+    /// Whether and how the stand-in is down.
     pub down: Down,
-    /// Pause before each call.
+    /// Delay before each call, in milliseconds.
     pub slow_ms: u64,
-    /// Calls of 1,000 that are answered 500; of the writes among them half
-    /// are applied.
+    /// Share of calls that get status 500, in thousandths. About half of the
+    /// writes among them are applied nevertheless.
     pub error_permille: u32,
-    /// Next writes that are applied, and the connection closed.
+    /// Number of next writes that are applied but whose connection is closed
+    /// without a response.
     pub lose_answers: u64,
-    /// Next writes that are dropped, and the connection closed.
+    /// Number of next writes that are dropped and whose connection is closed.
     pub lose_requests: u64,
-    /// Holds writes before they are applied, until switched off.
+    /// Holds writes before they are applied, until the fault is switched off.
     pub hold_requests: bool,
-    /// Holds the answers of writes that were applied, until switched off.
+    /// Holds the responses of applied writes until the fault is switched off.
     pub hold_answers: bool,
-    /// Age of the VM list that is shown.
+    /// Minimum age of the VM list that is returned, in milliseconds.
     pub lag_ms: u64,
-    /// Read requests taken in a second; 0 for no limit.
+    /// Maximum read requests per second; 0 for no limit.
     pub max_reads_per_s: u64,
-    /// Write requests taken in a second; 0 for no limit.
+    /// Maximum write requests per second; 0 for no limit.
     pub max_writes_per_s: u64,
 }
 
-/// The faults of a stand-in, as they are set now.
+/// Current faults of a stand-in.
 #[derive(Debug, Default)]
 pub struct Faults {
     settings: Mutex<FaultSettings>,
-    held: AtomicU32,
+    held_writes: AtomicU32,
 }
 
-/// Time between two looks at whether a write is still held.
-const HOLD_LOOK: Duration = Duration::from_millis(1);
+/// Interval at which a held write checks whether its fault is still on.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Where a write is held.
+/// Point at which a write is held.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum HoldPoint {
     Request,
-    Answer,
+    Response,
 }
 
-/// What is to happen to a call.
+/// How a call is handled under the current faults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Fate {
+pub(super) enum CallAction {
     Serve,
     CloseBefore,
     CloseAfter,
@@ -82,73 +83,74 @@
 }
 
 impl Faults {
-    /// No faults.
+    /// Creates settings with all faults off.
     pub fn new() -> Faults {
         Faults::default()
     }
 
-    /// Sets all faults anew.
+    /// Replaces all faults.
     pub fn set(&self, settings: FaultSettings) {
         *self.lock() = settings;
     }
 
-    /// The faults as they are now; counts that were used up are lower.
+    /// Current faults; counts are reduced by the writes they already affected.
     pub fn settings(&self) -> FaultSettings {
         self.lock().clone()
     }
 
-    pub(super) fn pause(&self) -> Duration {
+    pub(super) fn delay(&self) -> Duration {
         Duration::from_millis(self.lock().slow_ms)
     }
 
-    /// Decides on a call and uses up what it takes.
-    pub(super) fn fate(&self, is_write: bool) -> Fate {
+    /// Decides how a call is handled, and decrements the count of the fault
+    /// that applies.
+    pub(super) fn next_action(&self, is_write: bool) -> CallAction {
         let mut settings = self.lock();
         match settings.down {
             Down::No => {}
-            Down::Closed => return Fate::CloseBefore,
-            Down::Unavailable => return Fate::Refuse,
+            Down::Closed => return CallAction::CloseBefore,
+            Down::Unavailable => return CallAction::Refuse,
         }
         if fastrand::u32(..1000) < settings.error_permille {
             return match fastrand::bool() {
-                true => Fate::FailBefore,
-                false => Fate::FailAfter,
+                true => CallAction::FailBefore,
+                false => CallAction::FailAfter,
             };
         }
         if is_write && settings.lose_requests > 0 {
             settings.lose_requests -= 1;
-            return Fate::CloseBefore;
+            return CallAction::CloseBefore;
         }
         if is_write && settings.lose_answers > 0 {
             settings.lose_answers -= 1;
-            return Fate::CloseAfter;
+            return CallAction::CloseAfter;
         }
-        Fate::Serve
+        CallAction::Serve
     }
 
-    /// Waits while a write is held.
+    /// Waits while writes are held at this point.
     pub(super) async fn hold(&self, point: HoldPoint) {
         if !self.is_held(point) {
             return;
         }
-        self.held.fetch_add(1, Ordering::AcqRel);
+        self.held_writes.fetch_add(1, Ordering::AcqRel);
         while self.is_held(point) {
-            Timer::after(HOLD_LOOK).await;
+            Timer::after(HOLD_POLL_INTERVAL).await;
         }
-        self.held.fetch_sub(1, Ordering::AcqRel);
+        self.held_writes.fetch_sub(1, Ordering::AcqRel);
     }
 
     fn is_held(&self, point: HoldPoint) -> bool {
         let settings = self.lock();
         match point {
             HoldPoint::Request => settings.hold_requests,
-            HoldPoint::Answer => settings.hold_answers,
+            HoldPoint::Response => settings.hold_answers,
         }
     }
 
-    /// Writes held now.
-    pub(super) fn held(&self) -> u32 {
-        self.held.load(Ordering::Acquire)
+    /// Number of writes that are currently held.
+    pub(super) fn held_writes(&self) -> u32 {
+        self.held_writes.load(Ordering::Acquire)
     }
 
     fn lock(&self) -> MutexGuard<'_, FaultSettings> {
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,15 +1,15 @@
 //! Stand-ins for the platform's services, in memory.
 //!
-//! Each serves on a listener of its own and takes `PUT /faults` (see
-//! [`FaultSettings`]) and `GET /stats` beside its service, also while it
-//! acts as if it were down.
+//! Each has its own listener. Besides the service's own calls, it handles
+//! `PUT /faults` (see [`FaultSettings`]), `GET /faults`, `GET /held` and
+//! `GET /stats`, which faults don't affect.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`table`] | the table service |
 //! | [`objects`] | the object store |
-//! | [`vm_list`] | the list of VMs |
-//! | [`faults`] | the faults they can be given |
+//! | [`vm_list`] | the VM list |
+//! | [`faults`] | faults that can be injected |
 
 pub mod faults;
 pub mod objects;
--- a/crates/standins/src/platform/objects.rs
+++ b/crates/standins/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The object store: GET and PUT by path.
+//! The object store, with GET and PUT by path.
 
 use std::{
     collections::BTreeMap,
@@ -15,27 +15,27 @@
 
 use super::{
     faults::Faults,
-    serve::{Answer, Service, serve},
+    serve::{Service, ServiceResponse, serve},
 };
 
-/// Answer to `GET /stats`.
+/// Response to `GET /stats`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ObjectStats {
-    /// GET requests.
+    /// Number of GET requests.
     pub reads: u64,
-    /// PUT requests.
+    /// Number of PUT requests.
     pub writes: u64,
-    /// Bytes given out.
+    /// Bytes of objects returned.
     pub read_bytes: u64,
-    /// Bytes taken in.
+    /// Bytes of objects stored.
     pub written_bytes: u64,
 }
 
-/// Serves a store that is empty at first until the listener fails.
+/// Serves an initially empty store until the listener fails.
 ///
 /// # Errors
 ///
-/// The listener failed.
+/// Returns the error of the listener.
 pub async fn serve_objects(
     listener: Async<TcpListener>,
     faults: Arc<Faults>,
@@ -60,38 +60,38 @@
         received.request.method() == Method::Put
     }
 
-    fn call(&self, received: &ReceivedRequest) -> Answer {
+    fn handle(&self, received: &ReceivedRequest) -> ServiceResponse {
         let path = received.request.url().path();
         let mut state = self.state.lock().expect("no holder panics");
         match received.request.method() {
             Method::Put => state.put(path, &received.body),
             Method::Get => state.get(path),
-            _ => Answer::error(405, "MethodNotAllowed"),
+            _ => ServiceResponse::error(405, "MethodNotAllowed"),
         }
     }
 
-    fn stats(&self) -> Answer {
+    fn stats(&self) -> ServiceResponse {
         let state = self.state.lock().expect("no holder panics");
-        Answer::json(&state.stats)
+        ServiceResponse::json(&state.stats)
     }
 }
 
 impl State {
-    fn put(&mut self, path: &str, body: &[u8]) -> Answer {
+    fn put(&mut self, path: &str, body: &[u8]) -> ServiceResponse {
         self.stats.writes += 1;
         self.stats.written_bytes += body.len() as u64;
         self.objects.insert(path.to_owned(), body.to_vec());
-        Answer::ok(Vec::new())
+        ServiceResponse::ok(Vec::new())
     }
 
-    fn get(&mut self, path: &str) -> Answer {
+    fn get(&mut self, path: &str) -> ServiceResponse {
         self.stats.reads += 1;
         match self.objects.get(path) {
             Some(body) => {
                 self.stats.read_bytes += body.len() as u64;
-                Answer::ok(body.clone())
+                ServiceResponse::ok(body.clone())
             }
-            None => Answer::error(404, "NoSuchKey"),
+            None => ServiceResponse::error(404, "NoSuchKey"),
         }
     }
 }
--- a/crates/standins/src/platform/serve.rs
+++ b/crates/standins/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: connections, faults and counts.
+//! HTTP server of the platform stand-ins: connections, faults and rate limits.
 
 use std::{
     io,
@@ -12,30 +12,30 @@
 use chestnutreach_http::{ReceivedRequest, ServerOptions, serve_connection};
 use http_types::{Method, Response, StatusCode};
 
-use super::faults::{Fate, Faults, HoldPoint};
+use super::faults::{CallAction, Faults, HoldPoint};
 
-/// Longest body taken.
+/// Maximum body size.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// An answer of a service.
-pub(super) struct Answer {
+/// A response of a service.
+pub(super) struct ServiceResponse {
     pub(super) status: u16,
     pub(super) body: Vec<u8>,
 }
 
-impl Answer {
-    pub(super) fn ok(body: Vec<u8>) -> Answer {
-        Answer { status: 200, body }
+impl ServiceResponse {
+    pub(super) fn ok(body: Vec<u8>) -> ServiceResponse {
+        ServiceResponse { status: 200, body }
     }
 
-    pub(super) fn json(value: &impl serde::Serialize) -> Answer {
+    pub(super) fn json(value: &impl serde::Serialize) -> ServiceResponse {
         let body = serde_json::to_vec(value)
-            .expect("messages of plain fields can be written");
-        Answer::ok(body)
+            .expect("messages of plain fields can be serialised");
+        ServiceResponse::ok(body)
     }
 
-    pub(super) fn error(status: u16, body: &str) -> Answer {
-        Answer { status, body: body.as_bytes().to_vec() }
+    pub(super) fn error(status: u16, body: &str) -> ServiceResponse {
+        ServiceResponse { status, body: body.as_bytes().to_vec() }
     }
 
     fn into_response(self) -> Response {
@@ -49,23 +49,23 @@
 
 /// A service behind the connections.
 pub(super) trait Service: Send + Sync + 'static {
-    /// Whether a call changes something.
+    /// Whether a call is a write.
     fn is_write(&self, received: &ReceivedRequest) -> bool;
 
-    /// Answers a call.
-    fn call(&self, received: &ReceivedRequest) -> Answer;
+    /// Handles a call.
+    fn handle(&self, received: &ReceivedRequest) -> ServiceResponse;
 
-    /// Answers `GET /stats`.
-    fn stats(&self) -> Answer;
+    /// Handles `GET /stats`.
+    fn stats(&self) -> ServiceResponse;
 
-    /// The answer when the service is down.
-    fn unavailable(&self) -> Answer {
-        Answer::error(503, "down")
+    /// Response of a service that is down.
+    fn unavailable(&self) -> ServiceResponse {
+        ServiceResponse::error(503, "down")
     }
 
-    /// The answer when the service fails.
-    fn failed(&self) -> Answer {
-        Answer::error(500, "failed")
+    /// Response of a call that fails with an internal error.
+    fn failed(&self) -> ServiceResponse {
+        ServiceResponse::error(500, "failed")
     }
 }
 
@@ -82,25 +82,26 @@
         let raw_socket = socket.get_ref().try_clone()?;
         let serving = async move {
             let options = ServerOptions::new().max_body_bytes(MAX_BODY_BYTES);
-            let caller = Caller { raw_socket, faults };
-            let handler = |received| caller.answer(received, &*service);
-            // A broken connection is the caller's business.
+            let connection = Connection { raw_socket, faults };
+            let handler = |received| connection.handle(received, &*service);
+            // Errors of one connection don't affect the others.
             let _ = serve_connection(socket, &options, handler).await;
         };
         executor.spawn(serving).detach();
     }
 }
 
-/// One connection.
-struct Caller {
-    /// Closes the connection under the server, whose own handles only
-    /// flush.
+/// A connection of a caller.
+struct Connection {
+    /// Clone of the socket, with which a fault closes the connection without a
+    /// response. The HTTP server can't do that: closing its handles only
+    /// flushes them.
     raw_socket: TcpStream,
     faults: Arc<Faults>,
 }
 
-impl Caller {
-    async fn answer<S: Service>(
+impl Connection {
+    async fn handle<S: Service>(
         &self,
         received: ReceivedRequest,
         service: &S,
@@ -110,76 +111,82 @@
             (Method::Put, "/faults") => {
                 set_faults(&self.faults, &received.body)
             }
-            (Method::Get, "/faults") => Answer::json(&self.faults.settings()),
-            (Method::Get, "/held") => Answer::json(&self.faults.held()),
+            (Method::Get, "/faults") => {
+                ServiceResponse::json(&self.faults.settings())
+            }
+            (Method::Get, "/held") => {
+                ServiceResponse::json(&self.faults.held_writes())
+            }
             (Method::Get, "/stats") => service.stats(),
-            _ => return self.call(received, service).await,
+            _ => return self.handle_call(received, service).await,
         }
         .into_response()
     }
 
-    async fn call<S: Service>(
+    async fn handle_call<S: Service>(
         &self,
         received: ReceivedRequest,
         service: &S,
     ) -> Response {
-        Timer::after(self.faults.pause()).await;
+        Timer::after(self.faults.delay()).await;
         let is_write = service.is_write(&received);
         if is_write {
             self.faults.hold(HoldPoint::Request).await;
         }
-        let answer = match self.faults.fate(is_write) {
-            Fate::Serve => service.call(&received),
-            Fate::Refuse => service.unavailable(),
-            Fate::FailBefore => service.failed(),
-            Fate::FailAfter => {
-                service.call(&received);
+        let response = match self.faults.next_action(is_write) {
+            CallAction::Serve => service.handle(&received),
+            CallAction::Refuse => service.unavailable(),
+            CallAction::FailBefore => service.failed(),
+            CallAction::FailAfter => {
+                service.handle(&received);
                 service.failed()
             }
-            Fate::CloseBefore => return self.close(),
-            Fate::CloseAfter => {
-                service.call(&received);
+            CallAction::CloseBefore => return self.close(),
+            CallAction::CloseAfter => {
+                service.handle(&received);
                 return self.close();
             }
         };
         if is_write {
-            self.faults.hold(HoldPoint::Answer).await;
+            self.faults.hold(HoldPoint::Response).await;
         }
-        answer.into_response()
+        response.into_response()
     }
 
-    /// Closes the connection, so that no answer can be sent.
+    /// Closes the connection. The response returned can't be sent.
     fn close(&self) -> Response {
-        // It may be closed already.
+        // The caller may have closed the connection already.
         let _ = self.raw_socket.shutdown(Shutdown::Both);
         Response::new(StatusCode::InternalServerError)
     }
 }
 
-fn set_faults(faults: &Faults, body: &[u8]) -> Answer {
+fn set_faults(faults: &Faults, body: &[u8]) -> ServiceResponse {
     match serde_json::from_slice(body) {
         Ok(settings) => {
             faults.set(settings);
-            Answer::ok(Vec::new())
+            ServiceResponse::ok(Vec::new())
         }
-        Err(e) => Answer::error(400, &e.to_string()),
+        Err(e) => ServiceResponse::error(400, &e.to_string()),
     }
 }
 
-/// Calls in the current second.
+/// Rate limiter that counts calls in windows of one second.
 #[derive(Debug)]
-pub(super) struct RateCount {
+pub(super) struct RateLimiter {
+    /// Start of the window and number of calls in the window.
     window: Mutex<(Instant, u64)>,
 }
 
-impl Default for RateCount {
-    fn default() -> RateCount {
-        RateCount { window: Mutex::new((Instant::now(), 0)) }
+impl Default for RateLimiter {
+    fn default() -> RateLimiter {
+        RateLimiter { window: Mutex::new((Instant::now(), 0)) }
     }
 }
 
-impl RateCount {
-    /// Counts a call; false when it is over the limit (0 for none).
+impl RateLimiter {
+    /// Counts a call. Returns false if the call exceeds the limit; 0 is no
+    /// limit.
     pub(super) fn admit(&self, limit_per_s: u64) -> bool {
         let mut window = self.window.lock().expect("no holder panics");
         if window.0.elapsed() >= Duration::from_secs(1) {
--- a/crates/standins/src/platform/table.rs
+++ b/crates/standins/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The table service: a subset of the published DynamoDB JSON protocol.
+//! The table service, a subset of the published DynamoDB JSON protocol.
 
 use std::{
     collections::BTreeMap,
@@ -21,34 +21,35 @@
 
 use super::{
     faults::Faults,
-    serve::{Answer, RateCount, Service, serve},
+    serve::{RateLimiter, Service, ServiceResponse, serve},
 };
 
-/// How long a request token is remembered, as published.
-const TOKEN_TIME: Duration = Duration::from_secs(600);
-/// Keys looked up in one batch of reads; the rest comes back unprocessed.
+/// Lifetime of a client request token, as in the published protocol.
+const TOKEN_LIFETIME: Duration = Duration::from_secs(600);
+/// Maximum keys looked up in one batch read; the rest are returned as
+/// unprocessed keys.
 const MAX_BATCH_READS: usize = 50;
 
-/// Answer to `GET /stats`.
+/// Response to `GET /stats`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TableStats {
-    /// Read requests.
+    /// Number of read requests.
     pub reads: u64,
-    /// Write requests, the cancelled and the repeated among them.
+    /// Number of write requests, including cancelled and repeated ones.
     pub writes: u64,
-    /// Transactions applied.
+    /// Number of applied transactions.
     pub transactions: u64,
-    /// Rows written by them.
+    /// Number of rows written by applied transactions.
     pub rows_written: u64,
-    /// Requests over the rate.
+    /// Number of requests rejected by the rate limits.
     pub throttled: u64,
 }
 
-/// Serves a table that is empty at first until the listener fails.
+/// Serves an initially empty table until the listener fails.
 ///
 /// # Errors
 ///
-/// The listener failed.
+/// Returns the error of the listener.
 pub async fn serve_table(
     listener: Async<TcpListener>,
     faults: Arc<Faults>,
@@ -57,8 +58,8 @@
     let table = Table {
         state: Mutex::default(),
         faults: faults.clone(),
-        reads: RateCount::default(),
-        writes: RateCount::default(),
+        reads: RateLimiter::default(),
+        writes: RateLimiter::default(),
     };
     serve(listener, faults, executor, Arc::new(table)).await
 }
@@ -66,8 +67,8 @@
 struct Table {
     state: Mutex<State>,
     faults: Arc<Faults>,
-    reads: RateCount,
-    writes: RateCount,
+    reads: RateLimiter,
+    writes: RateLimiter,
 }
 
 #[derive(Default)]
@@ -82,18 +83,18 @@
         target(received) == wire::TRANSACT_WRITE_ITEMS
     }
 
-    fn call(&self, received: &ReceivedRequest) -> Answer {
-        let limits = self.faults.settings();
+    fn handle(&self, received: &ReceivedRequest) -> ServiceResponse {
+        let fault_settings = self.faults.settings();
         let is_write = self.is_write(received);
         let mut state = self.state.lock().expect("no holder panics");
         let is_admitted = match is_write {
             true => {
                 state.stats.writes += 1;
-                self.writes.admit(limits.max_writes_per_s)
+                self.writes.admit(fault_settings.max_writes_per_s)
             }
             false => {
                 state.stats.reads += 1;
-                self.reads.admit(limits.max_reads_per_s)
+                self.reads.admit(fault_settings.max_reads_per_s)
             }
         };
         if !is_admitted {
@@ -102,60 +103,66 @@
         }
         let body = &received.body;
         match target(received) {
-            wire::GET_ITEM => with(body, |r| state.get(&r)),
-            wire::BATCH_GET_ITEM => with(body, |r| state.batch_get(r)),
-            wire::TRANSACT_WRITE_ITEMS => with(body, |r| state.transact(r)),
+            wire::GET_ITEM => with_request(body, |r| state.get(&r)),
+            wire::BATCH_GET_ITEM => with_request(body, |r| state.batch_get(r)),
+            wire::TRANSACT_WRITE_ITEMS => {
+                with_request(body, |r| state.transact(r))
+            }
             _ => error(400, "UnknownOperationException"),
         }
     }
 
-    fn stats(&self) -> Answer {
+    fn stats(&self) -> ServiceResponse {
         let state = self.state.lock().expect("no holder panics");
-        Answer::json(&state.stats)
+        ServiceResponse::json(&state.stats)
     }
 
-    fn unavailable(&self) -> Answer {
+    fn unavailable(&self) -> ServiceResponse {
         error(503, wire::SERVICE_UNAVAILABLE)
     }
 
-    fn failed(&self) -> Answer {
+    fn failed(&self) -> ServiceResponse {
         error(500, wire::INTERNAL_ERROR)
     }
 }
 
 impl State {
-    fn get(&self, request: &GetItemRequest) -> Answer {
+    fn get(&self, request: &GetItemRequest) -> ServiceResponse {
         let Some(key) = key_of(&request.key) else {
             return error(400, wire::VALIDATION);
         };
         let item = self.items.get(key).cloned();
-        Answer::json(&GetItemResponse { item })
+        ServiceResponse::json(&GetItemResponse { item })
     }
 
-    fn batch_get(&self, request: BatchGetItemRequest) -> Answer {
+    fn batch_get(&self, request: BatchGetItemRequest) -> ServiceResponse {
         let mut response = BatchGetItemResponse::default();
-        for (table, mut wanted) in request.request_items {
-            if wanted.keys.len() > wire::MAX_BATCH_KEYS {
+        for (table, mut requested) in request.request_items {
+            if requested.keys.len() > wire::MAX_BATCH_KEYS {
                 return error(400, wire::VALIDATION);
             }
-            let now = wanted.keys.len().min(MAX_BATCH_READS);
-            let rest = wanted.keys.split_off(now);
-            let found = wanted.keys.iter().filter_map(key_of);
+            let count = requested.keys.len().min(MAX_BATCH_READS);
+            let unprocessed = requested.keys.split_off(count);
+            let found = requested.keys.iter().filter_map(key_of);
             let found = found.filter_map(|key| self.items.get(key)).cloned();
             response.responses.insert(table.clone(), found.collect());
-            if !rest.is_empty() {
-                let rest = KeysAndAttributes { keys: rest, ..wanted };
-                response.unprocessed_keys.insert(table, rest);
+            if !unprocessed.is_empty() {
+                let unprocessed =
+                    KeysAndAttributes { keys: unprocessed, ..requested };
+                response.unprocessed_keys.insert(table, unprocessed);
             }
         }
-        Answer::json(&response)
+        ServiceResponse::json(&response)
     }
 
-    fn transact(&mut self, request: TransactWriteItemsRequest) -> Answer {
-        self.tokens.retain(|_, (since, _)| since.elapsed() < TOKEN_TIME);
+    fn transact(
+        &mut self,
+        request: TransactWriteItemsRequest,
+    ) -> ServiceResponse {
+        self.tokens.retain(|_, (since, _)| since.elapsed() < TOKEN_LIFETIME);
         let token = request.client_request_token.clone();
         match self.tokens.get(&token) {
-            Some((_, first)) if *first == request => return done(),
+            Some((_, first)) if *first == request => return empty_response(),
             Some(_) => return error(400, wire::TOKEN_MISMATCH),
             None => {}
         }
@@ -163,9 +170,10 @@
             return error(400, wire::VALIDATION);
         }
         let writes = &request.transact_items;
-        let holds: Vec<_> = writes.iter().map(|w| self.holds(w)).collect();
-        if !holds.iter().all(|holds| *holds) {
-            return cancelled(&holds);
+        let condition_results: Vec<_> =
+            writes.iter().map(|w| self.condition_holds(w)).collect();
+        if !condition_results.iter().all(|holds| *holds) {
+            return cancelled(&condition_results);
         }
         for write in writes {
             self.apply(write);
@@ -173,10 +181,10 @@
         self.stats.transactions += 1;
         self.stats.rows_written += writes.len() as u64;
         self.tokens.insert(token, (Instant::now(), request));
-        done()
+        empty_response()
     }
 
-    fn holds(&self, write: &TransactWriteItem) -> bool {
+    fn condition_holds(&self, write: &TransactWriteItem) -> bool {
         let item = write_key(write).and_then(|key| self.items.get(key));
         let fields = match write {
             TransactWriteItem::Put(put) => &put.condition,
@@ -188,8 +196,8 @@
             Some(wire::IF_ABSENT) => item.is_none(),
             _ => {
                 let version = item.and_then(|i| i.get(wire::VERSION));
-                let wanted = fields.expression_attribute_values.get(":ver");
-                version.is_some() && version == wanted
+                let expected = fields.expression_attribute_values.get(":ver");
+                version.is_some() && version == expected
             }
         }
     }
@@ -215,13 +223,14 @@
     }
 }
 
-/// Applies the one update expression that is known.
+/// Applies the supported update expressions: increments the version and sets
+/// the value, and the expiry if there is one.
 fn set_value(item: &mut Item, values: &Item) {
-    let old = match item.get(wire::VERSION) {
+    let old_version = match item.get(wire::VERSION) {
         Some(AttributeValue::N(digits)) => digits.parse().unwrap_or(0),
         _ => 0_u64,
     };
-    let version = AttributeValue::N((old + 1).to_string());
+    let version = AttributeValue::N((old_version + 1).to_string());
     item.insert(wire::VERSION.into(), version);
     let names = [(":v", wire::VALUE), (":expires_at", wire::EXPIRES_AT)];
     for (placeholder, name) in names {
@@ -231,7 +240,8 @@
     }
 }
 
-/// Checks limits, expressions, and that no item is written twice.
+/// Checks the limits, that each expression is supported, and that no item is
+/// written twice.
 fn is_valid(request: &TransactWriteItemsRequest) -> bool {
     let writes = &request.transact_items;
     let mut keys: Vec<_> = writes.iter().filter_map(write_key).collect();
@@ -242,17 +252,19 @@
     is_in_range
         && has_token
         && keys.len() == writes.len()
-        && writes.iter().all(is_known)
+        && writes.iter().all(is_supported)
 }
 
-fn is_known(write: &TransactWriteItem) -> bool {
-    let is_condition = |fields: &ConditionFields| {
+fn is_supported(write: &TransactWriteItem) -> bool {
+    let has_supported_condition = |fields: &ConditionFields| {
         let condition = fields.condition_expression.as_deref();
         matches!(condition, None | Some(wire::IF_ABSENT | wire::IF_VERSION))
     };
     match write {
-        TransactWriteItem::Put(put) => is_condition(&put.condition),
-        TransactWriteItem::Delete(delete) => is_condition(&delete.condition),
+        TransactWriteItem::Put(put) => has_supported_condition(&put.condition),
+        TransactWriteItem::Delete(delete) => {
+            has_supported_condition(&delete.condition)
+        }
         TransactWriteItem::Update(update) => matches!(
             update.update_expression.as_str(),
             wire::SET_VALUE | wire::SET_VALUE_EXPIRING
@@ -280,27 +292,27 @@
     header.map_or("", |values| values.as_str())
 }
 
-fn with<R: DeserializeOwned>(
+fn with_request<R: DeserializeOwned>(
     body: &[u8],
-    call: impl FnOnce(R) -> Answer,
-) -> Answer {
+    handle: impl FnOnce(R) -> ServiceResponse,
+) -> ServiceResponse {
     match serde_json::from_slice(body) {
-        Ok(request) => call(request),
+        Ok(request) => handle(request),
         Err(_) => error(400, "SerializationException"),
     }
 }
 
-fn done() -> Answer {
-    Answer::ok(b"{}".to_vec())
+fn empty_response() -> ServiceResponse {
+    ServiceResponse::ok(b"{}".to_vec())
 }
 
-fn error(status: u16, name: &str) -> Answer {
+fn error(status: u16, name: &str) -> ServiceResponse {
     let kind = format!("com.amazonaws.dynamodb.v20120810#{name}");
     let body = ErrorBody { kind, ..ErrorBody::default() };
-    Answer { status, ..Answer::json(&body) }
+    ServiceResponse { status, ..ServiceResponse::json(&body) }
 }
 
-fn cancelled(holds: &[bool]) -> Answer {
+fn cancelled(condition_results: &[bool]) -> ServiceResponse {
     let reason = |holds: &bool| {
         let code = match holds {
             true => wire::REASON_NONE,
@@ -311,7 +323,7 @@
     let body = ErrorBody {
         kind: wire::TRANSACTION_CANCELED.to_owned(),
         message: "the transaction was cancelled".to_owned(),
-        cancellation_reasons: holds.iter().map(reason).collect(),
+        cancellation_reasons: condition_results.iter().map(reason).collect(),
     };
-    Answer { status: 400, ..Answer::json(&body) }
+    ServiceResponse { status: 400, ..ServiceResponse::json(&body) }
 }
--- a/crates/standins/src/platform/vm_list.rs
+++ b/crates/standins/src/platform/vm_list.rs
@@ -1,4 +1,4 @@
-//! The list of VMs, shown as it was some time ago.
+//! The VM list, returned with a configurable lag.
 
 use std::{
     collections::VecDeque,
@@ -17,27 +17,27 @@
 
 use super::{
     faults::Faults,
-    serve::{Answer, Service, serve},
+    serve::{Service, ServiceResponse, serve},
 };
 
-/// Lists kept for the lag.
+/// Maximum number of past lists kept for the lag.
 const MAX_HISTORY: usize = 1000;
 
-/// Answer to `GET /stats`.
+/// Response to `GET /stats`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmListStats {
-    /// Times the list was read.
+    /// Number of reads of the list.
     pub reads: u64,
-    /// Times it was set.
+    /// Number of writes of the list.
     pub writes: u64,
 }
 
-/// Serves a list that is empty at first until the listener fails. `PUT
-/// /vms` sets it.
+/// Serves an initially empty list until the listener fails. `PUT /vms` replaces
+/// the list.
 ///
 /// # Errors
 ///
-/// The listener failed.
+/// Returns the error of the listener.
 pub async fn serve_vm_list(
     listener: Async<TcpListener>,
     faults: Arc<Faults>,
@@ -64,45 +64,45 @@
         received.request.method() == Method::Put
     }
 
-    fn call(&self, received: &ReceivedRequest) -> Answer {
+    fn handle(&self, received: &ReceivedRequest) -> ServiceResponse {
         let lag = Duration::from_millis(self.faults.settings().lag_ms);
         let mut state = self.state.lock().expect("no holder panics");
         let request = &received.request;
         match (request.method(), request.url().path()) {
             (Method::Put, VM_LIST_PATH) => state.set(&received.body),
-            (Method::Get, VM_LIST_PATH) => state.show(lag),
-            _ => Answer::error(404, "no such path"),
+            (Method::Get, VM_LIST_PATH) => state.get(lag),
+            _ => ServiceResponse::error(404, "no such path"),
         }
     }
 
-    fn stats(&self) -> Answer {
+    fn stats(&self) -> ServiceResponse {
         let state = self.state.lock().expect("no holder panics");
-        Answer::json(&state.stats)
+        ServiceResponse::json(&state.stats)
     }
 }
 
 impl State {
-    fn set(&mut self, body: &[u8]) -> Answer {
+    fn set(&mut self, body: &[u8]) -> ServiceResponse {
         let entries = match serde_json::from_slice(body) {
             Ok(entries) => entries,
-            Err(e) => return Answer::error(400, &e.to_string()),
+            Err(e) => return ServiceResponse::error(400, &e.to_string()),
         };
         self.stats.writes += 1;
         if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
         self.history.push_back((Instant::now(), entries));
-        Answer::ok(Vec::new())
+        ServiceResponse::ok(Vec::new())
     }
 
-    /// The newest list of at least this age.
-    fn show(&mut self, lag: Duration) -> Answer {
+    /// Returns the newest list of at least this age.
+    fn get(&mut self, lag: Duration) -> ServiceResponse {
         self.stats.reads += 1;
         let lists = self.history.iter().rev();
         let mut old_enough = lists.filter(|(at, _)| at.elapsed() >= lag);
         match old_enough.next() {
-            Some((_, entries)) => Answer::json(entries),
-            None => Answer::json(&Vec::<VmEntry>::new()),
+            Some((_, entries)) => ServiceResponse::json(entries),
+            None => ServiceResponse::json(&Vec::<VmEntry>::new()),
         }
     }
 }
--- a/crates/standins/src/record.rs
+++ b/crates/standins/src/record.rs
@@ -1,26 +1,27 @@
-//! What a stand-in has run, for tests to check.
+//! The log of calls that a stand-in ran, for tests to check.
 //!
-//! `GET /record?since=<seq>` answers a line of JSON for each entry from that
-//! number on; `DELETE /record` forgets all entries, but numbers go on.
+//! `GET /record?since=<seq>` returns one line of JSON for each entry from that
+//! sequence number on. `DELETE /record` deletes all entries but doesn't reset
+//! the sequence numbers.
 
 use std::{collections::VecDeque, sync::Mutex};
 
 use serde::{Deserialize, Serialize};
 
-/// Most entries kept; the oldest go first.
+/// Maximum number of entries; the oldest are dropped first_seq.
 const MAX_ENTRIES: usize = 1_000_000;
 
-/// An entry with its number.
+/// An entry with its sequence number.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Numbered<T> {
-    /// Number of the entry, from 0, in the order of runs.
+    /// Sequence number from 0, in the order of runs.
     pub seq: u64,
-    /// The entry.
+    /// The recorded run.
     #[serde(flatten)]
     pub entry: T,
 }
 
-/// The latest entries.
+/// Log of the most recent entries.
 #[derive(Debug)]
 pub(crate) struct Record<T> {
     entries: Mutex<Entries<T>>,
@@ -51,18 +52,18 @@
         self.entries.lock().expect("no holder panics").kept.clear();
     }
 
-    /// Entries from the number `since` on.
+    /// Entries from sequence number `since` on.
     pub(crate) fn since(&self, since: u64) -> Vec<Numbered<T>> {
         let entries = self.entries.lock().expect("no holder panics");
-        let first = entries.next_seq - entries.kept.len() as u64;
-        let skipped = since.saturating_sub(first) as usize;
-        let numbers = first.max(since)..;
+        let first_seq = entries.next_seq - entries.kept.len() as u64;
+        let skipped = since.saturating_sub(first_seq) as usize;
+        let seqs = first_seq.max(since)..;
         let kept = entries.kept.iter().skip(skipped).cloned();
-        numbers.zip(kept).map(|(seq, entry)| Numbered { seq, entry }).collect()
+        seqs.zip(kept).map(|(seq, entry)| Numbered { seq, entry }).collect()
     }
 
-    /// Entries as lines of JSON.
-    pub(crate) fn lines_since(&self, since: u64) -> Vec<u8> {
+    /// Entries from sequence number `since` on, as lines of JSON.
+    pub(crate) fn json_lines_since(&self, since: u64) -> Vec<u8> {
         let mut lines = Vec::new();
         for numbered in self.since(since) {
             serde_json::to_writer(&mut lines, &numbered)
--- a/crates/standins/src/serving.rs
+++ b/crates/standins/src/serving.rs
@@ -1,7 +1,7 @@
-//! Serving HTTP with faults.
+//! HTTP server of the stand-ins, with fault injection.
 //!
-//! A stand-in's handler may ask for its connection to be closed unanswered,
-//! or to stay silent, besides giving an answer.
+//! Instead of returning a response, the handler of a stand-in may close the
+//! connection or never respond.
 
 use std::{future, io, net::TcpListener, sync::Arc, time::Duration};
 
@@ -15,27 +15,28 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    faults::{Before, FaultSwitches, Faults},
+    faults::{CallAction, FaultSwitches, Faults},
     record::Record,
 };
 
-/// Longest body taken: a batch of long prompts' activations.
+/// Maximum body size, large enough for the activations of a batch of long
+/// prompts.
 const MAX_BODY_BYTES: usize = 256 << 20;
 
-/// What becomes of a call.
+/// Result of a call.
 pub(crate) enum Reply {
-    Answer(Box<Response>),
+    Respond(Box<Response>),
     Close,
-    StaySilent,
+    Hang,
 }
 
 impl From<Response> for Reply {
     fn from(response: Response) -> Reply {
-        Reply::Answer(Box::new(response))
+        Reply::Respond(Box::new(response))
     }
 }
 
-/// Serves every connection until the listener fails.
+/// Serves connections until the listener fails.
 pub(crate) async fn serve<H, F>(
     executor: Arc<Executor<'static>>,
     listener: Async<TcpListener>,
@@ -49,26 +50,27 @@
         let (socket, _) = listener.accept().await?;
         let handle = handle.clone();
         let connection = async move {
-            let (cut, is_cut) = async_channel::bounded::<()>(1);
+            let (abort, aborted) = async_channel::bounded::<()>(1);
             let options = ServerOptions::new().max_body_bytes(MAX_BODY_BYTES);
             let serving = serve_connection(socket, &options, |received| {
-                answer(&handle, received, &cut)
+                respond(&handle, received, &abort)
             });
-            let cutting = async {
-                // The channel is never written to, only closed.
-                let _ = is_cut.recv().await;
+            let until_aborted = async {
+                // Nothing is sent on the channel; closing it aborts the
+                // connection.
+                let _ = aborted.recv().await;
                 Ok(())
             };
-            let _ = serving.or(cutting).await;
+            let _ = serving.or(until_aborted).await;
         };
         executor.spawn(connection).detach();
     }
 }
 
-async fn answer<H, F>(
+async fn respond<H, F>(
     handle: &H,
     received: ReceivedRequest,
-    cut: &async_channel::Sender<()>,
+    abort: &async_channel::Sender<()>,
 ) -> Response
 where
     H: Fn(ReceivedRequest) -> F,
@@ -76,70 +78,71 @@
 {
     let connection = received.connection.clone();
     match handle(received).await {
-        Reply::Answer(response) => return *response,
+        Reply::Respond(response) => return *response,
         Reply::Close => {}
-        Reply::StaySilent => connection.peer_closed().await,
+        Reply::Hang => connection.peer_closed().await,
     }
-    cut.close();
+    abort.close();
     future::pending().await
 }
 
-/// Handles a call under the switches; `run` is what the stand-in does.
+/// Handles a call under the current faults; `run` computes the response.
 pub(crate) async fn with_faults(
-    switches: &FaultSwitches,
+    faults: &FaultSwitches,
     run: impl Future<Output = Response>,
 ) -> Reply {
-    match switches.before_run() {
-        Before::Run => {}
-        Before::Close => return Reply::Close,
-        Before::StaySilent => return Reply::StaySilent,
-        Before::Fail => return failure().into(),
-        Before::Rest(rest) => return turned_away(rest).into(),
+    match faults.next_action() {
+        CallAction::Run => {}
+        CallAction::Close => return Reply::Close,
+        CallAction::Hang => return Reply::Hang,
+        CallAction::Fail => return injected_error().into(),
+        CallAction::Reject(cooldown) => return rejection(cooldown).into(),
     }
     let response = run.await;
-    let delay = switches.delay();
+    let delay = faults.delay();
     if delay > Duration::ZERO {
         Timer::after(delay).await;
     }
-    if switches.loses_answer() {
+    if faults.loses_response() {
         return Reply::Close;
     }
     response.into()
 }
 
-fn failure() -> Response {
-    error(StatusCode::InternalServerError, "a fault that was switched on")
+fn injected_error() -> Response {
+    error(StatusCode::InternalServerError, "injected fault")
 }
 
-fn turned_away(rest: Duration) -> Response {
+fn rejection(cooldown: Duration) -> Response {
     let status = StatusCode::ServiceUnavailable;
-    let mut response = error(status, "rest is wanted");
-    let rest_s = rest.as_secs_f64().to_string();
-    response.insert_header(RETRY_AFTER, rest_s);
+    let mut response = error(status, "the server requests a cooldown");
+    let cooldown_s = cooldown.as_secs_f64().to_string();
+    response.insert_header(RETRY_AFTER, cooldown_s);
     response
 }
 
-/// Handles the paths that work whatever is switched on.
-pub(crate) fn control<T: Clone + Serialize>(
+/// Handles the control paths, which faults don't affect; none for any other
+/// path.
+pub(crate) fn handle_control<T: Clone + Serialize>(
     received: &ReceivedRequest,
-    switches: &FaultSwitches,
+    faults: &FaultSwitches,
     record: &Record<T>,
 ) -> Option<Response> {
     let method = received.request.method();
     match (method, received.request.url().path()) {
-        (Method::Get, "/faults") => Some(json(&switches.read())),
-        (Method::Get, "/held") => Some(json(&switches.held())),
-        (Method::Get, "/rests") => Some(json(&switches.rests())),
+        (Method::Get, "/faults") => Some(json(&faults.read())),
+        (Method::Get, "/held") => Some(json(&faults.held_calls())),
+        (Method::Get, "/rests") => Some(json(&faults.cooldown_stats())),
         (Method::Put, "/faults") => {
-            Some(parsed(&received.body, |faults: Faults| {
-                switches.replace(faults);
-                json(&switches.read())
+            Some(with_json_body(&received.body, |new_faults: Faults| {
+                faults.replace(new_faults);
+                json(&faults.read())
             }))
         }
         (Method::Get, "/record") => {
             let since = query_number(received, "since").unwrap_or(0);
             let mut response = Response::new(StatusCode::Ok);
-            response.set_body(record.lines_since(since));
+            response.set_body(record.json_lines_since(since));
             response.set_content_type(mime::PLAIN);
             Some(response)
         }
@@ -156,13 +159,14 @@
     pairs.find(|(key, _)| key == name)?.1.parse().ok()
 }
 
-/// Answers a body of JSON, or 400 when it is none.
-pub(crate) fn parsed<T: DeserializeOwned>(
+/// Parses the body as JSON and handles it; returns status 400 if the body
+/// can't be parsed.
+pub(crate) fn with_json_body<T: DeserializeOwned>(
     body: &[u8],
-    answer: impl FnOnce(T) -> Response,
+    handle: impl FnOnce(T) -> Response,
 ) -> Response {
     match serde_json::from_slice(body) {
-        Ok(value) => answer(value),
+        Ok(value) => handle(value),
         Err(e) => error(StatusCode::BadRequest, &e.to_string()),
     }
 }
--- a/crates/standins/src/standin_thread.rs
+++ b/crates/standins/src/standin_thread.rs
@@ -1,7 +1,7 @@
 //! A stand-in on a thread of the calling process.
 //!
-//! Tests that need no process of their own use it; dropping it closes the
-//! listener and every connection, as the death of a process would.
+//! For tests that need no separate process. Dropping the stand-in closes the
+//! listener and every connection, as the exit of a process does.
 
 use std::{
     io,
@@ -19,7 +19,7 @@
     plain,
 };
 
-/// A running stand-in; it stops when dropped.
+/// A running stand-in, stopped on drop.
 #[derive(Debug)]
 pub struct StandinThread {
     address: SocketAddr,
@@ -28,22 +28,22 @@
 }
 
 impl StandinThread {
-    /// Starts an engine at a free port.
+    /// Starts an engine on a free port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// There is no free port, or no thread.
+    /// Returns an error if no port can be bound or no thread started.
     pub fn engine(options: EngineOptions) -> io::Result<StandinThread> {
         StandinThread::start(|executor, listener| {
             engine::serve(executor, listener, options)
         })
     }
 
-    /// Starts a plain service at a free port.
+    /// Starts a plain service on a free port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// There is no free port, or no thread.
+    /// Returns an error if no port can be bound or no thread started.
     pub fn plain() -> io::Result<StandinThread> {
         StandinThread::start(plain::serve)
     }
@@ -70,7 +70,7 @@
         Ok(StandinThread { address, stop, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
