--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller, over a published HTTP client library.
+//! A caller of an entry, based on a published HTTP client library.
 
 use std::{
     collections::BTreeMap,
@@ -10,30 +10,30 @@
 use serde_json::{Value, json};
 use ureq::{Agent, Body, http::Response as HttpResponse};
 
-/// Time after which a caller of the tests gives up.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of a whole call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a caller got.
+/// Response that a caller received.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// HTTP status; 0 when the connection broke before one.
+    /// HTTP status; 0 if the call failed before a status was received.
     pub status: u16,
     /// Headers by name.
     pub headers: BTreeMap<String, String>,
-    /// The body, or the text of all parts of a streamed answer.
+    /// The body, or the text of all chunks of a streamed answer.
     pub text: String,
-    /// Parts of a streamed answer.
+    /// Number of chunks of a streamed answer.
     pub chunks: usize,
-    /// Whether the answer came to its end.
+    /// Whether the response was received to its end.
     pub is_complete: bool,
-    /// The error that came inside a streamed answer.
+    /// Error event of a streamed answer.
     pub stream_error: Option<Value>,
-    /// Times from the call to each part.
+    /// Time from the start of the call to each chunk.
     pub chunk_times: Vec<Duration>,
 }
 
 impl Response {
-    /// The outcome as the caller was told it; none when it was not told.
+    /// The outcome reported to the caller; none if it wasn't reported.
     pub fn outcome(&self) -> Option<&str> {
         if let Some(error) = &self.stream_error {
             return error["outcome"].as_str();
@@ -45,17 +45,17 @@
         header.map(String::as_str)
     }
 
-    /// The request's identity.
+    /// The request ID; empty if the response has none.
     pub fn request(&self) -> &str {
         self.headers.get("x-request-id").map_or("", String::as_str)
     }
 
-    /// The body as JSON; null when it is none.
+    /// The body as JSON; null if the body isn't valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
 
-    /// Text of a whole chat answer.
+    /// Text of a chat answer, streamed or not.
     pub fn content(&self) -> String {
         if self.chunks > 0 {
             return self.text.clone();
@@ -70,86 +70,87 @@
 #[derive(Clone, Debug)]
 pub struct Caller {
     agent: Agent,
-    base: String,
+    base_url: String,
     key: String,
     headers: BTreeMap<String, String>,
 }
 
 impl Caller {
-    /// A caller with a client account's key.
+    /// Creates a caller with the key of a client account.
     pub fn new(entry: SocketAddr, key: &str) -> Caller {
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(CALL_LIMIT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .build();
         Caller {
             agent: config.into(),
-            base: format!("http://{entry}"),
+            base_url: format!("http://{entry}"),
             key: key.to_owned(),
             headers: BTreeMap::new(),
         }
     }
 
-    /// The same caller with one more header on each request.
+    /// Returns a copy of the caller that sends an additional header with each
+    /// request.
     pub fn header(&self, name: &str, value: &str) -> Caller {
         let mut caller = self.clone();
         caller.headers.insert(name.to_owned(), value.to_owned());
         caller
     }
 
-    /// Asks the model for a whole answer.
+    /// Requests an answer that isn't streamed.
     pub fn chat(&self, prompt: &str, max_tokens: u32) -> Response {
         let body = chat_body(prompt, max_tokens, false);
         self.call("POST", "/v1/chat/completions", &body.to_string())
     }
 
-    /// Asks the model for a streamed answer; `on_part` sees the count of
-    /// parts after each one.
+    /// Requests a streamed answer. Calls `on_chunk` after each chunk with the
+    /// number of chunks received so far.
     pub fn stream(
         &self,
         prompt: &str,
         max_tokens: u32,
-        mut on_part: impl FnMut(usize),
+        mut on_chunk: impl FnMut(usize),
     ) -> Response {
         let body = chat_body(prompt, max_tokens, true).to_string();
         let started = Instant::now();
-        let sent = self.send("POST", "/v1/chat/completions", &body);
-        let Ok(mut response) = sent else {
+        let result = self.send("POST", "/v1/chat/completions", &body);
+        let Ok(mut http_response) = result else {
             return Response::default();
         };
-        let mut answer = head_of(&response);
-        if answer.status != 200 {
-            read_whole(&mut response, &mut answer);
-            return answer;
+        let mut response = response_head(&http_response);
+        if response.status != 200 {
+            read_body(&mut http_response, &mut response);
+            return response;
         }
-        let reader = BufReader::new(response.body_mut().as_reader());
+        let reader = BufReader::new(http_response.body_mut().as_reader());
         for line in reader.lines() {
             let Ok(line) = line else {
-                return answer;
+                return response;
             };
             let Some(data) = line.strip_prefix("data: ") else {
                 continue;
             };
             if data == "[DONE]" {
-                answer.is_complete = true;
+                response.is_complete = true;
                 continue;
             }
-            take_event(&mut answer, data);
-            if answer.chunk_times.len() < answer.chunks {
-                answer.chunk_times.push(started.elapsed());
-                on_part(answer.chunks);
+            apply_event(&mut response, data);
+            if response.chunk_times.len() < response.chunks {
+                response.chunk_times.push(started.elapsed());
+                on_chunk(response.chunks);
             }
         }
-        answer
+        response
     }
 
-    /// Makes any call.
+    /// Sends a request with any method, target and body.
     pub fn call(&self, method: &str, target: &str, body: &str) -> Response {
         match self.send(method, target, body) {
-            Ok(mut response) => {
-                let mut answer = head_of(&response);
-                read_whole(&mut response, &mut answer);
-                answer
+            Ok(mut http_response) => {
+                let mut response = response_head(&http_response);
+                read_body(&mut http_response, &mut response);
+                response
             }
             Err(_) => Response::default(),
         }
@@ -163,7 +164,7 @@
     ) -> Result<HttpResponse<Body>, ureq::Error> {
         let mut request = ureq::http::Request::builder()
             .method(method)
-            .uri(format!("{}{target}", self.base))
+            .uri(format!("{}{target}", self.base_url))
             .header("authorization", format!("Bearer {}", self.key))
             .header("content-type", "application/json");
         for (name, value) in &self.headers {
@@ -186,33 +187,34 @@
     })
 }
 
-fn head_of(response: &HttpResponse<Body>) -> Response {
-    let headers = response.headers().iter().filter_map(|(name, value)| {
-        Some((name.to_string(), value.to_str().ok()?.to_owned()))
-    });
+fn response_head(http_response: &HttpResponse<Body>) -> Response {
+    let headers =
+        http_response.headers().iter().filter_map(|(name, value)| {
+            Some((name.to_string(), value.to_str().ok()?.to_owned()))
+        });
     Response {
-        status: response.status().as_u16(),
+        status: http_response.status().as_u16(),
         headers: headers.collect(),
         ..Response::default()
     }
 }
 
-fn read_whole(response: &mut HttpResponse<Body>, answer: &mut Response) {
-    if let Ok(text) = response.body_mut().read_to_string() {
-        answer.text = text;
-        answer.is_complete = true;
+fn read_body(http_response: &mut HttpResponse<Body>, response: &mut Response) {
+    if let Ok(text) = http_response.body_mut().read_to_string() {
+        response.text = text;
+        response.is_complete = true;
     }
 }
 
-fn take_event(answer: &mut Response, data: &str) {
+fn apply_event(response: &mut Response, data: &str) {
     let event: Value = serde_json::from_str(data).unwrap_or(Value::Null);
     if !event["error"].is_null() {
-        answer.stream_error = Some(event["error"].clone());
+        response.stream_error = Some(event["error"].clone());
         return;
     }
     let text = event["choices"][0]["delta"]["content"].as_str();
     if let Some(text) = text.filter(|text| !text.is_empty()) {
-        answer.text.push_str(text);
-        answer.chunks += 1;
+        response.text.push_str(text);
+        response.chunks += 1;
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a fleet.
+//! Starting, stopping and observing a fleet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,20 +19,20 @@
     relay::Relay,
 };
 
-mod members;
+mod config_text;
+mod daemons;
 mod standins;
-mod texts;
-
-/// Time that a fleet may take to be ready.
-const READY_LIMIT: Duration = Duration::from_secs(30);
-/// Time that a process may take to stop when asked to.
-const STOP_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(10);
-/// Data centres of the fleet.
-const HALLS: [&str; 3] = ["hall-medina", "hall-leona", "hall-ndorong"];
-
-/// Keys of the fleet's client accounts, with their weights.
+
+/// Timeout of every wait for a state of the fleet.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of a graceful stop of a process.
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which a wait polls the fleet.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Data centres of the fleet; backend servers are assigned to them in turn.
+const DATA_CENTRES: [&str; 3] = ["hall-medina", "hall-leona", "hall-ndorong"];
+
+/// Client accounts of the fleet: name, key and weight.
 pub const ACCOUNTS: [(&str, &str, u32); 3] = [
     ("caisse-medina", "demo-key-caisse-medina", 30),
     ("caisse-leona", "demo-key-caisse-leona", 10),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Addresses of the platform's stand-ins.
+/// Addresses of the platform stand-ins.
 #[derive(Clone, Copy, Debug)]
 struct Platform {
     table: SocketAddr,
@@ -65,10 +65,10 @@
     vm_list: SocketAddr,
 }
 
-/// A running fleet; dropping it ends its processes.
+/// A running fleet; dropping it kills its processes.
 pub struct Fleet {
     plan: Plan,
-    programs: PathBuf,
+    program_dir: PathBuf,
     dir: TempDir,
     processes: BTreeMap<String, Process>,
     platform: Platform,
@@ -79,11 +79,13 @@
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until its entries reach all of it.
+    /// Starts a fleet and waits until each entry can route to all backend
+    /// servers.
     ///
     /// # Errors
     ///
-    /// A program is missing, or the fleet is not ready in time.
+    /// Returns an error if a program is missing or the fleet isn't ready
+    /// within the timeout.
     pub fn start(plan: Plan) -> anyhow::Result<Fleet> {
         let mut fleet = Fleet::start_platform(plan)?;
         for name in fleet.plan.engine_names() {
@@ -106,7 +108,7 @@
     fn start_platform(plan: Plan) -> anyhow::Result<Fleet> {
         let mut fleet = Fleet {
             plan,
-            programs: programs()?,
+            program_dir: program_directory()?,
             dir: tempfile::tempdir()?,
             processes: BTreeMap::new(),
             platform: Platform {
@@ -134,11 +136,11 @@
         name: &str,
         kind: &str,
         address: SocketAddr,
-        more: &[String],
+        extra_arguments: &[String],
     ) -> anyhow::Result<()> {
         let mut arguments =
             vec![kind.to_owned(), "--listen".to_owned(), address.to_string()];
-        arguments.extend_from_slice(more);
+        arguments.extend_from_slice(extra_arguments);
         self.start_process(name, "chestnutreach-standin", &arguments)
     }
 
@@ -148,7 +150,7 @@
         program: &str,
         arguments: &[String],
     ) -> anyhow::Result<()> {
-        let program = self.programs.join(program);
+        let program = self.program_dir.join(program);
         let log = self.dir.path().join(format!("{name}.log"));
         let process = Process::start(name, &program, arguments, &log)?;
         self.processes.insert(name.to_owned(), process);
@@ -193,10 +195,12 @@
         }
         let name = side_name(server);
         let address = self.servers[server];
-        let mut more = self.section("side");
-        let _ =
-            write!(more, "\n[backend-server {server}]\naddress = {address}\n");
-        let text = self.settings("side", &name, daemon, &more);
+        let mut sections = self.section("side");
+        let _ = write!(
+            sections,
+            "\n[backend-server {server}]\naddress = {address}\n"
+        );
+        let text = self.settings("side", &name, daemon, &sections);
         self.start_daemon(&name, &text)
     }
 
@@ -205,8 +209,9 @@
         let http = free_address();
         self.entries.push((daemon, http));
         let name = entry_name(number);
-        let more = format!("{}http-address = {http}\n", self.section("entry"));
-        let text = self.settings("entry", &name, daemon, &more);
+        let sections =
+            format!("{}http-address = {http}\n", self.section("entry"));
+        let text = self.settings("entry", &name, daemon, &sections);
         self.start_daemon(&name, &text)
     }
 
@@ -217,7 +222,8 @@
         self.start_process(name, "chestnutreachd", &arguments)
     }
 
-    /// Where other processes reach the side process of a backend server.
+    /// Address at which other processes reach the side process of a backend
+    /// server: that of the relay, if there is one.
     fn side_address(&self, server: &str) -> SocketAddr {
         match self.relays.get(server) {
             Some(relay) => relay.address(),
@@ -225,29 +231,33 @@
         }
     }
 
-    /// The relay before the side process of a backend server.
+    /// The relay in front of the side process of a backend server.
     ///
     /// # Panics
     ///
-    /// The plan has no relays, or the fleet no such backend server.
+    /// Panics if the plan has no relays or the fleet has no such backend
+    /// server.
     pub fn relay(&self, server: &str) -> &Relay {
         &self.relays[server]
     }
 
-    /// Accepts the fleet's manifest after this generation.
+    /// Submits the fleet's manifest as the successor of a generation. Returns
+    /// the new generation.
     ///
     /// # Errors
     ///
-    /// The manifest has findings, or the store does not take it.
+    /// Returns an error if the manifest has findings or the store doesn't
+    /// accept the manifest.
     pub fn apply(&self, base_generation: u64) -> anyhow::Result<u64> {
         self.apply_text(base_generation, &self.manifest_text())
     }
 
-    /// Accepts a manifest after this generation.
+    /// Submits a manifest as the successor of a generation. Returns the new
+    /// generation.
     ///
     /// # Errors
     ///
-    /// As of [`Fleet::apply`].
+    /// Returns an error under the same conditions as [`Fleet::apply`].
     pub fn apply_text(
         &self,
         base_generation: u64,
@@ -265,8 +275,8 @@
         Ok(accepted.generation)
     }
 
-    /// Waits until the platform's stand-ins answer: a busy machine may start
-    /// them later than what needs them.
+    /// Waits until the platform stand-ins respond. On a busy machine they may
+    /// start later than the daemons that need them.
     fn wait_for_platform(&mut self) -> anyhow::Result<()> {
         for name in ["table", "objects", "vm-list"] {
             self.wait_for(&format!("the stand-in {name}"), |fleet| {
@@ -278,10 +288,11 @@
     }
 
     fn wait_until_ready(&mut self) -> anyhow::Result<()> {
-        let names = self.sides.len();
+        let server_count = self.sides.len();
         for number in 0..self.entries.len() {
             self.wait_for(&format!("entry {number} to reach all"), |f| {
-                f.routable_servers(number).is_some_and(|p| p.len() == names)
+                f.routable_servers(number)
+                    .is_some_and(|servers| servers.len() == server_count)
             })?;
         }
         let sides: Vec<String> = self.sides.keys().cloned().collect();
@@ -293,11 +304,12 @@
         Ok(())
     }
 
-    /// Waits until something is true of the fleet.
+    /// Waits until a condition on the fleet is true. `what` describes the
+    /// condition in the error.
     ///
     /// # Errors
     ///
-    /// It is not true in time.
+    /// Returns an error if the condition isn't true within the timeout.
     pub fn wait_for(
         &mut self,
         what: &str,
@@ -305,20 +317,23 @@
     ) -> anyhow::Result<()> {
         let started = Instant::now();
         while !is_true(self) {
-            if started.elapsed() > READY_LIMIT {
-                bail!("waited in vain for {what}; {}", self.process_states());
+            if started.elapsed() > READY_TIMEOUT {
+                bail!(
+                    "timed out waiting for {what}; {}",
+                    self.process_states()
+                );
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Which processes run, and the last lines that the others wrote.
+    /// Whether each process is running, and the last lines of its log.
     pub fn process_states(&mut self) -> String {
         let mut text = String::new();
         for (name, process) in &mut self.processes {
             let state =
-                if process.is_running() { "runs" } else { "has ended" };
+                if process.is_running() { "is running" } else { "has exited" };
             let _ = writeln!(text, "{name} {state}");
             let log = process.log_text();
             let lines: Vec<&str> = log.lines().collect();
@@ -329,35 +344,37 @@
         text
     }
 
-    /// Backend servers that an entry gives work; none if it does not say.
+    /// Backend servers that an entry may route to; none if its status is
+    /// unavailable.
     pub fn routable_servers(&self, entry: usize) -> Option<BTreeSet<String>> {
         let status = self.entry_status(entry);
         let services = status["services"].as_object()?;
         let servers = services.values().filter_map(Value::as_object);
-        let is_present = |(_, state): &(&String, &Value)| {
+        let is_routable = |(_, state): &(&String, &Value)| {
             let presence = &state["presence"];
             presence != "absent" && presence != "leaving"
         };
-        let present = servers.flatten().filter(is_present);
-        Some(present.map(|(name, _)| name.clone()).collect())
+        let routable = servers.flatten().filter(is_routable);
+        Some(routable.map(|(name, _)| name.clone()).collect())
     }
 
-    /// State of an entry as it shows it to operators; null if it does not.
+    /// Status of an entry as shown to operators; null if it's unavailable.
     pub fn entry_status(&self, entry: usize) -> Value {
         status(self.entries[entry].0.ops)
     }
 
-    /// State of the side process of a backend server.
+    /// Status of the side process of a backend server; null if it's
+    /// unavailable.
     pub fn side_status(&self, server: &str) -> Value {
         status(self.sides[server].ops)
     }
 
-    /// Where callers reach an entry.
+    /// Address at which callers reach an entry.
     pub fn entry_address(&self, entry: usize) -> SocketAddr {
         self.entries[entry].1
     }
 
-    /// Where operators reach the processes, by name.
+    /// Control addresses of the daemons by name.
     pub fn control_addresses(&self) -> BTreeMap<String, SocketAddr> {
         let entries = self.entries.iter().enumerate();
         let entries = entries.map(|(n, (d, _))| (entry_name(n), d.control));
@@ -366,7 +383,7 @@
         entries.chain(sides).collect()
     }
 
-    /// Where the metrics of the processes are, by name.
+    /// Addresses of the status and metrics pages of the daemons by name.
     pub fn ops_addresses(&self) -> BTreeMap<String, SocketAddr> {
         let entries = self.entries.iter().enumerate();
         let entries = entries.map(|(n, (d, _))| (entry_name(n), d.ops));
@@ -374,34 +391,37 @@
         entries.chain(sides).collect()
     }
 
-    /// A caller of an entry with the first account's key.
+    /// Returns a caller of an entry with the key of the first account.
     pub fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.entry_address(entry), ACCOUNTS[0].1)
     }
 
-    /// A process: `table`, `entry-0`, `side-desk-0a`, `desk-0a`.
+    /// A process by its name, such as `table`, `entry-0`, `side-desk-0a` or
+    /// `desk-0a`.
     ///
     /// # Panics
     ///
-    /// The fleet has no such process.
+    /// Panics if the fleet has no such process.
     pub fn process(&mut self, name: &str) -> &mut Process {
         self.processes
             .get_mut(name)
             .unwrap_or_else(|| panic!("the fleet has no process {name:?}"))
     }
 
-    /// Numbers of the running processes in the system, by name.
+    /// Process IDs of the running processes by name.
     pub fn process_ids(&self) -> BTreeMap<String, u32> {
-        let each = self.processes.iter();
-        each.filter_map(|(name, p)| Some((name.clone(), p.id()?))).collect()
+        let processes = self.processes.iter();
+        processes
+            .filter_map(|(name, p)| Some((name.clone(), p.id()?)))
+            .collect()
     }
 
-    /// Stops the daemons as an operator would, entries first; their names
-    /// with their exit codes.
+    /// Stops the daemons gracefully, entries first. Returns their exit codes
+    /// by name.
     ///
     /// # Errors
     ///
-    /// One does not stop in time.
+    /// Returns an error if a daemon doesn't stop within the timeout.
     pub fn stop_daemons(
         &mut self,
     ) -> anyhow::Result<BTreeMap<String, Option<i32>>> {
@@ -418,7 +438,7 @@
             }
             for process in group {
                 if process.has_started() {
-                    let status = process.wait(STOP_LIMIT)?;
+                    let status = process.wait(STOP_TIMEOUT)?;
                     codes.insert(process.name().to_owned(), status.code());
                 }
             }
@@ -426,7 +446,7 @@
         Ok(codes)
     }
 
-    /// Directory with the fleet's settings and logs.
+    /// Directory of the fleet's settings and logs.
     pub fn directory(&self) -> &Path {
         self.dir.path()
     }
@@ -446,11 +466,11 @@
     Caller::new(ops, "").call("GET", "/status", "").json()
 }
 
-/// Directory of the built programs: that of the running one, or above it for
-/// a test.
-fn programs() -> anyhow::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let dirs = own.ancestors().skip(1).take(2);
+/// Directory of the built programs: that of the current executable, or the
+/// parent directory for a test.
+fn program_directory() -> anyhow::Result<PathBuf> {
+    let executable = std::env::current_exe()?;
+    let dirs = executable.ancestors().skip(1).take(2);
     for dir in dirs {
         if dir.join("chestnutreachd").exists() {
             return Ok(dir.to_owned());
--- a/crates/fleet/src/fleet/texts.rs
+++ b/crates/fleet/src/fleet/config_text.rs
@@ -1,10 +1,10 @@
-//! The settings of a fleet's daemons, and its manifest.
+//! Settings of a fleet's daemons, and its manifest.
 
 use std::fmt::Write as _;
 
 use chestnutreach_config::key_digest;
 
-use super::{ACCOUNTS, Daemon, Fleet, HALLS, Platform, side_name};
+use super::{ACCOUNTS, DATA_CENTRES, Daemon, Fleet, Platform, side_name};
 
 impl Fleet {
     pub(super) fn settings(
@@ -12,7 +12,7 @@
         role: &str,
         vm: &str,
         daemon: Daemon,
-        more: &str,
+        sections: &str,
     ) -> String {
         let Platform { table, objects, vm_list } = self.platform;
         let Daemon { inner, ops, control } = daemon;
@@ -23,9 +23,9 @@
              {}level = {}\n\n\
              {}\n\
              {}table-address = {table}\nobject-address = {objects}\n\
-             vm-list-address = {vm_list}\n\n{more}",
+             vm-list-address = {vm_list}\n\n{sections}",
             self.section("node"),
-            HALLS[0],
+            DATA_CENTRES[0],
             self.section("log"),
             self.plan.log_level,
             self.section("links"),
@@ -33,7 +33,7 @@
         )
     }
 
-    /// Heading and planned settings of a section.
+    /// Header and planned settings of a section.
     pub(super) fn section(&self, name: &str) -> String {
         let mut text = format!("[{name}]\n");
         for (key, value) in self.plan.settings.get(name).into_iter().flatten()
@@ -64,18 +64,21 @@
                  first-token-objective-ms = 500\n\n",
             );
         }
-        self.write_places(&mut text);
+        self.write_data_centres(&mut text);
         self.write_accounts(&mut text);
         self.write_servers(&mut text);
         text
     }
 
-    fn write_places(&self, text: &mut String) {
-        for hall in HALLS {
-            let _ = write!(text, "[data-centre {hall}]\nregion = kaolack\n\n");
+    fn write_data_centres(&self, text: &mut String) {
+        for data_centre in DATA_CENTRES {
+            let _ = write!(
+                text,
+                "[data-centre {data_centre}]\nregion = kaolack\n\n"
+            );
         }
-        for (at, a) in HALLS.iter().enumerate() {
-            for b in &HALLS[at + 1..] {
+        for (at, a) in DATA_CENTRES.iter().enumerate() {
+            for b in &DATA_CENTRES[at + 1..] {
                 let _ = write!(
                     text,
                     "[path {a} {b}]\nlatency-us = 200\n\
@@ -111,7 +114,7 @@
                 "[backend-server {server}]\nservice = {service}\n\
                  data-centre = {}\nvm = {}\nside-address = {}\n\
                  max-running = {}\n",
-                HALLS[at % HALLS.len()],
+                DATA_CENTRES[at % DATA_CENTRES.len()],
                 side_name(server),
                 self.side_address(server),
                 self.plan.max_running,
--- a/crates/fleet/src/fleet/members.rs
+++ b/crates/fleet/src/fleet/daemons.rs
@@ -1,4 +1,4 @@
-//! Members that come, go and are asked one by one.
+//! Adding, stopping, restarting and observing single daemons.
 
 use std::{
     net::SocketAddr,
@@ -11,16 +11,19 @@
 use chestnutreach_platform::{ManifestStore, ObjectClient, TableClient};
 use serde_json::Value;
 
-use super::{Fleet, LOOK, Platform, READY_LIMIT, STOP_LIMIT, status};
+use super::{
+    Fleet, POLL_INTERVAL, Platform, READY_TIMEOUT, STOP_TIMEOUT, status,
+};
 use crate::client::Caller;
 
 impl Fleet {
-    /// Starts one more engine of a stage with its side process; its name.
-    /// The manifest that is applied next has it.
+    /// Starts an additional engine of a stage with its side process, and
+    /// returns its name. The engine is part of the manifest that is applied
+    /// next.
     ///
     /// # Errors
     ///
-    /// A program cannot be started.
+    /// Returns an error if a program can't be started.
     pub fn add_engine(&mut self, stage: usize) -> anyhow::Result<String> {
         self.plan.stages[stage].count += 1;
         let name = self.plan.stage_names(stage).pop();
@@ -30,33 +33,34 @@
         Ok(name)
     }
 
-    /// Stops a daemon as an operator would; its exit code.
+    /// Stops a daemon gracefully and returns its exit code.
     ///
     /// # Errors
     ///
-    /// It does not stop in time.
+    /// Returns an error if the daemon doesn't stop within the timeout.
     pub fn stop(&mut self, name: &str) -> anyhow::Result<Option<i32>> {
         let process = self.process(name);
         process.terminate();
-        Ok(process.wait(STOP_LIMIT)?.code())
+        Ok(process.wait(STOP_TIMEOUT)?.code())
     }
 
-    /// Starts a daemon that has ended again, with an empty memory and the
-    /// addresses it had.
+    /// Restarts a daemon that has exited, with empty memory and the same
+    /// addresses.
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
+    /// Returns an error if the program can't be started.
     pub fn restart(&mut self, name: &str) -> anyhow::Result<()> {
         self.process(name).restart()
     }
 
-    /// Adds a line to the `[node]` section of a daemon's settings, which
-    /// hold from its next start.
+    /// Adds a line to the `[node]` section of a daemon's settings. The change
+    /// takes effect at its next start.
     ///
     /// # Errors
     ///
-    /// The settings cannot be read or written.
+    /// Returns an error if the settings can't be read or written, or have no
+    /// `[node]` section.
     pub fn add_node_setting(
         &self,
         name: &str,
@@ -70,12 +74,13 @@
         )
     }
 
-    /// Replaces a text in a daemon's settings, which hold from its next
-    /// start.
+    /// Replaces a text in a daemon's settings. The change takes effect at its
+    /// next start.
     ///
     /// # Errors
     ///
-    /// The settings cannot be read or written, or lack the text.
+    /// Returns an error if the settings can't be read or written, or don't
+    /// contain the text.
     pub fn replace_setting(
         &self,
         name: &str,
@@ -84,7 +89,10 @@
     ) -> anyhow::Result<()> {
         let path = self.dir.path().join(format!("{name}.ini"));
         let text = std::fs::read_to_string(&path)?;
-        ensure!(text.contains(from), "{name} has no {from:?} in {text}");
+        ensure!(
+            text.contains(from),
+            "the settings of {name} don't contain {from:?}: {text}"
+        );
         std::fs::write(path, text.replacen(from, to, 1))?;
         Ok(())
     }
@@ -98,7 +106,7 @@
         )
     }
 
-    /// State of any daemon by its name; null if it does not show it.
+    /// Status of a daemon by its name; null if it's unavailable.
     pub fn status(&self, name: &str) -> Value {
         match self.ops_addresses().get(name) {
             Some(address) => status(*address),
@@ -106,7 +114,7 @@
         }
     }
 
-    /// Whether a daemon says that it should get work.
+    /// Whether a daemon reports that it is ready for requests.
     pub fn is_ready(&self, name: &str) -> bool {
         let address: Option<SocketAddr> =
             self.ops_addresses().get(name).copied();
@@ -115,7 +123,7 @@
         })
     }
 
-    /// Names of all daemons, entries first.
+    /// Names of all daemons; `entry-` names sort before `side-` names.
     pub fn daemon_names(&self) -> Vec<String> {
         let names = self.ops_addresses().into_keys();
         names.collect()
@@ -125,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// It has not in time.
+    /// Returns an error if the event isn't logged within the timeout.
     pub fn wait_for_event(
         &mut self,
         name: &str,
@@ -134,15 +142,15 @@
         let started = Instant::now();
         while self.events(name, event).is_empty() {
             ensure!(
-                started.elapsed() < READY_LIMIT,
-                "{name} has not logged {event}"
+                started.elapsed() < READY_TIMEOUT,
+                "timed out waiting for {name} to log {event}"
             );
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Lines of a process's log that tell of an event.
+    /// Log lines of a process that contain an event.
     pub fn events(&mut self, name: &str, event: &str) -> Vec<String> {
         let log = self.process(name).log_text();
         let lines = log.lines().filter(|line| {
--- a/crates/fleet/src/fleet/standins.rs
+++ b/crates/fleet/src/fleet/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a fleet: their faults, counts and records.
+//! Faults, counts and records of a fleet's stand-ins.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -15,21 +15,22 @@
         self.servers[name]
     }
 
-    /// Sets the faults of a stand-in.
+    /// Replaces the faults of a stand-in.
     ///
     /// # Panics
     ///
-    /// The stand-in does not take them.
+    /// Panics if the stand-in doesn't accept the faults.
     pub fn set_faults(&self, name: &str, faults: &Value) {
-        let answer =
+        let response =
             self.standin(name).call("PUT", "/faults", &faults.to_string());
         assert!(
-            (200..300).contains(&answer.status),
-            "faults of {name}: {answer:?}"
+            (200..300).contains(&response.status),
+            "faults of {name}: {response:?}"
         );
     }
 
-    /// Sets which VMs the platform lists as leaving; all others are live.
+    /// Sets which VMs the platform lists as leaving; all other VMs of side
+    /// processes are listed as live.
     pub fn set_leaving_vms(&self, leaving: &[&str]) {
         let names = self.sides.keys().map(|name| side_name(name));
         let entries: Vec<Value> = names
@@ -43,19 +44,19 @@
         self.standin("vm-list").call("PUT", "/vms", &body);
     }
 
-    /// Calls that a stand-in holds now.
+    /// Number of calls that a stand-in currently holds.
     pub fn held_calls(&self, name: &str) -> u64 {
-        let answer = self.standin(name).call("GET", "/held", "");
-        answer.json().as_u64().unwrap_or(0)
+        let response = self.standin(name).call("GET", "/held", "");
+        response.json().as_u64().unwrap_or(0)
     }
 
-    /// Calls that a stand-in turned away, and those of them that came while
-    /// it had asked for rest.
+    /// Counts of the calls that a stand-in rejected with a cooldown, and of
+    /// those that arrived during a cooldown.
     pub fn cooldown_stats(&self, name: &str) -> Value {
         self.standin(name).call("GET", "/rests", "").json()
     }
 
-    /// A stand-in's counts.
+    /// Counts of a stand-in.
     pub fn stats(&self, name: &str) -> Value {
         self.standin(name).call("GET", "/stats", "").json()
     }
@@ -64,8 +65,8 @@
         Caller::new(self.servers[name], "")
     }
 
-    /// What each engine has run. One that does not answer has lost its
-    /// record with its memory and is left out.
+    /// Record of each engine. An engine that doesn't respond has an empty
+    /// record, since the record was lost with its memory.
     pub fn engine_records(&self) -> BTreeMap<String, Vec<NumberedRun>> {
         let names = self.plan.engine_names();
         let records = names.into_iter().map(|name| {
@@ -75,12 +76,12 @@
         records.collect()
     }
 
-    /// What one engine has run.
+    /// Record of one engine.
     pub fn engine_record(&self, name: &str) -> Vec<NumberedRun> {
         self.record_lines(name)
     }
 
-    /// What a plain server has run.
+    /// Record of a plain server.
     pub fn plain_record(&self, name: &str) -> Vec<Numbered<PlainRecord>> {
         self.record_lines(name)
     }
@@ -89,8 +90,8 @@
         &self,
         name: &str,
     ) -> Vec<T> {
-        let answer = self.standin(name).call("GET", "/record", "");
-        let lines = answer.text.lines();
+        let response = self.standin(name).call("GET", "/record", "");
+        let lines = response.text.lines();
         lines.filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,21 +1,21 @@
 //! A small fleet of separate processes on one machine, for the demo and the
-//! tests of failures.
+//! fault tests.
 //!
 //! A [`Fleet`] starts stand-ins of the platform, engines and plain services,
-//! and the daemons before them, each a process of its own that talks over
-//! loopback. It can kill, freeze and stop any of them, and reads what the
-//! stand-ins have recorded, so that promises are checked from the record of
-//! what ran and not from the router's own word.
+//! and the daemons in front of them. Each is a separate process that
+//! communicates over loopback. The fleet can kill, freeze and stop any of
+//! them. It reads the records of the stand-ins, so guarantees are checked
+//! against what actually ran instead of what the router reports.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`plan`] | what a fleet consists of |
-//! | [`fleet`] | starting and stopping it |
-//! | [`process`] | one process |
-//! | [`ports`] | free ports |
-//! | [`client`] | a caller |
-//! | [`relay`] | connections that break, fall silent or slow down |
-//! | [`record`] | what engines have run, and whether that was right |
+//! | [`plan`] | the servers and settings of a fleet |
+//! | [`fleet`] | starting, stopping and observing the fleet |
+//! | [`process`] | a process of the fleet |
+//! | [`ports`] | allocation of free ports |
+//! | [`client`] | a caller of an entry |
+//! | [`relay`] | a TCP relay that injects connection faults |
+//! | [`record`] | checks of the guarantees against the engines' records |
 
 pub mod client;
 pub mod fleet;
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,4 +1,5 @@
-//! The demo: a small Kaolack fleet of separate processes, used once.
+//! The demo: starts a small Kaolack fleet of separate processes and sends a
+//! few requests.
 
 use std::{
     collections::BTreeMap, process::ExitCode, sync::mpsc, thread,
@@ -14,14 +15,15 @@
 use chestnutreach_standins::engine::expected_answer;
 use clap::{Arg, ArgAction, Command};
 
-/// Layers of the fleet's model.
+/// Layer count of the fleet's model.
 const LAYER_COUNT: u32 = 24;
-/// Words of a summary and of a letter.
+/// Lengths of the summary and the letter.
 const SUMMARY_TOKENS: u32 = 24;
 const LETTER_TOKENS: u32 = 12;
 
-const SUMMARY: &str = "Summarise loan file 2417 of the Ndiaye cooperative";
-const LETTER: &str = "Write the repayment letter for loan 2417";
+const SUMMARY_PROMPT: &str =
+    "Summarise loan file 2417 of the Ndiaye cooperative";
+const LETTER_PROMPT: &str = "Write the repayment letter for loan 2417";
 
 fn main() -> ExitCode {
     let arguments = Command::new("chestnutreach-demo")
@@ -30,11 +32,11 @@
             Arg::new("keep")
                 .long("keep")
                 .action(ArgAction::SetTrue)
-                .help("Leave the fleet up until interrupted"),
+                .help("Keep the fleet running until interrupted"),
         )
         .get_matches();
-    let is_kept = arguments.get_flag("keep");
-    match run(is_kept) {
+    let keeps_running = arguments.get_flag("keep");
+    match run(keeps_running) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("demo: {e:#}");
@@ -43,21 +45,21 @@
     }
 }
 
-fn run(is_kept: bool) -> anyhow::Result<()> {
+fn run(keeps_running: bool) -> anyhow::Result<()> {
     println!("Starting the platform, engines and daemons of a small fleet.");
     let mut fleet = Fleet::start(Plan::new())?;
-    if is_kept {
-        return keep(&mut fleet);
+    if keeps_running {
+        return run_until_interrupted(&mut fleet);
     }
-    summary(&fleet)?;
-    letter(&fleet)?;
-    lookup(&fleet)?;
-    receipt(&fleet)?;
+    request_summary(&fleet)?;
+    request_letter_twice(&fleet)?;
+    look_up_schedule(&fleet)?;
+    send_receipt_twice(&fleet)?;
     check_records(&fleet.engine_records())?;
     stop(&mut fleet)
 }
 
-fn keep(fleet: &mut Fleet) -> anyhow::Result<()> {
+fn run_until_interrupted(fleet: &mut Fleet) -> anyhow::Result<()> {
     let entry = fleet.entry_address(0);
     let key = ACCOUNTS[0].1;
     println!("Entries: {entry} {}", fleet.entry_address(1));
@@ -78,49 +80,54 @@
          file 2417\"}}]}}'"
     );
     println!("Interrupt (Ctrl-C) to end.");
-    // An interrupt ends this process and, as one process group, the fleet.
+    // Ctrl-C also stops the fleet, whose processes are in the same process
+    // group.
     let (_sender, receiver) = mpsc::channel::<()>();
     let _ = receiver.recv();
     thread::sleep(Duration::from_millis(1));
     Ok(())
 }
 
-fn summary(fleet: &Fleet) -> anyhow::Result<()> {
+fn request_summary(fleet: &Fleet) -> anyhow::Result<()> {
     println!("\nA clerk's summary, streamed by {}:", fleet.entry_address(0));
     let caller = fleet.caller(0).header("chestnutreach-priority", "high");
-    let answer = caller.stream(SUMMARY, SUMMARY_TOKENS, |_| {});
-    show_text(fleet, SUMMARY, SUMMARY_TOKENS, &answer)
+    let response = caller.stream(SUMMARY_PROMPT, SUMMARY_TOKENS, |_| {});
+    show_text(fleet, SUMMARY_PROMPT, SUMMARY_TOKENS, &response)
 }
 
-fn letter(fleet: &Fleet) -> anyhow::Result<()> {
+fn request_letter_twice(fleet: &Fleet) -> anyhow::Result<()> {
     println!("\nA repayment letter, with a key, asked for twice:");
-    let first = ask_letter(&fleet.caller(0));
-    show_text(fleet, LETTER, LETTER_TOKENS, &first)?;
-    let again = ask_letter(&fleet.caller(1));
+    let first = request_letter(&fleet.caller(0));
+    show_text(fleet, LETTER_PROMPT, LETTER_TOKENS, &first)?;
+    let again = request_letter(&fleet.caller(1));
     println!("  again, from the other entry: {}", again.content());
     ensure!(
         again.content() == first.content(),
-        "the repeat of the letter is another letter: {again:?}"
+        "the repeated request returned a different letter: {again:?}"
+    );
+    let runs = engines_of(&fleet.engine_records(), again.request());
+    ensure!(
+        runs.is_empty(),
+        "the repeated request of the letter ran on {runs:?}"
     );
-    let runs = chain_of(&fleet.engine_records(), again.request());
-    ensure!(runs.is_empty(), "the repeat of the letter ran on {runs:?}");
     Ok(())
 }
 
-fn ask_letter(caller: &Caller) -> Response {
+fn request_letter(caller: &Caller) -> Response {
     caller
         .header("idempotency-key", "letter-2417")
         .header("chestnutreach-priority", "high")
-        .chat(LETTER, LETTER_TOKENS)
+        .chat(LETTER_PROMPT, LETTER_TOKENS)
 }
 
-fn lookup(fleet: &Fleet) -> anyhow::Result<()> {
+fn look_up_schedule(fleet: &Fleet) -> anyhow::Result<()> {
     println!("\nA schedule lookup at the plain service:");
-    let answer = fleet.caller(1).call("GET", "/ledger-app/schedules/2417", "");
-    show_plain(&answer)
+    let response =
+        fleet.caller(1).call("GET", "/ledger-app/schedules/2417", "");
+    show_plain(&response)
 }
 
-fn receipt(fleet: &Fleet) -> anyhow::Result<()> {
+fn send_receipt_twice(fleet: &Fleet) -> anyhow::Result<()> {
     println!("\nA receipt, which runs at most once:");
     let body = "{\"loan\":2417,\"paid\":15000}";
     let caller = fleet.caller(0).header("idempotency-key", "receipt-88");
@@ -130,7 +137,7 @@
     let again = caller.call("POST", "/ledger-app/receipts", body);
     ensure!(
         again.text == first.text,
-        "the repeat of the receipt has another answer: {again:?}"
+        "the repeated receipt returned a different response: {again:?}"
     );
     let record = fleet.plain_record("ledger-0");
     let runs =
@@ -144,40 +151,40 @@
     fleet: &Fleet,
     prompt: &str,
     count: u32,
-    answer: &Response,
+    response: &Response,
 ) -> anyhow::Result<()> {
-    ensure!(answer.is_complete, "the answer is not whole: {answer:?}");
-    println!("  {}", answer.content());
-    let chain = chain_of(&fleet.engine_records(), answer.request());
-    println!("  request {} crossed {}", answer.request(), chain.join(", "));
+    ensure!(response.is_complete, "the answer is incomplete: {response:?}");
+    println!("  {}", response.content());
+    let chain = engines_of(&fleet.engine_records(), response.request());
+    println!("  request {} crossed {}", response.request(), chain.join(", "));
     let expected: String = expected_answer(prompt, LAYER_COUNT, count)
         .into_iter()
         .map(|(_, text)| text)
         .collect();
     ensure!(
-        answer.content() == expected,
-        "the answer is not the model's: {expected:?}"
+        response.content() == expected,
+        "the answer differs from the expected one: {expected:?}"
     );
-    ensure!(chain.len() >= 2, "the answer crossed only {chain:?}");
+    ensure!(chain.len() >= 2, "the answer was computed only by {chain:?}");
     Ok(())
 }
 
-fn show_plain(answer: &Response) -> anyhow::Result<()> {
-    ensure!(answer.status == 200, "the call failed: {answer:?}");
-    println!("  {}", answer.text.trim());
+fn show_plain(response: &Response) -> anyhow::Result<()> {
+    ensure!(response.status == 200, "the call failed: {response:?}");
+    println!("  {}", response.text.trim());
     Ok(())
 }
 
-/// Engines that ran a request, with their layers.
-fn chain_of(
+/// Returns the engines that ran a request, with their layers.
+fn engines_of(
     records: &BTreeMap<String, Vec<NumberedRun>>,
     request: &str,
 ) -> Vec<String> {
     let mut chain = Vec::new();
     for (engine, runs) in records {
-        let ran = runs.iter().find(|r| r.entry.request == request);
-        if let Some(ran) = ran {
-            let (first, end) = (ran.entry.first_layer, ran.entry.end_layer);
+        let run = runs.iter().find(|r| r.entry.request == request);
+        if let Some(run) = run {
+            let (first, end) = (run.entry.first_layer, run.entry.end_layer);
             chain.push(format!("{engine} (layers {first}..{end})"));
         }
     }
@@ -187,8 +194,8 @@
 fn check_records(
     records: &BTreeMap<String, Vec<NumberedRun>>,
 ) -> anyhow::Result<()> {
-    let broken = guarantee_violations(records);
-    ensure!(broken.is_empty(), "promises broken: {broken:#?}");
+    let violations = guarantee_violations(records);
+    ensure!(violations.is_empty(), "guarantees violated: {violations:#?}");
     let runs: usize = records.values().map(Vec::len).sum();
     println!(
         "\n{runs} steps on engines: no layer ran twice, none was missed."
@@ -200,7 +207,7 @@
     let codes = fleet.stop_daemons()?;
     let count = codes.len();
     for (name, code) in codes {
-        ensure!(code == Some(0), "{name} ended with {code:?}");
+        ensure!(code == Some(0), "{name} exited with {code:?}");
     }
     println!("{count} daemons stopped gracefully.");
     Ok(())
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,19 +1,19 @@
-//! What a fleet consists of.
+//! The servers and settings of a fleet.
 
 use std::collections::BTreeMap;
 
-/// Backend servers that hold the same layers.
+/// Backend servers that serve the same layers.
 #[derive(Clone, Debug)]
 pub struct StagePlan {
-    /// First layer held.
+    /// First layer served.
     pub first_layer: u32,
-    /// Layer after the last held.
+    /// Layer after the last one served.
     pub end_layer: u32,
-    /// How many hold them.
+    /// Number of backend servers.
     pub count: usize,
 }
 
-/// What a fleet consists of, set by chained methods.
+/// The servers and settings of a fleet, set by chained methods.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub(crate) entries: usize,
@@ -47,18 +47,20 @@
 }
 
 impl Plan {
-    /// Two entries, two chains of two stages, one plain server.
+    /// Creates a plan with two entries, two stages of two engines each, and
+    /// one plain server.
     pub fn new() -> Plan {
         Plan::default()
     }
 
-    /// Count of entries.
+    /// Sets the number of entries.
     pub fn entries(mut self, count: usize) -> Plan {
         self.entries = count;
         self
     }
 
-    /// Layer ranges by their bounds, with `count` backend servers each.
+    /// Sets the stages by the bounds of their layer ranges, with `count`
+    /// backend servers each. The last bound is the layer count of the model.
     pub fn stages(mut self, bounds: &[u32], count: usize) -> Plan {
         self.layer_count = bounds.last().copied().unwrap_or(0);
         self.stages = bounds
@@ -68,50 +70,50 @@
         self
     }
 
-    /// Count of servers of the plain service.
+    /// Sets the number of servers of the plain service.
     pub fn plain_servers(mut self, count: usize) -> Plan {
         self.plain_servers = count;
         self
     }
 
-    /// Requests that each backend server runs at once.
+    /// Sets the maximum number of requests that a backend server runs at once.
     pub fn max_running(mut self, count: u32) -> Plan {
         self.max_running = count;
         self
     }
 
-    /// Has every side process reached over a [`Relay`](crate::Relay).
+    /// Puts a [`Relay`](crate::Relay) in front of every side process.
     pub fn relays(mut self) -> Plan {
         self.has_relays = true;
         self
     }
 
-    /// An argument of every engine, `--step-us=500` for instance.
+    /// Adds an argument for every engine, such as `--step-us=500`.
     pub fn engine_argument(mut self, argument: &str) -> Plan {
         self.engine_arguments.push(argument.to_owned());
         self
     }
 
-    /// A setting of every daemon that has the section.
+    /// Adds a setting for every daemon that has the section.
     pub fn setting(mut self, section: &str, key: &str, value: &str) -> Plan {
         let keys = self.settings.entry(section.to_owned()).or_default();
         keys.insert(key.to_owned(), value.to_owned());
         self
     }
 
-    /// Least important events that are logged.
+    /// Sets the minimum level of events that are logged.
     pub fn log_level(mut self, level: &str) -> Plan {
         self.log_level = level.to_owned();
         self
     }
 
-    /// Names of backend servers of the model, in order of stages.
+    /// Names of the engines, in the order of the stages.
     pub fn engine_names(&self) -> Vec<String> {
         let numbers = 0..self.stages.len();
         numbers.flat_map(|stage| self.stage_names(stage)).collect()
     }
 
-    /// Names of the backend servers of one stage.
+    /// Names of the engines of one stage, at most 26.
     pub fn stage_names(&self, stage: usize) -> Vec<String> {
         let letters = 'a'..='z';
         letters
--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -1,8 +1,8 @@
-//! Free ports for the processes of a fleet.
+//! Allocation of free ports for the processes of a fleet.
 //!
-//! A port that is free now may be taken by another process before the one it
-//! is meant for listens there. So each process that starts fleets has a block
-//! of ports of its own, which it marks by listening on the block's first.
+//! Another process may bind a free port before the process that it was
+//! allocated for does. To prevent this, each process that starts fleets
+//! reserves a block of ports by listening on the first port of the block.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream},
@@ -13,65 +13,69 @@
     },
 };
 
-/// Ports used: below those that the system hands out for connections.
+/// First port of all blocks. The blocks lie below the ephemeral port range,
+/// from which the system assigns ports to outgoing connections.
 const FIRST_PORT: u32 = 2_000;
 const BLOCK_PORTS: u32 = 625;
 const BLOCK_COUNT: u32 = 16;
 
-/// The ports of this process.
-struct Block {
+/// The port block of this process.
+struct PortBlock {
     first_port: u32,
-    /// Keeps others out.
-    _mark: TcpListener,
+    /// Listener on the first port, which reserves the block.
+    _reservation: TcpListener,
 }
 
-/// A port of loopback that nobody listens on.
+/// Returns a loopback address whose port nobody listens on.
 ///
-/// It is looked for by connecting: a socket that had listened there would be
-/// inherited by any process that is being started just then, and keep the
-/// port taken until that one runs.
+/// Ports are probed by connecting, not by binding. A process that is being
+/// started at that moment would inherit a bound socket and keep the port in
+/// use until its exec.
 ///
 /// # Panics
 ///
-/// No block of ports is free, or no port of the block.
+/// Panics if no block is free, or no port of the block.
 pub fn free_address() -> SocketAddr {
-    find(|address| TcpStream::connect(address).err().map(|_| address))
+    find_port(|address| TcpStream::connect(address).err().map(|_| address))
 }
 
-/// A listener on a free port, for what listens in this process.
+/// Returns a listener on a free port, for a server in this process.
 ///
 /// # Panics
 ///
-/// As of [`free_address`].
+/// Panics under the same conditions as [`free_address`].
 pub(crate) fn free_listener() -> (SocketAddr, TcpListener) {
-    find(|address| Some((address, TcpListener::bind(address).ok()?)))
+    find_port(|address| Some((address, TcpListener::bind(address).ok()?)))
 }
 
-/// The first port from the last one found on that `take` takes.
-fn find<T>(take: impl Fn(SocketAddr) -> Option<T>) -> T {
-    static BLOCK: OnceLock<Block> = OnceLock::new();
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let first_port = BLOCK.get_or_init(take_block).first_port;
+/// Tries the ports of the block in turn, starting after the last one tried,
+/// until `try_port` accepts one.
+fn find_port<T>(try_port: impl Fn(SocketAddr) -> Option<T>) -> T {
+    static BLOCK: OnceLock<PortBlock> = OnceLock::new();
+    static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
+    let first_port = BLOCK.get_or_init(reserve_block).first_port;
     for _ in 0..BLOCK_PORTS {
-        let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        let address = loopback(first_port + 1 + step % (BLOCK_PORTS - 1));
-        if let Some(taken) = take(address) {
-            return taken;
+        let offset = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
+        let address = loopback(first_port + 1 + offset % (BLOCK_PORTS - 1));
+        if let Some(found) = try_port(address) {
+            return found;
         }
     }
-    panic!("none of the {BLOCK_PORTS} ports from {first_port} on is free");
+    panic!("all {BLOCK_PORTS} ports from {first_port} on are in use");
 }
 
-fn take_block() -> Block {
+fn reserve_block() -> PortBlock {
     let start = process::id();
-    for step in 0..BLOCK_COUNT {
-        let number = start.wrapping_add(step) % BLOCK_COUNT;
+    for offset in 0..BLOCK_COUNT {
+        let number = start.wrapping_add(offset) % BLOCK_COUNT;
         let first_port = FIRST_PORT + number * BLOCK_PORTS;
-        if let Ok(mark) = TcpListener::bind(loopback(first_port)) {
-            return Block { first_port, _mark: mark };
+        if let Ok(reservation) = TcpListener::bind(loopback(first_port)) {
+            return PortBlock { first_port, _reservation: reservation };
         }
     }
-    panic!("all {BLOCK_COUNT} blocks of ports from {FIRST_PORT} on are taken");
+    panic!(
+        "all {BLOCK_COUNT} port blocks from port {FIRST_PORT} on are in use"
+    );
 }
 
 fn loopback(port: u32) -> SocketAddr {
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a fleet.
+//! A process of a fleet.
 
 use std::{
     fs::File,
@@ -11,10 +11,10 @@
 use anyhow::{Context as _, bail};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Time between two looks at a process.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a wait polls the process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A process that can be ended, frozen and started again.
+/// A process that can be killed, frozen and restarted. Dropping kills it.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -25,11 +25,11 @@
 }
 
 impl Process {
-    /// Starts a process; its output goes to `log`.
+    /// Starts a process that appends its output to the file `log`.
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
+    /// Returns an error if the program can't be started.
     pub fn start(
         name: &str,
         program: &Path,
@@ -47,11 +47,11 @@
         Ok(process)
     }
 
-    /// Starts the process again after it has ended.
+    /// Restarts the process after its exit.
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
+    /// Returns an error if the program can't be started.
     pub fn restart(&mut self) -> anyhow::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.program)
@@ -62,7 +62,7 @@
             .spawn()
             .with_context(|| {
                 format!(
-                    "cannot start {} ({}); has the whole workspace been \
+                    "can't start {} ({}); has the whole workspace been \
                      built?",
                     self.name,
                     self.program.display()
@@ -72,34 +72,34 @@
         Ok(())
     }
 
-    /// Its name in the fleet.
+    /// Name of the process in the fleet.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its number in the system; none while it does not run.
+    /// Process ID; none before the start and after the exit was awaited.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// What it has written.
+    /// Output of the process so far.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Whether it has been started and its end not been waited for.
+    /// Whether the process was started and its exit hasn't been awaited.
     pub fn has_started(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Ends it at once, as a lost VM would.
+    /// Kills the process with SIGKILL, as the loss of its VM would.
     pub fn kill(&mut self) {
         self.send(Signal::KILL);
         if let Some(mut child) = self.child.take() {
@@ -107,29 +107,30 @@
         }
     }
 
-    /// Has it stand still.
+    /// Stops execution of the process with SIGSTOP.
     pub fn freeze(&self) {
         self.send(Signal::STOP);
     }
 
-    /// Has it go on.
+    /// Continues execution of the process with SIGCONT.
     pub fn thaw(&self) {
         self.send(Signal::CONT);
     }
 
-    /// Asks it to stop.
+    /// Requests a graceful stop with SIGTERM.
     pub fn terminate(&self) {
         self.send(Signal::TERM);
     }
 
-    /// Waits for its end.
+    /// Waits for the exit of the process.
     ///
     /// # Errors
     ///
-    /// It has not ended within the limit.
-    pub fn wait(&mut self, limit: Duration) -> anyhow::Result<ExitStatus> {
+    /// Returns an error if the process isn't running or doesn't exit within
+    /// the timeout.
+    pub fn wait(&mut self, timeout: Duration) -> anyhow::Result<ExitStatus> {
         let Some(child) = &mut self.child else {
-            bail!("{} does not run", self.name);
+            bail!("{} is not running", self.name);
         };
         let started = Instant::now();
         loop {
@@ -137,17 +138,17 @@
                 self.child = None;
                 return Ok(status);
             }
-            if started.elapsed() > limit {
-                bail!("{} has not ended within {limit:?}", self.name);
+            if started.elapsed() > timeout {
+                bail!("{} did not exit within {timeout:?}", self.name);
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     fn send(&self, signal: Signal) {
         let pid = self.child.as_ref().map(Pid::from_child);
         if let Some(pid) = pid {
-            // A process that has ended already wants no signal.
+            // The signal fails if the process has exited already.
             let _ = kill_process(pid, signal);
         }
     }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,28 +1,29 @@
-//! What engines have run, and whether that was right.
+//! Checks of the guarantees against the engines' records.
 
 use std::collections::BTreeMap;
 
 use chestnutreach_standins::{engine::RunRecord, record::Numbered};
 
-/// One entry of an engine's record.
+/// An entry of an engine's record.
 pub type NumberedRun = Numbered<RunRecord>;
 
-/// Finds what breaks the promise that each layer runs exactly once for each
-/// position of an attempt, in order; nothing when it held.
+/// Checks the guarantee that each layer runs exactly once for each position of
+/// an attempt, in order. Returns a description of each violation.
 ///
-/// `records` holds the record of each engine by name.
+/// `records` contains the record of each engine by name.
 pub fn guarantee_violations(
     records: &BTreeMap<String, Vec<NumberedRun>>,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut seen: BTreeMap<(String, u32), Vec<LayerRun>> = BTreeMap::new();
-    for (engine, runs) in records {
-        for ran in runs {
-            let run = &ran.entry;
+    let mut violations = Vec::new();
+    let mut runs_by_attempt: BTreeMap<(String, u32), Vec<LayerRun>> =
+        BTreeMap::new();
+    for (engine, numbered_runs) in records {
+        for numbered_run in numbered_runs {
+            let run = &numbered_run.entry;
             let key = (run.request.clone(), run.attempt);
-            seen.entry(key).or_default().push(LayerRun {
+            runs_by_attempt.entry(key).or_default().push(LayerRun {
                 engine: engine.clone(),
-                seq: ran.seq,
+                seq: numbered_run.seq,
                 first_position: run.position,
                 end_position: run.position + run.span,
                 first_layer: run.first_layer,
@@ -30,27 +31,27 @@
             });
         }
     }
-    for ((request, attempt), runs) in &seen {
-        for problem in problems_of(runs) {
-            broken.push(format!("{request}/{attempt}: {problem}"));
+    for ((request, attempt), runs) in &runs_by_attempt {
+        for problem in find_problems(runs) {
+            violations.push(format!("{request}/{attempt}: {problem}"));
         }
     }
-    broken
+    violations
 }
 
-/// Highest attempt that ran of each request.
+/// Returns the highest attempt that ran of each request.
 pub fn highest_attempts(
     records: &BTreeMap<String, Vec<NumberedRun>>,
 ) -> BTreeMap<String, u32> {
     let mut highest = BTreeMap::new();
-    for ran in records.values().flatten() {
-        let attempt = highest.entry(ran.entry.request.clone()).or_insert(0);
-        *attempt = ran.entry.attempt.max(*attempt);
+    for run in records.values().flatten() {
+        let attempt = highest.entry(run.entry.request.clone()).or_insert(0);
+        *attempt = run.entry.attempt.max(*attempt);
     }
     highest
 }
 
-/// Layers run on positions by one engine.
+/// Layers that one engine ran on a range of positions.
 struct LayerRun {
     engine: String,
     seq: u64,
@@ -62,15 +63,15 @@
 
 impl LayerRun {
     fn overlaps(&self, other: &LayerRun) -> bool {
-        let in_layers = self.first_layer < other.end_layer
+        let layers_overlap = self.first_layer < other.end_layer
             && other.first_layer < self.end_layer;
-        let in_positions = self.first_position < other.end_position
+        let positions_overlap = self.first_position < other.end_position
             && other.first_position < self.end_position;
-        in_layers && in_positions
+        layers_overlap && positions_overlap
     }
 }
 
-fn problems_of(runs: &[LayerRun]) -> Vec<String> {
+fn find_problems(runs: &[LayerRun]) -> Vec<String> {
     let mut problems = Vec::new();
     for (at, run) in runs.iter().enumerate() {
         for other in &runs[at + 1..] {
@@ -86,10 +87,10 @@
                     other.engine,
                 ));
             }
-            let is_reversed = run.engine == other.engine
+            let is_out_of_order = run.engine == other.engine
                 && run.seq < other.seq
                 && run.first_position > other.first_position;
-            if is_reversed {
+            if is_out_of_order {
                 problems.push(format!(
                     "{} ran position {} before {}",
                     run.engine, run.first_position, other.first_position
@@ -97,19 +98,19 @@
             }
         }
     }
-    problems.extend(gaps(runs));
+    problems.extend(find_missing_inputs(runs));
     problems
 }
 
-/// Positions that a later layer ran without the layers before it.
-fn gaps(runs: &[LayerRun]) -> Vec<String> {
+/// Finds positions that a stage ran without the output of the stage before.
+fn find_missing_inputs(runs: &[LayerRun]) -> Vec<String> {
     let mut problems = Vec::new();
     for run in runs.iter().filter(|run| run.first_layer > 0) {
         for position in run.first_position..run.end_position {
-            let has_input = runs.iter().any(|before| {
-                before.end_layer == run.first_layer
-                    && before.first_position <= position
-                    && position < before.end_position
+            let has_input = runs.iter().any(|previous| {
+                previous.end_layer == run.first_layer
+                    && previous.first_position <= position
+                    && position < previous.end_position
             });
             if !has_input {
                 problems.push(format!(
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -1,12 +1,15 @@
-//! A relay before a process, for faults of connections.
+//! A TCP relay in front of a process, which injects connection faults.
 //!
-//! It passes bytes both ways over pairs of sockets. The connections that are
-//! open can be reset, or made silent: their bytes are read and dropped, so
-//! that neither end hears or feels anything, while new connections work. They
-//! can be stalled: their bytes are kept and passed on later, also when the
-//! sender has closed by then. One way can be cut for a time, for connections
-//! that open meanwhile as well: what was sent arrives when it ends. All bytes
-//! can be delayed.
+//! The relay forwards bytes in both directions. Tests can inject these faults:
+//!
+//! - Reset: open connections are reset.
+//! - Blackhole: the bytes of open connections are read and dropped, so neither
+//!   end notices the fault. New connections work.
+//! - Stall: the bytes of open connections are buffered and forwarded later,
+//!   even if the sender has closed the connection by then.
+//! - Partition: the bytes of one direction are buffered for all connections,
+//!   including new ones, and forwarded when the partition ends.
+//! - Delay: all bytes are forwarded after a delay.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -23,23 +26,24 @@
 
 use crate::ports::free_listener;
 
-/// Bytes passed on at once.
+/// Maximum number of bytes read at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Longest wait for bytes before it is looked what is switched on.
-const READ_LIMIT: Duration = Duration::from_millis(20);
-/// Pause between two looks at a connection whose end has come.
-const END_PAUSE: Duration = Duration::from_millis(1);
+/// Timeout of a read, after which the faults are checked again.
+const READ_TIMEOUT: Duration = Duration::from_millis(20);
+/// Interval between reads of a connection whose sender has closed, since these
+/// reads return immediately.
+const END_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Which way bytes pass.
+/// Direction of bytes through the relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Direction {
-    /// From the caller.
+    /// From the caller to the target.
     ToTarget,
-    /// To the caller.
+    /// From the target to the caller.
     ToCaller,
 }
 
-/// A relay before one address; it ends when dropped.
+/// A relay in front of one address, stopped on drop.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -50,38 +54,38 @@
 struct Shared {
     target: SocketAddr,
     delay_ms: AtomicU64,
-    is_cut_forth: AtomicBool,
-    is_cut_back: AtomicBool,
-    has_ended: AtomicBool,
-    pairs: Mutex<Vec<Arc<Pair>>>,
+    is_partitioned_to_target: AtomicBool,
+    is_partitioned_to_caller: AtomicBool,
+    is_stopped: AtomicBool,
+    connections: Mutex<Vec<Arc<Connection>>>,
 }
 
 /// One connection through the relay.
 #[derive(Debug)]
-struct Pair {
+struct Connection {
     caller: TcpStream,
     target: TcpStream,
-    is_silent: AtomicBool,
+    is_blackholed: AtomicBool,
     is_stalled: AtomicBool,
     is_reset: AtomicBool,
 }
 
 impl Relay {
-    /// Starts a relay before an address, on a port of its own.
+    /// Starts a relay in front of an address, on a free port.
     ///
     /// # Panics
     ///
-    /// No port is free.
+    /// Panics if no port is free.
     pub fn start(target: SocketAddr) -> Relay {
         let (address, listener) = free_listener();
         Relay::start_on(address, listener, target)
     }
 
-    /// Starts a relay before an address, on a port.
+    /// Starts a relay in front of an address, on the given port.
     ///
     /// # Errors
     ///
-    /// The port can't be opened.
+    /// Returns an error if the port can't be bound.
     pub fn try_start_at(port: u16, target: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, port))?;
         let address = listener.local_addr()?;
@@ -96,55 +100,57 @@
         let shared = Arc::new(Shared {
             target,
             delay_ms: AtomicU64::new(0),
-            is_cut_forth: AtomicBool::new(false),
-            is_cut_back: AtomicBool::new(false),
-            has_ended: AtomicBool::new(false),
-            pairs: Mutex::default(),
+            is_partitioned_to_target: AtomicBool::new(false),
+            is_partitioned_to_caller: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
+            connections: Mutex::default(),
         });
-        let accepting = shared.clone();
-        thread::spawn(move || accepting.accept(&listener));
+        let acceptor = shared.clone();
+        thread::spawn(move || acceptor.accept(&listener));
         Relay { address, shared }
     }
 
-    /// Where it listens.
+    /// Address that the relay listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Resets the connections that are open.
+    /// Resets the open connections.
     pub fn reset(&self) {
-        for pair in self.shared.lock().drain(..) {
-            pair.reset();
+        for connection in self.shared.lock().drain(..) {
+            connection.reset();
         }
     }
 
-    /// Makes the connections that are open silent for good.
+    /// Drops all further bytes of the open connections, permanently.
     pub fn blackhole(&self) {
-        for pair in self.shared.lock().iter() {
-            pair.is_silent.store(true, Ordering::Release);
+        for connection in self.shared.lock().iter() {
+            connection.is_blackholed.store(true, Ordering::Release);
         }
     }
 
-    /// Holds up what passes over the connections that are open.
+    /// Stalls the open connections until [`resume`](Relay::resume).
     pub fn stall(&self) {
-        for pair in self.shared.lock().iter() {
-            pair.is_stalled.store(true, Ordering::Release);
+        for connection in self.shared.lock().iter() {
+            connection.is_stalled.store(true, Ordering::Release);
         }
     }
 
-    /// Passes on what was held up.
+    /// Ends the stall and forwards the buffered bytes.
     pub fn resume(&self) {
-        for pair in self.shared.lock().iter() {
-            pair.is_stalled.store(false, Ordering::Release);
+        for connection in self.shared.lock().iter() {
+            connection.is_stalled.store(false, Ordering::Release);
         }
     }
 
-    /// Holds up what passes one way, or no longer does.
-    pub fn set_partition(&self, way: Direction, is_cut: bool) {
-        self.shared.cut_flag(way).store(is_cut, Ordering::Release);
+    /// Starts or ends a partition in one direction.
+    pub fn set_partition(&self, direction: Direction, is_partitioned: bool) {
+        self.shared
+            .partition_flag(direction)
+            .store(is_partitioned, Ordering::Release);
     }
 
-    /// Delays what passes either way by this time.
+    /// Sets the delay of all bytes, in both directions.
     pub fn set_delay(&self, delay: Duration) {
         let delay_ms = delay.as_millis() as u64;
         self.shared.delay_ms.store(delay_ms, Ordering::Release);
@@ -153,33 +159,34 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.has_ended.store(true, Ordering::Release);
-        // Wakes the accepting thread.
+        self.shared.is_stopped.store(true, Ordering::Release);
+        // The connection wakes the accepting thread, which then exits.
         let _ = TcpStream::connect(self.address);
-        for pair in self.shared.lock().drain(..) {
-            pair.close();
+        for connection in self.shared.lock().drain(..) {
+            connection.close();
         }
     }
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Vec<Arc<Pair>>> {
-        self.pairs.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, Vec<Arc<Connection>>> {
+        self.connections.lock().expect("no holder panics")
     }
 
-    fn cut_flag(&self, way: Direction) -> &AtomicBool {
-        match way {
-            Direction::ToTarget => &self.is_cut_forth,
-            Direction::ToCaller => &self.is_cut_back,
+    fn partition_flag(&self, direction: Direction) -> &AtomicBool {
+        match direction {
+            Direction::ToTarget => &self.is_partitioned_to_target,
+            Direction::ToCaller => &self.is_partitioned_to_caller,
         }
     }
 
     fn accept(self: Arc<Self>, listener: &TcpListener) {
         for caller in listener.incoming().flatten() {
-            if self.has_ended.load(Ordering::Acquire) {
+            if self.is_stopped.load(Ordering::Acquire) {
                 return;
             }
-            // A target that cannot be reached closes the caller's connection.
+            // If the target can't be reached, the caller's connection is
+            // closed.
             let _ = self.open(caller);
         }
     }
@@ -188,75 +195,76 @@
         let target = TcpStream::connect(self.target)?;
         caller.set_nodelay(true)?;
         target.set_nodelay(true)?;
-        caller.set_read_timeout(Some(READ_LIMIT))?;
-        target.set_read_timeout(Some(READ_LIMIT))?;
-        let pair = Arc::new(Pair {
+        caller.set_read_timeout(Some(READ_TIMEOUT))?;
+        target.set_read_timeout(Some(READ_TIMEOUT))?;
+        let connection = Arc::new(Connection {
             caller,
             target,
-            is_silent: AtomicBool::new(false),
+            is_blackholed: AtomicBool::new(false),
             is_stalled: AtomicBool::new(false),
             is_reset: AtomicBool::new(false),
         });
-        self.lock().push(pair.clone());
-        let (to_target, to_caller) = (pair.clone(), pair);
-        let (shared, back) = (self.clone(), self.clone());
+        self.lock().push(connection.clone());
+        let (to_target, to_caller) = (connection.clone(), connection);
+        let (upstream, downstream) = (self.clone(), self.clone());
         thread::spawn(move || {
-            shared.pass(&to_target, Direction::ToTarget);
+            upstream.forward(&to_target, Direction::ToTarget);
         });
         thread::spawn(move || {
-            back.pass(&to_caller, Direction::ToCaller);
+            downstream.forward(&to_caller, Direction::ToCaller);
         });
         Ok(())
     }
 
-    /// Passes bytes one way until either end closes.
-    fn pass(&self, pair: &Pair, way: Direction) {
-        let (from, mut to) = match way {
-            Direction::ToTarget => (&pair.caller, &pair.target),
-            Direction::ToCaller => (&pair.target, &pair.caller),
+    /// Forwards bytes in one direction until either end closes the connection.
+    fn forward(&self, connection: &Connection, direction: Direction) {
+        let (from, mut to) = match direction {
+            Direction::ToTarget => (&connection.caller, &connection.target),
+            Direction::ToCaller => (&connection.target, &connection.caller),
         };
-        let is_cut = self.cut_flag(way);
-        let mut waiting = Vec::new();
-        let mut has_ended = false;
-        while !has_ended && !self.has_ended.load(Ordering::Acquire) {
-            has_ended = !read_more(from, &mut waiting);
-            let is_stalled = pair.is_stalled.load(Ordering::Acquire);
-            if is_stalled || is_cut.load(Ordering::Acquire) {
-                // The end waits behind what came before it.
-                has_ended = false;
+        let is_partitioned = self.partition_flag(direction);
+        let mut buffered = Vec::new();
+        let mut is_closed = false;
+        while !is_closed && !self.is_stopped.load(Ordering::Acquire) {
+            is_closed = !read_more(from, &mut buffered);
+            let is_stalled = connection.is_stalled.load(Ordering::Acquire);
+            if is_stalled || is_partitioned.load(Ordering::Acquire) {
+                // The end of the stream is forwarded after the buffered bytes.
+                is_closed = false;
                 continue;
             }
-            if waiting.is_empty() {
+            if buffered.is_empty() {
                 continue;
             }
             let delay_ms = self.delay_ms.load(Ordering::Acquire);
             thread::sleep(Duration::from_millis(delay_ms));
-            if !pair.is_silent.load(Ordering::Acquire)
-                && to.write_all(&waiting).is_err()
+            if !connection.is_blackholed.load(Ordering::Acquire)
+                && to.write_all(&buffered).is_err()
             {
                 break;
             }
-            waiting.clear();
+            buffered.clear();
         }
-        // What has lost track of a connection tells its other end nothing,
-        // and a shutdown would say goodbye before a reset.
-        let is_silent = pair.is_silent.load(Ordering::Acquire);
-        if !is_silent && !pair.is_reset.load(Ordering::Acquire) {
-            pair.close();
+        // The ends of a blackholed connection must not see it close. On a
+        // reset, a shutdown would send a FIN before the RST.
+        let is_blackholed = connection.is_blackholed.load(Ordering::Acquire);
+        if !is_blackholed && !connection.is_reset.load(Ordering::Acquire) {
+            connection.close();
         }
     }
 }
 
-/// Waits a moment for bytes; false when no more will come.
-fn read_more(mut from: &TcpStream, waiting: &mut Vec<u8>) -> bool {
+/// Reads bytes until the read timeout. Returns false if the stream has ended
+/// or failed.
+fn read_more(mut from: &TcpStream, buffered: &mut Vec<u8>) -> bool {
     let mut chunk = [0; CHUNK_BYTES];
     match from.read(&mut chunk) {
         Ok(0) => {
-            thread::sleep(END_PAUSE);
+            thread::sleep(END_POLL_INTERVAL);
             false
         }
         Ok(count) => {
-            waiting.extend_from_slice(&chunk[..count]);
+            buffered.extend_from_slice(&chunk[..count]);
             true
         }
         Err(e) => matches!(
@@ -266,16 +274,16 @@
     }
 }
 
-impl Pair {
+impl Connection {
     fn close(&self) {
         for socket in [&self.caller, &self.target] {
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
 
-    /// Has both ends see a reset: a socket that is closed without lingering
-    /// sends one in place of an ordinary end. Both threads wake up, and the
-    /// last to let go of the pair closes the sockets.
+    /// Resets both ends. With a linger time of zero, closing a socket sends a
+    /// RST instead of a FIN. The shutdown wakes both threads, and the last one
+    /// to drop the connection closes the sockets.
     fn reset(&self) {
         self.is_reset.store(true, Ordering::Release);
         for socket in [&self.caller, &self.target] {
--- a/crates/standins/src/engine/model.rs
+++ b/crates/standins/src/engine/model.rs
@@ -1,11 +1,11 @@
 //! The toy model.
 //!
-//! The token ID of a word of the prompt is a hash of the word. The hidden state
-//! at a position starts as a hash of the tokens up to this position. Each layer
-//! mixes the state with the layer index, the position and the layer's output at
-//! the previous position, which stands for attention over the KV memory. So a
-//! layer or position that is skipped, run twice or run out of order changes
-//! every later token.
+//! The token ID of a word of the prompt is a hash of the word. The hidden
+//! state at a position starts as a hash of the tokens up to this position.
+//! Each layer mixes the state with the layer index, the position and the
+//! layer's output at the previous position, which stands for attention over
+//! the KV memory. So a layer or position that is skipped, run twice or run out
+//! of order changes every later token.
 
 /// Size of the output vocabulary.
 const VOCABULARY: u64 = 50_000;
--- a/crates/standins/src/engine/options.rs
+++ b/crates/standins/src/engine/options.rs
@@ -98,8 +98,8 @@
         self
     }
 
-    /// Sets the fixed time per iteration in microseconds, to which the time per
-    /// token is added.
+    /// Sets the fixed time per iteration in microseconds, to which the time
+    /// per token is added.
     pub fn step_us(mut self, time_us: u64) -> EngineOptions {
         self.step_us = time_us;
         self
@@ -111,8 +111,8 @@
         self
     }
 
-    /// Sets the idle time in milliseconds after which a sequence may be evicted
-    /// when another one needs memory.
+    /// Sets the idle time in milliseconds after which a sequence may be
+    /// evicted when another one needs memory.
     pub fn sequence_idle_ms(mut self, time_ms: u64) -> EngineOptions {
         self.sequence_idle_ms = time_ms;
         self
@@ -124,8 +124,8 @@
         self
     }
 
-    /// Sets the interval in milliseconds at which the load report is refreshed;
-    /// 0 reports the current load.
+    /// Sets the interval in milliseconds at which the load report is
+    /// refreshed; 0 reports the current load.
     pub fn report_lag_ms(mut self, lag_ms: u64) -> EngineOptions {
         self.report_lag_ms = lag_ms;
         self
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -122,8 +122,8 @@
         self.state().model.clone()
     }
 
-    /// Records an order and applies it. If fencing is checked, an order with an
-    /// old number is only recorded.
+    /// Records an order and applies it. If fencing is checked, an order with
+    /// an old number is only recorded.
     pub(super) fn handle(&self, order: &LoadOrder) -> Decision {
         let mut state = self.state();
         let is_old = order.fencing_number < state.fencing_number;
--- a/crates/standins/src/engine/scheduler.rs
+++ b/crates/standins/src/engine/scheduler.rs
@@ -177,8 +177,8 @@
         self.queue.lock().expect("no holder panics")
     }
 
-    /// Runs the rows of a call. Returns none if the engine went down before all
-    /// of them had run.
+    /// Runs the rows of a call. Returns none if the engine went down before
+    /// all of them had run.
     pub(super) async fn infer(
         &self,
         layers: Range<u32>,
@@ -234,8 +234,8 @@
                 continue;
             }
             self.run_iteration(batch).await;
-            // Without a step time, the loop would never yield to the tasks that
-            // serve calls.
+            // Without a step time, the loop would never yield to the tasks
+            // that serve calls.
             future::yield_now().await;
         }
     }
--- a/crates/standins/src/engine/stage.rs
+++ b/crates/standins/src/engine/stage.rs
@@ -2,7 +2,8 @@
 //!
 //! A step is validated completely before any of its layers runs, so a rejected
 //! step changes no state. An activation consists of a header, with the data of
-//! the prompt that the last layer needs, and the hidden state of each position.
+//! the prompt that the last layer needs, and the hidden state of each
+//! position.
 
 use std::{
     collections::BTreeMap,
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,8 +1,8 @@
 //! Faults that tests inject into a running stand-in.
 //!
 //! `PUT /faults` replaces all faults; a fault that the body omits is off. The
-//! paths `/faults`, `/held`, `/rests`, `/record` and `/stats` are not affected by
-//! faults. A held call continues as soon as its fault is switched off.
+//! paths `/faults`, `/held`, `/rests`, `/record` and `/stats` are not affected
+//! by faults. A held call continues as soon as its fault is switched off.
 
 use std::{
     sync::{
--- a/crates/standins/src/platform/vm_list.rs
+++ b/crates/standins/src/platform/vm_list.rs
@@ -32,8 +32,8 @@
     pub writes: u64,
 }
 
-/// Serves an initially empty list until the listener fails. `PUT /vms` replaces
-/// the list.
+/// Serves an initially empty list until the listener fails. `PUT /vms`
+/// replaces the list.
 ///
 /// # Errors
 ///
