--- a/crates/standins/tests/engine/chain.rs
+++ b/crates/standins/tests/engine/chain.rs
@@ -1,5 +1,6 @@
-//! The answer of a chain does not depend on how it is cut, nor on where it
-//! was resumed, and every layer runs once at every position.
+//! The answer of a chain doesn't depend on the layer ranges of its stages or
+//! on the token at which it was resumed, and every layer runs once at every
+//! position.
 
 use async_io::block_on;
 use chestnutreach_engine::{SequenceId, StepInput, StepOutput};
@@ -23,29 +24,35 @@
 const PROMPT_TOKENS: u32 = 6;
 
 struct Case {
-    cuts: &'static [u32],
-    delivered: usize,
+    bounds: &'static [u32],
+    delivered_tokens: usize,
 }
 
 #[rstest]
-#[case::halves(Case { cuts: &[0, 12, 24], delivered: 0 })]
-#[case::whole(Case { cuts: &[0, 24], delivered: 0 })]
-#[case::uneven(Case { cuts: &[0, 1, 7, 23, 24], delivered: 0 })]
-#[case::resumed_early(Case { cuts: &[0, 12, 24], delivered: 1 })]
-#[case::resumed_late(Case { cuts: &[0, 5, 24], delivered: 7 })]
+#[case::halves(Case { bounds: &[0, 12, 24], delivered_tokens: 0 })]
+#[case::whole(Case { bounds: &[0, 24], delivered_tokens: 0 })]
+#[case::uneven(Case { bounds: &[0, 1, 7, 23, 24], delivered_tokens: 0 })]
+#[case::resumed_early(Case { bounds: &[0, 12, 24], delivered_tokens: 1 })]
+#[case::resumed_late(Case { bounds: &[0, 5, 24], delivered_tokens: 7 })]
 fn gives_the_expected_answer(#[case] case: Case) {
     let expected = expected_answer(PROMPT, LAYER_COUNT, 9);
-    let delivered: Vec<u32> =
-        expected[..case.delivered].iter().map(|(token, _)| *token).collect();
-    let chain = Chain::start(case.cuts);
+    let delivered: Vec<u32> = expected[..case.delivered_tokens]
+        .iter()
+        .map(|(token, _)| *token)
+        .collect();
+    let chain = Chain::start(case.bounds);
     let sequence = SequenceId { request: 5 << 100, attempt: 3 };
-    let answer =
-        block_on(chain.answer(sequence, REQUEST, &delivered, expected.len()));
+    let answer = block_on(chain.generate(
+        sequence,
+        REQUEST,
+        &delivered,
+        expected.len(),
+    ));
     let answer: Vec<(u32, String)> =
         answer.into_iter().map(|t| (t.token, t.text)).collect();
-    assert_eq!(answer, expected[case.delivered..]);
+    assert_eq!(answer, expected[case.delivered_tokens..]);
     for stage in &chain.stages {
-        let record = block_on(record(stage.running.address()));
+        let record = block_on(record(stage.standin.address()));
         check_record(&record, sequence, &stage.layers, 8 + PROMPT_TOKENS);
     }
 }
@@ -62,42 +69,43 @@
         .collect()
 }
 
-/// Each position is covered once, in order, by all layers of the stage.
+/// Asserts that the record covers each position once, in order, with all
+/// layers of the stage.
 fn check_record(
     record: &[Numbered<RunRecord>],
     sequence: SequenceId,
     layers: &std::ops::Range<u32>,
     positions: u32,
 ) {
-    let mut next = 0;
+    let mut next_position = 0;
     for (seq, run) in (0..).zip(record) {
         assert_eq!(run.seq, seq);
         let run = &run.entry;
         assert_eq!(run.request, format!("{:032x}", sequence.request));
         assert_eq!(run.attempt, sequence.attempt);
         assert_eq!(run.first_layer..run.end_layer, *layers);
-        assert_eq!(run.position, next);
-        next += run.span;
+        assert_eq!(run.position, next_position);
+        next_position += run.span;
     }
-    assert_eq!(next, positions);
+    assert_eq!(next_position, positions);
 }
 
 #[test]
-fn stops_where_the_request_asks() {
+fn stops_after_the_requested_token() {
     let chain = Chain::start(&[0, 12, 24]);
     let request = r#"{"prompt":"a b c","x_stop_after":3}"#;
-    let is_stop = |tokens: Vec<Token>| {
+    let stop_flags = |tokens: Vec<Token>| {
         tokens.iter().map(|t| t.is_stop).collect::<Vec<_>>()
     };
-    let whole = block_on(chain.answer(id(1), request, &[], 3));
+    let whole = block_on(chain.generate(id(1), request, &[], 3));
     let first = whole[0].token;
-    assert_eq!(is_stop(whole), [false, false, true]);
-    let rest = block_on(chain.answer(id(2), request, &[first], 3));
-    assert_eq!(is_stop(rest), [false, true]);
+    assert_eq!(stop_flags(whole), [false, false, true]);
+    let resumed = block_on(chain.generate(id(2), request, &[first], 3));
+    assert_eq!(stop_flags(resumed), [false, true]);
 }
 
 #[test]
-fn each_prompt_and_layer_count_has_its_answer() {
+fn answers_differ_by_prompt_and_layer_count() {
     let cases = [("a b", 24), ("b a", 24), ("a b c", 24), ("a b", 23)];
     let answers: std::collections::BTreeSet<_> = cases
         .iter()
@@ -106,29 +114,30 @@
     assert_eq!(answers.len(), cases.len());
 }
 
-struct MissedLayers {
+struct LayerRanges {
     first: std::ops::Range<u32>,
     second: std::ops::Range<u32>,
 }
 
 #[rstest]
-#[case::missed(MissedLayers { first: 0..11, second: 12..24 })]
-#[case::doubled(MissedLayers { first: 0..13, second: 12..24 })]
-fn layers_that_do_not_tile_change_the_answer(#[case] case: MissedLayers) {
-    let start = |layers: &std::ops::Range<u32>| {
+#[case::missing(LayerRanges { first: 0..11, second: 12..24 })]
+#[case::repeated(LayerRanges { first: 0..13, second: 12..24 })]
+fn missing_or_repeated_layers_change_the_answer(#[case] case: LayerRanges) {
+    let start_stage = |layers: &std::ops::Range<u32>| {
         Stage::start(options(layers.clone()), layers.clone())
     };
-    let (first, second) = (start(&case.first), start(&case.second));
+    let (first, second) =
+        (start_stage(&case.first), start_stage(&case.second));
     let output = block_on(async {
         let output = first.run_one(step(id(1), 0, prompt("a b"))).await;
         let StepOutput::Activation(bytes) = output.unwrap().output else {
-            panic!("no activation");
+            panic!("the first stage returned no activation");
         };
         let input = StepInput::Activation { span: 2, bytes };
         second.run_one(step(id(1), 0, input)).await.unwrap().output
     });
     let StepOutput::Token { token, .. } = output else {
-        panic!("no token");
+        panic!("the second stage returned no token");
     };
     assert_ne!(token, expected_answer("a b", LAYER_COUNT, 1)[0].0);
 }
--- a/crates/standins/tests/engine/common.rs
+++ b/crates/standins/tests/engine/common.rs
@@ -1,4 +1,4 @@
-//! A chain of engines driven step by step.
+//! Starts a chain of engine stand-ins and runs sequences on them step by step.
 
 use std::{ops::Range, time::Duration};
 
@@ -25,16 +25,16 @@
 }
 
 pub struct Stage {
-    pub running: StandinThread,
+    pub standin: StandinThread,
     pub client: EngineClient,
     pub layers: Range<u32>,
 }
 
 impl Stage {
     pub fn start(options: EngineOptions, layers: Range<u32>) -> Stage {
-        let running = StandinThread::engine(options).unwrap();
-        let client = EngineClient::new(running.address(), MODEL);
-        Stage { running, client, layers }
+        let standin = StandinThread::engine(options).unwrap();
+        let client = EngineClient::new(standin.address(), MODEL);
+        Stage { standin, client, layers }
     }
 
     pub async fn run(&self, steps: &[SequenceStep]) -> Vec<Outcome> {
@@ -47,7 +47,7 @@
     }
 }
 
-/// A token of an answer.
+/// A generated token.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Token {
     pub token: u32,
@@ -56,16 +56,17 @@
 }
 
 impl Chain {
-    pub fn start(cuts: &[u32]) -> Chain {
-        let stages = cuts.windows(2).map(|cut| {
-            let layers = cut[0]..cut[1];
+    pub fn start(bounds: &[u32]) -> Chain {
+        let stages = bounds.windows(2).map(|pair| {
+            let layers = pair[0]..pair[1];
             Stage::start(options(layers.clone()), layers)
         });
         Chain { stages: stages.collect() }
     }
 
-    /// Tokens that follow `delivered`, up to `count` in all.
-    pub async fn answer(
+    /// Generates the tokens that follow `delivered`, up to `count` tokens
+    /// including `delivered`.
+    pub async fn generate(
         &self,
         sequence: SequenceId,
         request_json: &str,
@@ -108,7 +109,7 @@
                 }
             }
         }
-        panic!("the last stage gave no token");
+        panic!("the last stage returned no token");
     }
 }
 
--- a/crates/standins/tests/engine/faults.rs
+++ b/crates/standins/tests/engine/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that are switched on show as the right errors, and the record
-//! tells what was run in spite of them.
+//! Injected faults cause the corresponding client errors, and the record shows
+//! which steps ran nevertheless.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -73,14 +73,16 @@
 })]
 fn faults_map_to_errors(#[case] case: Case) {
     let engine = Stage::start(options(0..LAYER_COUNT), 0..LAYER_COUNT);
-    let address = engine.running.address();
+    let address = engine.standin.address();
     let steps = [step(id(1), 0, prompt("a b"))];
-    let short = Duration::from_millis(200);
+    let short_timeout = Duration::from_millis(200);
     block_on(async {
-        // The fault has to meet a kept connection as well as a new one.
+        // The client keeps the connection of this call, so the fault must
+        // affect open connections as well as new ones.
         assert!(engine.client.is_ready().await);
         call(address, Method::Put, "/faults", case.faults).await;
-        let result = engine.client.infer(0, LAYER_COUNT, &steps, short).await;
+        let result =
+            engine.client.infer(0, LAYER_COUNT, &steps, short_timeout).await;
         let error = result.unwrap_err();
         assert!((case.is_expected)(&error), "{error:?}");
         assert_eq!(error.may_have_run(), case.may_have_run);
@@ -92,9 +94,9 @@
 }
 
 #[test]
-fn goes_down_in_the_middle() {
+fn engine_that_goes_down_drops_the_rest_of_the_batch() {
     let engine = Stage::start(options(0..LAYER_COUNT), 0..LAYER_COUNT);
-    let address = engine.running.address();
+    let address = engine.standin.address();
     let batch = [
         step(id(1), 0, prompt("a b")),
         step(id(2), 0, prompt("a b")),
@@ -115,13 +117,13 @@
 }
 
 #[test]
-fn an_engine_that_has_ended_was_not_reached() {
+fn call_to_a_stopped_engine_reports_not_sent() {
     let engine = Stage::start(options(0..LAYER_COUNT), 0..LAYER_COUNT);
-    let Stage { running, client, .. } = engine;
+    let Stage { standin, client, .. } = engine;
     let steps = [step(id(1), 0, prompt("a b"))];
     block_on(async {
         assert!(client.is_ready().await);
-        drop(running);
+        drop(standin);
         let result = client.infer(0, LAYER_COUNT, &steps, TIMEOUT).await;
         let error = result.unwrap_err();
         assert!(matches!(error, EngineError::NotSent(_)), "{error:?}");
@@ -130,7 +132,7 @@
 }
 
 #[test]
-fn urgent_steps_go_first() {
+fn steps_run_in_priority_order() {
     let one_at_a_time = options(0..LAYER_COUNT).max_batch(1).step_us(10_000);
     let engine = Stage::start(one_at_a_time, 0..LAYER_COUNT);
     let batch: Vec<_> = [1, 2, 3, 1, 2, 3]
@@ -144,7 +146,7 @@
         .collect();
     block_on(engine.run(&batch));
     let record =
-        block_on(call(engine.running.address(), Method::Get, "/record", ""));
+        block_on(call(engine.standin.address(), Method::Get, "/record", ""));
     let requests: Vec<u128> = record
         .lines()
         .map(|line| {
--- a/crates/standins/tests/engine/main.rs
+++ b/crates/standins/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in, driven by the client of its protocol.
+//! Tests of the engine stand-in, through the client of its protocol.
 
 mod chain;
 mod common;
--- a/crates/standins/tests/engine/steps.rs
+++ b/crates/standins/tests/engine/steps.rs
@@ -1,4 +1,5 @@
-//! What an engine refuses, and what its memory and cache do.
+//! Which steps and orders an engine rejects, and how its KV memory and prefix
+//! cache behave.
 
 use async_io::block_on;
 use chestnutreach_engine::{
@@ -17,7 +18,7 @@
 struct StepCase {
     position: u32,
     input: StepInput,
-    refusal: fn(&SequenceError) -> bool,
+    is_expected: fn(&SequenceError) -> bool,
 }
 
 fn is_out_of_order(e: &SequenceError) -> bool {
@@ -30,23 +31,23 @@
 
 #[rstest]
 #[case::repeated_prompt(StepCase {
-    position: 0, input: prompt("a b c"), refusal: is_out_of_order,
+    position: 0, input: prompt("a b c"), is_expected: is_out_of_order,
 })]
 #[case::repeated_token(StepCase {
-    position: 3, input: StepInput::Token(1), refusal: is_out_of_order,
+    position: 3, input: StepInput::Token(1), is_expected: is_out_of_order,
 })]
 #[case::gap(StepCase {
-    position: 5, input: StepInput::Token(1), refusal: is_out_of_order,
+    position: 5, input: StepInput::Token(1), is_expected: is_out_of_order,
 })]
 #[case::late_prompt(StepCase {
-    position: 4, input: prompt("a b c"), refusal: is_bad_request,
+    position: 4, input: prompt("a b c"), is_expected: is_bad_request,
 })]
 #[case::activation_at_the_first_layer(StepCase {
     position: 4,
     input: StepInput::Activation { span: 1, bytes: vec![0; 16] },
-    refusal: is_bad_request,
+    is_expected: is_bad_request,
 })]
-fn refuses_and_goes_on(#[case] case: StepCase) {
+fn rejected_step_leaves_the_sequence_unchanged(#[case] case: StepCase) {
     let engine = whole_engine();
     block_on(async {
         let first = step(id(1), 0, prompt("a b c"));
@@ -54,16 +55,16 @@
         let second = step(id(1), 3, StepInput::Token(7));
         let expected = engine.run_one(second).await.unwrap();
         assert_eq!(expected.span, 1);
-        let refused = step(id(1), case.position, case.input);
-        let error = engine.run_one(refused).await.unwrap_err();
-        assert!((case.refusal)(&error), "{error:?}");
+        let rejected = step(id(1), case.position, case.input);
+        let error = engine.run_one(rejected).await.unwrap_err();
+        assert!((case.is_expected)(&error), "{error:?}");
         let next = step(id(1), 4, StepInput::Token(7));
         assert_eq!(engine.run_one(next).await.unwrap().span, 1);
     });
 }
 
 #[test]
-fn a_bad_row_does_not_spoil_its_batch() {
+fn invalid_rows_do_not_affect_other_rows_of_the_batch() {
     let engine = whole_engine();
     let mut bad_priority = step(id(1), 0, prompt("a"));
     bad_priority.priority = 4;
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn other_layers_are_refused() {
+fn step_for_layers_that_are_not_loaded_is_rejected() {
     let engine = Stage::start(options(0..12), 0..13);
     let error = block_on(engine.run_one(step(id(1), 0, prompt("a"))));
     assert!(is_bad_request(&error.unwrap_err()));
@@ -94,19 +95,19 @@
         let first = step(id(1), 0, prompt("a b c"));
         engine.run_one(first).await.unwrap();
         let second = step(id(2), 0, prompt("d e"));
-        let full = engine.run_one(second.clone()).await;
-        assert_eq!(full, Err(SequenceError::NoMemory));
+        let result = engine.run_one(second.clone()).await;
+        assert_eq!(result, Err(SequenceError::NoMemory));
         assert_eq!(engine.client.load().await.unwrap().cache_used_tokens, 3);
         engine.client.release(&[id(1), id(9)]).await.unwrap();
         assert_eq!(engine.run_one(second).await.unwrap().span, 2);
-        let gone = step(id(1), 3, StepInput::Token(1));
-        let error = engine.run_one(gone).await.unwrap_err();
+        let released = step(id(1), 3, StepInput::Token(1));
+        let error = engine.run_one(released).await.unwrap_err();
         assert!(is_out_of_order(&error));
     });
 }
 
 #[test]
-fn idle_sequences_give_way() {
+fn idle_sequences_are_evicted_when_memory_is_full() {
     let small = options(0..LAYER_COUNT).cache_tokens(4).sequence_idle_ms(0);
     let engine = Stage::start(small, 0..LAYER_COUNT);
     block_on(async {
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn cached_prefix_changes_no_answer() {
+fn cached_prefix_does_not_change_the_output() {
     let engine = whole_engine();
     let text = "word ".repeat(40);
     block_on(async {
@@ -134,13 +135,13 @@
 
 struct OrderCase {
     checks_fencing: bool,
-    is_refused: bool,
+    is_rejected: bool,
 }
 
 #[rstest]
-#[case::checked(OrderCase { checks_fencing: true, is_refused: true })]
-#[case::ignored(OrderCase { checks_fencing: false, is_refused: false })]
-fn old_fencing_numbers(#[case] case: OrderCase) {
+#[case::checked(OrderCase { checks_fencing: true, is_rejected: true })]
+#[case::ignored(OrderCase { checks_fencing: false, is_rejected: false })]
+fn old_fencing_number_is_rejected_only_if_checked(#[case] case: OrderCase) {
     let options = options(0..LAYER_COUNT).checks_fencing(case.checks_fencing);
     let engine = Stage::start(options, 0..12);
     let order = |fencing_number| LoadOrder {
@@ -155,13 +156,13 @@
         engine.client.order(&order(7)).await.unwrap();
         engine.client.order(&order(7)).await.unwrap();
         let old = engine.client.order(&order(6)).await;
-        let is_refused = matches!(
+        let is_rejected = matches!(
             old,
             Err(EngineError::OldFencingNumber { sent: 6, held: 7 })
         );
-        assert_eq!(is_refused, case.is_refused, "{old:?}");
-        let out = engine.run_one(step(id(1), 0, prompt("a"))).await;
-        assert!(matches!(out.unwrap().output, StepOutput::Activation(_)));
+        assert_eq!(is_rejected, case.is_rejected, "{old:?}");
+        let output = engine.run_one(step(id(1), 0, prompt("a"))).await;
+        assert!(matches!(output.unwrap().output, StepOutput::Activation(_)));
     });
 }
 
@@ -180,11 +181,11 @@
     block_on(async {
         assert!(engine.client.is_ready().await);
         let load = engine.client.order(&order);
-        let look = async {
+        let check = async {
             async_io::Timer::after(TIMEOUT / 100).await;
             engine.client.is_ready().await
         };
-        let (loaded, was_ready) = futures_lite::future::zip(load, look).await;
+        let (loaded, was_ready) = futures_lite::future::zip(load, check).await;
         loaded.unwrap();
         assert!(!was_ready);
         assert!(engine.client.is_ready().await);
--- a/crates/standins/tests/plain.rs
+++ b/crates/standins/tests/plain.rs
@@ -1,4 +1,5 @@
-//! The plain service counts runs, also those whose answer is lost.
+//! The plain service counts each run, including runs whose response is lost or
+//! late.
 
 use std::time::Duration;
 
@@ -32,8 +33,8 @@
 
 #[test]
 fn counts_runs_per_body() {
-    let running = StandinThread::plain().unwrap();
-    let client = Client::new(running.address(), ClientOptions::new());
+    let standin = StandinThread::plain().unwrap();
+    let client = Client::new(standin.address(), ClientOptions::new());
     block_on(async {
         let mut runs = Vec::new();
         for body in ["receipt 1", "receipt 2", "receipt 1"] {
@@ -46,12 +47,12 @@
                 body,
                 TIMEOUT,
             );
-            let (status, answer) = sent.await.unwrap();
+            let (status, body) = sent.await.unwrap();
             assert_eq!(status, 200);
-            let answer: PlainResponse =
-                serde_json::from_slice(&answer).unwrap();
-            assert_eq!(answer.path, "/receipts");
-            runs.push(answer.run);
+            let response: PlainResponse =
+                serde_json::from_slice(&body).unwrap();
+            assert_eq!(response.path, "/receipts");
+            runs.push(response.run);
         }
         assert_eq!(runs, [1, 1, 2]);
         let sent = send(&client, Method::Post, "/fail", &[], "", TIMEOUT);
@@ -64,13 +65,14 @@
 }
 
 #[test]
-fn a_slow_call_has_run() {
-    let running = StandinThread::plain().unwrap();
-    let client = Client::new(running.address(), ClientOptions::new());
-    let short = Duration::from_millis(100);
+fn call_that_times_out_is_counted() {
+    let standin = StandinThread::plain().unwrap();
+    let client = Client::new(standin.address(), ClientOptions::new());
+    let short_timeout = Duration::from_millis(100);
     block_on(async {
         let headers = [("x-sleep-ms", "5000")];
-        let sent = send(&client, Method::Put, "/a", &headers, "", short);
+        let sent =
+            send(&client, Method::Put, "/a", &headers, "", short_timeout);
         let error = sent.await.unwrap_err();
         assert!(matches!(error, ClientError::Timeout { .. }));
         assert_eq!(record(&client).await.len(), 1);
@@ -78,9 +80,9 @@
 }
 
 #[test]
-fn a_lost_answer_has_run() {
-    let running = StandinThread::plain().unwrap();
-    let client = Client::new(running.address(), ClientOptions::new());
+fn call_whose_response_is_lost_is_counted() {
+    let standin = StandinThread::plain().unwrap();
+    let client = Client::new(standin.address(), ClientOptions::new());
     block_on(async {
         let faults = r#"{"lose_answers":true}"#;
         let sent = send(&client, Method::Put, "/faults", &[], faults, TIMEOUT);
@@ -95,6 +97,6 @@
 async fn record(client: &Client) -> Vec<Numbered<PlainRecord>> {
     let sent = send(client, Method::Get, "/record", &[], "", TIMEOUT);
     let (_, body) = sent.await.unwrap();
-    let lines = String::from_utf8(body).unwrap();
-    lines.lines().map(|l| serde_json::from_str(l).unwrap()).collect()
+    let text = String::from_utf8(body).unwrap();
+    text.lines().map(|l| serde_json::from_str(l).unwrap()).collect()
 }
--- a/crates/standins/tests/process.rs
+++ b/crates/standins/tests/process.rs
@@ -1,4 +1,5 @@
-//! The program: it says where it listens, and serves there.
+//! The program prints the address it listens on and serves there, and rejects
+//! invalid arguments.
 
 use std::{
     io::{BufRead as _, BufReader},
@@ -50,17 +51,17 @@
     });
 }
 
-struct Refused {
+struct Case {
     args: &'static [&'static str],
 }
 
 #[rstest]
-#[case::no_subcommand(Refused { args: &[] })]
-#[case::unknown(Refused { args: &["oven"] })]
-#[case::no_range(Refused { args: &["engine", "--first-layer", "24"] })]
-#[case::too_long(Refused { args: &["engine", "--layer-count", "20"] })]
-#[case::no_number(Refused { args: &["engine", "--step-us", "-1"] })]
-fn refuses_arguments(#[case] case: Refused) {
+#[case::no_subcommand(Case { args: &[] })]
+#[case::unknown_subcommand(Case { args: &["oven"] })]
+#[case::empty_layer_range(Case { args: &["engine", "--first-layer", "24"] })]
+#[case::layers_exceed_model(Case { args: &["engine", "--layer-count", "20"] })]
+#[case::negative_number(Case { args: &["engine", "--step-us", "-1"] })]
+fn rejects_invalid_arguments(#[case] case: Case) {
     let program = env!("CARGO_BIN_EXE_chestnutreach-standin");
     let output = Command::new(program).args(case.args).output().unwrap();
     assert!(!output.status.success());
