--- a/crates/bench/src/change.rs
+++ b/crates/bench/src/change.rs
@@ -299,7 +299,7 @@
         let mut log = Log { path: log, read_bytes: 0, has_generation: false };
         self.fleet.process(RESTARTED_PROCESS).kill();
         log.read_new_lines();
-        self.fleet.process(RESTARTED_PROCESS).start_again()?;
+        self.fleet.process(RESTARTED_PROCESS).restart()?;
         let started = Instant::now();
         while !log.check_in_force(self.generation) {
             if started.elapsed() > CHANGE_TIMEOUT {
--- a/crates/fleet/src/fleet/standins.rs
+++ b/crates/fleet/src/fleet/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a fleet: their faults, counts and records.
+//! Faults, counts and records of a fleet's stand-ins.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use super::{Fleet, side_name};
-use crate::{client::Caller, record::Ran};
+use crate::{client::Caller, record::NumberedRun};
 
 impl Fleet {
     /// Address of a stand-in: `table`, `objects`, `vm-list`, or the name of
@@ -15,22 +15,23 @@
         self.servers[name]
     }
 
-    /// Sets the faults of a stand-in.
+    /// Replaces the faults of a stand-in.
     ///
     /// # Panics
     ///
-    /// The stand-in does not take them.
+    /// Panics if the stand-in doesn't accept the faults.
     pub fn set_faults(&self, name: &str, faults: &Value) {
-        let answer =
+        let response =
             self.standin(name).call("PUT", "/faults", &faults.to_string());
         assert!(
-            (200..300).contains(&answer.status),
-            "faults of {name}: {answer:?}"
+            (200..300).contains(&response.status),
+            "faults of {name}: {response:?}"
         );
     }
 
-    /// Sets which VMs the platform lists as leaving; all others are live.
-    pub fn list_leaving(&self, leaving: &[&str]) {
+    /// Sets which VMs the platform lists as leaving; all other VMs of side
+    /// processes are listed as live.
+    pub fn set_leaving_vms(&self, leaving: &[&str]) {
         let names = self.sides.keys().map(|name| side_name(name));
         let entries: Vec<Value> = names
             .map(|vm| {
@@ -43,19 +44,19 @@
         self.standin("vm-list").call("PUT", "/vms", &body);
     }
 
-    /// Calls that a stand-in holds now.
-    pub fn held(&self, name: &str) -> u64 {
-        let answer = self.standin(name).call("GET", "/held", "");
-        answer.json().as_u64().unwrap_or(0)
+    /// Number of calls that a stand-in currently holds.
+    pub fn held_calls(&self, name: &str) -> u64 {
+        let response = self.standin(name).call("GET", "/held", "");
+        response.json().as_u64().unwrap_or(0)
     }
 
-    /// Calls that a stand-in turned away, and those of them that came while
-    /// it had asked for rest.
-    pub fn rests(&self, name: &str) -> Value {
+    /// Counts of the calls that a stand-in rejected with a cooldown, and of
+    /// those that arrived during a cooldown.
+    pub fn cooldown_stats(&self, name: &str) -> Value {
         self.standin(name).call("GET", "/rests", "").json()
     }
 
-    /// A stand-in's counts.
+    /// Counts of a stand-in.
     pub fn stats(&self, name: &str) -> Value {
         self.standin(name).call("GET", "/stats", "").json()
     }
@@ -64,9 +65,9 @@
         Caller::new(self.servers[name], "")
     }
 
-    /// What each engine has run. One that does not answer has lost its
-    /// record with its memory and is left out.
-    pub fn engine_records(&self) -> BTreeMap<String, Vec<Ran>> {
+    /// Record of each engine. An engine that doesn't respond has an empty
+    /// record, since the record was lost with its memory.
+    pub fn engine_records(&self) -> BTreeMap<String, Vec<NumberedRun>> {
         let names = self.plan.engine_names();
         let records = names.into_iter().map(|name| {
             let runs = self.engine_record(&name);
@@ -75,12 +76,12 @@
         records.collect()
     }
 
-    /// What one engine has run.
-    pub fn engine_record(&self, name: &str) -> Vec<Ran> {
+    /// Record of one engine.
+    pub fn engine_record(&self, name: &str) -> Vec<NumberedRun> {
         self.record_lines(name)
     }
 
-    /// What a plain server has run.
+    /// Record of a plain server.
     pub fn plain_record(&self, name: &str) -> Vec<Numbered<PlainRecord>> {
         self.record_lines(name)
     }
@@ -89,8 +90,8 @@
         &self,
         name: &str,
     ) -> Vec<T> {
-        let answer = self.standin(name).call("GET", "/record", "");
-        let lines = answer.text.lines();
+        let response = self.standin(name).call("GET", "/record", "");
+        let lines = response.text.lines();
         lines.filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 }
--- a/crates/standins/src/running.rs
+++ b/crates/standins/src/standin_thread.rs
@@ -1,7 +1,7 @@
 //! A stand-in on a thread of the calling process.
 //!
-//! Tests that need no process of their own use it; dropping it closes the
-//! listener and every connection, as the death of a process would.
+//! For tests that need no separate process. Dropping the stand-in closes the
+//! listener and every connection, as the exit of a process does.
 
 use std::{
     io,
@@ -19,36 +19,36 @@
     plain,
 };
 
-/// A running stand-in; it stops when dropped.
+/// A running stand-in, stopped on drop.
 #[derive(Debug)]
-pub struct Running {
+pub struct StandinThread {
     address: SocketAddr,
     stop: async_channel::Sender<()>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
-    /// Starts an engine at a free port.
+impl StandinThread {
+    /// Starts an engine on a free port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// There is no free port, or no thread.
-    pub fn engine(options: EngineOptions) -> io::Result<Running> {
-        Running::start(|executor, listener| {
+    /// Returns an error if no port can be bound or no thread started.
+    pub fn engine(options: EngineOptions) -> io::Result<StandinThread> {
+        StandinThread::start(|executor, listener| {
             engine::serve(executor, listener, options)
         })
     }
 
-    /// Starts a plain service at a free port.
+    /// Starts a plain service on a free port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// There is no free port, or no thread.
-    pub fn plain() -> io::Result<Running> {
-        Running::start(plain::serve)
+    /// Returns an error if no port can be bound or no thread started.
+    pub fn plain() -> io::Result<StandinThread> {
+        StandinThread::start(plain::serve)
     }
 
-    fn start<S, F>(serve: S) -> io::Result<Running>
+    fn start<S, F>(serve: S) -> io::Result<StandinThread>
     where
         S: FnOnce(Arc<Executor<'static>>, Async<TcpListener>) -> F,
         S: Send + 'static,
@@ -67,16 +67,16 @@
             let _ = block_on(executor.run(serving.or(until_stopped)));
         };
         let thread = thread::Builder::new().spawn(run)?;
-        Ok(Running { address, stop, thread: Some(thread) })
+        Ok(StandinThread { address, stop, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-impl Drop for Running {
+impl Drop for StandinThread {
     fn drop(&mut self) {
         self.stop.close();
         if let Some(thread) = self.thread.take() {
