--- a/crates/cli/tests/cli/site.rs
+++ b/crates/cli/tests/cli/site.rs
@@ -3,11 +3,11 @@
 use std::{fs, process::Command};
 
 use chestnutreach_emulator::{
+    backend_servers::BackendServers,
     engines,
     site::{KEY, MODEL_SERVICE, Site},
     start_executor,
     store::Store,
-    world::World,
 };
 use rstest::rstest;
 use serde_json::Value;
@@ -124,7 +124,7 @@
     let site = Site::small();
     let (store, address) = Store::start(&executor).unwrap();
     store.put("op", "config", &site.configuration(7, &[KEY]));
-    let world = World::new(&site, &store, &executor);
+    let world = BackendServers::new(&site, &store, &executor);
     engines::start_all(&world).unwrap();
     let at = address.to_string();
     let explain = [
@@ -142,8 +142,8 @@
     for (index, engine) in world.engines().into_iter().enumerate() {
         let first = 4 * (index as u32 % 3);
         let held = Some((first, first + 4));
-        world.change(engine, |server| server.held = held);
-        world.tell(engine);
+        world.update_server(engine, |server| server.layers = held);
+        world.write_row(engine);
     }
     let shown = run(&["show", "--store", &at, "--json"]);
     assert_eq!(shown.code, 0, "{}", shown.error);
--- a/crates/daemon/tests/users_platform/bad_input.rs
+++ b/crates/daemon/tests/users_platform/bad_input.rs
@@ -81,12 +81,15 @@
 })]
 fn a_malformed_request_gets_its_status(#[case] bad: Bad) {
     on_site(async |running| {
-        let before = running.world.seen().arrivals.len();
+        let before = running.backends.observations().arrival_counts.len();
         let bytes = bad.bytes.replace("HEAD", HEAD);
         let answer = exchange(running.addresses[0], bytes.as_bytes());
         let status = answer.get(9..12).unwrap_or_default();
         assert_eq!(status, bad.status, "{answer}");
-        assert_eq!(running.world.seen().arrivals.len(), before);
+        assert_eq!(
+            running.backends.observations().arrival_counts.len(),
+            before
+        );
     });
 }
 
--- a/crates/daemon/tests/users_platform/crashing_requests.rs
+++ b/crates/daemon/tests/users_platform/crashing_requests.rs
@@ -7,10 +7,10 @@
 
 use async_io::{Async, Timer};
 use chestnutreach_emulator::{
-    caller::{Kind, Outcome, TryEnd, Wish},
-    running::Running,
+    backend_servers::CRASH_PREFIX,
+    caller::{AttemptEnd, Outcome, RequestKind, RequestSpec},
+    running::RunningSite,
     site::Site,
-    world::CRASHING,
 };
 use chestnutreach_protocol::peers::{
     EngineCrash, PeerState, RequestTrial, SuspectRequest,
@@ -39,13 +39,19 @@
     Site { engines_each: 8, ..Site::small() }
 }
 
-fn crashing(kind: Kind, number: u32) -> Wish {
-    let token = format!("{CRASHING}-{number}");
-    Wish { tries: 1, ..Wish::new(kind, &token, site().events) }
+fn crashing(kind: RequestKind, number: u32) -> RequestSpec {
+    let token = format!("{CRASH_PREFIX}-{number}");
+    RequestSpec {
+        max_attempts: 1,
+        ..RequestSpec::new(kind, &token, site().events)
+    }
 }
 
 /// Has a request come at one entry after another, one copy at a time.
-async fn come_again(running: &Running, wish: &Wish) -> Vec<Outcome> {
+async fn come_again(
+    running: &RunningSite,
+    wish: &RequestSpec,
+) -> Vec<Outcome> {
     let until = Instant::now() + COMES_FOR;
     let mut outcomes = Vec::new();
     while Instant::now() < until {
@@ -57,14 +63,16 @@
 }
 
 #[rstest]
-#[case::stream(Kind::Stream)]
-#[case::idempotent(Kind::Idempotent)]
-#[case::once(Kind::Once)]
-fn a_request_that_crashed_three_servers_reaches_no_more(#[case] kind: Kind) {
+#[case::stream(RequestKind::Stream)]
+#[case::idempotent(RequestKind::Idempotent)]
+#[case::once(RequestKind::Once)]
+fn a_request_that_crashed_three_servers_reaches_no_more(
+    #[case] kind: RequestKind,
+) {
     on(&site(), async |running| {
         let wish = crashing(kind, 1);
         come_again(running, &wish).await;
-        let seen = running.world.seen();
+        let seen = running.backends.observations();
         let late = seen.arrivals_after_crash(&wish.token, 3, CONTACT);
         let crashes = seen.crashes_of(&wish.token).len();
         assert!(
@@ -79,9 +87,13 @@
 }
 
 /// Has copies of a request come at all entries at once, again and again.
-async fn come_everywhere(running: &Running, wish: &Wish, length: Duration) {
+async fn come_everywhere(
+    running: &RunningSite,
+    wish: &RequestSpec,
+    duration: Duration,
+) {
     let at_entry = async |entry| {
-        let until = Instant::now() + length;
+        let until = Instant::now() + duration;
         while Instant::now() < until {
             one(running, entry, wish).await;
             Timer::after(COMES_EVERY).await;
@@ -92,7 +104,7 @@
 }
 
 /// What entries told of requests that crash servers.
-fn told(running: &Running) -> String {
+fn told(running: &RunningSite) -> String {
     let names = ["request_", "trial_begun", "relay_sent", "relay_broken"];
     let logs = running.logs();
     let is_told = |line: &&str| names.iter().any(|name| line.contains(name));
@@ -103,9 +115,9 @@
 #[test]
 fn copies_at_all_entries_at_once_crash_no_more_than_run_already() {
     on(&site(), async |running| {
-        let wish = crashing(Kind::Stream, 1);
+        let wish = crashing(RequestKind::Stream, 1);
         come_everywhere(running, &wish, COMES_FOR).await;
-        let seen = running.world.seen();
+        let seen = running.backends.observations();
         let late = seen.arrivals_after_crash(&wish.token, 3, CONTACT);
         assert!(late <= MOST_LATE_ARRIVALS, "{late} late arrivals");
         // Each entry may have sent its first copy before it was told.
@@ -118,18 +130,19 @@
 #[test]
 fn only_what_crashes_servers_is_quarantined() {
     on(&site(), async |running| {
-        let wishes = [1, 2].map(|number| crashing(Kind::Stream, number));
-        let length = Duration::from_secs(5);
-        let load = streams(25.0, length);
+        let wishes =
+            [1, 2].map(|number| crashing(RequestKind::Stream, number));
+        let duration = Duration::from_secs(5);
+        let load = streams(25.0, duration);
         let both = futures_lite::future::zip(
-            come_everywhere(running, &wishes[0], length),
-            come_everywhere(running, &wishes[1], length),
+            come_everywhere(running, &wishes[0], duration),
+            come_everywhere(running, &wishes[1], duration),
         );
-        let played = running.play(&load, &[]);
+        let played = running.run(&load, &[]);
         let report = futures_lite::future::zip(played, both).await.0;
         assert_kept(&report);
-        assert_eq!(running.quarantined().len(), wishes.len());
-        let seen = running.world.seen();
+        assert_eq!(running.quarantined_fingerprints().len(), wishes.len());
+        let seen = running.backends.observations();
         for wish in &wishes {
             let late = seen.arrivals_after_crash(&wish.token, 3, CONTACT);
             assert!(late <= MOST_LATE_ARRIVALS, "{late} late arrivals");
@@ -140,18 +153,22 @@
 #[test]
 fn an_entry_that_starts_learns_what_is_quarantined() {
     on(&site(), async |running| {
-        let wish = crashing(Kind::Stream, 1);
+        let wish = crashing(RequestKind::Stream, 1);
         one(running, 1, &wish).await;
-        let arrivals = || running.world.seen().crashing.len();
+        let arrivals =
+            || running.backends.observations().crashing_arrivals.len();
         let before = arrivals();
-        assert_eq!(running.world.seen().crashes_of(&wish.token).len(), 3);
-        running.restart(0);
+        assert_eq!(
+            running.backends.observations().crashes_of(&wish.token).len(),
+            3
+        );
+        running.restart_entry(0);
         Timer::after(Duration::from_millis(100)).await;
         wait_until("the entry is ready", async || running.is_ready(0).await)
             .await;
         Timer::after(CONTACT).await;
         let outcome = one(running, 0, &wish).await;
-        assert_eq!(outcome.tries[0].end, TryEnd::Status(503));
+        assert_eq!(outcome.attempts[0].end, AttemptEnd::Status(503));
         assert_eq!(arrivals(), before);
     });
 }
@@ -159,20 +176,22 @@
 #[test]
 fn an_operator_frees_a_request_at_all_entries() {
     on(&site(), async |running| {
-        let wish = crashing(Kind::Stream, 1);
+        let wish = crashing(RequestKind::Stream, 1);
         one(running, 1, &wish).await;
         // Lines of the logs come a moment later.
-        let is_told = async || !running.quarantined().is_empty();
+        let is_told = async || !running.quarantined_fingerprints().is_empty();
         wait_until("it is quarantined", is_told).await;
-        let fingerprints = running.quarantined();
+        let fingerprints = running.quarantined_fingerprints();
         let fingerprint = &fingerprints.first().expect("it is told");
         let target = format!("/quarantine/{fingerprint}/free");
         let answer = post(running.ops_address(0), &target).await;
         assert!(answer.contains(r#"{"is_freed":true}"#), "{answer}");
         Timer::after(TOLD_WITHIN).await;
-        let before = running.world.seen().crashing.len();
+        let before = running.backends.observations().crashing_arrivals.len();
         one(running, 2, &wish).await;
-        assert!(running.world.seen().crashing.len() > before);
+        assert!(
+            running.backends.observations().crashing_arrivals.len() > before
+        );
     });
 }
 
@@ -240,7 +259,7 @@
             }
         }
         let load = streams(20.0, Duration::from_secs(2));
-        let report = running.play(&load, &[]).await;
+        let report = running.run(&load, &[]).await;
         assert_all_served(&report);
         for entry in 0..running.addresses.len() {
             assert_eq!(running.exit_code(entry), None);
--- a/crates/daemon/tests/users_platform/faults.rs
+++ b/crates/daemon/tests/users_platform/faults.rs
@@ -9,13 +9,13 @@
 
 use async_io::Timer;
 use chestnutreach_emulator::{
-    caller::{Kind, Wish},
+    backend_servers::ServerState,
+    caller::{RequestKind, RequestSpec},
     experiment::{Fault, FaultKind},
     load::Load,
     report::Report,
-    running::Running,
+    running::RunningSite,
     site::{MODEL_SERVICE, Site},
-    world::ServerState,
 };
 use chestnutreach_protocol::peers::{OpenMove, PeerState};
 use prost::Message as _;
@@ -34,12 +34,12 @@
     Fault {
         at: Duration::from_millis(at_ms),
         kind,
-        length: Duration::from_millis(length_ms),
+        duration: Duration::from_millis(length_ms),
     }
 }
 
 fn play(load: &Load, faults: &[Fault]) -> Report {
-    on_site(async |running| running.play(load, faults).await)
+    on_site(async |running| running.run(load, faults).await)
 }
 
 #[rstest]
@@ -58,14 +58,16 @@
 fn an_engine_that_fails_streams_at_once_is_left_out() {
     on_site(async |running| {
         let holds_first = |address: &SocketAddr| {
-            let server = running.world.server(*address);
-            server.is_some_and(|s| s.held.is_some_and(|held| held.0 == 0))
+            let server = running.backends.server(*address);
+            server.is_some_and(|s| s.layers.is_some_and(|held| held.0 == 0))
         };
-        let mut engines = running.world.engines().into_iter();
+        let mut engines = running.backends.engines().into_iter();
         let failing = engines.find(holds_first).expect("layers are held");
-        running.world.change(failing, |server| server.fails = 1.0);
+        running
+            .backends
+            .update_server(failing, |server| server.failure_rate = 1.0);
         let load = streams(40.0, Duration::from_secs(4));
-        let report = running.play(&load, &[]).await;
+        let report = running.run(&load, &[]).await;
         assert_kept(&report);
         let logs = running.logs();
         let is_failure = |line: &&str| {
@@ -79,12 +81,12 @@
 }
 
 /// An engine after the first of a stream that runs.
-fn later_engine(running: &Running) -> Option<ServerState> {
-    let engines = running.world.engines();
-    let servers = engines.iter().filter_map(|e| running.world.server(*e));
+fn later_engine(running: &RunningSite) -> Option<ServerState> {
+    let engines = running.backends.engines();
+    let servers = engines.iter().filter_map(|e| running.backends.server(*e));
     let mut paths = servers.flat_map(|server| server.streams.into_values());
     let later = paths.find_map(|stream| Some(stream.path.get(1)?.0))?;
-    running.world.server(later)
+    running.backends.server(later)
 }
 
 /// What a planner tells that is about to leave an engine one layer.
@@ -129,10 +131,10 @@
             }
             running.logs().contains("path_changed")
         });
-        let played = running.play(&load, &[]);
+        let played = running.run(&load, &[]);
         let (report, ()) = futures_lite::future::zip(played, told).await;
         assert_all_served(&report);
-        assert_eq!(report.further_arrivals(), 0, "{}", report.to_text());
+        assert_eq!(report.retry_arrivals(), 0, "{}", report.to_text());
     });
 }
 
@@ -141,7 +143,7 @@
     on_site(async |running| {
         let report = play_while_first_engines_end(running, 5).await;
         assert_all_served_at(running, &report);
-        let further = report.further_arrivals();
+        let further = report.retry_arrivals();
         assert!(further > 0, "some stream was resumed: {further}");
     });
 }
@@ -149,17 +151,18 @@
 #[test]
 fn an_engine_that_comes_back_empty_is_ordered_to_hold_layers() {
     on_site(async |running| {
-        let engine = running.world.engines()[0];
-        let first = running.world.server(engine).unwrap();
-        running.make_fault(
+        let engine = running.backends.engines()[0];
+        let first = running.backends.server(engine).unwrap();
+        running.inject_fault(
             &fault(0, FaultKind::EngineEnds, 200),
             &mut fastrand::Rng::with_seed(0),
         );
         wait_until("all layers are held again", async || {
-            running.world.is_covered() && running.world.engines().len() == 10
+            running.backends.has_full_coverage()
+                && running.backends.engines().len() == 10
         })
         .await;
-        assert!(first.held.is_some());
+        assert!(first.layers.is_some());
     });
 }
 
@@ -168,24 +171,25 @@
 #[case::requests_fail(FaultKind::PlainFails)]
 fn non_idempotent_requests_run_at_most_once(#[case] kind: FaultKind) {
     let load = Load {
-        per_s: [(Kind::Once, 30.0), (Kind::Idempotent, 30.0)].into(),
-        length: Duration::from_secs(3),
+        per_s: [(RequestKind::Once, 30.0), (RequestKind::Idempotent, 30.0)]
+            .into(),
+        duration: Duration::from_secs(3),
         events: Site::small().events,
         seed: 5,
     };
     let report = play(&load, &[fault(400, kind, 2_000)]);
     assert_kept(&report);
     // Idempotent ones are repeated, by the entry and then by the client.
-    let idempotent = report.served_share(Kind::Idempotent);
-    let once = report.served_share(Kind::Once);
+    let idempotent = report.served_share(RequestKind::Idempotent);
+    let once = report.served_share(RequestKind::Once);
     assert!(idempotent > once, "{}", report.to_text());
 }
 
 #[test]
 fn an_entry_that_is_killed_takes_no_promise_with_it() {
     let load = Load {
-        per_s: [(Kind::Stream, 15.0), (Kind::Once, 10.0)].into(),
-        length: Duration::from_secs(4),
+        per_s: [(RequestKind::Stream, 15.0), (RequestKind::Once, 10.0)].into(),
+        duration: Duration::from_secs(4),
         events: Site::small().events,
         seed: 6,
     };
@@ -196,7 +200,11 @@
     ];
     let report = play(&load, &faults);
     assert_kept(&report);
-    assert!(report.served_share(Kind::Stream) > 0.9, "{}", report.to_text());
+    assert!(
+        report.served_share(RequestKind::Stream) > 0.9,
+        "{}",
+        report.to_text()
+    );
 }
 
 #[test]
@@ -204,14 +212,16 @@
     on_site(async |running| {
         // Enough that began to tell who is overdue.
         let load = streams(25.0, Duration::from_secs(1));
-        assert_all_served(&running.play(&load, &[]).await);
-        for engine in running.world.engines() {
-            running.world.change(engine, |server| server.swallows = 0.3);
+        assert_all_served(&running.run(&load, &[]).await);
+        for engine in running.backends.engines() {
+            running
+                .backends
+                .update_server(engine, |server| server.hang_rate = 0.3);
         }
         let load = streams(25.0, Duration::from_secs(3));
-        let report = running.play(&load, &[]).await;
+        let report = running.run(&load, &[]).await;
         assert_kept(&report);
-        assert!(report.further_arrivals() > 0, "{}", report.to_text());
+        assert!(report.retry_arrivals() > 0, "{}", report.to_text());
         let logs = running.logs();
         assert!(logs.contains("later ones have begun"));
     });
@@ -225,24 +235,27 @@
     on(&site, async |running| {
         let lapse_all = async || {
             Timer::after(Duration::from_millis(500)).await;
-            for first in running.world.first_engines() {
-                running.world.unlist(first);
+            for first in running.backends.first_stage_engines() {
+                running.backends.remove_row(first);
                 // The stream looks for what its pause means, and leaves.
-                running.world.change(first, |s| s.slowness = 40.0);
+                running.backends.update_server(first, |s| s.slowness = 40.0);
             }
         };
-        let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 150) };
+        let wish = RequestSpec {
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Stream, "a", 150)
+        };
         let lapse = async {
             lapse_all().await;
             lapse_all().await;
             Timer::after(Duration::from_millis(1_500)).await;
-            for engine in running.world.engines() {
-                running.world.change(engine, |s| s.slowness = 1.0);
+            for engine in running.backends.engines() {
+                running.backends.update_server(engine, |s| s.slowness = 1.0);
             }
         };
         let stream = one(running, 0, &wish);
         let (outcome, ()) = futures_lite::future::zip(stream, lapse).await;
-        let arrivals = running.world.seen().arrivals;
-        assert_eq!(arrivals[&outcome.tries[0].id], 2, "{outcome:?}");
+        let arrivals = running.backends.observations().arrival_counts;
+        assert_eq!(arrivals[&outcome.attempts[0].id], 2, "{outcome:?}");
     });
 }
--- a/crates/daemon/tests/users_platform/links.rs
+++ b/crates/daemon/tests/users_platform/links.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use chestnutreach_emulator::{
-    caller::Kind,
+    caller::RequestKind,
     experiment::{Fault, FaultKind},
     link::LinkFault,
     load::Load,
@@ -20,12 +20,12 @@
 fn load() -> Load {
     Load {
         per_s: [
-            (Kind::Stream, 15.0),
-            (Kind::Idempotent, 8.0),
-            (Kind::Once, 8.0),
+            (RequestKind::Stream, 15.0),
+            (RequestKind::Idempotent, 8.0),
+            (RequestKind::Once, 8.0),
         ]
         .into(),
-        length: Duration::from_secs(3),
+        duration: Duration::from_secs(3),
         events: Site::small().events,
         seed: 31,
     }
@@ -35,7 +35,7 @@
     let at = |ms| Fault {
         at: Duration::from_millis(ms),
         kind,
-        length: Duration::from_millis(1_000),
+        duration: Duration::from_millis(1_000),
     };
     vec![at(300), at(700), at(1_200)]
 }
@@ -63,13 +63,13 @@
             Links::ToStore => FaultKind::StoreLink(fault),
             Links::ToServers => FaultKind::ServerLink(fault),
         };
-        let report = running.play(&load(), &faults(kind)).await;
+        let report = running.run(&load(), &faults(kind)).await;
         let text = report.to_text();
         match links {
             Links::ToStore => assert_all_served(&report),
             Links::ToServers => assert_kept(&report),
         }
-        assert!(report.served_share(Kind::Stream) > 0.9, "{text}");
+        assert!(report.served_share(RequestKind::Stream) > 0.9, "{text}");
         assert!(running.recovers().await, "{text}");
     });
 }
--- a/crates/daemon/tests/users_platform/named_limits.rs
+++ b/crates/daemon/tests/users_platform/named_limits.rs
@@ -7,9 +7,9 @@
 
 use async_io::Timer;
 use chestnutreach_emulator::{
-    caller::{Kind, TryEnd},
+    caller::{AttemptEnd, RequestKind},
     load::Load,
-    running::Running,
+    running::RunningSite,
     site::Site,
 };
 use chestnutreach_protocol::peers::{
@@ -33,7 +33,7 @@
 /// A server that names a limit.
 #[derive(Clone, Copy, Debug)]
 struct Limited {
-    kind: Kind,
+    kind: RequestKind,
     /// Requests of that kind a second, at all servers.
     asked_per_s: f64,
     limit_per_s: f64,
@@ -45,10 +45,10 @@
         (1.5 * self.limit_per_s * SPAN.as_secs_f64()) as usize + 5
     }
 
-    fn load(self, length: Duration) -> Load {
+    fn load(self, duration: Duration) -> Load {
         Load {
             per_s: [(self.kind, self.asked_per_s)].into(),
-            length,
+            duration,
             events: Site::small().events,
             seed: 32,
         }
@@ -56,7 +56,7 @@
 }
 
 /// What entries told of limits.
-fn told(running: &Running) -> String {
+fn told(running: &RunningSite) -> String {
     let logs = running.logs();
     let is_told = |line: &&str| line.contains("\"limit_");
     let lines: Vec<&str> = logs.lines().filter(is_told).collect();
@@ -65,16 +65,16 @@
 
 #[rstest]
 #[case::streams(Limited {
-    kind: Kind::Stream, asked_per_s: 24.0, limit_per_s: 2.0,
+    kind: RequestKind::Stream, asked_per_s: 24.0, limit_per_s: 2.0,
 })]
 #[case::streams_one_a_second(Limited {
-    kind: Kind::Stream, asked_per_s: 24.0, limit_per_s: 1.0,
+    kind: RequestKind::Stream, asked_per_s: 24.0, limit_per_s: 1.0,
 })]
 #[case::idempotent(Limited {
-    kind: Kind::Idempotent, asked_per_s: 16.0, limit_per_s: 3.0,
+    kind: RequestKind::Idempotent, asked_per_s: 16.0, limit_per_s: 3.0,
 })]
 #[case::once(Limited {
-    kind: Kind::Once, asked_per_s: 16.0, limit_per_s: 3.0,
+    kind: RequestKind::Once, asked_per_s: 16.0, limit_per_s: 3.0,
 })]
 fn a_server_gets_no_more_than_the_limit_that_it_named(
     #[case] limited: Limited,
@@ -82,7 +82,7 @@
     on_site(async |running| {
         let server = warm_up(running, limited).await;
         set_limit(running, server, Some(limited.limit_per_s));
-        let report = running.play(&limited.load(NAMED_FOR), &[]).await;
+        let report = running.run(&limited.load(NAMED_FOR), &[]).await;
         assert_all_served_at(running, &report);
         let arrivals = Arrivals::of(running, server);
         arrivals.assert_within(running, limited);
@@ -96,8 +96,11 @@
 #[case::killed(false)]
 #[case::restarted(true)]
 fn a_lost_entry_does_not_break_a_limit(#[case] is_back: bool) {
-    let limited =
-        Limited { kind: Kind::Stream, asked_per_s: 24.0, limit_per_s: 2.0 };
+    let limited = Limited {
+        kind: RequestKind::Stream,
+        asked_per_s: 24.0,
+        limit_per_s: 2.0,
+    };
     on_site(async |running| {
         let server = warm_up(running, limited).await;
         set_limit(running, server, Some(limited.limit_per_s));
@@ -107,13 +110,13 @@
             for entry in 0..running.addresses.len() {
                 Timer::after(Duration::from_millis(2_500)).await;
                 match is_back {
-                    true => running.restart(entry),
+                    true => running.restart_entry(entry),
                     false if entry == 0 => running.kill(entry),
                     false => {}
                 }
             }
         };
-        let played = running.play(&load, &[]);
+        let played = running.run(&load, &[]);
         futures_lite::future::zip(played, lose).await;
         Arrivals::of(running, server).assert_within(running, limited);
     });
@@ -123,7 +126,7 @@
 #[test]
 fn a_limit_ends_with_the_need() {
     let limited = Limited {
-        kind: Kind::Idempotent,
+        kind: RequestKind::Idempotent,
         asked_per_s: 20.0,
         limit_per_s: 2.0,
     };
@@ -131,15 +134,16 @@
         let server = warm_up(running, limited).await;
         set_limit(running, server, Some(limited.limit_per_s));
         let second = Duration::from_secs(1);
-        running.play(&limited.load(4 * second), &[]).await;
+        running.run(&limited.load(4 * second), &[]).await;
         set_limit(running, server, None);
-        running.play(&limited.load(second), &[]).await;
+        running.run(&limited.load(second), &[]).await;
         let ended = Instant::now();
-        let report = running.play(&limited.load(2 * second), &[]).await;
+        let report = running.run(&limited.load(2 * second), &[]).await;
         assert_all_served_at(running, &report);
-        let id = running.world.server(server).expect("it runs").id;
+        let id = running.backends.server(server).expect("it runs").id;
         let times = (ended, Instant::now());
-        let arrivals = report.seen.most_arrivals(&id, 3 * second, times);
+        let arrivals =
+            report.observations.max_arrivals(&id, 3 * second, times);
         // Half of 40 is its share of two servers, and 4 its limit.
         assert!(arrivals >= 12, "{arrivals} of 40\n{}", told(running));
     });
@@ -150,17 +154,17 @@
 #[test]
 fn what_finds_no_permit_is_told_when_to_come_back() {
     let limited = Limited {
-        kind: Kind::Idempotent,
+        kind: RequestKind::Idempotent,
         asked_per_s: 20.0,
         limit_per_s: 2.0,
     };
     on_site(async |running| {
         warm_up(running, limited).await;
-        let servers = running.world.plain_servers();
+        let servers = running.backends.plain_servers();
         for server in &servers {
             set_limit(running, *server, Some(limited.limit_per_s));
         }
-        let report = running.play(&limited.load(NAMED_FOR), &[]).await;
+        let report = running.run(&limited.load(NAMED_FOR), &[]).await;
         assert_kept(&report);
         for server in &servers {
             Arrivals::of(running, *server).assert_within(running, limited);
@@ -169,9 +173,10 @@
         let offered = 2.0 * limited.limit_per_s * NAMED_FOR.as_secs_f64();
         let share = served as f64 / offered;
         assert!(share >= LEAST_USE, "{share:.2} of what is offered served");
-        let tries = report.outcomes.iter().flat_map(|o| &o.tries);
-        let unanswered = tries
-            .filter(|t| !matches!(t.end, TryEnd::Whole | TryEnd::Status(503)));
+        let attempts = report.outcomes.iter().flat_map(|o| &o.attempts);
+        let unanswered = attempts.filter(|t| {
+            !matches!(t.end, AttemptEnd::Whole | AttemptEnd::Status(503))
+        });
         assert_eq!(unanswered.count(), 0, "{}", report.to_text());
     });
 }
@@ -186,35 +191,35 @@
 #[case::zero("0", 1)]
 fn any_value_is_borne(#[case] value: &str, #[case] least: usize) {
     let load = Limited {
-        kind: Kind::Idempotent,
+        kind: RequestKind::Idempotent,
         asked_per_s: 16.0,
         limit_per_s: 1.0,
     };
     on_site(async |running| {
         let server = warm_up(running, load).await;
-        running.world.change(server, |server| {
-            server.named_limit = Some(value.to_owned());
+        running.backends.update_server(server, |server| {
+            server.announced_limit = Some(value.to_owned());
         });
-        let length = Duration::from_secs(6);
-        let report = running.play(&load.load(length), &[]).await;
+        let duration = Duration::from_secs(6);
+        let report = running.run(&load.load(duration), &[]).await;
         assert_all_served_at(running, &report);
-        let id = running.world.server(server).expect("it runs").id;
-        let named_at = report.seen.limit_named_at[&id];
+        let id = running.backends.server(server).expect("it runs").id;
+        let named_at = report.observations.limit_announced_at[&id];
         let times = (named_at + Duration::from_secs(1), Instant::now());
-        let arrivals = report.seen.most_arrivals(&id, length, times);
+        let arrivals = report.observations.max_arrivals(&id, duration, times);
         assert!(arrivals >= least, "{arrivals} arrivals");
     });
 }
 
-async fn warm_up(running: &Running, limited: Limited) -> SocketAddr {
+async fn warm_up(running: &RunningSite, limited: Limited) -> SocketAddr {
     let second = Duration::from_secs(1);
-    running.play(&limited.load(second), &[]).await;
-    running.busiest(limited.kind == Kind::Stream)
+    running.run(&limited.load(second), &[]).await;
+    running.busiest_server(limited.kind == RequestKind::Stream)
 }
 
-fn set_limit(running: &Running, server: SocketAddr, per_s: Option<f64>) {
-    running.world.change(server, |server| {
-        server.named_limit = per_s.map(|per_s| per_s.to_string());
+fn set_limit(running: &RunningSite, server: SocketAddr, per_s: Option<f64>) {
+    running.backends.update_server(server, |server| {
+        server.announced_limit = per_s.map(|per_s| per_s.to_string());
     });
 }
 
@@ -228,21 +233,21 @@
 }
 
 impl Arrivals {
-    fn of(running: &Running, server: SocketAddr) -> Arrivals {
-        let seen = running.world.seen();
-        let id = running.world.server(server).expect("it runs").id;
-        let named_at = seen.limit_named_at[&id];
+    fn of(running: &RunningSite, server: SocketAddr) -> Arrivals {
+        let seen = running.backends.observations();
+        let id = running.backends.server(server).expect("it runs").id;
+        let named_at = seen.limit_announced_at[&id];
         let until = Instant::now();
         let told_at = named_at + Duration::from_millis(500);
         let whole = until.saturating_duration_since(told_at);
         Arrivals {
-            most: seen.most_arrivals(&id, SPAN, (named_at + CONTACT, until)),
-            count: seen.most_arrivals(&id, whole, (told_at, until)),
+            most: seen.max_arrivals(&id, SPAN, (named_at + CONTACT, until)),
+            count: seen.max_arrivals(&id, whole, (told_at, until)),
             length_s: whole.as_secs_f64(),
         }
     }
 
-    fn assert_within(&self, running: &Running, limited: Limited) {
+    fn assert_within(&self, running: &RunningSite, limited: Limited) {
         let (most, allowed) = (self.most, limited.allowed());
         assert!(
             most <= allowed,
@@ -305,12 +310,12 @@
             socket.send_to(&told.encode_to_vec(), address).unwrap();
         }
         let load = Load {
-            per_s: [(Kind::Stream, 20.0)].into(),
-            length: Duration::from_secs(2),
+            per_s: [(RequestKind::Stream, 20.0)].into(),
+            duration: Duration::from_secs(2),
             events: Site::small().events,
             seed: 32,
         };
-        assert_kept(&running.play(&load, &[]).await);
+        assert_kept(&running.run(&load, &[]).await);
         for entry in 0..running.addresses.len() {
             assert_eq!(running.exit_code(entry), None);
         }
--- a/crates/daemon/tests/users_platform/sharing.rs
+++ b/crates/daemon/tests/users_platform/sharing.rs
@@ -4,8 +4,8 @@
 
 use async_io::Timer;
 use chestnutreach_emulator::{
-    caller::{Kind, Wish},
-    running::Running,
+    caller::{RequestKind, RequestSpec},
+    running::RunningSite,
     site::{KEY, Site},
     store::StoreFault,
 };
@@ -17,7 +17,11 @@
 const CONFIGURATION: &str = "op";
 
 /// Whom an entry asks for a table; none while it does not answer.
-async fn asks(running: &Running, entry: usize, table: &str) -> Option<String> {
+async fn asks(
+    running: &RunningSite,
+    entry: usize,
+    table: &str,
+) -> Option<String> {
     let status = running.status(entry).await?;
     let feeds = status["feeds"].as_array()?.iter();
     let mut of_table = feeds.filter(|feed| feed["table"] == table);
@@ -25,7 +29,7 @@
 }
 
 /// Entries that ask the store for a table.
-async fn readers(running: &Running, table: &str) -> Vec<usize> {
+async fn readers(running: &RunningSite, table: &str) -> Vec<usize> {
     let mut readers = Vec::new();
     for entry in 0..running.addresses.len() {
         if asks(running, entry, table).await.as_deref() == Some("store") {
@@ -36,7 +40,7 @@
 }
 
 /// Waits until few entries ask the store: one, and whoever plans.
-async fn wait_until_shared(running: &Running) {
+async fn wait_until_shared(running: &RunningSite) {
     for table in [LIST, CONFIGURATION] {
         wait_until("few entries ask the store", async || {
             readers(running, table).await.len() <= 2
@@ -45,15 +49,15 @@
     }
 }
 
-fn wish(key: &str) -> Wish {
-    Wish {
+fn wish(key: &str) -> RequestSpec {
+    RequestSpec {
         key: key.to_owned(),
-        tries: 1,
-        ..Wish::new(Kind::Idempotent, "a", 1)
+        max_attempts: 1,
+        ..RequestSpec::new(RequestKind::Idempotent, "a", 1)
     }
 }
 
-async fn wait_until_served(running: &Running, entry: usize, key: &str) {
+async fn wait_until_served(running: &RunningSite, entry: usize, key: &str) {
     wait_until("the key is served", async || {
         one(running, entry, &wish(key)).await.is_served()
     })
@@ -62,21 +66,21 @@
 
 #[test]
 fn few_entries_ask_the_store_and_all_hear_of_changes() {
-    on(&Site::shared(), async |running| {
+    on(&Site::with_shared_feeds(), async |running| {
         wait_until_shared(running).await;
         running.configure(&[KEY, "another"]);
         for entry in 0..running.addresses.len() {
             wait_until_served(running, entry, "another").await;
         }
         let load = streams(20.0, Duration::from_secs(2));
-        assert_all_served(&running.play(&load, &[]).await);
+        assert_all_served(&running.run(&load, &[]).await);
     });
 }
 
 #[test]
 fn each_engine_is_watched_by_two_entries() {
-    on(&Site::shared(), async |running| {
-        let engines = running.world.engines().len() as u64;
+    on(&Site::with_shared_feeds(), async |running| {
+        let engines = running.backends.engines().len() as u64;
         wait_until("each engine is watched twice", async || {
             let mut watched = 0;
             for entry in 0..running.addresses.len() {
@@ -98,7 +102,7 @@
 #[case::ends(Case { signal: Signal::KILL })]
 #[case::freezes(Case { signal: Signal::STOP })]
 fn changes_reach_all_others_when_the_readers_fall_silent(#[case] case: Case) {
-    on(&Site::shared(), async |running| {
+    on(&Site::with_shared_feeds(), async |running| {
         wait_until_shared(running).await;
         let readers = readers(running, CONFIGURATION).await;
         for reader in &readers {
@@ -117,11 +121,11 @@
 
 #[test]
 fn an_entry_that_starts_while_the_store_is_away_hears_from_others() {
-    on(&Site::shared(), async |running| {
+    on(&Site::with_shared_feeds(), async |running| {
         wait_until_shared(running).await;
         running.store.set_fault(StoreFault::Busy);
         let before = running.status(0).await.expect("it answers");
-        running.restart(0);
+        running.restart_entry(0);
         wait_until("it has configuration and list", async || {
             let Some(status) = running.status(0).await else { return false };
             let backends = status["backends"].as_array();
@@ -156,7 +160,7 @@
     fault: StoreFault::Busy, last_word: Duration::from_millis(1_500),
 })]
 fn no_entry_serves_a_key_past_its_bound(#[case] outage: Outage) {
-    on(&Site::shared(), async |running| {
+    on(&Site::with_shared_feeds(), async |running| {
         wait_until_shared(running).await;
         wait_until_served(running, 0, KEY).await;
         running.store.set_fault(outage.fault);
--- a/crates/daemon/tests/users_platform/starts.rs
+++ b/crates/daemon/tests/users_platform/starts.rs
@@ -8,9 +8,9 @@
 };
 
 use chestnutreach_emulator::{
+    backend_servers::ServerState,
     experiment::{Fault, FaultKind},
-    running::Running,
-    world::ServerState,
+    running::RunningSite,
 };
 
 use crate::support::{assert_all_served, on_site, streams, wait_until};
@@ -18,8 +18,8 @@
 /// Time in which an ended engine starts again.
 const STARTS_AGAIN: Duration = Duration::from_millis(300);
 
-fn server(running: &Running, engine: SocketAddr) -> ServerState {
-    running.world.server(engine).expect("it was started")
+fn server(running: &RunningSite, engine: SocketAddr) -> ServerState {
+    running.backends.server(engine).expect("it was started")
 }
 
 /// Lines of an event, by the backend server that they name.
@@ -38,20 +38,21 @@
 #[test]
 fn an_engine_that_starts_again_under_its_id_gets_layers_again() {
     on_site(async |running| {
-        let engines = running.world.engines();
+        let engines = running.backends.engines();
         let before: Vec<ServerState> =
             engines.iter().map(|at| server(running, *at)).collect();
         for (old, engine) in before.iter().zip(&engines) {
             running.restart_engine(*engine, STARTS_AGAIN);
             wait_until("it starts again and holds layers", async || {
                 let new = server(running, *engine);
-                new.started_unix_ms > old.started_unix_ms && new.held.is_some()
+                new.started_unix_ms > old.started_unix_ms
+                    && new.layers.is_some()
             })
             .await;
             assert_eq!(server(running, *engine).id, old.id);
         }
         let load = streams(20.0, Duration::from_secs(1));
-        assert_all_served(&running.play(&load, &[]).await);
+        assert_all_served(&running.run(&load, &[]).await);
     });
 }
 
@@ -60,12 +61,12 @@
     let fault = |at_ms| Fault {
         at: Duration::from_millis(at_ms),
         kind: FaultKind::EngineRestarts,
-        length: STARTS_AGAIN,
+        duration: STARTS_AGAIN,
     };
     let faults = [fault(500), fault(1_300), fault(2_100)];
     let load = streams(25.0, Duration::from_secs(3));
     on_site(async |running| {
-        assert_all_served(&running.play(&load, &faults).await);
+        assert_all_served(&running.run(&load, &faults).await);
     });
 }
 
@@ -76,10 +77,10 @@
         let fault = Fault {
             at: Duration::from_millis(300),
             kind: FaultKind::RowsForeign,
-            length: overwritten,
+            duration: overwritten,
         };
         let load = streams(25.0, Duration::from_secs(3));
-        assert_all_served(&running.play(&load, &[fault]).await);
+        assert_all_served(&running.run(&load, &[fault]).await);
         // Each row is told once by each entry.
         let told = lines_by_backend(&running.logs(), "backend_row_unusable");
         let entries = running.addresses.len();
--- a/crates/daemon/tests/users_platform/stops.rs
+++ b/crates/daemon/tests/users_platform/stops.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use chestnutreach_emulator::{
-    caller::{Kind, Wish},
+    caller::{RequestKind, RequestSpec},
     experiment::{Fault, FaultKind},
     site::Site,
     store::StoreFault,
@@ -23,7 +23,10 @@
 fn a_stop_cuts_nothing_and_ends_clean() {
     let site = Site { events: 150, ..Site::small() };
     on(&site, async |running| {
-        let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 150) };
+        let wish = RequestSpec {
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Stream, "a", 150)
+        };
         let stop = async {
             Timer::after(Duration::from_millis(400)).await;
             running.signal(0, Signal::TERM);
@@ -79,7 +82,10 @@
 fn the_port_closes_before_a_stopping_entry_ends() {
     let site = Site { events: 450, ..Site::small() };
     on(&site, async |running| {
-        let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 450) };
+        let wish = RequestSpec {
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Stream, "a", 450)
+        };
         let refused = async {
             Timer::after(Duration::from_millis(400)).await;
             running.signal(0, Signal::TERM);
@@ -107,10 +113,10 @@
         let stop = |at_ms| Fault {
             at: Duration::from_millis(at_ms),
             kind: FaultKind::EntryStops,
-            length: Duration::ZERO,
+            duration: Duration::ZERO,
         };
         let faults = [stop(500), stop(3_500)];
-        assert_all_served(&running.play(&load, &faults).await);
+        assert_all_served(&running.run(&load, &faults).await);
     });
 }
 
@@ -121,9 +127,9 @@
         let hang_up = Fault {
             at: Duration::from_millis(700),
             kind: FaultKind::EntryHangsUp,
-            length: Duration::ZERO,
+            duration: Duration::ZERO,
         };
-        assert_all_served(&running.play(&load, &[hang_up]).await);
+        assert_all_served(&running.run(&load, &[hang_up]).await);
         wait_until("the reload is in the logs", async || {
             running.logs().contains("settings_reloaded")
         })
@@ -140,16 +146,17 @@
             running.planner().await.is_some_and(|new| new != planner)
         })
         .await;
-        running.make_fault(
+        running.inject_fault(
             &Fault {
                 at: Duration::ZERO,
                 kind: FaultKind::EngineEnds,
-                length: Duration::from_millis(100),
+                duration: Duration::from_millis(100),
             },
             &mut fastrand::Rng::with_seed(1),
         );
         wait_until("it fills the gap", async || {
-            running.world.is_covered() && running.world.engines().len() == 10
+            running.backends.has_full_coverage()
+                && running.backends.engines().len() == 10
         })
         .await;
     });
@@ -182,13 +189,13 @@
         let fault = Fault {
             at: Duration::ZERO,
             kind: FaultKind::EntryKilled,
-            length: Duration::from_millis(200),
+            duration: Duration::from_millis(200),
         };
-        running.make_fault(&fault, &mut fastrand::Rng::with_seed(2));
+        running.inject_fault(&fault, &mut fastrand::Rng::with_seed(2));
         running.entries.clone()
     });
     async_io::block_on(Timer::after(Duration::from_millis(600)));
     let mut entries = entries.lock().unwrap();
-    assert!(entries.start_one(0).is_err());
-    assert!((0..entries.count()).all(|index| !entries.runs(index)));
+    assert!(entries.start_entry(0).is_err());
+    assert!((0..entries.count()).all(|index| !entries.is_running(index)));
 }
--- a/crates/daemon/tests/users_platform/store.rs
+++ b/crates/daemon/tests/users_platform/store.rs
@@ -4,7 +4,7 @@
 
 use async_io::Timer;
 use chestnutreach_emulator::{
-    caller::{Kind, TryEnd, Wish},
+    caller::{AttemptEnd, RequestKind, RequestSpec},
     experiment::{Fault, FaultKind},
     load::Load,
     site::{KEY, Site},
@@ -23,28 +23,35 @@
 fn traffic_goes_on_while_the_store_fails(#[case] kind: StoreFault) {
     on_site(async |running| {
         let load = Load {
-            per_s: [(Kind::Stream, 15.0), (Kind::Idempotent, 10.0)].into(),
-            length: Duration::from_secs(3),
+            per_s: [
+                (RequestKind::Stream, 15.0),
+                (RequestKind::Idempotent, 10.0),
+            ]
+            .into(),
+            duration: Duration::from_secs(3),
             events: Site::small().events,
             seed: 8,
         };
         let fault = Fault {
             at: Duration::from_millis(300),
             kind: FaultKind::Store(kind),
-            length: Duration::from_millis(2_000),
+            duration: Duration::from_millis(2_000),
         };
-        assert_all_served(&running.play(&load, &[fault]).await);
+        assert_all_served(&running.run(&load, &[fault]).await);
     });
 }
 
 #[test]
 fn keys_are_refused_once_they_may_have_been_withdrawn() {
     on_site(async |running| {
-        let wish = Wish { tries: 1, ..Wish::new(Kind::Idempotent, "a", 1) };
+        let wish = RequestSpec {
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Idempotent, "a", 1)
+        };
         running.store.set_fault(StoreFault::Silent);
         wait_until("the key is refused", async || {
             let outcome = one(running, 0, &wish).await;
-            outcome.tries[0].end == TryEnd::Status(503)
+            outcome.attempts[0].end == AttemptEnd::Status(503)
         })
         .await;
         running.store.set_fault(StoreFault::None);
@@ -58,12 +65,12 @@
 #[test]
 fn a_change_reaches_entries_whose_history_was_lost() {
     on_site(async |running| {
-        running.store.forget_history();
+        running.store.discard_history();
         running.configure(&["another"]);
-        let wish = Wish {
+        let wish = RequestSpec {
             key: "another".to_owned(),
-            tries: 1,
-            ..Wish::new(Kind::Idempotent, "a", 1)
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Idempotent, "a", 1)
         };
         for entry in 0..running.addresses.len() {
             wait_until("the new key is served", async || {
@@ -78,23 +85,23 @@
 fn an_older_configuration_never_comes_into_force() {
     on_site(async |running| {
         running.configure(&["another"]);
-        let wish = Wish {
+        let wish = RequestSpec {
             key: "another".to_owned(),
-            tries: 1,
-            ..Wish::new(Kind::Idempotent, "a", 1)
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Idempotent, "a", 1)
         };
         wait_until("the new key is served", async || {
             one(running, 0, &wish).await.is_served()
         })
         .await;
         // The store would not do this; a reader of stale rows might see it.
-        let old = running.world.site().configuration(1, &[KEY]);
+        let old = running.backends.site().configuration(1, &[KEY]);
         running.store.put("op", "config", &old);
         Timer::after(Duration::from_millis(500)).await;
         assert!(one(running, 0, &wish).await.is_served());
-        let gone = Wish { key: KEY.to_owned(), ..wish };
+        let gone = RequestSpec { key: KEY.to_owned(), ..wish };
         let outcome = one(running, 0, &gone).await;
-        assert_eq!(outcome.tries[0].end, TryEnd::Status(401));
+        assert_eq!(outcome.attempts[0].end, AttemptEnd::Status(401));
     });
 }
 
@@ -104,20 +111,20 @@
         running.store.set_fault(StoreFault::Silent);
         Timer::after(Duration::from_millis(3_200)).await;
         // All rows lapse while the store is away, and come back after it.
-        let engines = running.world.engines();
+        let engines = running.backends.engines();
         for engine in &engines {
-            let id = running.world.server(*engine).unwrap().id;
-            running.store.drop_row("servers", &id);
+            let id = running.backends.server(*engine).unwrap().id;
+            running.store.delete_row("servers", &id);
         }
         running.store.set_fault(StoreFault::None);
         let load = streams(15.0, Duration::from_millis(2_500));
         let back = async {
             Timer::after(Duration::from_millis(900)).await;
             for engine in &engines {
-                running.world.tell(*engine);
+                running.backends.write_row(*engine);
             }
         };
-        let played = running.play(&load, &[]);
+        let played = running.run(&load, &[]);
         let (report, ()) = futures_lite::future::zip(played, back).await;
         assert_all_served(&report);
     });
--- a/crates/daemon/tests/users_platform/support.rs
+++ b/crates/daemon/tests/users_platform/support.rs
@@ -9,10 +9,10 @@
 use async_executor::Executor;
 use async_io::Timer;
 use chestnutreach_emulator::{
-    caller::{Kind, Outcome, Wish, make},
+    caller::{Outcome, RequestKind, RequestSpec, send_request},
     load::Load,
     report::Report,
-    running::{Running, start},
+    running::{RunningSite, start},
     site::Site,
     start_executor,
 };
@@ -26,12 +26,15 @@
 }
 
 /// Plays on a small site.
-pub(crate) fn on_site<T>(play: impl AsyncFnOnce(&Running) -> T) -> T {
+pub(crate) fn on_site<T>(play: impl AsyncFnOnce(&RunningSite) -> T) -> T {
     on(&Site::small(), play)
 }
 
 /// Plays on a site.
-pub(crate) fn on<T>(site: &Site, play: impl AsyncFnOnce(&Running) -> T) -> T {
+pub(crate) fn on<T>(
+    site: &Site,
+    play: impl AsyncFnOnce(&RunningSite) -> T,
+) -> T {
     async_io::block_on(async {
         let started = start(executor(), Path::new(BINARY), site).await;
         let running = started.expect("the site starts");
@@ -41,19 +44,19 @@
 
 /// Makes one request at an entry.
 pub(crate) async fn one(
-    running: &Running,
+    running: &RunningSite,
     entry: usize,
-    wish: &Wish,
+    wish: &RequestSpec,
 ) -> Outcome {
     let own = [running.addresses[entry]];
-    make(wish, &own, 0, Duration::ZERO).await
+    send_request(wish, &own, 0, Duration::ZERO).await
 }
 
 /// Streams at a steady rate.
-pub(crate) fn streams(per_s: f64, length: Duration) -> Load {
+pub(crate) fn streams(per_s: f64, duration: Duration) -> Load {
     Load {
-        per_s: [(Kind::Stream, per_s)].into(),
-        length,
+        per_s: [(RequestKind::Stream, per_s)].into(),
+        duration,
         events: Site::small().events,
         seed: 11,
     }
@@ -62,17 +65,19 @@
 /// Plays streams while first engines end, one after another, each under a
 /// stream.
 pub(crate) async fn play_while_first_engines_end(
-    running: &Running,
+    running: &RunningSite,
     count: u64,
 ) -> Report {
     let load = streams(25.0, Duration::from_secs(3));
     let end = async {
         for _ in 0..count {
             Timer::after(Duration::from_millis(400)).await;
-            running.end_first_engine(Duration::from_millis(300)).await;
+            running
+                .terminate_first_stage_engine(Duration::from_millis(300))
+                .await;
         }
     };
-    let played = running.play(&load, &[]);
+    let played = running.run(&load, &[]);
     futures_lite::future::zip(played, end).await.0
 }
 
@@ -90,10 +95,10 @@
 }
 
 /// The same, with what the entries told of requests that were not served.
-pub(crate) fn assert_all_served_at(running: &Running, report: &Report) {
+pub(crate) fn assert_all_served_at(running: &RunningSite, report: &Report) {
     let unserved = report.outcomes.iter().filter(|o| !o.is_served());
-    let tries = unserved.flat_map(|outcome| &outcome.tries);
-    let ids: Vec<&str> = tries.map(|t| t.id.as_str()).collect();
+    let attempts = unserved.flat_map(|outcome| &outcome.attempts);
+    let ids: Vec<&str> = attempts.map(|t| t.id.as_str()).collect();
     if ids.is_empty() {
         return assert_kept(report);
     }
--- a/crates/daemon/tests/users_platform/traces.rs
+++ b/crates/daemon/tests/users_platform/traces.rs
@@ -1,8 +1,8 @@
 //! From a failed request's id to its cause, as docs/OPERATIONS.md leads.
 
 use chestnutreach_emulator::{
-    caller::{Kind, Outcome, TryEnd, Wish},
-    running::Running,
+    caller::{AttemptEnd, Outcome, RequestKind, RequestSpec},
+    running::RunningSite,
     site::Site,
     store::StoreFault,
 };
@@ -13,7 +13,7 @@
 };
 
 /// Lines of the logs that name a request, as step 1 of the page does.
-fn lines_of(running: &Running, request: &str) -> Vec<Value> {
+fn lines_of(running: &RunningSite, request: &str) -> Vec<Value> {
     let logs = running.logs();
     let lines = logs.lines().filter(|line| line.contains(request));
     lines.map(|line| serde_json::from_str(line).unwrap()).collect()
@@ -24,7 +24,7 @@
 }
 
 /// Waits for the line that tells a request's outcome.
-async fn ended(running: &Running, request: &str) -> Vec<Value> {
+async fn ended(running: &RunningSite, request: &str) -> Vec<Value> {
     wait_until("the outcome is in the logs", async || {
         named(&lines_of(running, request), "relay_ended").is_some()
     })
@@ -36,12 +36,16 @@
 fn a_refused_request_leads_to_the_store() {
     on_site(async |running| {
         running.store.set_fault(StoreFault::Silent);
-        let wish = Wish { tries: 1, ..Wish::new(Kind::Idempotent, "a", 1) };
+        let wish = RequestSpec {
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Idempotent, "a", 1)
+        };
         let mut refused = None;
         wait_until("a request is refused", async || {
             let outcome = one(running, 0, &wish).await;
-            let is_refused = outcome.tries[0].end == TryEnd::Status(503);
-            refused = is_refused.then(|| outcome.tries[0].id.clone());
+            let is_refused =
+                outcome.attempts[0].end == AttemptEnd::Status(503);
+            refused = is_refused.then(|| outcome.attempts[0].id.clone());
             is_refused
         })
         .await;
@@ -63,18 +67,21 @@
 #[test]
 fn a_refused_stream_leads_to_the_missing_layers() {
     on_site(async |running| {
-        for engine in running.world.engines() {
-            running.world.end(engine);
+        for engine in running.backends.engines() {
+            running.backends.terminate(engine);
         }
-        let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 1) };
+        let wish = RequestSpec {
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Stream, "a", 1)
+        };
         // The first may still be sent to engines that are not known to be
         // gone.
         let mut lines = Vec::new();
         wait_until("a request waits in vain", async || {
             let outcome = one(running, 0, &wish).await;
-            lines = ended(running, &outcome.tries[0].id).await;
+            lines = ended(running, &outcome.attempts[0].id).await;
             named(&lines, "path_awaited").is_some()
-                && outcome.tries[0].end == TryEnd::Status(503)
+                && outcome.attempts[0].end == AttemptEnd::Status(503)
         })
         .await;
         // Step 2: it was refused for want of a path.
@@ -101,13 +108,13 @@
     on_site(async |running| {
         let report = play_while_first_engines_end(running, 4).await;
         let is_changed = |outcome: &&Outcome| {
-            let lines = lines_of(running, &outcome.tries[0].id);
+            let lines = lines_of(running, &outcome.attempts[0].id);
             named(&lines, "relay_broken").is_some()
         };
         let resumed = || report.outcomes.iter().find(is_changed);
         wait_until("a stream was resumed", async || resumed().is_some()).await;
         let outcome = resumed().unwrap();
-        let lines = ended(running, &outcome.tries[0].id).await;
+        let lines = ended(running, &outcome.attempts[0].id).await;
         // Step 2: it was whole, after more than one attempt.
         let end = named(&lines, "relay_ended").unwrap();
         assert_eq!(end["outcome"], "completed");
@@ -138,13 +145,18 @@
 fn an_unknown_end_leads_to_the_lost_answer() {
     let site = Site { plain_servers: 1, ..Site::small() };
     on(&site, async |running| {
-        for server in running.world.plain_servers() {
-            running.world.change(server, |s| s.loses_answers = 1.0);
+        for server in running.backends.plain_servers() {
+            running
+                .backends
+                .update_server(server, |s| s.response_loss_rate = 1.0);
         }
-        let wish = Wish { tries: 1, ..Wish::new(Kind::Once, "letter", 1) };
+        let wish = RequestSpec {
+            max_attempts: 1,
+            ..RequestSpec::new(RequestKind::Once, "letter", 1)
+        };
         let outcome = one(running, 0, &wish).await;
-        assert_eq!(outcome.tries[0].end, TryEnd::Status(502));
-        let lines = ended(running, &outcome.tries[0].id).await;
+        assert_eq!(outcome.attempts[0].end, AttemptEnd::Status(502));
+        let lines = ended(running, &outcome.attempts[0].id).await;
         // Step 2: it may have run.
         let end = named(&lines, "relay_ended").unwrap();
         assert_eq!(end["outcome"], "unknown");
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/backend_servers.rs
@@ -22,11 +22,13 @@
 };
 
 mod layers;
+mod observations;
 mod rows;
-mod seen;
 
+pub use observations::{
+    Arrival, CooldownRequest, CrashingArrival, ExpiredLimit, Observations,
+};
 pub(crate) use rows::layers_json;
-pub use seen::{Arrival, AskedRest, Crashing, EndedLimit, Seen};
 
 /// Start of the first server, in Unix milliseconds; each later one is greater.
 const FIRST_START_UNIX_MS: u64 = 1_796_000_000_000;
@@ -34,7 +36,7 @@
 pub(crate) const STALL: Duration = Duration::from_millis(3_000);
 
 /// Requests whose token begins so crash each server that begins to run them.
-pub const CRASHING: &str = "crash";
+pub const CRASH_PREFIX: &str = "crash";
 /// How long a server runs such a request until it crashes.
 const CRASHES_AFTER: Duration = Duration::from_millis(40);
 /// How long a server that crashed is away.
@@ -42,20 +44,20 @@
 
 /// Whether a server runs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Life {
+pub enum ServerStatus {
     /// It serves.
     Serving,
     /// It takes nothing new and will end.
     Draining,
     /// It takes connections and does nothing: on loopback a machine without
     /// power can't be imitated further.
-    Dark,
+    Unresponsive,
     /// Its process has ended.
-    Ended,
+    Exited,
 }
 
 /// One part of a path.
-pub type Part = (SocketAddr, u32, u32);
+pub type PathStage = (SocketAddr, u32, u32);
 
 /// A backend server.
 #[derive(Clone, Debug)]
@@ -69,28 +71,28 @@
     /// Its data centre.
     pub data_centre: String,
     /// Whether it runs.
-    pub life: Life,
+    pub status: ServerStatus,
     /// Layers that it holds.
-    pub held: Option<(u32, u32)>,
+    pub layers: Option<(u32, u32)>,
     /// Orders begun.
-    pub orders: u64,
+    pub order_count: u64,
     /// Factor on its times.
     pub slowness: f64,
     /// Share of requests whose answer is lost after they ran.
-    pub loses_answers: f64,
+    pub response_loss_rate: f64,
     /// Share of streams that run and whose answer never comes, without a
     /// sign.
-    pub swallows: f64,
+    pub hang_rate: f64,
     /// Share of requests that fail with 500.
-    pub fails: f64,
+    pub failure_rate: f64,
     /// Whether an answer of another request comes first.
-    pub mixes_answers: bool,
+    pub sends_foreign_response: bool,
     /// Value of the limit that its answers name, if they name one.
-    pub named_limit: Option<String>,
+    pub announced_limit: Option<String>,
     /// Value of the rest for which it asks, if it turns requests away.
-    pub asked_rest: Option<String>,
+    pub cooldown: Option<String>,
     /// Whether its answers say that it leaves.
-    pub says_leaving: bool,
+    pub announces_leaving: bool,
     /// Streams of which it is the first engine, by request id.
     pub streams: BTreeMap<String, StreamState>,
 }
@@ -99,7 +101,7 @@
 #[derive(Clone, Debug)]
 pub struct StreamState {
     /// Engines that it passes.
-    pub path: Vec<Part>,
+    pub path: Vec<PathStage>,
     /// Engine that it waits for.
     pub stalled_at: Option<SocketAddr>,
 }
@@ -109,13 +111,13 @@
     servers: BTreeMap<SocketAddr, ServerState>,
     /// Relays before servers that run, where the site has links.
     relays: BTreeMap<SocketAddr, Arc<Relay>>,
-    seen: Seen,
+    observations: Observations,
     next_id: u64,
 }
 
 /// All backend servers.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct BackendServers {
     shared: Arc<Shared>,
 }
 
@@ -127,20 +129,20 @@
     executor: Arc<Executor<'static>>,
 }
 
-impl World {
+impl BackendServers {
     /// No servers yet.
     pub fn new(
         site: &Site,
         store: &Store,
         executor: &Arc<Executor<'static>>,
-    ) -> World {
+    ) -> BackendServers {
         let shared = Shared {
             state: Mutex::default(),
             site: site.clone(),
             store: store.clone(),
             executor: executor.clone(),
         };
-        World { shared: Arc::new(shared) }
+        BackendServers { shared: Arc::new(shared) }
     }
 
     /// What is emulated.
@@ -174,17 +176,17 @@
             started_unix_ms: FIRST_START_UNIX_MS + state.next_id,
             service,
             data_centre: data_centre.to_owned(),
-            life: Life::Serving,
-            held: None,
-            orders: 0,
+            status: ServerStatus::Serving,
+            layers: None,
+            order_count: 0,
             slowness: 1.0,
-            loses_answers: 0.0,
-            swallows: 0.0,
-            fails: 0.0,
-            mixes_answers: false,
-            named_limit: None,
-            asked_rest: None,
-            says_leaving: false,
+            response_loss_rate: 0.0,
+            hang_rate: 0.0,
+            failure_rate: 0.0,
+            sends_foreign_response: false,
+            announced_limit: None,
+            cooldown: None,
+            announces_leaving: false,
             streams: BTreeMap::new(),
         };
         state.servers.insert(address, server);
@@ -192,28 +194,31 @@
     }
 
     /// Has a server name a limit for a time.
-    pub fn name_limit(
+    pub fn announce_limit(
         &self,
         address: SocketAddr,
         per_s: f64,
-        length: Duration,
+        duration: Duration,
     ) {
         let Some(server) = self.server(address) else { return };
-        self.lock().seen.limit_named_at.remove(&server.id);
-        self.change(address, |server| {
-            server.named_limit = Some(per_s.to_string());
+        self.lock().observations.limit_announced_at.remove(&server.id);
+        self.update_server(address, |server| {
+            server.announced_limit = Some(per_s.to_string());
         });
-        let world = self.clone();
+        let backends = self.clone();
         let later = async move {
-            Timer::after(length).await;
-            world.change(address, |server| server.named_limit = None);
-            let seen = &mut world.lock().seen;
-            let named_at = seen.limit_named_at.get(&server.id).copied();
-            let Some(named_at) = named_at else { return };
-            seen.ended_limits.push(EndedLimit {
+            Timer::after(duration).await;
+            backends.update_server(address, |server| {
+                server.announced_limit = None
+            });
+            let observations = &mut backends.lock().observations;
+            let announced_at =
+                observations.limit_announced_at.get(&server.id).copied();
+            let Some(announced_at) = announced_at else { return };
+            observations.expired_limits.push(ExpiredLimit {
                 server: server.id,
                 per_s,
-                named_at,
+                announced_at,
                 ended_at: Instant::now(),
             });
         };
@@ -230,15 +235,18 @@
         let Some(server) = state.servers.get(&address).cloned() else {
             return Vec::new();
         };
-        let seen = &mut state.seen;
+        let observations = &mut state.observations;
         let mut said = Vec::new();
-        if let Some(limit) = server.named_limit {
-            let named_at = seen.limit_named_at.entry(server.id.clone());
-            named_at.or_insert_with(Instant::now);
+        if let Some(limit) = server.announced_limit {
+            let announced_at =
+                observations.limit_announced_at.entry(server.id.clone());
+            announced_at.or_insert_with(Instant::now);
             said.push(("server-limit", limit));
         }
-        if server.says_leaving {
-            seen.told_leaving.push(Arrival::now(&server.id, request));
+        if server.announces_leaving {
+            observations
+                .leaving_notices
+                .push(Arrival::now(&server.id, request));
             said.push(("server-leaving", "1".to_owned()));
         }
         said
@@ -246,18 +254,18 @@
 
     /// The rest for which a server asks as it turns a request away; none
     /// where it takes requests.
-    pub(crate) fn turn_away(
+    pub(crate) fn reject_for_cooldown(
         &self,
         address: SocketAddr,
         request: &str,
     ) -> Option<String> {
         let mut state = self.lock();
         let server = state.servers.get(&address)?.clone();
-        let rest = server.asked_rest?;
+        let rest = server.cooldown?;
         if let Ok(rest_s) = rest.parse() {
-            state.seen.rests.push(AskedRest {
-                turned_away: Arrival::now(&server.id, request),
-                length: Duration::from_secs_f64(rest_s),
+            state.observations.cooldown_requests.push(CooldownRequest {
+                rejected: Arrival::now(&server.id, request),
+                duration: Duration::from_secs_f64(rest_s),
             });
         }
         Some(rest)
@@ -283,10 +291,9 @@
     /// Addresses of a service's servers that run.
     pub fn addresses(&self, service: &str) -> Vec<SocketAddr> {
         let state = self.lock();
-        let runs = state
-            .servers
-            .iter()
-            .filter(|(_, s)| s.service == service && s.life != Life::Ended);
+        let runs = state.servers.iter().filter(|(_, s)| {
+            s.service == service && s.status != ServerStatus::Exited
+        });
         runs.map(|(address, _)| *address).collect()
     }
 
@@ -296,7 +303,7 @@
     }
 
     /// Engines that are first of streams, most streams first.
-    pub fn first_engines(&self) -> Vec<SocketAddr> {
+    pub fn first_stage_engines(&self) -> Vec<SocketAddr> {
         let state = self.lock();
         let with_streams =
             state.servers.iter().map(|(a, s)| (s.streams.len(), a));
@@ -306,11 +313,12 @@
     }
 
     /// Most ends of first engines that a stream met which runs at this one.
-    pub fn most_ends_met(&self, engine: SocketAddr) -> u32 {
+    pub fn max_first_stage_exits(&self, engine: SocketAddr) -> u32 {
         let state = self.lock();
         let server = state.servers.get(&engine);
         let streams = server.into_iter().flat_map(|s| s.streams.keys());
-        let met = streams.filter_map(|id| state.seen.ends_met.get(id));
+        let met = streams
+            .filter_map(|id| state.observations.first_stage_exits.get(id));
         met.copied().max().unwrap_or(0)
     }
 
@@ -320,7 +328,7 @@
     }
 
     /// Changes a server.
-    pub fn change(
+    pub fn update_server(
         &self,
         address: SocketAddr,
         change: impl FnOnce(&mut ServerState),
@@ -347,29 +355,30 @@
     }
 
     /// What was seen so far.
-    pub fn seen(&self) -> Seen {
-        self.lock().seen.clone()
+    pub fn observations(&self) -> Observations {
+        self.lock().observations.clone()
     }
 
-    pub(crate) fn note_violation(&self, text: String) {
-        self.lock().seen.violations.push(text);
+    pub(crate) fn record_violation(&self, text: String) {
+        self.lock().observations.violations.push(text);
     }
 
-    pub(crate) fn note_arrival(&self, request: &str, server: &str) {
+    pub(crate) fn record_arrival(&self, request: &str, server: &str) {
         let mut state = self.lock();
-        state.seen.arrived.push(Arrival::now(server, request));
-        let count = state.seen.arrivals.entry(request.to_owned());
+        state.observations.arrival_log.push(Arrival::now(server, request));
+        let count =
+            state.observations.arrival_counts.entry(request.to_owned());
         *count.or_default() += 1;
     }
 
     /// Notes the arrival of a request if it crashes servers; which arrival.
-    pub(crate) fn note_crashing(&self, token: &str) -> Option<usize> {
-        if !token.starts_with(CRASHING) {
+    pub(crate) fn record_crashing(&self, token: &str) -> Option<usize> {
+        if !token.starts_with(CRASH_PREFIX) {
             return None;
         }
         let mut state = self.lock();
-        let arrivals = &mut state.seen.crashing;
-        arrivals.push(Crashing {
+        let arrivals = &mut state.observations.crashing_arrivals;
+        arrivals.push(CrashingArrival {
             token: token.to_owned(),
             at: Instant::now(),
             crashed_at: None,
@@ -382,18 +391,21 @@
         let Some(server) = self.server(address) else { return };
         Timer::after(CRASHES_AFTER).await;
         // Another request may have crashed it meanwhile.
-        let runs = |s: ServerState| s.id == server.id && s.life != Life::Ended;
+        let runs = |s: ServerState| {
+            s.id == server.id && s.status != ServerStatus::Exited
+        };
         if !self.server(address).is_some_and(runs) {
             return;
         }
-        self.lock().seen.crashing[arrival].crashed_at = Some(Instant::now());
-        self.end(address);
-        let world = self.clone();
+        self.lock().observations.crashing_arrivals[arrival].crashed_at =
+            Some(Instant::now());
+        self.terminate(address);
+        let backends = self.clone();
         let later = async move {
             Timer::after(CRASH_LASTS).await;
             // An address that is still held is reused by nobody.
             let _ = engines::start(
-                &world,
+                &backends,
                 server.service,
                 &server.data_centre,
                 address.port(),
@@ -403,9 +415,13 @@
     }
 
     /// Notes that a request runs; how often it has begun to.
-    pub(crate) fn note_run(&self, request: &str) -> u32 {
+    pub(crate) fn record_run(&self, request: &str) -> u32 {
         let mut state = self.lock();
-        let count = state.seen.runs.entry(request.to_owned()).or_default();
+        let count = state
+            .observations
+            .run_counts
+            .entry(request.to_owned())
+            .or_default();
         *count += 1;
         *count
     }
@@ -418,11 +434,11 @@
         has_key: bool,
     ) {
         if has_key {
-            self.note_violation(format!("{request}: a key was passed on"));
+            self.record_violation(format!("{request}: a key was passed on"));
         }
         if account != Some(ACCOUNT) {
             let text = format!("{request}: client account {account:?}");
-            self.note_violation(text);
+            self.record_violation(text);
         }
     }
 
@@ -430,7 +446,7 @@
     pub async fn wait_for(
         &self,
         limit: Duration,
-        is_so: impl Fn(&World) -> bool,
+        is_so: impl Fn(&BackendServers) -> bool,
     ) -> bool {
         let until = Instant::now() + limit;
         while !is_so(self) {
--- a/crates/emulator/src/world/layers.rs
+++ b/crates/emulator/src/backend_servers/layers.rs
@@ -4,12 +4,12 @@
 
 use async_io::Timer;
 
-use super::{Life, Part, World};
+use super::{BackendServers, PathStage, ServerStatus};
 
 /// Time to load layers.
 const LOAD: Duration = Duration::from_millis(150);
 
-impl World {
+impl BackendServers {
     /// Carries out an order to hold layers; the status of the answer.
     pub(crate) fn place(
         &self,
@@ -23,28 +23,31 @@
             let Some(server) = state.servers.get_mut(&address) else {
                 return 404;
             };
-            if expected.is_some_and(|orders| orders != server.orders) {
+            if expected
+                .is_some_and(|order_count| order_count != server.order_count)
+            {
                 return 409;
             }
-            if server.held == Some(range) {
+            if server.layers == Some(range) {
                 return 200;
             }
-            server.orders += 1;
+            server.order_count += 1;
             // What it keeps is served while the rest loads.
-            server.held = server.held.and_then(|held| {
-                let kept = (held.0.max(range.0), held.1.min(range.1));
+            server.layers = server.layers.and_then(|layers| {
+                let kept = (layers.0.max(range.0), layers.1.min(range.1));
                 (kept.0 < kept.1).then_some(kept)
             });
             if range.1 - range.0 > most {
                 let text = format!("{address} was ordered to hold {range:?}");
-                state.seen.violations.push(text);
+                state.observations.violations.push(text);
             }
         }
-        let world = self.clone();
+        let backends = self.clone();
         let later = async move {
             Timer::after(LOAD).await;
-            world.change(address, |server| server.held = Some(range));
-            world.tell(address);
+            backends
+                .update_server(address, |server| server.layers = Some(range));
+            backends.write_row(address);
         };
         self.shared.executor.spawn(later).detach();
         202
@@ -55,7 +58,7 @@
         &self,
         first: SocketAddr,
         request: &str,
-        path: Vec<Part>,
+        path: Vec<PathStage>,
     ) -> (u16, Option<SocketAddr>) {
         if let Some(bad) = self.missing_part(&path) {
             return (409, Some(bad.0));
@@ -66,7 +69,7 @@
         let Some(stream) = stream else { return (404, None) };
         stream.path = path;
         stream.stalled_at = None;
-        state.seen.path_changes += 1;
+        state.observations.path_changes += 1;
         (200, None)
     }
 
@@ -74,33 +77,36 @@
     /// with the status that says so.
     pub(crate) fn missing_part(
         &self,
-        path: &[Part],
+        path: &[PathStage],
     ) -> Option<(SocketAddr, u16)> {
         let state = self.lock();
         path.iter().find_map(|(address, from, to)| {
             let server = state.servers.get(address);
-            let server = server.filter(|s| s.life == Life::Serving);
+            let server = server.filter(|s| s.status == ServerStatus::Serving);
             let Some(server) = server else { return Some((*address, 503)) };
             let holds = server
-                .held
-                .is_some_and(|held| held.0 <= *from && *to <= held.1);
+                .layers
+                .is_some_and(|layers| layers.0 <= *from && *to <= layers.1);
             (!holds).then_some((*address, 421))
         })
     }
 
     /// The part of a running stream whose engine no longer works.
-    pub(crate) fn dead_part(&self, path: &[Part]) -> Option<SocketAddr> {
+    pub(crate) fn dead_part(&self, path: &[PathStage]) -> Option<SocketAddr> {
         let state = self.lock();
         path.iter().map(|part| part.0).find(|address| {
             let server = state.servers.get(address);
             !server.is_some_and(|s| {
-                matches!(s.life, Life::Serving | Life::Draining)
+                matches!(
+                    s.status,
+                    ServerStatus::Serving | ServerStatus::Draining
+                )
             })
         })
     }
 
     /// Notes a path that does not run every layer once and in order.
-    pub(crate) fn check_layers(&self, request: &str, path: &[Part]) {
+    pub(crate) fn check_layers(&self, request: &str, path: &[PathStage]) {
         let mut next = 0;
         let mut is_whole = true;
         for (_, from, to) in path {
@@ -108,12 +114,12 @@
             next = *to;
         }
         if !is_whole || next != self.shared.site.layer_count {
-            self.note_violation(format!("{request}: path {path:?}"));
+            self.record_violation(format!("{request}: path {path:?}"));
         }
     }
 
     /// Time of an event over a path.
-    pub(crate) fn event_time(&self, path: &[Part]) -> Duration {
+    pub(crate) fn event_time(&self, path: &[PathStage]) -> Duration {
         let state = self.lock();
         let slowness = path
             .iter()
@@ -125,16 +131,16 @@
     }
 
     /// Whether every layer is held in each data centre.
-    pub fn is_covered(&self) -> bool {
+    pub fn has_full_coverage(&self) -> bool {
         let state = self.lock();
         let site = &self.shared.site;
         site.data_centres.iter().all(|data_centre| {
             (0..site.layer_count).all(|layer| {
                 state.servers.values().any(|server| {
                     server.data_centre == *data_centre
-                        && server.life == Life::Serving
+                        && server.status == ServerStatus::Serving
                         && server
-                            .held
+                            .layers
                             .is_some_and(|h| h.0 <= layer && layer < h.1)
                 })
             })
--- a/crates/emulator/src/world/seen.rs
+++ b/crates/emulator/src/backend_servers/observations.rs
@@ -7,29 +7,29 @@
 
 /// What engines saw that must not happen, and what they ran.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// What must not happen.
     pub violations: Vec<String>,
     /// Runs of each request, by its id.
-    pub runs: BTreeMap<String, u32>,
+    pub run_counts: BTreeMap<String, u32>,
     /// Arrivals of each request, by its id.
-    pub arrivals: BTreeMap<String, u32>,
+    pub arrival_counts: BTreeMap<String, u32>,
     /// Orders to change a path that were carried out.
     pub path_changes: u64,
     /// Arrivals of requests that crash servers, in their order.
-    pub crashing: Vec<Crashing>,
+    pub crashing_arrivals: Vec<CrashingArrival>,
     /// Requests that arrived at servers, in order.
-    pub arrived: Vec<Arrival>,
+    pub arrival_log: Vec<Arrival>,
     /// Requests that servers turned away and asked for rest.
-    pub rests: Vec<AskedRest>,
+    pub cooldown_requests: Vec<CooldownRequest>,
     /// Requests whose answer said that its server leaves.
-    pub told_leaving: Vec<Arrival>,
+    pub leaving_notices: Vec<Arrival>,
     /// When each server first named a limit, by its id.
-    pub limit_named_at: BTreeMap<String, Instant>,
+    pub limit_announced_at: BTreeMap<String, Instant>,
     /// Limits that were named for a time and have ended.
-    pub ended_limits: Vec<EndedLimit>,
+    pub expired_limits: Vec<ExpiredLimit>,
     /// Ends of its first engine that each stream met, by its id.
-    pub ends_met: BTreeMap<String, u32>,
+    pub first_stage_exits: BTreeMap<String, u32>,
 }
 
 /// A request at a server.
@@ -45,29 +45,29 @@
 
 /// A request that a server turned away, asking for rest.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AskedRest {
+pub struct CooldownRequest {
     /// Which request, where and when.
-    pub turned_away: Arrival,
+    pub rejected: Arrival,
     /// For how long.
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 /// A limit that a server named for a time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndedLimit {
+pub struct ExpiredLimit {
     /// Id of the server.
     pub server: String,
     /// Requests a second.
     pub per_s: f64,
     /// When an answer first named it.
-    pub named_at: Instant,
+    pub announced_at: Instant,
     /// When it ended.
     pub ended_at: Instant,
 }
 
 /// An arrival of a request that crashes servers.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Crashing {
+pub struct CrashingArrival {
     /// What the request is about; the same for all copies of it.
     pub token: String,
     /// When it arrived.
@@ -76,10 +76,10 @@
     pub crashed_at: Option<Instant>,
 }
 
-impl Seen {
+impl Observations {
     /// Most requests that reached a server in any span of that length that
     /// lies between two times.
-    pub fn most_arrivals(
+    pub fn max_arrivals(
         &self,
         server: &str,
         span: Duration,
@@ -90,7 +90,7 @@
                 && from <= arrival.at
                 && arrival.at < until
         };
-        let counted = self.arrived.iter().filter(is_counted);
+        let counted = self.arrival_log.iter().filter(is_counted);
         let times: Vec<Instant> = counted.map(|arrival| arrival.at).collect();
         let in_span = |(at, start): (usize, &Instant)| {
             let is_in = |time: &&Instant| **time < *start + span;
@@ -101,7 +101,7 @@
 
     /// When servers crashed under a request, in order.
     pub fn crashes_of(&self, token: &str) -> Vec<Instant> {
-        let own = self.crashing.iter().filter(|c| c.token == token);
+        let own = self.crashing_arrivals.iter().filter(|c| c.token == token);
         let mut crashes: Vec<Instant> =
             own.filter_map(|c| c.crashed_at).collect();
         crashes.sort();
@@ -118,10 +118,10 @@
     ) -> usize {
         let crashes = self.crashes_of(token);
         let Some(crashed_at) = crashes.get(crash - 1) else { return 0 };
-        let is_late = |c: &&Crashing| {
+        let is_late = |c: &&CrashingArrival| {
             c.token == token && c.at > *crashed_at + later_than
         };
-        self.crashing.iter().filter(is_late).count()
+        self.crashing_arrivals.iter().filter(is_late).count()
     }
 }
 
--- a/crates/emulator/src/world/rows.rs
+++ b/crates/emulator/src/backend_servers/rows.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use serde_json::json;
 
-use super::{FIRST_START_UNIX_MS, Life, State, World};
+use super::{BackendServers, FIRST_START_UNIX_MS, ServerStatus, State};
 use crate::site::MODEL_SERVICE;
 
 /// Table of backend servers in the store.
@@ -17,34 +17,38 @@
 /// One of so many engines has its row overwritten.
 const OVERWRITTEN_EVERY: usize = 4;
 
-impl World {
+impl BackendServers {
     /// Ends a server's process: it is refused from now on.
-    pub fn end(&self, address: SocketAddr) {
-        self.end_listed(address, LAPSE);
+    pub fn terminate(&self, address: SocketAddr) {
+        self.terminate_with_late_removal(address, LAPSE);
     }
 
     /// Ends a server's process, whose row stays.
-    pub fn end_unnoticed(&self, address: SocketAddr) {
+    pub fn terminate_keeping_row(&self, address: SocketAddr) {
         let mut state = self.lock();
-        let State { servers, seen, .. } = &mut *state;
+        let State { servers, observations, .. } = &mut *state;
         let Some(server) = servers.get_mut(&address) else { return };
-        server.life = Life::Ended;
+        server.status = ServerStatus::Exited;
         for stream in std::mem::take(&mut server.streams).into_keys() {
-            *seen.ends_met.entry(stream).or_default() += 1;
+            *observations.first_stage_exits.entry(stream).or_default() += 1;
         }
     }
 
     /// Ends a server's process, whose row stays for so long.
-    pub fn end_listed(&self, address: SocketAddr, listed: Duration) {
-        self.end_unnoticed(address);
+    pub fn terminate_with_late_removal(
+        &self,
+        address: SocketAddr,
+        listed: Duration,
+    ) {
+        self.terminate_keeping_row(address);
         self.lapse_later(address, listed);
     }
 
     /// Ends all servers and closes their connections.
-    pub(crate) fn end_all(&self) {
+    pub(crate) fn terminate_all(&self) {
         let mut state = self.lock();
         for server in state.servers.values_mut() {
-            server.life = Life::Ended;
+            server.status = ServerStatus::Exited;
             server.streams.clear();
         }
         let relays = std::mem::take(&mut state.relays);
@@ -54,33 +58,37 @@
     }
 
     /// Takes a server's row away while it serves on.
-    pub fn unlist(&self, address: SocketAddr) {
+    pub fn remove_row(&self, address: SocketAddr) {
         if let Some(server) = self.server(address) {
-            self.shared.store.drop_row(TABLE, &server.id);
+            self.shared.store.delete_row(TABLE, &server.id);
         }
     }
 
     /// Lets a server fall silent.
-    pub fn darken(&self, address: SocketAddr) {
-        self.change(address, |server| server.life = Life::Dark);
+    pub fn make_unresponsive(&self, address: SocketAddr) {
+        self.update_server(address, |server| {
+            server.status = ServerStatus::Unresponsive
+        });
         self.lapse_later(address, LAPSE);
     }
 
     /// Has a server leave in order.
     pub fn drain(&self, address: SocketAddr) {
-        self.change(address, |server| server.life = Life::Draining);
-        self.tell(address);
-        let world = self.clone();
+        self.update_server(address, |server| {
+            server.status = ServerStatus::Draining
+        });
+        self.write_row(address);
+        let backends = self.clone();
         let later = async move {
             Timer::after(DRAIN).await;
-            world.end(address);
+            backends.terminate(address);
         };
         self.shared.executor.spawn(later).detach();
     }
 
     /// Writes rows of another writer: for so long in place of the rows of some
     /// servers, and for good beside them.
-    pub fn overwrite_rows(&self, length: Duration) {
+    pub fn overwrite_rows(&self, duration: Duration) {
         let store = &self.shared.store;
         for (number, value) in foreign_rows().iter().enumerate() {
             store.put(TABLE, &format!("other-{number}"), value);
@@ -92,10 +100,12 @@
                 store.put(TABLE, &server.id, &value);
             }
         }
-        let world = self.clone();
+        let backends = self.clone();
         let later = async move {
-            Timer::after(length).await;
-            engines.into_iter().for_each(|address| world.tell(address));
+            Timer::after(duration).await;
+            engines
+                .into_iter()
+                .for_each(|address| backends.write_row(address));
         };
         self.shared.executor.spawn(later).detach();
     }
@@ -105,16 +115,16 @@
         let store = self.shared.store.clone();
         let later = async move {
             Timer::after(listed).await;
-            store.drop_row(TABLE, &server.id);
+            store.delete_row(TABLE, &server.id);
         };
         self.shared.executor.spawn(later).detach();
     }
 
     /// Writes the server's row.
-    pub fn tell(&self, address: SocketAddr) {
+    pub fn write_row(&self, address: SocketAddr) {
         let Some(server) = self.server(address) else { return };
-        let state = match server.life {
-            Life::Draining => "draining",
+        let state = match server.status {
+            ServerStatus::Draining => "draining",
             _ => "ready",
         };
         let mut row = json!({
@@ -128,7 +138,7 @@
         });
         if server.service == MODEL_SERVICE {
             row["kind"] = json!("card");
-            row["layers"] = layers_json(server.held);
+            row["layers"] = layers_json(server.layers);
         }
         self.shared.store.put(TABLE, &server.id, &row);
     }
@@ -163,8 +173,8 @@
 }
 
 /// Layers as rows and reports tell them.
-pub(crate) fn layers_json(held: Option<(u32, u32)>) -> serde_json::Value {
-    match held {
+pub(crate) fn layers_json(layers: Option<(u32, u32)>) -> serde_json::Value {
+    match layers {
         Some((from, to)) => {
             json!({"from": from, "target": to, "version": 1})
         }
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -29,7 +29,7 @@
 
 /// Kinds of requests.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Kind {
+pub enum RequestKind {
     /// A stream that may be resumed.
     Stream,
     /// A request that may run more than once.
@@ -38,40 +38,43 @@
     Once,
 }
 
-impl Kind {
+impl RequestKind {
     /// Every kind.
-    pub const ALL: [Kind; 3] = [Kind::Stream, Kind::Idempotent, Kind::Once];
+    pub const ALL: [RequestKind; 3] =
+        [RequestKind::Stream, RequestKind::Idempotent, RequestKind::Once];
 
     /// Its name in experiments and reports.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Stream => "stream",
-            Kind::Idempotent => "idempotent",
-            Kind::Once => "once",
+            RequestKind::Stream => "stream",
+            RequestKind::Idempotent => "idempotent",
+            RequestKind::Once => "once",
         }
     }
 
     fn path(self) -> &'static str {
         match self {
-            Kind::Stream => STREAM_PATH,
-            Kind::Idempotent => IDEMPOTENT_PATH,
-            Kind::Once => ONCE_PATH,
+            RequestKind::Stream => STREAM_PATH,
+            RequestKind::Idempotent => IDEMPOTENT_PATH,
+            RequestKind::Once => ONCE_PATH,
         }
     }
 
     fn deadline(self) -> Duration {
         match self {
-            Kind::Stream => Duration::from_secs(15),
-            Kind::Idempotent | Kind::Once => Duration::from_millis(1_500),
+            RequestKind::Stream => Duration::from_secs(15),
+            RequestKind::Idempotent | RequestKind::Once => {
+                Duration::from_millis(1_500)
+            }
         }
     }
 }
 
 /// A request to make.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct RequestSpec {
     /// Its kind.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// What it is about; the answer is made of it.
     pub token: String,
     /// Key of the client account.
@@ -79,20 +82,20 @@
     /// Events of a whole stream.
     pub events: u64,
     /// Tries at most.
-    pub tries: usize,
+    pub max_attempts: usize,
 }
 
-impl Wish {
+impl RequestSpec {
     /// A request with the site's key and one retry.
-    pub fn new(kind: Kind, token: &str, events: u64) -> Wish {
+    pub fn new(kind: RequestKind, token: &str, events: u64) -> RequestSpec {
         let (token, key) = (token.to_owned(), KEY.to_owned());
-        Wish { kind, token, key, events, tries: 2 }
+        RequestSpec { kind, token, key, events, max_attempts: 2 }
     }
 }
 
 /// How a try ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum TryEnd {
+pub enum AttemptEnd {
     /// A whole answer.
     Whole,
     /// An answer with this status.
@@ -107,7 +110,7 @@
 
 /// One try of a client.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// Its id.
     pub id: String,
     /// Which entry it went to.
@@ -115,9 +118,9 @@
     /// When it was sent.
     pub sent_at: Instant,
     /// How it ended.
-    pub end: TryEnd,
+    pub end: AttemptEnd,
     /// When it is to come back, as it was told.
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// When.
     pub ended_at: Instant,
 }
@@ -126,15 +129,15 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The request.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// When it began, from the start of the load.
     pub at: Duration,
     /// Its tries.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
     /// Time to the first event or answer.
-    pub first: Option<Duration>,
+    pub time_to_first: Option<Duration>,
     /// Time to the whole answer.
-    pub whole: Option<Duration>,
+    pub total_time: Option<Duration>,
     /// Longest pause between events.
     pub max_gap: Duration,
     /// What must not happen and did.
@@ -144,7 +147,7 @@
 impl Outcome {
     /// Whether the answer came whole.
     pub fn is_served(&self) -> bool {
-        self.whole.is_some()
+        self.total_time.is_some()
     }
 }
 
@@ -156,8 +159,8 @@
 }
 
 /// Makes a request, trying the entries in turn from this one on.
-pub async fn make(
-    wish: &Wish,
+pub async fn send_request(
+    wish: &RequestSpec,
     entries: &[SocketAddr],
     first_entry: usize,
     at: Duration,
@@ -170,78 +173,82 @@
         outcome: Outcome {
             kind: wish.kind,
             at,
-            tries: Vec::new(),
-            first: None,
-            whole: None,
+            attempts: Vec::new(),
+            time_to_first: None,
+            total_time: None,
             max_gap: Duration::ZERO,
             violations: Vec::new(),
         },
     };
-    for index in 0..wish.tries {
+    for index in 0..wish.max_attempts {
         let entry = entries[(first_entry + index) % entries.len()];
         let id = format!("{:016x}", fastrand::u64(..));
         let sent_at = Instant::now();
-        let (end, come_back) = try_once(wish, entry, &id, &mut reading).await;
+        let (end, retry_after) =
+            try_once(wish, entry, &id, &mut reading).await;
         let may_again =
-            may_try_again(wish.kind, &end) && index + 1 < wish.tries;
+            may_try_again(wish.kind, &end) && index + 1 < wish.max_attempts;
         let ended_at = Instant::now();
-        let ended = Try { id, entry, sent_at, end, come_back, ended_at };
-        reading.outcome.tries.push(ended);
+        let ended = Attempt { id, entry, sent_at, end, retry_after, ended_at };
+        reading.outcome.attempts.push(ended);
         if !may_again {
             break;
         }
         let deadline = wish.kind.deadline();
         let left = deadline.saturating_sub(start.elapsed());
-        let come_back = come_back.unwrap_or_default();
-        Timer::after(come_back.min(left / COME_BACK_PART)).await;
+        let retry_after = retry_after.unwrap_or_default();
+        Timer::after(retry_after.min(left / COME_BACK_PART)).await;
     }
     reading.outcome
 }
 
-fn may_try_again(kind: Kind, end: &TryEnd) -> bool {
+fn may_try_again(kind: RequestKind, end: &AttemptEnd) -> bool {
     match end {
-        TryEnd::Whole => false,
-        TryEnd::Status(408 | 421 | 429 | 503) | TryEnd::NoConnection => true,
-        TryEnd::Status(400 | 401 | 404 | 413 | 431) => false,
-        TryEnd::Status(_) | TryEnd::Cut | TryEnd::Left => kind != Kind::Once,
+        AttemptEnd::Whole => false,
+        AttemptEnd::Status(408 | 421 | 429 | 503)
+        | AttemptEnd::NoConnection => true,
+        AttemptEnd::Status(400 | 401 | 404 | 413 | 431) => false,
+        AttemptEnd::Status(_) | AttemptEnd::Cut | AttemptEnd::Left => {
+            kind != RequestKind::Once
+        }
     }
 }
 
 async fn try_once(
-    wish: &Wish,
+    wish: &RequestSpec,
     entry: SocketAddr,
     id: &str,
     reading: &mut Reading,
-) -> (TryEnd, Option<Duration>) {
+) -> (AttemptEnd, Option<Duration>) {
     let deadline = wish.kind.deadline();
     let left = deadline.saturating_sub(reading.start.elapsed());
     let bytes = request_bytes(wish, id, reading.events, left);
     let Ok(mut connection) = Outbound::connect(entry, DIAL).await else {
-        return (TryEnd::NoConnection, None);
+        return (AttemptEnd::NoConnection, None);
     };
     reading.last = Instant::now();
     let exchange = async {
         if connection.send(&bytes).await.is_err() {
-            return (TryEnd::Cut, None);
+            return (AttemptEnd::Cut, None);
         }
         read_answer(wish, id, &mut connection, reading).await
     };
     let limit = async {
         Timer::after(left).await;
-        (TryEnd::Left, None)
+        (AttemptEnd::Left, None)
     };
     exchange.or(limit).await
 }
 
 fn request_bytes(
-    wish: &Wish,
+    wish: &RequestSpec,
     id: &str,
     events: u64,
     left: Duration,
 ) -> Vec<u8> {
     let method = match wish.kind {
-        Kind::Idempotent => "GET",
-        Kind::Stream | Kind::Once => "POST",
+        RequestKind::Idempotent => "GET",
+        RequestKind::Stream | RequestKind::Once => "POST",
     };
     let target = format!("{}{}", wish.kind.path(), wish.token);
     let mut out = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
@@ -251,7 +258,7 @@
     push_header(&mut out, "Authorization", &format!("Bearer {}", wish.key));
     // A client may not name its own account.
     push_header(&mut out, "X-Tenant", "somebody-else");
-    if wish.kind == Kind::Stream {
+    if wish.kind == RequestKind::Stream {
         push_header(&mut out, "X-Model", "m");
         push_header(&mut out, "X-Token-Count", "100,30");
         push_header(&mut out, "X-Prompt-Prefix", "5c1e07a2:100");
@@ -269,14 +276,14 @@
 }
 
 async fn read_answer(
-    wish: &Wish,
+    wish: &RequestSpec,
     id: &str,
     connection: &mut Outbound,
     reading: &mut Reading,
-) -> (TryEnd, Option<Duration>) {
+) -> (AttemptEnd, Option<Duration>) {
     let head = match within_gap(wish, connection.read_head()).await {
-        None => return (TryEnd::Left, None),
-        Some(Err(_)) => return (TryEnd::Cut, None),
+        None => return (AttemptEnd::Left, None),
+        Some(Err(_)) => return (AttemptEnd::Cut, None),
         Some(Ok(head)) => head,
     };
     for name in ["server-limit", "server-leaving"] {
@@ -286,18 +293,20 @@
         }
     }
     if head.status != 200 {
-        let come_back = head.header("retry-after");
-        let come_back = come_back.and_then(|v| v.parse().ok());
-        let end = TryEnd::Status(head.status);
-        return (end, come_back.map(Duration::from_secs_f64));
+        let retry_after = head.header("retry-after");
+        let retry_after = retry_after.and_then(|v| v.parse().ok());
+        let end = AttemptEnd::Status(head.status);
+        return (end, retry_after.map(Duration::from_secs_f64));
     }
     check_head(id, &head, reading);
     let end = match wish.kind {
-        Kind::Stream => read_stream(wish, &head, connection, reading).await,
+        RequestKind::Stream => {
+            read_stream(wish, &head, connection, reading).await
+        }
         _ => read_plain(wish, &head, connection, reading).await,
     };
-    if end == TryEnd::Whole {
-        reading.outcome.whole = Some(reading.start.elapsed());
+    if end == AttemptEnd::Whole {
+        reading.outcome.total_time = Some(reading.start.elapsed());
     }
     (end, None)
 }
@@ -311,38 +320,39 @@
 }
 
 async fn read_plain(
-    wish: &Wish,
+    wish: &RequestSpec,
     head: &AnswerHead,
     connection: &mut Outbound,
     reading: &mut Reading,
-) -> TryEnd {
-    let method = if wish.kind == Kind::Idempotent { "GET" } else { "POST" };
+) -> AttemptEnd {
+    let method =
+        if wish.kind == RequestKind::Idempotent { "GET" } else { "POST" };
     let Ok(body) = connection.read_body(head.body(method), 1 << 20).await
     else {
-        return TryEnd::Cut;
+        return AttemptEnd::Cut;
     };
-    reading.outcome.first = Some(reading.start.elapsed());
+    reading.outcome.time_to_first = Some(reading.start.elapsed());
     if body != wish.token.as_bytes() {
         let body = String::from_utf8_lossy(&body).into_owned();
         let text = format!("{}: answer {body:?}", wish.token);
         reading.outcome.violations.push(text);
     }
-    TryEnd::Whole
+    AttemptEnd::Whole
 }
 
 async fn read_stream(
-    wish: &Wish,
+    wish: &RequestSpec,
     head: &AnswerHead,
     connection: &mut Outbound,
     reading: &mut Reading,
-) -> TryEnd {
+) -> AttemptEnd {
     let mut body = head.body("POST");
     let mut unread = Vec::new();
     loop {
         let part = connection.next_part(&mut body);
         let part = match within_gap(wish, part).await {
-            None => return TryEnd::Left,
-            Some(Err(_)) => return TryEnd::Cut,
+            None => return AttemptEnd::Left,
+            Some(Err(_)) => return AttemptEnd::Cut,
             Some(Ok(part)) => part,
         };
         let Some(part) = part else {
@@ -353,7 +363,11 @@
     }
 }
 
-fn take_events(wish: &Wish, unread: &mut Vec<u8>, reading: &mut Reading) {
+fn take_events(
+    wish: &RequestSpec,
+    unread: &mut Vec<u8>,
+    reading: &mut Reading,
+) {
     let end = |bytes: &[u8]| bytes.windows(2).position(|w| w == b"\n\n");
     while let Some(at) = end(unread) {
         let event: Vec<u8> = unread.drain(..at + 2).collect();
@@ -365,8 +379,10 @@
             reading.outcome.violations.push(text);
         }
         let now = Instant::now();
-        match reading.outcome.first {
-            None => reading.outcome.first = Some(reading.start.elapsed()),
+        match reading.outcome.time_to_first {
+            None => {
+                reading.outcome.time_to_first = Some(reading.start.elapsed())
+            }
             Some(_) => {
                 let gap = now - reading.last;
                 let longest = &mut reading.outcome.max_gap;
@@ -377,7 +393,11 @@
     }
 }
 
-fn check_whole(wish: &Wish, unread: &[u8], reading: &mut Reading) -> TryEnd {
+fn check_whole(
+    wish: &RequestSpec,
+    unread: &[u8],
+    reading: &mut Reading,
+) -> AttemptEnd {
     if reading.events != wish.events || !unread.is_empty() {
         let text = format!(
             "{}: ended as whole after {} of {} events",
@@ -385,17 +405,17 @@
         );
         reading.outcome.violations.push(text);
     }
-    TryEnd::Whole
+    AttemptEnd::Whole
 }
 
 /// Bounds a wait for the next piece of a stream.
 async fn within_gap<T>(
-    wish: &Wish,
+    wish: &RequestSpec,
     work: impl Future<Output = T>,
 ) -> Option<T> {
     let limit = match wish.kind {
-        Kind::Stream => GAP,
-        Kind::Idempotent | Kind::Once => wish.kind.deadline(),
+        RequestKind::Stream => GAP,
+        RequestKind::Idempotent | RequestKind::Once => wish.kind.deadline(),
     };
     let work = async { Some(work.await) };
     let limit = async {
--- a/crates/emulator/src/engines.rs
+++ b/crates/emulator/src/engines.rs
@@ -15,8 +15,11 @@
 use serde_json::{Value, json};
 
 use crate::{
+    backend_servers::{
+        BackendServers, PathStage, STALL, ServerState, ServerStatus,
+        StreamState, layers_json,
+    },
     site::{MODEL_SERVICE, ONCE_PATH, PLAIN_SERVICE, STREAM_PATH},
-    world::{Life, Part, STALL, ServerState, StreamState, World, layers_json},
 };
 
 /// Time between looks at a server's life.
@@ -32,16 +35,16 @@
 /// # Errors
 ///
 /// A port can't be opened.
-pub fn start_all(world: &World) -> io::Result<()> {
-    let site = world.site().clone();
+pub fn start_all(backends: &BackendServers) -> io::Result<()> {
+    let site = backends.site().clone();
     for data_centre in &site.data_centres {
         for _ in 0..site.engines_each {
-            start(world, MODEL_SERVICE, data_centre, 0)?;
+            start(backends, MODEL_SERVICE, data_centre, 0)?;
         }
     }
     for index in 0..site.plain_servers {
         let data_centre = &site.data_centres[index % site.data_centres.len()];
-        start(world, PLAIN_SERVICE, data_centre, 0)?;
+        start(backends, PLAIN_SERVICE, data_centre, 0)?;
     }
     Ok(())
 }
@@ -52,13 +55,14 @@
 ///
 /// The port can't be opened.
 pub fn start(
-    world: &World,
+    backends: &BackendServers,
     service: &'static str,
     data_centre: &str,
     port: u16,
 ) -> io::Result<SocketAddr> {
-    let address = start_untold(world, service, data_centre, port, None)?;
-    world.tell(address);
+    let address =
+        start_without_row(backends, service, data_centre, port, None)?;
+    backends.write_row(address);
     Ok(address)
 }
 
@@ -67,16 +71,17 @@
 /// # Errors
 ///
 /// The port can't be opened.
-pub fn start_again(
-    world: &World,
+pub fn restart(
+    backends: &BackendServers,
     address: SocketAddr,
     server: &ServerState,
 ) -> io::Result<()> {
     let id = Some(server.id.as_str());
     let place = &server.data_centre;
     let port = address.port();
-    let address = start_untold(world, server.service, place, port, id)?;
-    world.tell(address);
+    let address =
+        start_without_row(backends, server.service, place, port, id)?;
+    backends.write_row(address);
     Ok(())
 }
 
@@ -85,16 +90,16 @@
 /// # Errors
 ///
 /// The port can't be opened.
-pub fn start_untold(
-    world: &World,
+pub fn start_without_row(
+    backends: &BackendServers,
     service: &'static str,
     data_centre: &str,
     port: u16,
     old_id: Option<&str>,
 ) -> io::Result<SocketAddr> {
-    let (listener, address) = listen(world, port)?;
-    let id = world.add(address, service, data_centre, old_id);
-    let accepting = world.clone();
+    let (listener, address) = listen(backends, port)?;
+    let id = backends.add(address, service, data_centre, old_id);
+    let accepting = backends.clone();
     let accept = async move {
         loop {
             let accepted = async { Some(listener.accept().await) };
@@ -109,17 +114,17 @@
             accepting.executor().spawn(serve).detach();
         }
     };
-    world.executor().spawn(accept).detach();
+    backends.executor().spawn(accept).detach();
     Ok(address)
 }
 
 /// A listener on a port, behind a relay there where the site has links; the
 /// address that others know.
 fn listen(
-    world: &World,
+    backends: &BackendServers,
     port: u16,
 ) -> io::Result<(Async<TcpListener>, SocketAddr)> {
-    let has_links = world.site().has_links;
+    let has_links = backends.site().has_links;
     let own_port = if has_links { 0 } else { port };
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], own_port))?;
     let own = listener.get_ref().local_addr()?;
@@ -128,21 +133,25 @@
     }
     let relay = Relay::try_start_at(port, own)?;
     let address = relay.address();
-    world.add_relay(relay);
+    backends.add_relay(relay);
     Ok((listener, address))
 }
 
-async fn wait_for_end(world: &World, address: SocketAddr, id: &str) {
-    while world
+async fn wait_for_end(
+    backends: &BackendServers,
+    address: SocketAddr,
+    id: &str,
+) {
+    while backends
         .server(address)
-        .is_some_and(|s| s.id == id && s.life != Life::Ended)
+        .is_some_and(|s| s.id == id && s.status != ServerStatus::Exited)
     {
         Timer::after(LOOK).await;
     }
 }
 
 async fn serve(
-    world: World,
+    backends: BackendServers,
     address: SocketAddr,
     id: String,
     socket: Async<TcpStream>,
@@ -150,16 +159,16 @@
     let Ok(mut inbound) = Inbound::new(socket) else { return };
     let stream = inbound.stream().clone();
     let requests = async {
-        serve_requests(&world, address, &mut inbound).await;
+        serve_requests(&backends, address, &mut inbound).await;
     };
-    let ended = wait_for_end(&world, address, &id);
+    let ended = wait_for_end(&backends, address, &id);
     requests.or(ended).await;
     drop(stream);
     inbound.abort();
 }
 
 async fn serve_requests(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
 ) {
@@ -172,18 +181,21 @@
     };
     while inbound.wait_for_bytes().await.is_ok() {
         let Ok(request) = inbound.receive(&limits).await else { return };
-        if world.server(address).is_none_or(|s| s.life == Life::Dark) {
+        if backends
+            .server(address)
+            .is_none_or(|s| s.status == ServerStatus::Unresponsive)
+        {
             // Nothing comes from it any more.
             Timer::after(Duration::from_secs(60)).await;
             return;
         }
         let is_done = match request.path() {
             "/v1/report" => {
-                let report = report(world, address);
+                let report = report(backends, address);
                 write_json(inbound, 200, &report).await
             }
-            "/v1/order" => order(world, address, inbound, &request).await,
-            _ => run(world, address, inbound, &request).await,
+            "/v1/order" => order(backends, address, inbound, &request).await,
+            _ => run(backends, address, inbound, &request).await,
         };
         if !is_done {
             return;
@@ -191,8 +203,8 @@
     }
 }
 
-fn report(world: &World, address: SocketAddr) -> Value {
-    let Some(server) = world.server(address) else { return json!({}) };
+fn report(backends: &BackendServers, address: SocketAddr) -> Value {
+    let Some(server) = backends.server(address) else { return json!({}) };
     let stalled: Vec<Value> = server
         .streams
         .iter()
@@ -205,7 +217,7 @@
         "stage": "both",
         "models": [],
         "busy": false,
-        "seq": server.orders,
+        "seq": server.order_count,
         "born": server.started_unix_ms,
         "queued": 0,
         "active": server.streams.len(),
@@ -213,19 +225,19 @@
         "kv-total": 100_000,
         "handles": 0,
         "pace": server.slowness,
-        "layers": layers_json(server.held),
+        "layers": layers_json(server.layers),
         "stalled": stalled,
     })
 }
 
 async fn order(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     request: &RelayRequest,
 ) -> bool {
     let expected = request.header("x-expected-instance");
-    if !world.is_instance(address, expected) {
+    if !backends.is_instance(address, expected) {
         return write_json(inbound, 421, &json!({})).await;
     }
     let body: Value =
@@ -239,15 +251,15 @@
             );
             if number("expect-rev").is_none() {
                 let text = format!("{address}: an order expects no count");
-                world.note_violation(text);
+                backends.record_violation(text);
             }
-            let status = world.place(address, range, number("expect-rev"));
+            let status = backends.place(address, range, number("expect-rev"));
             write_json(inbound, status, &json!({})).await
         }
         Some("repath") => {
             let id = body["id"].as_str().unwrap_or("");
             let path = parse_path(body["path"].as_str().unwrap_or(""));
-            let (status, at) = world.change_path(address, id, path);
+            let (status, at) = backends.change_path(address, id, path);
             let body = match at {
                 Some(at) => json!({"address": at.to_string()}),
                 None => json!({}),
@@ -258,7 +270,7 @@
     }
 }
 
-fn parse_path(text: &str) -> Vec<Part> {
+fn parse_path(text: &str) -> Vec<PathStage> {
     let part = |part: &str| {
         let (address, range) = part.split_once('=')?;
         let (from, to) = range.split_once('-')?;
@@ -279,59 +291,59 @@
 
 /// Runs a request of a client; false when the connection is to end.
 async fn run(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     request: &RelayRequest,
 ) -> bool {
     let id = request.header("x-request-id").unwrap_or("").to_owned();
-    let Some(server) = world.server(address) else { return false };
-    world.note_arrival(&id, &server.id);
+    let Some(server) = backends.server(address) else { return false };
+    backends.record_arrival(&id, &server.id);
     let account = request.header("x-tenant");
     let has_key = request.header("authorization").is_some();
-    world.check_request(&id, account, has_key);
+    backends.check_request(&id, account, has_key);
     let expected = request.header("x-expected-instance");
-    if !world.is_instance(address, expected) {
-        return refuse(world, address, inbound, &id, (421, address)).await;
+    if !backends.is_instance(address, expected) {
+        return refuse(backends, address, inbound, &id, (421, address)).await;
     }
-    if let Some(rest) = world.turn_away(address, &id) {
-        return ask_for_rest(world, address, inbound, &id, &rest).await;
+    if let Some(rest) = backends.reject_for_cooldown(address, &id) {
+        return ask_for_rest(backends, address, inbound, &id, &rest).await;
     }
     match server.service {
         PLAIN_SERVICE => {
-            run_plain(world, address, &server, inbound, request, &id).await
+            run_plain(backends, address, &server, inbound, request, &id).await
         }
-        _ => run_stream(world, address, inbound, request, &id).await,
+        _ => run_stream(backends, address, inbound, request, &id).await,
     }
 }
 
 /// Refuses a request, with a status and who refuses.
 async fn refuse(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     id: &str,
     (status, at): (u16, SocketAddr),
 ) -> bool {
     let header = ("at-server", at.to_string());
-    turn_away(world, address, inbound, id, (status, header)).await
+    turn_away(backends, address, inbound, id, (status, header)).await
 }
 
 /// Turns a request away and asks for rest.
 async fn ask_for_rest(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     id: &str,
     rest: &str,
 ) -> bool {
     let header = ("retry-after", rest.to_owned());
-    turn_away(world, address, inbound, id, (503, header)).await
+    turn_away(backends, address, inbound, id, (503, header)).await
 }
 
 /// Answers a request that was not run, with one header more.
 async fn turn_away(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     id: &str,
@@ -341,40 +353,40 @@
     push_header(&mut out, "x-request-id", id);
     push_header(&mut out, "x-not-executed", "1");
     push_header(&mut out, name, &value);
-    push_notices(&mut out, world, address, id);
+    push_notices(&mut out, backends, address, id);
     push_header(&mut out, "content-length", "0");
     out.extend_from_slice(b"\r\n");
     inbound.write(&out).await.is_ok()
 }
 
 async fn run_plain(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
-    server: &crate::world::ServerState,
+    server: &crate::backend_servers::ServerState,
     inbound: &mut Inbound,
     request: &RelayRequest,
     id: &str,
 ) -> bool {
-    if let Some(arrival) = world.note_crashing(&token_of(request)) {
-        world.crash(address, arrival).await;
+    if let Some(arrival) = backends.record_crashing(&token_of(request)) {
+        backends.crash(address, arrival).await;
         return false;
     }
-    let runs = world.note_run(id);
+    let runs = backends.record_run(id);
     if runs > 1 && request.path().starts_with(ONCE_PATH) {
-        world.note_violation(format!("{id}: ran {runs} times"));
+        backends.record_violation(format!("{id}: ran {runs} times"));
     }
-    let ms = world.site().plain_ms as f64 * server.slowness;
+    let ms = backends.site().plain_ms as f64 * server.slowness;
     Timer::after(Duration::from_millis(ms as u64)).await;
-    if fastrand::f64() < server.loses_answers {
+    if fastrand::f64() < server.response_loss_rate {
         return false;
     }
     if request.path().starts_with(STREAM_PATH) {
-        world.note_violation(format!("{id}: ran at another service"));
+        backends.record_violation(format!("{id}: ran at another service"));
     }
-    let status = if fastrand::f64() < server.fails { 500 } else { 200 };
+    let status = if fastrand::f64() < server.failure_rate { 500 } else { 200 };
     let body = token_of(request);
     let mut out = Vec::new();
-    if server.mixes_answers {
+    if server.sends_foreign_response {
         out.extend_from_slice(
             b"HTTP/1.1 200 x\r\nx-request-id: other\r\n\
               x-response-signature: signed-other\r\n\
@@ -385,7 +397,7 @@
     push_header(&mut out, "x-request-id", id);
     push_header(&mut out, "x-response-signature", &signature(id));
     push_header(&mut out, "content-length", &body.len().to_string());
-    push_notices(&mut out, world, address, id);
+    push_notices(&mut out, backends, address, id);
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body.as_bytes());
     inbound.write(&out).await.is_ok()
@@ -394,11 +406,11 @@
 /// Adds what a server says of itself.
 fn push_notices(
     out: &mut Vec<u8>,
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     request: &str,
 ) {
-    for (name, value) in world.notices(address, request) {
+    for (name, value) in backends.notices(address, request) {
         push_header(out, name, &value);
     }
 }
@@ -414,7 +426,7 @@
 }
 
 async fn run_stream(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     request: &RelayRequest,
@@ -422,88 +434,92 @@
 ) -> bool {
     let path = parse_path(request.header("x-hop-count").unwrap_or(""));
     if path.first().is_none_or(|part| part.0 != address) {
-        return refuse(world, address, inbound, id, (400, address)).await;
+        return refuse(backends, address, inbound, id, (400, address)).await;
     }
-    if let Some((at, status)) = world.missing_part(&path) {
-        return refuse(world, address, inbound, id, (status, at)).await;
+    if let Some((at, status)) = backends.missing_part(&path) {
+        return refuse(backends, address, inbound, id, (status, at)).await;
     }
-    let arrival = world.note_crashing(&token_of(request));
+    let arrival = backends.record_crashing(&token_of(request));
     let state = StreamState { path, stalled_at: None };
-    world.change(address, |server| {
+    backends.update_server(address, |server| {
         server.streams.insert(id.to_owned(), state);
     });
-    world.note_run(id);
-    let server = world.server(address);
+    backends.record_run(id);
+    let server = backends.server(address);
     let share = |share: fn(&ServerState) -> f64| {
         fastrand::f64() < server.as_ref().map_or(0.0, share)
     };
-    if share(|server| server.fails) {
-        return answer_failed(world, address, inbound, id).await;
+    if share(|server| server.failure_rate) {
+        return answer_failed(backends, address, inbound, id).await;
     }
-    if share(|server| server.swallows) {
+    if share(|server| server.hang_rate) {
         Timer::after(STALL).await;
         return false;
     }
     if let Some(arrival) = arrival {
-        let head = stream_head(world, address, id);
+        let head = stream_head(backends, address, id);
         if inbound.write(&head).await.is_ok() {
-            world.crash(address, arrival).await;
+            backends.crash(address, arrival).await;
         }
         return false;
     }
-    let resets = share(|server| server.loses_answers);
+    let resets = share(|server| server.response_loss_rate);
     let is_whole =
-        !resets && send_events(world, address, inbound, request, id).await;
-    world.change(address, |server| {
+        !resets && send_events(backends, address, inbound, request, id).await;
+    backends.update_server(address, |server| {
         server.streams.remove(id);
     });
     is_whole
 }
 
 async fn answer_failed(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     id: &str,
 ) -> bool {
-    world.change(address, |server| {
+    backends.update_server(address, |server| {
         server.streams.remove(id);
     });
     let mut out = b"HTTP/1.1 500 x\r\n".to_vec();
     push_header(&mut out, "x-request-id", id);
     push_header(&mut out, "x-response-signature", &signature(id));
     push_header(&mut out, "content-length", "0");
-    push_notices(&mut out, world, address, id);
+    push_notices(&mut out, backends, address, id);
     out.extend_from_slice(b"\r\n");
     inbound.write(&out).await.is_ok()
 }
 
-fn stream_head(world: &World, address: SocketAddr, id: &str) -> Vec<u8> {
+fn stream_head(
+    backends: &BackendServers,
+    address: SocketAddr,
+    id: &str,
+) -> Vec<u8> {
     let mut head = b"HTTP/1.1 200 OK\r\n".to_vec();
     push_header(&mut head, "x-request-id", id);
     push_header(&mut head, "x-response-signature", &signature(id));
     push_header(&mut head, "content-type", "text/event-stream");
     push_header(&mut head, "transfer-encoding", "chunked");
-    push_notices(&mut head, world, address, id);
+    push_notices(&mut head, backends, address, id);
     head.extend_from_slice(b"\r\n");
     head
 }
 
 async fn send_events(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     request: &RelayRequest,
     id: &str,
 ) -> bool {
-    if inbound.write(&stream_head(world, address, id)).await.is_err() {
+    if inbound.write(&stream_head(backends, address, id)).await.is_err() {
         return false;
     }
     let last = request.header("last-event-id");
     let last: u64 = last.and_then(|v| v.parse().ok()).unwrap_or(0);
     let token = token_of(request);
-    for number in last + 1..=world.site().events {
-        if !wait_for_path(world, address, id).await {
+    for number in last + 1..=backends.site().events {
+        if !wait_for_path(backends, address, id).await {
             return false;
         }
         let mut out = Vec::new();
@@ -516,22 +532,26 @@
 }
 
 /// Makes a token over the path of a stream; false when it stalled too long.
-async fn wait_for_path(world: &World, address: SocketAddr, id: &str) -> bool {
+async fn wait_for_path(
+    backends: &BackendServers,
+    address: SocketAddr,
+    id: &str,
+) -> bool {
     let until = Instant::now() + STALL;
     loop {
-        let Some(path) = current_path(world, address, id) else {
+        let Some(path) = current_path(backends, address, id) else {
             return false;
         };
-        let Some(dead) = world.dead_part(&path) else {
-            world.check_layers(id, &path);
-            Timer::after(world.event_time(&path)).await;
+        let Some(dead) = backends.dead_part(&path) else {
+            backends.check_layers(id, &path);
+            Timer::after(backends.event_time(&path)).await;
             // It may have died meanwhile.
-            if world.dead_part(&path).is_none() {
+            if backends.dead_part(&path).is_none() {
                 return true;
             }
             continue;
         };
-        world.change(address, |server| {
+        backends.update_server(address, |server| {
             if let Some(stream) = server.streams.get_mut(id)
                 && stream.path == path
             {
@@ -546,10 +566,10 @@
 }
 
 fn current_path(
-    world: &World,
+    backends: &BackendServers,
     address: SocketAddr,
     id: &str,
-) -> Option<Vec<Part>> {
-    let server = world.server(address)?;
+) -> Option<Vec<PathStage>> {
+    let server = backends.server(address)?;
     Some(server.streams.get(id)?.path.clone())
 }
--- a/crates/emulator/src/entries.rs
+++ b/crates/emulator/src/entries.rs
@@ -61,7 +61,7 @@
         for index in 0..site.entries {
             let ports = free_ports(index);
             entries.entries.push(Entry { ports, child: None });
-            entries.start_one(index)?;
+            entries.start_entry(index)?;
         }
         Ok(entries)
     }
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// A file can't be written, the process not started, or all are closed.
-    pub fn start_one(&mut self, index: usize) -> io::Result<()> {
+    pub fn start_entry(&mut self, index: usize) -> io::Result<()> {
         if self.is_closed {
             return Err(io::Error::other("the site is closed"));
         }
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// A file can't be written.
-    pub fn keep_logs(&self, dir: &Path) -> io::Result<()> {
+    pub fn copy_logs(&self, dir: &Path) -> io::Result<()> {
         fs::create_dir_all(dir)?;
         for index in 0..self.count() {
             let name = format!("entry-{index}.log");
@@ -165,7 +165,7 @@
     }
 
     /// Whether an entry's process was started and not ended here.
-    pub fn runs(&self, index: usize) -> bool {
+    pub fn is_running(&self, index: usize) -> bool {
         self.entries[index].child.is_some()
     }
 
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -25,7 +25,8 @@
 use ini::Ini;
 
 use crate::{
-    caller::Kind, link::LinkFault, load::Load, site::Site, store::StoreFault,
+    caller::RequestKind, link::LinkFault, load::Load, site::Site,
+    store::StoreFault,
 };
 
 /// What happens at one moment.
@@ -36,7 +37,7 @@
     /// What.
     pub kind: FaultKind,
     /// How long, for those that end.
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 /// What happens.
@@ -173,27 +174,27 @@
     }
 
     /// Whether it is one of a link.
-    pub fn is_of_link(self) -> bool {
+    pub fn affects_link(self) -> bool {
         matches!(self, FaultKind::StoreLink(_) | FaultKind::ServerLink(_))
     }
 
     /// Whether it is one of starts under the same id, or of rows.
-    pub fn is_of_identity(self) -> bool {
+    pub fn affects_identity(self) -> bool {
         matches!(self, FaultKind::EngineRestarts | FaultKind::RowsForeign)
     }
 
     /// Whether it is one of requests.
-    pub fn is_of_request(self) -> bool {
+    pub fn is_crashing_request(self) -> bool {
         self == FaultKind::RequestCrashes
     }
 
     /// Whether it is a need that a server tells of itself.
-    pub fn is_of_need(self) -> bool {
+    pub fn is_announced_limit(self) -> bool {
         self == FaultKind::LimitNamed
     }
 
     /// Whether it is a server's word on whether it takes requests.
-    pub fn is_of_taking(self) -> bool {
+    pub fn is_admission_notice(self) -> bool {
         matches!(self, FaultKind::RestAsked | FaultKind::EngineSaysLeaving)
     }
 
@@ -250,7 +251,7 @@
         let site = read_site(&ini, &mut findings);
         let load = read_load(&ini, &site, &mut findings);
         let faults = read_faults(&ini, &mut findings);
-        let has_links = faults.iter().any(|fault| fault.kind.is_of_link());
+        let has_links = faults.iter().any(|fault| fault.kind.affects_link());
         let site = Site { has_links, ..site };
         for name in ini.sections().flatten() {
             if !["site", "load", "faults"].contains(&name) {
@@ -303,7 +304,7 @@
 
 fn read_load(ini: &Ini, site: &Site, findings: &mut Vec<String>) -> Load {
     let mut load = Load {
-        length: Duration::from_secs(5),
+        duration: Duration::from_secs(5),
         events: site.events,
         seed: 1,
         ..Load::default()
@@ -314,11 +315,12 @@
     };
     for (key, text) in section.iter() {
         let place = format!("[load] {key}");
-        let kind = Kind::ALL.into_iter().find(|kind| kind.name() == key);
+        let kind =
+            RequestKind::ALL.into_iter().find(|kind| kind.name() == key);
         match (key, kind) {
             ("seconds", _) => {
                 let seconds = number(&place, text, findings).unwrap_or(1.0);
-                load.length = Duration::from_secs_f64(seconds);
+                load.duration = Duration::from_secs_f64(seconds);
             }
             ("seed", _) => {
                 load.seed = number(&place, text, findings).unwrap_or(1);
@@ -341,10 +343,11 @@
     for (key, text) in section.iter() {
         let place = format!("[faults] {key}");
         let at = number(&place, key, findings).unwrap_or(0.0);
-        let (name, length) = match text.split_once(" for ") {
-            Some((name, length)) => {
-                let length = number(&place, length, findings).unwrap_or(1.0);
-                (name, Duration::from_secs_f64(length))
+        let (name, duration) = match text.split_once(" for ") {
+            Some((name, duration)) => {
+                let duration =
+                    number(&place, duration, findings).unwrap_or(1.0);
+                (name, Duration::from_secs_f64(duration))
             }
             None => (text, DEFAULT_LENGTH),
         };
@@ -352,7 +355,7 @@
             Some((_, kind)) => faults.push(Fault {
                 at: Duration::from_secs_f64(at),
                 kind: *kind,
-                length,
+                duration,
             }),
             None => findings.push(format!("{place}: no fault {name:?}")),
         }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`world`] | engines, their layers, runs and faults |
+//! | [`backend_servers`] | engines, their layers, runs and faults |
 //! | [`store`] | the platform's store |
 //! | [`link`] | connections that are late, cut, reset or silent |
 //! | [`engines`] | the ports of engines and of the plain service |
@@ -27,9 +27,10 @@
 //! use chestnutreach_emulator::site::Site;
 //!
 //! let site = Site::small();
-//! assert!(site.memory_in_layers() >= site.layer_count);
+//! assert!(site.layer_capacity() >= site.layer_count);
 //! ```
 
+pub mod backend_servers;
 pub mod caller;
 pub mod engines;
 pub mod entries;
@@ -41,7 +42,6 @@
 pub mod site;
 pub mod soak;
 pub mod store;
-pub mod world;
 
 use std::{sync::Arc, thread};
 
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -101,7 +101,7 @@
     let report = async_io::block_on(async {
         let running =
             running::start(&executor, binary, &experiment.site).await?;
-        let played = running.play(&experiment.load, &experiment.faults);
+        let played = running.run(&experiment.load, &experiment.faults);
         anyhow::Ok(played.await)
     })?;
     show(&report, arguments.get_flag("json"));
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -11,9 +11,9 @@
 use serde_json::{Value, json};
 
 use crate::{
-    caller::{Kind, Outcome, TryEnd},
+    backend_servers::{Arrival, CooldownRequest, Observations},
+    caller::{AttemptEnd, Outcome, RequestKind},
     experiment::Fault,
-    world::{Arrival, AskedRest, Seen},
 };
 
 /// Width and height of the plot.
@@ -31,7 +31,7 @@
     /// What came of each request.
     pub outcomes: Vec<Outcome>,
     /// What engines saw.
-    pub seen: Seen,
+    pub observations: Observations,
     /// Faults that were made.
     pub faults: Vec<Fault>,
     /// Calls to the store.
@@ -42,109 +42,122 @@
     /// Everything that must not happen and did, at callers and engines.
     pub fn violations(&self) -> Vec<String> {
         let callers = self.outcomes.iter().flat_map(|o| o.violations.clone());
-        let engines = self.seen.violations.iter().cloned();
+        let engines = self.observations.violations.iter().cloned();
         let all = callers.chain(engines).chain(self.false_refusals());
         all.chain(self.false_denials()).collect()
     }
 
     /// Requests that were denied although the key and the route hold.
     fn false_denials(&self) -> Vec<String> {
-        let tries = self.outcomes.iter().flat_map(|o| &o.tries);
-        let denied = tries.filter(|t| {
-            matches!(t.end, TryEnd::Status(400 | 401 | 403 | 404))
+        let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
+        let denied = attempts.filter(|t| {
+            matches!(t.end, AttemptEnd::Status(400 | 401 | 403 | 404))
         });
         denied.map(|t| format!("{}: {:?}", t.id, t.end)).collect()
     }
 
     /// Requests that were told that they did not run, and had.
     fn false_refusals(&self) -> Vec<String> {
-        let once = self.outcomes.iter().filter(|o| o.kind == Kind::Once);
-        let tries = once.flat_map(|outcome| &outcome.tries);
-        let refused = tries.filter(|t| {
-            matches!(t.end, TryEnd::Status(408 | 421 | 429 | 503))
+        let once =
+            self.outcomes.iter().filter(|o| o.kind == RequestKind::Once);
+        let attempts = once.flat_map(|outcome| &outcome.attempts);
+        let refused = attempts.filter(|t| {
+            matches!(t.end, AttemptEnd::Status(408 | 421 | 429 | 503))
         });
-        let ran = refused.filter(|t| self.seen.runs.contains_key(&t.id));
+        let ran = refused
+            .filter(|t| self.observations.run_counts.contains_key(&t.id));
         ran.map(|t| format!("{}: {:?}, and it ran", t.id, t.end)).collect()
     }
 
     /// Most requests of one entry that reached a server at rest, from half a
     /// second after it had turned that entry away.
-    pub fn most_in_rest(&self) -> usize {
+    pub fn max_requests_in_cooldown(&self) -> usize {
         let entries = self.entries_of_requests();
-        let in_rest = |rest: &AskedRest| {
-            let Arrival { server, request, at } = &rest.turned_away;
+        let in_rest = |rest: &CooldownRequest| {
+            let Arrival { server, request, at } = &rest.rejected;
             let from = *at + REST_HOLDS_AFTER;
-            let arrived = self.seen.arrived.iter().filter(|arrival| {
-                arrival.server == *server
-                    && from <= arrival.at
-                    && arrival.at < *at + rest.length
-                    && entries.get(&arrival.request) == entries.get(request)
-            });
+            let arrived =
+                self.observations.arrival_log.iter().filter(|arrival| {
+                    arrival.server == *server
+                        && from <= arrival.at
+                        && arrival.at < *at + rest.duration
+                        && entries.get(&arrival.request)
+                            == entries.get(request)
+                });
             arrived.count()
         };
-        self.seen.rests.iter().map(in_rest).max().unwrap_or(0)
+        self.observations
+            .cooldown_requests
+            .iter()
+            .map(in_rest)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Requests that reached a server which leaves, sent later than some time
     /// after an answer that the same entry passed on had said so; at any
     /// entry with `at_any`.
-    pub fn late_at_leaving(&self, after: Duration, at_any: bool) -> usize {
+    pub fn late_requests_at_leaving_servers(
+        &self,
+        after: Duration,
+        at_any: bool,
+    ) -> usize {
         let entries = self.entries_of_requests();
-        let tries = self.outcomes.iter().flat_map(|o| &o.tries);
+        let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
         let sent: BTreeMap<&str, Instant> =
-            tries.map(|t| (t.id.as_str(), t.sent_at)).collect();
+            attempts.map(|t| (t.id.as_str(), t.sent_at)).collect();
         let is_late = |arrival: &&Arrival| {
             let sent = sent.get(arrival.request.as_str());
             let entry = entries.get(&arrival.request);
             sent.is_some_and(|sent| {
-                self.seen.told_leaving.iter().any(|told| {
+                self.observations.leaving_notices.iter().any(|told| {
                     told.server == arrival.server
                         && (at_any || entries.get(&told.request) == entry)
                         && *sent > told.at + after
                 })
             })
         };
-        self.seen.arrived.iter().filter(is_late).count()
+        self.observations.arrival_log.iter().filter(is_late).count()
     }
 
     /// Which entry each try went to, by the id of its request.
     fn entries_of_requests(&self) -> BTreeMap<String, SocketAddr> {
-        let tries = self.outcomes.iter().flat_map(|o| &o.tries);
-        tries.map(|t| (t.id.clone(), t.entry)).collect()
+        let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
+        attempts.map(|t| (t.id.clone(), t.entry)).collect()
     }
 
     /// Share of the requests of a kind that were served.
-    pub fn served_share(&self, kind: Kind) -> f64 {
+    pub fn served_share(&self, kind: RequestKind) -> f64 {
         let of_kind = || self.outcomes.iter().filter(|o| o.kind == kind);
         let served = of_kind().filter(|o| o.is_served()).count();
         served as f64 / of_kind().count().max(1) as f64
     }
 
     /// Arrivals at engines beyond the first of each request.
-    pub fn further_arrivals(&self) -> u64 {
-        let arrivals = self.seen.arrivals.values();
+    pub fn retry_arrivals(&self) -> u64 {
+        let arrivals = self.observations.arrival_counts.values();
         arrivals.map(|count| u64::from(count.saturating_sub(1))).sum()
     }
 
     /// As JSON.
     pub fn to_json(&self) -> Value {
-        let kinds: BTreeMap<&str, Value> = Kind::ALL
+        let kinds: BTreeMap<&str, Value> = RequestKind::ALL
             .into_iter()
             .map(|kind| (kind.name(), self.kind_json(kind)))
             .collect();
         json!({
             "kinds": kinds,
             "violations": self.violations(),
-            "path_changes": self.seen.path_changes,
-            "further_arrivals": self.further_arrivals(),
+            "path_changes": self.observations.path_changes,
+            "further_arrivals": self.retry_arrivals(),
             "store_calls": self.store_calls,
         })
     }
 
-    fn kind_json(&self, kind: Kind) -> Value {
+    fn kind_json(&self, kind: RequestKind) -> Value {
         let of_kind: Vec<&Outcome> =
             self.outcomes.iter().filter(|o| o.kind == kind).collect();
-        let first = of_kind.iter().filter_map(|o| o.first);
+        let first = of_kind.iter().filter_map(|o| o.time_to_first);
         let gaps = of_kind.iter().map(|o| o.max_gap);
         json!({
             "requests": of_kind.len(),
@@ -158,7 +171,7 @@
     /// As text.
     pub fn to_text(&self) -> String {
         let mut out = String::new();
-        for kind in Kind::ALL {
+        for kind in RequestKind::ALL {
             let count =
                 self.outcomes.iter().filter(|o| o.kind == kind).count();
             if count == 0 {
@@ -179,8 +192,8 @@
         let _ = writeln!(
             out,
             "{} path changes, {} further arrivals, {} calls to the store",
-            self.seen.path_changes,
-            self.further_arrivals(),
+            self.observations.path_changes,
+            self.retry_arrivals(),
             self.store_calls
         );
         for violation in self.violations() {
@@ -253,7 +266,7 @@
 fn ends(outcomes: &[&Outcome]) -> BTreeMap<String, usize> {
     let mut ends = BTreeMap::new();
     for outcome in outcomes {
-        let last = outcome.tries.last().map(|t| format!("{:?}", t.end));
+        let last = outcome.attempts.last().map(|t| format!("{:?}", t.end));
         *ends.entry(last.unwrap_or_default()).or_default() += 1;
     }
     ends
--- a/crates/emulator/src/running.rs
+++ b/crates/emulator/src/running.rs
@@ -15,7 +15,8 @@
 use rustix::process::Signal;
 
 use crate::{
-    caller::{Kind, Wish, make},
+    backend_servers::BackendServers,
+    caller::{RequestKind, RequestSpec, send_request},
     engines,
     entries::{Entries, get},
     experiment::Fault,
@@ -23,7 +24,6 @@
     report::Report,
     site::{KEY, Site},
     store::Store,
-    world::World,
 };
 
 mod faults;
@@ -34,11 +34,11 @@
 pub(crate) const RECOVER: Duration = Duration::from_secs(12);
 
 /// A running site.
-pub struct Running {
+pub struct RunningSite {
     /// The store.
     pub store: Store,
     /// Engines and plain servers.
-    pub world: World,
+    pub backends: BackendServers,
     /// Entries.
     pub entries: Arc<Mutex<Entries>>,
     /// Where clients connect.
@@ -62,11 +62,11 @@
     executor: &Arc<Executor<'static>>,
     binary: &Path,
     site: &Site,
-) -> anyhow::Result<Running> {
+) -> anyhow::Result<RunningSite> {
     let (store, address) = Store::start(executor)?;
     store.put("op", "config", &site.configuration(1, &[KEY]));
-    let world = World::new(site, &store, executor);
-    engines::start_all(&world)?;
+    let backends = BackendServers::new(site, &store, executor);
+    engines::start_all(&backends)?;
     let store_links: Vec<Arc<Relay>> = match site.has_links {
         true => (0..site.entries)
             .map(|_| Arc::new(Relay::start(address)))
@@ -79,10 +79,10 @@
     let entries = Entries::start(binary, site, &stores)
         .with_context(|| format!("entries of {}", binary.display()))?;
     let addresses = (0..entries.count()).map(|i| entries.address(i));
-    let running = Running {
+    let running = RunningSite {
         addresses: addresses.collect(),
         store,
-        world,
+        backends,
         entries: Arc::new(Mutex::new(entries)),
         version: Mutex::new(1),
         store_links,
@@ -90,32 +90,36 @@
         kills: Mutex::default(),
         executor: executor.clone(),
     };
-    let is_covered = running.world.wait_for(READY, World::is_covered).await;
-    anyhow::ensure!(is_covered, "no engine was ordered to hold layers");
+    let has_full_coverage = running
+        .backends
+        .wait_for(READY, BackendServers::has_full_coverage)
+        .await;
+    anyhow::ensure!(has_full_coverage, "no engine was ordered to hold layers");
     anyhow::ensure!(running.are_ready().await, "an entry is not ready");
     Ok(running)
 }
 
-impl Drop for Running {
+impl Drop for RunningSite {
     /// Tasks of faults that last may hold the entries beyond the site: what
     /// they started later would outlive this process. Servers that went on
     /// would hold their descriptors through all later seeds.
     fn drop(&mut self) {
         self.entries().close();
-        self.world.end_all();
+        self.backends.terminate_all();
     }
 }
 
-impl Running {
+impl RunningSite {
     async fn are_ready(&self) -> bool {
         let until = Instant::now() + READY;
         for index in 0..self.addresses.len() {
             loop {
-                let wish = Wish::new(Kind::Stream, "ready", 1);
-                let wish = Wish { tries: 1, ..wish };
+                let wish = RequestSpec::new(RequestKind::Stream, "ready", 1);
+                let wish = RequestSpec { max_attempts: 1, ..wish };
                 let own = [self.addresses[index]];
-                let outcome = make(&wish, &own, 0, Duration::ZERO).await;
-                if outcome.first.is_some() {
+                let outcome =
+                    send_request(&wish, &own, 0, Duration::ZERO).await;
+                if outcome.time_to_first.is_some() {
                     break;
                 }
                 if Instant::now() >= until {
@@ -131,17 +135,17 @@
     pub fn configure(&self, keys: &[&str]) -> u64 {
         let mut version = self.version.lock().expect("no holder panics");
         *version += 3;
-        let new = self.world.site().configuration(*version, keys);
+        let new = self.backends.site().configuration(*version, keys);
         self.store.put("op", "config", &new);
         *version
     }
 
-    fn note_stop(&self, entry: usize) {
+    fn record_stop(&self, entry: usize) {
         let mut stops = self.stops.lock().expect("no holder panics");
         stops.push((self.addresses[entry], Instant::now()));
     }
 
-    fn note_kill(&self, entry: usize) {
+    fn record_kill(&self, entry: usize) {
         let mut kills = self.kills.lock().expect("no holder panics");
         kills.push(self.addresses[entry]);
     }
@@ -168,21 +172,21 @@
 
     /// The server that most requests reached: of the model service, or of the
     /// plain one.
-    pub fn busiest(&self, is_model: bool) -> SocketAddr {
+    pub fn busiest_server(&self, is_model: bool) -> SocketAddr {
         let servers = match is_model {
-            true => self.world.engines(),
-            false => self.world.plain_servers(),
+            true => self.backends.engines(),
+            false => self.backends.plain_servers(),
         };
-        let seen = self.world.seen();
+        let observations = self.backends.observations();
         let arrivals = |address: &SocketAddr| {
-            let id = self.world.server(*address).map(|server| server.id);
-            let here = seen.arrived.iter().filter(|arrival| {
+            let id = self.backends.server(*address).map(|server| server.id);
+            let here = observations.arrival_log.iter().filter(|arrival| {
                 id.as_ref().is_some_and(|id| *id == arrival.server)
             });
             here.count()
         };
-        let busiest = servers.into_iter().max_by_key(arrivals);
-        busiest.unwrap_or(self.addresses[0])
+        let busiest_server = servers.into_iter().max_by_key(arrivals);
+        busiest_server.unwrap_or(self.addresses[0])
     }
 
     /// Whether an entry tells the balancer that it is ready.
@@ -199,7 +203,7 @@
     }
 
     /// Fingerprints of requests that entries told as quarantined.
-    pub fn quarantined(&self) -> BTreeSet<String> {
+    pub fn quarantined_fingerprints(&self) -> BTreeSet<String> {
         let logs = self.logs();
         let fingerprint = |line| {
             let rest = str::split_once(line, "\"fingerprint\":\"")?.1;
@@ -253,7 +257,7 @@
     }
 
     /// Kills an entry and starts it again.
-    pub fn restart(&self, entry: usize) {
+    pub fn restart_entry(&self, entry: usize) {
         self.restart_later(entry, Duration::ZERO);
     }
 
@@ -263,7 +267,7 @@
             let mut entries = entries.lock().expect("no holder panics");
             entries.kill(entry);
             // What stays down shows in the report.
-            let _ = entries.start_one(entry);
+            let _ = entries.start_entry(entry);
         });
     }
 
@@ -278,7 +282,7 @@
                     let has_ended = entries.exit_code(entry).is_some();
                     if has_ended || Instant::now() >= until {
                         entries.kill(entry);
-                        let _ = entries.start_one(entry);
+                        let _ = entries.start_entry(entry);
                         return;
                     }
                 }
@@ -288,13 +292,13 @@
     }
 
     /// Runs load and faults; what came of them.
-    pub async fn play(&self, load: &Load, faults: &[Fault]) -> Report {
+    pub async fn run(&self, load: &Load, faults: &[Fault]) -> Report {
         let mut rng = fastrand::Rng::with_seed(load.seed);
         let start = Instant::now();
         let strike = async {
             for fault in faults {
                 Timer::at(start + fault.at).await;
-                self.make_fault(fault, &mut rng);
+                self.inject_fault(fault, &mut rng);
             }
         };
         let requests = load::run(&self.executor, load, &self.addresses);
@@ -302,7 +306,7 @@
         Report {
             start,
             outcomes,
-            seen: self.world.seen(),
+            observations: self.backends.observations(),
             faults: faults.to_vec(),
             store_calls: self.store.calls(),
         }
@@ -313,12 +317,16 @@
         let until = Instant::now() + RECOVER;
         while Instant::now() < until {
             let load = Load {
-                per_s: [(Kind::Stream, 10.0), (Kind::Idempotent, 10.0)].into(),
-                length: Duration::from_secs(1),
-                events: self.world.site().events,
+                per_s: [
+                    (RequestKind::Stream, 10.0),
+                    (RequestKind::Idempotent, 10.0),
+                ]
+                .into(),
+                duration: Duration::from_secs(1),
+                events: self.backends.site().events,
                 seed: fastrand::u64(..),
             };
-            let report = self.play(&load, &[]).await;
+            let report = self.run(&load, &[]).await;
             if report.outcomes.iter().all(|o| o.is_served()) {
                 return true;
             }
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -76,7 +76,7 @@
 
     /// One data centre with eight engines and six entries, of which one reads
     /// the store's feeds for the others.
-    pub fn shared() -> Site {
+    pub fn with_shared_feeds() -> Site {
         Site {
             engines_each: 8,
             data_centres: vec!["hall-a".to_owned()],
@@ -86,7 +86,7 @@
     }
 
     /// Layers that all engines could hold.
-    pub fn memory_in_layers(&self) -> u32 {
+    pub fn layer_capacity(&self) -> u32 {
         let each = (ENGINE_MB / LAYER_MB) as u32;
         each * (self.engines_each * self.data_centres.len()) as u32
     }
--- a/crates/emulator/src/soak.rs
+++ b/crates/emulator/src/soak.rs
@@ -9,7 +9,7 @@
 use async_executor::Executor;
 
 use crate::{
-    caller::Kind,
+    caller::RequestKind,
     experiment::{Experiment, Fault, FaultKind},
     load::Load,
     report::Report,
@@ -44,23 +44,23 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let has_links = seed >= LINK_SEEDS;
     let base = match seed >= SHARED_SEEDS {
-        true => Site::shared(),
+        true => Site::with_shared_feeds(),
         false => Site::small(),
     };
     let site =
         Site { events: 60, retry_slack: SOAK_RETRY_SLACK, has_links, ..base };
     let kinds: Vec<FaultKind> = FaultKind::all()
-        .filter(|kind| has_links || !kind.is_of_link())
-        .filter(|kind| seed >= IDENTITY_SEEDS || !kind.is_of_identity())
-        .filter(|kind| seed >= CRASH_SEEDS || !kind.is_of_request())
-        .filter(|kind| seed >= NEED_SEEDS || !kind.is_of_need())
-        .filter(|kind| seed >= TAKING_SEEDS || !kind.is_of_taking())
+        .filter(|kind| has_links || !kind.affects_link())
+        .filter(|kind| seed >= IDENTITY_SEEDS || !kind.affects_identity())
+        .filter(|kind| seed >= CRASH_SEEDS || !kind.is_crashing_request())
+        .filter(|kind| seed >= NEED_SEEDS || !kind.is_announced_limit())
+        .filter(|kind| seed >= TAKING_SEEDS || !kind.is_admission_notice())
         .collect();
     let mut faults: Vec<Fault> = (0..FAULTS)
         .map(|_| Fault {
             at: LENGTH.mul_f64(0.1 + 0.8 * rng.f64()),
             kind: kinds[rng.usize(..kinds.len())],
-            length: Duration::from_millis(rng.u64(300..2_500)),
+            duration: Duration::from_millis(rng.u64(300..2_500)),
         })
         .collect();
     if seed >= TAKING_SEEDS {
@@ -74,12 +74,12 @@
     faults.sort_by_key(|fault| fault.at);
     let load = Load {
         per_s: [
-            (Kind::Stream, 20.0),
-            (Kind::Idempotent, 8.0),
-            (Kind::Once, 8.0),
+            (RequestKind::Stream, 20.0),
+            (RequestKind::Idempotent, 8.0),
+            (RequestKind::Once, 8.0),
         ]
         .into(),
-        length: LENGTH,
+        duration: LENGTH,
         events: site.events,
         seed,
     };
@@ -100,7 +100,7 @@
 ) -> anyhow::Result<(Report, Vec<String>)> {
     let experiment = experiment(seed);
     let running = start(executor, binary, &experiment.site).await?;
-    let report = running.play(&experiment.load, &experiment.faults).await;
+    let report = running.run(&experiment.load, &experiment.faults).await;
     let mut broken = report.violations();
     if !running.recovers().await {
         broken.push(format!("not served again within {RECOVER:?}"));
@@ -108,7 +108,7 @@
     let slack = experiment.site.retry_slack;
     broken.extend(checks::broken(&report, &running, slack));
     if let Some(dir) = logs.filter(|_| !broken.is_empty()) {
-        running.entries().keep_logs(&dir.join(seed.to_string()))?;
+        running.entries().copy_logs(&dir.join(seed.to_string()))?;
     }
     Ok((report, broken))
 }
--- a/crates/emulator/src/soak/checks.rs
+++ b/crates/emulator/src/soak/checks.rs
@@ -6,11 +6,11 @@
 };
 
 use crate::{
-    caller::{Kind, TryEnd},
+    backend_servers::{ExpiredLimit, Observations},
+    caller::{AttemptEnd, RequestKind},
     report::Report,
-    running::Running,
+    running::RunningSite,
     site::RETRY_RATIO,
-    world::{EndedLimit, Seen},
 };
 
 /// Time after a planned stop in which nothing may be cut; the grace is 5 s.
@@ -32,22 +32,22 @@
 /// All that was broken; the site serves no load any more.
 pub(super) fn broken(
     report: &Report,
-    running: &Running,
+    running: &RunningSite,
     slack: f64,
 ) -> Vec<String> {
-    let seen = running.world.seen();
+    let observations = running.backends.observations();
     let mut broken = cut_by_stops(report, running);
-    broken.extend(crashed_on(&seen));
-    broken.extend(beyond_limits(&seen));
+    broken.extend(crashed_on(&observations));
+    broken.extend(beyond_limits(&observations));
     broken.extend(against_their_word(report));
-    broken.extend(harmless_quarantined(&seen, running));
+    broken.extend(harmless_quarantined(&observations, running));
     broken.extend(beyond_bound(report, slack));
     broken
 }
 
 /// Requests that a planned stop cut: an entry that stops ends what it has,
 /// unless it was killed or an engine broke off.
-fn cut_by_stops(report: &Report, running: &Running) -> Vec<String> {
+fn cut_by_stops(report: &Report, running: &RunningSite) -> Vec<String> {
     let stops = running.stops.lock().expect("no holder panics").clone();
     let kills = running.kills.lock().expect("no holder panics").clone();
     let engine_faults: Vec<Instant> = report
@@ -56,11 +56,14 @@
         .filter(|fault| fault.kind.breaks_streams())
         .map(|fault| report.start + fault.at)
         .collect();
-    let is_after_fault = |at: Instant, length: Duration| {
-        engine_faults.iter().any(|fault| *fault <= at && at < *fault + length)
+    let is_after_fault = |at: Instant, duration: Duration| {
+        engine_faults
+            .iter()
+            .any(|fault| *fault <= at && at < *fault + duration)
     };
-    let tries = report.outcomes.iter().flat_map(|outcome| &outcome.tries);
-    let cut = tries.filter(|t| t.end == TryEnd::Cut);
+    let attempts =
+        report.outcomes.iter().flat_map(|outcome| &outcome.attempts);
+    let cut = attempts.filter(|t| t.end == AttemptEnd::Cut);
     let by_stop = cut.filter(|t| {
         let stopped = stops.iter().any(|(entry, at)| {
             *entry == t.entry && (*at..*at + STOP_KEEPS).contains(&t.ended_at)
@@ -76,12 +79,15 @@
 
 /// Arrivals of streams at engines beyond the shared bound.
 fn beyond_bound(report: &Report, slack: f64) -> Option<String> {
-    let streams = report.outcomes.iter().filter(|o| o.kind == Kind::Stream);
+    let streams =
+        report.outcomes.iter().filter(|o| o.kind == RequestKind::Stream);
     let ids: Vec<&str> = streams
-        .flat_map(|outcome| &outcome.tries)
+        .flat_map(|outcome| &outcome.attempts)
         .map(|t| t.id.as_str())
         .collect();
-    let arrivals = ids.iter().filter_map(|id| report.seen.arrivals.get(*id));
+    let arrivals = ids
+        .iter()
+        .filter_map(|id| report.observations.arrival_counts.get(*id));
     let further: u32 = arrivals.map(|count| count.saturating_sub(1)).sum();
     let bound = ids.len() as f64 * RETRY_RATIO + slack;
     (f64::from(further) > bound)
@@ -89,11 +95,15 @@
 }
 
 /// Requests that went on to engines long after three had crashed.
-fn crashed_on(seen: &Seen) -> Vec<String> {
-    let tokens: BTreeSet<&str> =
-        seen.crashing.iter().map(|c| c.token.as_str()).collect();
+fn crashed_on(observations: &Observations) -> Vec<String> {
+    let tokens: BTreeSet<&str> = observations
+        .crashing_arrivals
+        .iter()
+        .map(|c| c.token.as_str())
+        .collect();
     let late = |token: &&str| {
-        seen.arrivals_after_crash(token, 3, CONTACT) > MOST_LATE_ARRIVALS
+        observations.arrivals_after_crash(token, 3, CONTACT)
+            > MOST_LATE_ARRIVALS
     };
     let broken = tokens.into_iter().filter(late);
     broken.map(|token| format!("{token}: goes on to engines")).collect()
@@ -101,17 +111,17 @@
 
 /// Servers that got more than the limit that they named, as of the
 /// platform's rule.
-fn beyond_limits(seen: &Seen) -> Vec<String> {
-    let most = |limit: &EndedLimit| {
-        let times = (limit.named_at + CONTACT, limit.ended_at);
-        seen.most_arrivals(&limit.server, LIMIT_SPAN, times)
+fn beyond_limits(observations: &Observations) -> Vec<String> {
+    let most = |limit: &ExpiredLimit| {
+        let times = (limit.announced_at + CONTACT, limit.ended_at);
+        observations.max_arrivals(&limit.server, LIMIT_SPAN, times)
     };
-    let allowed = |limit: &EndedLimit| {
+    let allowed = |limit: &ExpiredLimit| {
         1.5 * limit.per_s * LIMIT_SPAN.as_secs_f64() + 5.0
     };
-    let limits = seen.ended_limits.iter();
+    let limits = observations.expired_limits.iter();
     let broken = limits.filter(|limit| most(limit) as f64 > allowed(limit));
-    let text = |limit: &EndedLimit| {
+    let text = |limit: &ExpiredLimit| {
         format!("{}: {} in 4 s at {}", limit.server, most(limit), limit.per_s)
     };
     broken.map(text).collect()
@@ -120,11 +130,11 @@
 /// Requests that servers got in spite of their word: at rest, or leaving.
 fn against_their_word(report: &Report) -> Vec<String> {
     let mut broken = Vec::new();
-    let most = report.most_in_rest();
+    let most = report.max_requests_in_cooldown();
     if most > MOST_IN_REST {
         broken.push(format!("{most} requests of an entry in a rest"));
     }
-    let late = report.late_at_leaving(DRAIN, false);
+    let late = report.late_requests_at_leaving_servers(DRAIN, false);
     if late > 0 {
         broken.push(format!("{late} requests at servers that leave"));
     }
@@ -132,10 +142,17 @@
 }
 
 /// Requests that were quarantined beyond those that crash engines.
-fn harmless_quarantined(seen: &Seen, running: &Running) -> Option<String> {
-    let crashing: BTreeSet<&str> =
-        seen.crashing.iter().map(|c| c.token.as_str()).collect();
-    let quarantined = running.quarantined();
-    (quarantined.len() > crashing.len())
-        .then(|| format!("{quarantined:?} quarantined for {crashing:?}"))
+fn harmless_quarantined(
+    observations: &Observations,
+    running: &RunningSite,
+) -> Option<String> {
+    let crashing: BTreeSet<&str> = observations
+        .crashing_arrivals
+        .iter()
+        .map(|c| c.token.as_str())
+        .collect();
+    let quarantined_fingerprints = running.quarantined_fingerprints();
+    (quarantined_fingerprints.len() > crashing.len()).then(|| {
+        format!("{quarantined_fingerprints:?} quarantined for {crashing:?}")
+    })
 }
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -121,12 +121,12 @@
     }
 
     /// Writes a row whose value is no base64.
-    pub fn put_unreadable(&self, table: &str, key: &str) -> u64 {
+    pub fn put_invalid_base64(&self, table: &str, key: &str) -> u64 {
         self.lock().set(table, key, Some("\u{7}no base64".to_owned()))
     }
 
     /// Has feeds tell of a row as it was once, while reads show it as it is.
-    pub fn tell_stale(&self, table: &str, key: &str, value: &Value) {
+    pub fn push_stale_change(&self, table: &str, key: &str, value: &Value) {
         let value = BASE64.encode(value.to_string());
         let mut state = self.lock();
         state.version += 1;
@@ -136,7 +136,7 @@
     }
 
     /// Drops a row.
-    pub fn drop_row(&self, table: &str, key: &str) {
+    pub fn delete_row(&self, table: &str, key: &str) {
         self.lock().set(table, key, None);
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Forgets its history: feeds that go on get 410.
-    pub fn forget_history(&self) {
+    pub fn discard_history(&self) {
         let mut state = self.lock();
         state.history.clear();
         state.forgotten = state.version;
--- a/crates/emulator/tests/experiment.rs
+++ b/crates/emulator/tests/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiments are read, with all that is wrong with them at once.
 
 use chestnutreach_emulator::{
-    caller::Kind,
+    caller::RequestKind,
     experiment::{Experiment, FaultKind},
     soak,
 };
@@ -10,7 +10,7 @@
 fn the_example_is_read() {
     let text = include_str!("../../../examples/experiment.ini");
     let experiment = Experiment::try_parse(text).unwrap();
-    assert_eq!(experiment.load.per_s[&Kind::Stream], 20.0);
+    assert_eq!(experiment.load.per_s[&RequestKind::Stream], 20.0);
     let kinds: Vec<FaultKind> =
         experiment.faults.iter().map(|fault| fault.kind).collect();
     assert_eq!(kinds[0], FaultKind::EngineEnds);
@@ -39,9 +39,10 @@
 fn earlier_seeds_have_no_links() {
     let has_link = |seed| {
         let experiment = soak::experiment(seed);
-        let is_of_link = experiment.faults.iter().any(|f| f.kind.is_of_link());
-        assert!(experiment.site.has_links || !is_of_link);
-        is_of_link
+        let affects_link =
+            experiment.faults.iter().any(|f| f.kind.affects_link());
+        assert!(experiment.site.has_links || !affects_link);
+        affects_link
     };
     assert!((2_000..2_100).all(|seed| !has_link(seed)));
     assert!((1 << 20..(1 << 20) + 10).any(has_link));
