--- a/crates/emulator/src/backend_servers.rs
+++ b/crates/emulator/src/backend_servers.rs
@@ -1,8 +1,9 @@
-//! Engines, their layers, runs and faults.
+//! State of the backend servers: their layers, runs and faults.
 //!
-//! All engines share one state, so that a stream at its first engine sees at
-//! once whether the others of its path live and hold their layers. What must
-//! never happen at an engine is noted as a violation when it does.
+//! All servers share one state, so that a stream at its first engine observes
+//! immediately whether the other engines of its path respond and hold their
+//! layers. An event that must never happen at a server is recorded as a
+//! violation.
 
 use std::{
     collections::BTreeMap,
@@ -30,86 +31,87 @@
 };
 pub(crate) use rows::layers_json;
 
-/// Start of the first server, in Unix milliseconds; each later one is greater.
+/// Base of the start times of servers; each server gets a greater one.
 const FIRST_START_UNIX_MS: u64 = 1_796_000_000_000;
-/// How long work waits for a dead engine before it is cut.
-pub(crate) const STALL: Duration = Duration::from_millis(3_000);
+/// How long a stream waits for a failed engine before its connection closes.
+pub(crate) const STALL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Requests whose token begins so crash each server that begins to run them.
+/// Token prefix of requests that crash every server that starts to run them.
 pub const CRASH_PREFIX: &str = "crash";
-/// How long a server runs such a request until it crashes.
-const CRASHES_AFTER: Duration = Duration::from_millis(40);
-/// How long a server that crashed is away.
-const CRASH_LASTS: Duration = Duration::from_millis(900);
+/// Time from the start of such a request to the crash of its server.
+const CRASH_DELAY: Duration = Duration::from_millis(40);
+/// Time from a crash to the restart of the server.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(900);
 
-/// Whether a server runs.
+/// Whether a server accepts and runs requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServerStatus {
-    /// It serves.
+    /// The server accepts and runs requests.
     Serving,
-    /// It takes nothing new and will end.
+    /// The server accepts no new requests and will exit.
     Draining,
-    /// It takes connections and does nothing: on loopback a machine without
-    /// power can't be imitated further.
+    /// The server accepts connections and never responds. This is as close to
+    /// a machine without power as loopback allows.
     Unresponsive,
-    /// Its process has ended.
+    /// The process has exited.
     Exited,
 }
 
-/// One part of a path.
+/// Stage of a path: engine, first layer, end of the layers (exclusive).
 pub type PathStage = (SocketAddr, u32, u32);
 
 /// A backend server.
 #[derive(Clone, Debug)]
 pub struct ServerState {
-    /// Its name; a restart may keep it.
+    /// Id, which a restart may keep.
     pub id: String,
     /// Unix time of its start, in milliseconds.
     pub started_unix_ms: u64,
-    /// Its service.
+    /// Service name.
     pub service: &'static str,
-    /// Its data centre.
+    /// Data centre name.
     pub data_centre: String,
-    /// Whether it runs.
+    /// Whether the server accepts and runs requests.
     pub status: ServerStatus,
-    /// Layers that it holds.
+    /// Range of layers that the server holds.
     pub layers: Option<(u32, u32)>,
-    /// Orders begun.
+    /// Orders that the server has started to carry out.
     pub order_count: u64,
-    /// Factor on its times.
+    /// Factor on the duration of every step.
     pub slowness: f64,
-    /// Share of requests whose answer is lost after they ran.
+    /// Share of requests that run and whose response is lost.
     pub response_loss_rate: f64,
-    /// Share of streams that run and whose answer never comes, without a
-    /// sign.
+    /// Share of streams that run and get no response until the connection
+    /// closes after the stall timeout.
     pub hang_rate: f64,
-    /// Share of requests that fail with 500.
+    /// Share of requests that fail with status 500.
     pub failure_rate: f64,
-    /// Whether an answer of another request comes first.
+    /// Whether the response to another request precedes each response.
     pub sends_foreign_response: bool,
-    /// Value of the limit that its answers name, if they name one.
+    /// Rate limit that responses announce in a header, if any.
     pub announced_limit: Option<String>,
-    /// Value of the rest for which it asks, if it turns requests away.
+    /// Cooldown that the server requests with `Retry-After` when it rejects
+    /// requests; `None` if it accepts them.
     pub cooldown: Option<String>,
-    /// Whether its answers say that it leaves.
+    /// Whether responses announce that the server is about to leave.
     pub announces_leaving: bool,
-    /// Streams of which it is the first engine, by request id.
+    /// Streams of which the server runs the first stage, by request id.
     pub streams: BTreeMap<String, StreamState>,
 }
 
-/// A stream at its first engine.
+/// A stream as its first engine sees it.
 #[derive(Clone, Debug)]
 pub struct StreamState {
-    /// Engines that it passes.
+    /// Stages of the stream.
     pub path: Vec<PathStage>,
-    /// Engine that it waits for.
+    /// Failed engine that the stream waits for.
     pub stalled_at: Option<SocketAddr>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     servers: BTreeMap<SocketAddr, ServerState>,
-    /// Relays before servers that run, where the site has links.
+    /// Relays in front of running servers, if the site emulates links.
     relays: BTreeMap<SocketAddr, Arc<Relay>>,
     observations: Observations,
     next_id: u64,
@@ -130,7 +132,7 @@
 }
 
 impl BackendServers {
-    /// No servers yet.
+    /// Creates an empty set of servers.
     pub fn new(
         site: &Site,
         store: &Store,
@@ -145,7 +147,7 @@
         BackendServers { shared: Arc::new(shared) }
     }
 
-    /// What is emulated.
+    /// The emulated site.
     pub fn site(&self) -> &Site {
         &self.shared.site
     }
@@ -158,8 +160,8 @@
         self.shared.state.lock().expect("no holder panics")
     }
 
-    /// Starts a server at an address, under the id that it had or a new one;
-    /// its id.
+    /// Adds a server at an address, with its old id or a new one, and returns
+    /// the id.
     pub(crate) fn add(
         &self,
         address: SocketAddr,
@@ -193,7 +195,7 @@
         id
     }
 
-    /// Has a server name a limit for a time.
+    /// Makes a server announce a rate limit for some time.
     pub fn announce_limit(
         &self,
         address: SocketAddr,
@@ -206,7 +208,7 @@
             server.announced_limit = Some(per_s.to_string());
         });
         let backends = self.clone();
-        let later = async move {
+        let end_announcement = async move {
             Timer::after(duration).await;
             backends.update_server(address, |server| {
                 server.announced_limit = None
@@ -222,11 +224,12 @@
                 ended_at: Instant::now(),
             });
         };
-        self.shared.executor.spawn(later).detach();
+        self.shared.executor.spawn(end_announcement).detach();
     }
 
-    /// What a server says of itself in the head of an answer to a request.
-    pub(crate) fn notices(
+    /// Headers with which a server announces its rate limit and its leaving in
+    /// the response to a request.
+    pub(crate) fn notice_headers(
         &self,
         address: SocketAddr,
         request: &str,
@@ -236,24 +239,24 @@
             return Vec::new();
         };
         let observations = &mut state.observations;
-        let mut said = Vec::new();
+        let mut headers = Vec::new();
         if let Some(limit) = server.announced_limit {
             let announced_at =
                 observations.limit_announced_at.entry(server.id.clone());
             announced_at.or_insert_with(Instant::now);
-            said.push(("server-limit", limit));
+            headers.push(("server-limit", limit));
         }
         if server.announces_leaving {
             observations
                 .leaving_notices
                 .push(Arrival::now(&server.id, request));
-            said.push(("server-leaving", "1".to_owned()));
+            headers.push(("server-leaving", "1".to_owned()));
         }
-        said
+        headers
     }
 
-    /// The rest for which a server asks as it turns a request away; none
-    /// where it takes requests.
+    /// The cooldown that a server requests when it rejects a request; `None`
+    /// if it accepts requests.
     pub(crate) fn reject_for_cooldown(
         &self,
         address: SocketAddr,
@@ -271,12 +274,13 @@
         Some(rest)
     }
 
-    /// A server as it stands.
+    /// Copy of the current state of a server.
     pub fn server(&self, address: SocketAddr) -> Option<ServerState> {
         self.lock().servers.get(&address).cloned()
     }
 
-    /// Whether the server at an address is the expected one, if one is.
+    /// Whether the server at an address has the expected id; true if no id is
+    /// expected.
     pub(crate) fn is_instance(
         &self,
         address: SocketAddr,
@@ -288,7 +292,7 @@
         expected.is_none_or(is)
     }
 
-    /// Addresses of a service's servers that run.
+    /// Addresses of the servers of a service that have not exited.
     pub fn addresses(&self, service: &str) -> Vec<SocketAddr> {
         let state = self.lock();
         let runs = state.servers.iter().filter(|(_, s)| {
@@ -297,12 +301,12 @@
         runs.map(|(address, _)| *address).collect()
     }
 
-    /// Addresses of engines that run.
+    /// Addresses of the engines that have not exited.
     pub fn engines(&self) -> Vec<SocketAddr> {
         self.addresses(MODEL_SERVICE)
     }
 
-    /// Engines that are first of streams, most streams first.
+    /// Engines that run the first stage of streams, most streams first.
     pub fn first_stage_engines(&self) -> Vec<SocketAddr> {
         let state = self.lock();
         let with_streams =
@@ -312,7 +316,8 @@
         first.into_iter().map(|(_, address)| *address).collect()
     }
 
-    /// Most ends of first engines that a stream met which runs at this one.
+    /// Highest number of first engines that exited under one of the streams
+    /// that now run at this engine.
     pub fn max_first_stage_exits(&self, engine: SocketAddr) -> u32 {
         let state = self.lock();
         let server = state.servers.get(&engine);
@@ -322,12 +327,12 @@
         met.copied().max().unwrap_or(0)
     }
 
-    /// Addresses of servers of the plain service.
+    /// Addresses of the plain service's servers that have not exited.
     pub fn plain_servers(&self) -> Vec<SocketAddr> {
         self.addresses(PLAIN_SERVICE)
     }
 
-    /// Changes a server.
+    /// Updates the state of a server.
     pub fn update_server(
         &self,
         address: SocketAddr,
@@ -338,23 +343,23 @@
         }
     }
 
-    /// Keeps the relay before a server until it ends.
+    /// Keeps the relay in front of a server until the server exits.
     pub(crate) fn add_relay(&self, relay: Relay) {
         self.lock().relays.insert(relay.address(), Arc::new(relay));
     }
 
-    /// The relay before a server, where the site has links.
+    /// The relay in front of a server, if the site emulates links.
     pub fn relay(&self, address: SocketAddr) -> Option<Arc<Relay>> {
         self.lock().relays.get(&address).cloned()
     }
 
-    pub(crate) fn end_relay(&self, address: SocketAddr) {
+    pub(crate) fn close_relay(&self, address: SocketAddr) {
         let relay = self.lock().relays.remove(&address);
-        // It closes its connections, outside the lock.
+        // Dropping the relay closes its connections; not under the lock.
         drop(relay);
     }
 
-    /// What was seen so far.
+    /// Copy of the observations so far.
     pub fn observations(&self) -> Observations {
         self.lock().observations.clone()
     }
@@ -371,7 +376,8 @@
         *count.or_default() += 1;
     }
 
-    /// Notes the arrival of a request if it crashes servers; which arrival.
+    /// Records the arrival of a request that crashes servers and returns its
+    /// index; `None` for other requests.
     pub(crate) fn record_crashing(&self, token: &str) -> Option<usize> {
         if !token.starts_with(CRASH_PREFIX) {
             return None;
@@ -386,24 +392,25 @@
         Some(arrivals.len() - 1)
     }
 
-    /// Crashes a server under a request; an empty one is back later.
+    /// Crashes a server under a request and starts an empty server at the same
+    /// address later.
     pub(crate) async fn crash(&self, address: SocketAddr, arrival: usize) {
         let Some(server) = self.server(address) else { return };
-        Timer::after(CRASHES_AFTER).await;
-        // Another request may have crashed it meanwhile.
-        let runs = |s: ServerState| {
+        Timer::after(CRASH_DELAY).await;
+        // Another request may have crashed the server meanwhile.
+        let is_running = |s: ServerState| {
             s.id == server.id && s.status != ServerStatus::Exited
         };
-        if !self.server(address).is_some_and(runs) {
+        if !self.server(address).is_some_and(is_running) {
             return;
         }
         self.lock().observations.crashing_arrivals[arrival].crashed_at =
             Some(Instant::now());
         self.terminate(address);
         let backends = self.clone();
-        let later = async move {
-            Timer::after(CRASH_LASTS).await;
-            // An address that is still held is reused by nobody.
+        let restart = async move {
+            Timer::after(CRASH_DOWNTIME).await;
+            // If the address is still in use, the server stays down.
             let _ = engines::start(
                 &backends,
                 server.service,
@@ -411,10 +418,10 @@
                 address.port(),
             );
         };
-        self.shared.executor.spawn(later).detach();
+        self.shared.executor.spawn(restart).detach();
     }
 
-    /// Notes that a request runs; how often it has begun to.
+    /// Records that a request starts to run and returns its number of runs.
     pub(crate) fn record_run(&self, request: &str) -> u32 {
         let mut state = self.lock();
         let count = state
@@ -426,7 +433,7 @@
         *count
     }
 
-    /// Checks what any request to a server must carry.
+    /// Checks that a request names the client account and carries no key.
     pub(crate) fn check_request(
         &self,
         request: &str,
@@ -442,14 +449,14 @@
         }
     }
 
-    /// Waits until something is as wished; false after the time.
+    /// Waits until a condition holds; returns false on timeout.
     pub async fn wait_for(
         &self,
-        limit: Duration,
-        is_so: impl Fn(&BackendServers) -> bool,
+        timeout: Duration,
+        condition: impl Fn(&BackendServers) -> bool,
     ) -> bool {
-        let until = Instant::now() + limit;
-        while !is_so(self) {
+        let until = Instant::now() + timeout;
+        while !condition(self) {
             if Instant::now() >= until {
                 return false;
             }
--- a/crates/emulator/src/backend_servers/layers.rs
+++ b/crates/emulator/src/backend_servers/layers.rs
@@ -1,4 +1,4 @@
-//! Which layers engines hold, and the paths over them.
+//! Layers that engines hold, and paths over them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,24 +7,24 @@
 use super::{BackendServers, PathStage, ServerStatus};
 
 /// Time to load layers.
-const LOAD: Duration = Duration::from_millis(150);
+const LOAD_TIME: Duration = Duration::from_millis(150);
 
 impl BackendServers {
-    /// Carries out an order to hold layers; the status of the answer.
-    pub(crate) fn place(
+    /// Carries out an order to hold layers and returns the response status.
+    pub(crate) fn place_layers(
         &self,
         address: SocketAddr,
         range: (u32, u32),
-        expected: Option<u64>,
+        expected_orders: Option<u64>,
     ) -> u16 {
-        let most = self.shared.site.max_layers();
+        let max_layers = self.shared.site.max_layers();
         {
             let mut state = self.lock();
             let Some(server) = state.servers.get_mut(&address) else {
                 return 404;
             };
-            if expected
-                .is_some_and(|order_count| order_count != server.order_count)
+            if expected_orders
+                .is_some_and(|expected| expected != server.order_count)
             {
                 return 409;
             }
@@ -32,36 +32,37 @@
                 return 200;
             }
             server.order_count += 1;
-            // What it keeps is served while the rest loads.
+            // The retained layers are served while the other layers load.
             server.layers = server.layers.and_then(|layers| {
-                let kept = (layers.0.max(range.0), layers.1.min(range.1));
-                (kept.0 < kept.1).then_some(kept)
+                let retained = (layers.0.max(range.0), layers.1.min(range.1));
+                (retained.0 < retained.1).then_some(retained)
             });
-            if range.1 - range.0 > most {
+            if range.1 - range.0 > max_layers {
                 let text = format!("{address} was ordered to hold {range:?}");
                 state.observations.violations.push(text);
             }
         }
         let backends = self.clone();
-        let later = async move {
-            Timer::after(LOAD).await;
+        let load = async move {
+            Timer::after(LOAD_TIME).await;
             backends
                 .update_server(address, |server| server.layers = Some(range));
             backends.write_row(address);
         };
-        self.shared.executor.spawn(later).detach();
+        self.shared.executor.spawn(load).detach();
         202
     }
 
-    /// Changes the path of a stream; the status, and who refuses.
+    /// Changes the path of a stream; returns the response status and the
+    /// engine that refuses.
     pub(crate) fn change_path(
         &self,
         first: SocketAddr,
         request: &str,
         path: Vec<PathStage>,
     ) -> (u16, Option<SocketAddr>) {
-        if let Some(bad) = self.missing_part(&path) {
-            return (409, Some(bad.0));
+        if let Some(unavailable) = self.unavailable_stage(&path) {
+            return (409, Some(unavailable.0));
         }
         let mut state = self.lock();
         let server = state.servers.get_mut(&first);
@@ -73,9 +74,9 @@
         (200, None)
     }
 
-    /// The first part whose engine is away, draining or lacks the layers,
-    /// with the status that says so.
-    pub(crate) fn missing_part(
+    /// The first stage whose engine does not serve or lacks the layers, with
+    /// the response status for this case.
+    pub(crate) fn unavailable_stage(
         &self,
         path: &[PathStage],
     ) -> Option<(SocketAddr, u16)> {
@@ -91,10 +92,13 @@
         })
     }
 
-    /// The part of a running stream whose engine no longer works.
-    pub(crate) fn dead_part(&self, path: &[PathStage]) -> Option<SocketAddr> {
+    /// The first engine of a running stream's path that has failed.
+    pub(crate) fn failed_engine(
+        &self,
+        path: &[PathStage],
+    ) -> Option<SocketAddr> {
         let state = self.lock();
-        path.iter().map(|part| part.0).find(|address| {
+        path.iter().map(|stage| stage.0).find(|address| {
             let server = state.servers.get(address);
             !server.is_some_and(|s| {
                 matches!(
@@ -105,8 +109,9 @@
         })
     }
 
-    /// Notes a path that does not run every layer once and in order.
-    pub(crate) fn check_layers(&self, request: &str, path: &[PathStage]) {
+    /// Records a violation if a path does not run every layer once and in
+    /// order.
+    pub(crate) fn check_layer_order(&self, request: &str, path: &[PathStage]) {
         let mut next = 0;
         let mut is_whole = true;
         for (_, from, to) in path {
@@ -118,19 +123,19 @@
         }
     }
 
-    /// Time of an event over a path.
+    /// Time to produce one event over a path.
     pub(crate) fn event_time(&self, path: &[PathStage]) -> Duration {
         let state = self.lock();
         let slowness = path
             .iter()
-            .filter_map(|part| state.servers.get(&part.0))
+            .filter_map(|stage| state.servers.get(&stage.0))
             .map(|server| server.slowness)
             .fold(1.0, f64::max);
         let ms = self.shared.site.event_ms as f64 * slowness;
         Duration::from_micros((ms * 1e3) as u64)
     }
 
-    /// Whether every layer is held in each data centre.
+    /// Whether in each data centre every layer is held by a serving engine.
     pub fn has_full_coverage(&self) -> bool {
         let state = self.lock();
         let site = &self.shared.site;
--- a/crates/emulator/src/backend_servers/observations.rs
+++ b/crates/emulator/src/backend_servers/observations.rs
@@ -1,84 +1,84 @@
-//! What servers saw, and what follows from it.
+//! What servers observed, and figures derived from it.
 
 use std::{
     collections::BTreeMap,
     time::{Duration, Instant},
 };
 
-/// What engines saw that must not happen, and what they ran.
+/// What servers observed and ran.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// What must not happen.
+    /// Events that must never happen.
     pub violations: Vec<String>,
-    /// Runs of each request, by its id.
+    /// Number of runs of each request, by request id.
     pub run_counts: BTreeMap<String, u32>,
-    /// Arrivals of each request, by its id.
+    /// Number of arrivals of each request, by request id.
     pub arrival_counts: BTreeMap<String, u32>,
-    /// Orders to change a path that were carried out.
+    /// Number of path changes carried out.
     pub path_changes: u64,
-    /// Arrivals of requests that crash servers, in their order.
+    /// Arrivals of requests that crash servers, in order.
     pub crashing_arrivals: Vec<CrashingArrival>,
-    /// Requests that arrived at servers, in order.
+    /// Arrivals of all requests at servers, in order.
     pub arrival_log: Vec<Arrival>,
-    /// Requests that servers turned away and asked for rest.
+    /// Requests that servers rejected with a cooldown.
     pub cooldown_requests: Vec<CooldownRequest>,
-    /// Requests whose answer said that its server leaves.
+    /// Requests whose response announced that the server leaves.
     pub leaving_notices: Vec<Arrival>,
-    /// When each server first named a limit, by its id.
+    /// Time of each server's first announcement of a limit, by server id.
     pub limit_announced_at: BTreeMap<String, Instant>,
-    /// Limits that were named for a time and have ended.
+    /// Limits that were announced for some time and are no longer.
     pub expired_limits: Vec<ExpiredLimit>,
-    /// Ends of its first engine that each stream met, by its id.
+    /// Number of first engines that exited under each stream, by request id.
     pub first_stage_exits: BTreeMap<String, u32>,
 }
 
-/// A request at a server.
+/// The arrival of a request at a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// Id of the server.
     pub server: String,
     /// Id of the request.
     pub request: String,
-    /// When it was there.
+    /// Arrival time.
     pub at: Instant,
 }
 
-/// A request that a server turned away, asking for rest.
+/// A request that a server rejected with a cooldown.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CooldownRequest {
-    /// Which request, where and when.
+    /// The rejected request.
     pub rejected: Arrival,
-    /// For how long.
+    /// Requested cooldown.
     pub duration: Duration,
 }
 
-/// A limit that a server named for a time.
+/// A limit that a server announced for some time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExpiredLimit {
     /// Id of the server.
     pub server: String,
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// When an answer first named it.
+    /// Time of the first response that announced the limit.
     pub announced_at: Instant,
-    /// When it ended.
+    /// Time from which the limit is no longer announced.
     pub ended_at: Instant,
 }
 
 /// An arrival of a request that crashes servers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashingArrival {
-    /// What the request is about; the same for all copies of it.
+    /// Token of the request, the same for all its repetitions.
     pub token: String,
-    /// When it arrived.
+    /// Arrival time.
     pub at: Instant,
-    /// When the server crashed under it; none where it did not.
+    /// Time at which the server crashed under the request, if it did.
     pub crashed_at: Option<Instant>,
 }
 
 impl Observations {
-    /// Most requests that reached a server in any span of that length that
-    /// lies between two times.
+    /// Highest number of requests that reached a server within any span of the
+    /// given length; only arrivals between two times count.
     pub fn max_arrivals(
         &self,
         server: &str,
@@ -99,17 +99,18 @@
         times.iter().enumerate().map(in_span).max().unwrap_or(0)
     }
 
-    /// When servers crashed under a request, in order.
+    /// Times at which servers crashed under a request, in order.
     pub fn crashes_of(&self, token: &str) -> Vec<Instant> {
-        let own = self.crashing_arrivals.iter().filter(|c| c.token == token);
+        let arrivals =
+            self.crashing_arrivals.iter().filter(|c| c.token == token);
         let mut crashes: Vec<Instant> =
-            own.filter_map(|c| c.crashed_at).collect();
+            arrivals.filter_map(|c| c.crashed_at).collect();
         crashes.sort();
         crashes
     }
 
-    /// Arrivals of a request later than this after its crash of this number,
-    /// counted from 1.
+    /// Number of arrivals of a request more than `later_than` after its crash
+    /// number `crash`, counted from 1.
     pub fn arrivals_after_crash(
         &self,
         token: &str,
@@ -126,7 +127,7 @@
 }
 
 impl Arrival {
-    /// One that is there now.
+    /// An arrival at the present time.
     pub(super) fn now(server: &str, request: &str) -> Arrival {
         let (server, request) = (server.to_owned(), request.to_owned());
         Arrival { server, request, at: Instant::now() }
--- a/crates/emulator/src/backend_servers/rows.rs
+++ b/crates/emulator/src/backend_servers/rows.rs
@@ -1,4 +1,4 @@
-//! The lives of servers, and their rows in the store.
+//! Process lifetimes of servers, and their rows in the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,20 +10,20 @@
 
 /// Table of backend servers in the store.
 const TABLE: &str = "servers";
-/// After so long the row of a dead server is dropped.
-const LAPSE: Duration = Duration::from_millis(1_200);
-/// How long a server that drains still serves.
-const DRAIN: Duration = Duration::from_millis(1_500);
-/// One of so many engines has its row overwritten.
-const OVERWRITTEN_EVERY: usize = 4;
+/// Time from the exit of a server to the removal of its row.
+const ROW_EXPIRY: Duration = Duration::from_millis(1_200);
+/// Time for which a draining server serves before it exits.
+const DRAIN_TIME: Duration = Duration::from_millis(1_500);
+/// One in this many engines has its row overwritten.
+const OVERWRITE_STRIDE: usize = 4;
 
 impl BackendServers {
-    /// Ends a server's process: it is refused from now on.
+    /// Terminates a server's process: connections are refused from then on.
     pub fn terminate(&self, address: SocketAddr) {
-        self.terminate_with_late_removal(address, LAPSE);
+        self.terminate_with_late_removal(address, ROW_EXPIRY);
     }
 
-    /// Ends a server's process, whose row stays.
+    /// Terminates a server's process and keeps its row.
     pub fn terminate_keeping_row(&self, address: SocketAddr) {
         let mut state = self.lock();
         let State { servers, observations, .. } = &mut *state;
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Ends a server's process, whose row stays for so long.
+    /// Terminates a server's process and removes its row after a delay.
     pub fn terminate_with_late_removal(
         &self,
         address: SocketAddr,
-        listed: Duration,
+        delay: Duration,
     ) {
         self.terminate_keeping_row(address);
-        self.lapse_later(address, listed);
+        self.remove_row_later(address, delay);
     }
 
-    /// Ends all servers and closes their connections.
+    /// Terminates all servers and closes their connections.
     pub(crate) fn terminate_all(&self) {
         let mut state = self.lock();
         for server in state.servers.values_mut() {
@@ -52,72 +52,72 @@
             server.streams.clear();
         }
         let relays = std::mem::take(&mut state.relays);
-        // They close their connections, outside the lock.
+        // Dropping the relays closes their connections; not under the lock.
         drop(state);
         drop(relays);
     }
 
-    /// Takes a server's row away while it serves on.
+    /// Removes a server's row while the server continues to serve.
     pub fn remove_row(&self, address: SocketAddr) {
         if let Some(server) = self.server(address) {
             self.shared.store.delete_row(TABLE, &server.id);
         }
     }
 
-    /// Lets a server fall silent.
+    /// Makes a server stop responding; its row expires.
     pub fn make_unresponsive(&self, address: SocketAddr) {
         self.update_server(address, |server| {
             server.status = ServerStatus::Unresponsive
         });
-        self.lapse_later(address, LAPSE);
+        self.remove_row_later(address, ROW_EXPIRY);
     }
 
-    /// Has a server leave in order.
+    /// Drains a server: its row says so, and the server exits later.
     pub fn drain(&self, address: SocketAddr) {
         self.update_server(address, |server| {
             server.status = ServerStatus::Draining
         });
         self.write_row(address);
         let backends = self.clone();
-        let later = async move {
-            Timer::after(DRAIN).await;
+        let exit = async move {
+            Timer::after(DRAIN_TIME).await;
             backends.terminate(address);
         };
-        self.shared.executor.spawn(later).detach();
+        self.shared.executor.spawn(exit).detach();
     }
 
-    /// Writes rows of another writer: for so long in place of the rows of some
-    /// servers, and for good beside them.
+    /// Writes rows with foreign content: additional rows that stay, and in
+    /// place of the rows of some engines for the given time.
     pub fn overwrite_rows(&self, duration: Duration) {
         let store = &self.shared.store;
         for (number, value) in foreign_rows().iter().enumerate() {
             store.put(TABLE, &format!("other-{number}"), value);
         }
         let engines: Vec<SocketAddr> =
-            self.engines().into_iter().step_by(OVERWRITTEN_EVERY).collect();
+            self.engines().into_iter().step_by(OVERWRITE_STRIDE).collect();
         for (address, value) in engines.iter().zip(foreign_rows()) {
             if let Some(server) = self.server(*address) {
                 store.put(TABLE, &server.id, &value);
             }
         }
         let backends = self.clone();
-        let later = async move {
+        let restore = async move {
             Timer::after(duration).await;
             engines
                 .into_iter()
                 .for_each(|address| backends.write_row(address));
         };
-        self.shared.executor.spawn(later).detach();
+        self.shared.executor.spawn(restore).detach();
     }
 
-    fn lapse_later(&self, address: SocketAddr, listed: Duration) {
+    fn remove_row_later(&self, address: SocketAddr, delay: Duration) {
         let Some(server) = self.server(address) else { return };
         let store = self.shared.store.clone();
-        let later = async move {
-            Timer::after(listed).await;
+        let remove = async move {
+            Timer::after(delay).await;
             store.delete_row(TABLE, &server.id);
         };
-        self.shared.executor.spawn(later).detach();
+        self.shared.executor.spawn(remove).detach();
     }
 
     /// Writes the server's row.
@@ -144,7 +144,7 @@
     }
 }
 
-/// Rows that no server writes.
+/// Invalid rows that no server writes.
 fn foreign_rows() -> [serde_json::Value; 6] {
     let row = json!({
         "service": MODEL_SERVICE,
@@ -172,7 +172,7 @@
     ]
 }
 
-/// Layers as rows and reports tell them.
+/// Layers in the form of rows and reports.
 pub(crate) fn layers_json(layers: Option<(u32, u32)>) -> serde_json::Value {
     match layers {
         Some((from, to)) => {
--- a/crates/emulator/src/engines.rs
+++ b/crates/emulator/src/engines.rs
@@ -1,4 +1,4 @@
-//! The ports of engines and of the plain service.
+//! HTTP servers of engines and of the plain service.
 
 use std::{
     io,
@@ -16,21 +16,21 @@
 
 use crate::{
     backend_servers::{
-        BackendServers, PathStage, STALL, ServerState, ServerStatus,
+        BackendServers, PathStage, STALL_TIMEOUT, ServerState, ServerStatus,
         StreamState, layers_json,
     },
     site::{MODEL_SERVICE, ONCE_PATH, PLAIN_SERVICE, STREAM_PATH},
 };
 
-/// Time between looks at a server's life.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between checks of a server's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The text of an event of a stream.
+/// Text of one event of a stream.
 pub fn event_text(token: &str, number: u64) -> String {
     format!("id: {number}\ndata: {token}-{number}\n\n")
 }
 
-/// Starts every server of the site, each on a port of its own.
+/// Starts all servers of the site on free ports.
 ///
 /// # Errors
 ///
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// Starts a server on a port, or on a free one for port 0.
+/// Starts a server on a port, or on a free port for port 0.
 ///
 /// # Errors
 ///
@@ -66,7 +66,7 @@
     Ok(address)
 }
 
-/// Starts an engine again under the id that it had, empty.
+/// Restarts a server without layers, under its old id.
 ///
 /// # Errors
 ///
@@ -77,15 +77,15 @@
     server: &ServerState,
 ) -> io::Result<()> {
     let id = Some(server.id.as_str());
-    let place = &server.data_centre;
+    let data_centre = &server.data_centre;
     let port = address.port();
     let address =
-        start_without_row(backends, server.service, place, port, id)?;
+        start_without_row(backends, server.service, data_centre, port, id)?;
     backends.write_row(address);
     Ok(())
 }
 
-/// Starts a server that has not written its row yet.
+/// Starts a server without writing its row.
 ///
 /// # Errors
 ///
@@ -103,12 +103,12 @@
     let accept = async move {
         loop {
             let accepted = async { Some(listener.accept().await) };
-            let ended = async {
-                wait_for_end(&accepting, address, &id).await;
+            let exited = async {
+                wait_for_exit(&accepting, address, &id).await;
                 None
             };
-            let Some(Ok((socket, _))) = accepted.or(ended).await else {
-                return accepting.end_relay(address);
+            let Some(Ok((socket, _))) = accepted.or(exited).await else {
+                return accepting.close_relay(address);
             };
             let serve = serve(accepting.clone(), address, id.clone(), socket);
             accepting.executor().spawn(serve).detach();
@@ -118,26 +118,26 @@
     Ok(address)
 }
 
-/// A listener on a port, behind a relay there where the site has links; the
-/// address that others know.
+/// Opens a listener on a port and returns it with its public address. If the
+/// site emulates links, a relay on that port forwards to the listener.
 fn listen(
     backends: &BackendServers,
     port: u16,
 ) -> io::Result<(Async<TcpListener>, SocketAddr)> {
     let has_links = backends.site().has_links;
-    let own_port = if has_links { 0 } else { port };
-    let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], own_port))?;
-    let own = listener.get_ref().local_addr()?;
+    let listen_port = if has_links { 0 } else { port };
+    let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], listen_port))?;
+    let local = listener.get_ref().local_addr()?;
     if !has_links {
-        return Ok((listener, own));
+        return Ok((listener, local));
     }
-    let relay = Relay::try_start_at(port, own)?;
+    let relay = Relay::try_start_at(port, local)?;
     let address = relay.address();
     backends.add_relay(relay);
     Ok((listener, address))
 }
 
-async fn wait_for_end(
+async fn wait_for_exit(
     backends: &BackendServers,
     address: SocketAddr,
     id: &str,
@@ -146,7 +146,7 @@
         .server(address)
         .is_some_and(|s| s.id == id && s.status != ServerStatus::Exited)
     {
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
@@ -161,8 +161,8 @@
     let requests = async {
         serve_requests(&backends, address, &mut inbound).await;
     };
-    let ended = wait_for_end(&backends, address, &id);
-    requests.or(ended).await;
+    let exited = wait_for_exit(&backends, address, &id);
+    requests.or(exited).await;
     drop(stream);
     inbound.abort();
 }
@@ -185,11 +185,11 @@
             .server(address)
             .is_none_or(|s| s.status == ServerStatus::Unresponsive)
         {
-            // Nothing comes from it any more.
+            // Keep the connection open without a response.
             Timer::after(Duration::from_secs(60)).await;
             return;
         }
-        let is_done = match request.path() {
+        let keeps_connection = match request.path() {
             "/v1/report" => {
                 let report = report(backends, address);
                 write_json(inbound, 200, &report).await
@@ -197,7 +197,7 @@
             "/v1/order" => order(backends, address, inbound, &request).await,
             _ => run(backends, address, inbound, &request).await,
         };
-        if !is_done {
+        if !keeps_connection {
             return;
         }
     }
@@ -253,7 +253,8 @@
                 let text = format!("{address}: an order expects no count");
                 backends.record_violation(text);
             }
-            let status = backends.place(address, range, number("expect-rev"));
+            let status =
+                backends.place_layers(address, range, number("expect-rev"));
             write_json(inbound, status, &json!({})).await
         }
         Some("repath") => {
@@ -271,13 +272,13 @@
 }
 
 fn parse_path(text: &str) -> Vec<PathStage> {
-    let part = |part: &str| {
-        let (address, range) = part.split_once('=')?;
+    let stage = |stage: &str| {
+        let (address, range) = stage.split_once('=')?;
         let (from, to) = range.split_once('-')?;
         let from = from.parse().ok()?;
         Some((address.parse().ok()?, from, to.parse().ok()?))
     };
-    text.split(',').filter_map(part).collect()
+    text.split(',').filter_map(stage).collect()
 }
 
 async fn write_json(inbound: &mut Inbound, status: u16, body: &Value) -> bool {
@@ -289,7 +290,7 @@
     inbound.write(head.as_bytes()).await.is_ok()
 }
 
-/// Runs a request of a client; false when the connection is to end.
+/// Runs a client request; returns false if the connection must be closed.
 async fn run(
     backends: &BackendServers,
     address: SocketAddr,
@@ -304,10 +305,13 @@
     backends.check_request(&id, account, has_key);
     let expected = request.header("x-expected-instance");
     if !backends.is_instance(address, expected) {
-        return refuse(backends, address, inbound, &id, (421, address)).await;
+        return reject(backends, address, inbound, &id, (421, address)).await;
     }
-    if let Some(rest) = backends.reject_for_cooldown(address, &id) {
-        return ask_for_rest(backends, address, inbound, &id, &rest).await;
+    if let Some(cooldown) = backends.reject_for_cooldown(address, &id) {
+        return reject_with_cooldown(
+            backends, address, inbound, &id, &cooldown,
+        )
+        .await;
     }
     match server.service {
         PLAIN_SERVICE => {
@@ -317,8 +321,8 @@
     }
 }
 
-/// Refuses a request, with a status and who refuses.
-async fn refuse(
+/// Rejects a request with a status and the address of the rejecting engine.
+async fn reject(
     backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
@@ -326,23 +330,23 @@
     (status, at): (u16, SocketAddr),
 ) -> bool {
     let header = ("at-server", at.to_string());
-    turn_away(backends, address, inbound, id, (status, header)).await
+    send_rejection(backends, address, inbound, id, (status, header)).await
 }
 
-/// Turns a request away and asks for rest.
-async fn ask_for_rest(
+/// Rejects a request and requests a cooldown.
+async fn reject_with_cooldown(
     backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
     id: &str,
-    rest: &str,
+    cooldown: &str,
 ) -> bool {
-    let header = ("retry-after", rest.to_owned());
-    turn_away(backends, address, inbound, id, (503, header)).await
+    let header = ("retry-after", cooldown.to_owned());
+    send_rejection(backends, address, inbound, id, (503, header)).await
 }
 
-/// Answers a request that was not run, with one header more.
-async fn turn_away(
+/// Responds to a request that was not run, with one additional header.
+async fn send_rejection(
     backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
@@ -403,19 +407,19 @@
     inbound.write(&out).await.is_ok()
 }
 
-/// Adds what a server says of itself.
+/// Adds the headers with which a server announces its limit and its leaving.
 fn push_notices(
     out: &mut Vec<u8>,
     backends: &BackendServers,
     address: SocketAddr,
     request: &str,
 ) {
-    for (name, value) in backends.notices(address, request) {
+    for (name, value) in backends.notice_headers(address, request) {
         push_header(out, name, &value);
     }
 }
 
-/// What an answer to a request is signed with.
+/// Signature of the response to a request.
 pub fn signature(id: &str) -> String {
     format!("signed-{id}")
 }
@@ -433,11 +437,11 @@
     id: &str,
 ) -> bool {
     let path = parse_path(request.header("x-hop-count").unwrap_or(""));
-    if path.first().is_none_or(|part| part.0 != address) {
-        return refuse(backends, address, inbound, id, (400, address)).await;
+    if path.first().is_none_or(|stage| stage.0 != address) {
+        return reject(backends, address, inbound, id, (400, address)).await;
     }
-    if let Some((at, status)) = backends.missing_part(&path) {
-        return refuse(backends, address, inbound, id, (status, at)).await;
+    if let Some((at, status)) = backends.unavailable_stage(&path) {
+        return reject(backends, address, inbound, id, (status, at)).await;
     }
     let arrival = backends.record_crashing(&token_of(request));
     let state = StreamState { path, stalled_at: None };
@@ -446,14 +450,14 @@
     });
     backends.record_run(id);
     let server = backends.server(address);
-    let share = |share: fn(&ServerState) -> f64| {
-        fastrand::f64() < server.as_ref().map_or(0.0, share)
+    let draw = |rate: fn(&ServerState) -> f64| {
+        fastrand::f64() < server.as_ref().map_or(0.0, rate)
     };
-    if share(|server| server.failure_rate) {
-        return answer_failed(backends, address, inbound, id).await;
+    if draw(|server| server.failure_rate) {
+        return respond_with_error(backends, address, inbound, id).await;
     }
-    if share(|server| server.hang_rate) {
-        Timer::after(STALL).await;
+    if draw(|server| server.hang_rate) {
+        Timer::after(STALL_TIMEOUT).await;
         return false;
     }
     if let Some(arrival) = arrival {
@@ -463,7 +467,7 @@
         }
         return false;
     }
-    let resets = share(|server| server.response_loss_rate);
+    let resets = draw(|server| server.response_loss_rate);
     let is_whole =
         !resets && send_events(backends, address, inbound, request, id).await;
     backends.update_server(address, |server| {
@@ -472,7 +476,7 @@
     is_whole
 }
 
-async fn answer_failed(
+async fn respond_with_error(
     backends: &BackendServers,
     address: SocketAddr,
     inbound: &mut Inbound,
@@ -519,7 +523,7 @@
     let last: u64 = last.and_then(|v| v.parse().ok()).unwrap_or(0);
     let token = token_of(request);
     for number in last + 1..=backends.site().events {
-        if !wait_for_path(backends, address, id).await {
+        if !produce_token(backends, address, id).await {
             return false;
         }
         let mut out = Vec::new();
@@ -531,22 +535,23 @@
     inbound.write(LAST_CHUNK).await.is_ok()
 }
 
-/// Makes a token over the path of a stream; false when it stalled too long.
-async fn wait_for_path(
+/// Waits until the path of a stream has produced a token; returns false if the
+/// stream stalled for too long.
+async fn produce_token(
     backends: &BackendServers,
     address: SocketAddr,
     id: &str,
 ) -> bool {
-    let until = Instant::now() + STALL;
+    let until = Instant::now() + STALL_TIMEOUT;
     loop {
         let Some(path) = current_path(backends, address, id) else {
             return false;
         };
-        let Some(dead) = backends.dead_part(&path) else {
-            backends.check_layers(id, &path);
+        let Some(failed) = backends.failed_engine(&path) else {
+            backends.check_layer_order(id, &path);
             Timer::after(backends.event_time(&path)).await;
-            // It may have died meanwhile.
-            if backends.dead_part(&path).is_none() {
+            // An engine may have failed meanwhile.
+            if backends.failed_engine(&path).is_none() {
                 return true;
             }
             continue;
@@ -555,13 +560,13 @@
             if let Some(stream) = server.streams.get_mut(id)
                 && stream.path == path
             {
-                stream.stalled_at = Some(dead);
+                stream.stalled_at = Some(failed);
             }
         });
         if Instant::now() >= until {
             return false;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,25 +1,25 @@
-//! The users' platform in small, on loopback, with faults.
+//! A small emulation of the users' platform on loopback, with fault injection.
 //!
-//! Stand-ins of the platform's store, of model engines that hold ranges of
-//! layers, and of a plain service run in one process; entries run as the
-//! real program in processes of their own. Load is open-loop: requests begin
-//! at their times, however slow the answers are. What callers, engines and
-//! the store saw is checked against what must always hold.
+//! Stand-ins for the platform's store, for model engines that hold ranges of
+//! layers, and for a plain service run in one process. Entries run the real
+//! binary in separate processes. The load is open-loop: requests start on
+//! schedule, however slow the responses are. The observations of callers,
+//! engines and the store are checked against invariants.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`backend_servers`] | engines, their layers, runs and faults |
+//! | [`backend_servers`] | backend servers: layers, runs, faults |
 //! | [`store`] | the platform's store |
-//! | [`link`] | connections that are late, cut, reset or silent |
-//! | [`engines`] | the ports of engines and of the plain service |
+//! | [`link`] | faults of connections: delay, reset, silence, partition |
+//! | [`engines`] | HTTP servers of the engines and of the plain service |
 //! | [`site`] | what is emulated: counts, layers, configuration |
-//! | [`entries`] | the real program in processes of its own |
-//! | [`caller`] | one request of a client, and its checks |
-//! | [`load`] | requests at their times |
-//! | [`experiment`] | load and faults from a file |
-//! | [`report`] | outcomes, latencies and recovery as text, JSON, plot |
-//! | [`running`] | a running site, and faults of it |
-//! | [`soak`] | seeded mixes of faults against the promises |
+//! | [`entries`] | entry processes that run the real binary |
+//! | [`caller`] | sends one request and checks the responses |
+//! | [`load`] | sends requests on a schedule |
+//! | [`experiment`] | parses load and faults from a file |
+//! | [`report`] | outcomes and latencies as text, JSON and plot |
+//! | [`running`] | a running site and its fault injection |
+//! | [`soak`] | seeded random faults, checked against the invariants |
 //!
 //! # Example
 //!
@@ -48,15 +48,16 @@
 use async_executor::Executor;
 use futures_lite::future;
 
-/// An executor that runs on a thread of its own until the process ends.
+/// Starts an executor on a dedicated thread that runs until the process exits.
 ///
 /// # Errors
 ///
-/// The system gives no more threads.
+/// The system can't start the thread.
 pub fn start_executor() -> std::io::Result<Arc<Executor<'static>>> {
     let executor = Arc::new(Executor::new());
-    let runs = executor.clone();
-    let run = move || async_io::block_on(runs.run(future::pending::<()>()));
+    let on_thread = executor.clone();
+    let run =
+        move || async_io::block_on(on_thread.run(future::pending::<()>()));
     thread::Builder::new().name("emulator".to_owned()).spawn(run)?;
     Ok(executor)
 }
