--- a/crates/emulator/src/entries.rs
+++ b/crates/emulator/src/entries.rs
@@ -1,4 +1,4 @@
-//! The real program in processes of its own.
+//! Entry processes that run the real binary.
 
 use std::{
     fs, io,
@@ -14,10 +14,10 @@
 
 use crate::site::{EntryPorts, Site};
 
-/// Variable with the path of the settings file.
+/// Environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "CHESTNUTREACH_NODE_FILE";
-/// Time for a call of the balancer.
-const CALL: Duration = Duration::from_millis(500);
+/// Timeout of each step of an HTTP request to an entry.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The entries of an emulated site.
 pub struct Entries {
@@ -27,9 +27,10 @@
     /// Address of the store for each entry.
     stores: Vec<SocketAddr>,
     entries: Vec<Entry>,
-    /// Asked for by all entries; on one machine the first one gets it.
+    /// Metrics address passed to all entries; only the first entry can bind it,
+    /// as all run on one machine.
     metrics: SocketAddr,
-    /// Nothing is started any more.
+    /// Set when the entries are closed; no process is started after that.
     is_closed: bool,
 }
 
@@ -43,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// A file can't be written or a process not started.
+    /// A file can't be written or a process can't be started.
     pub fn start(
         binary: &Path,
         site: &Site,
@@ -66,34 +67,35 @@
         Ok(entries)
     }
 
-    /// How many there are.
+    /// Number of entries.
     pub fn count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Where clients connect to an entry.
+    /// Address at which clients connect to an entry.
     pub fn address(&self, index: usize) -> SocketAddr {
         ([127, 0, 0, 1], self.entries[index].ports.clients).into()
     }
 
-    /// Where an entry shows its metrics and status.
+    /// Address of an entry's metrics and status.
     pub fn ops_address(&self, index: usize) -> SocketAddr {
         ([127, 0, 0, 1], self.entries[index].ports.inner).into()
     }
 
-    /// Where the first entry shows its metrics as well.
+    /// Additional address of the metrics of the first entry.
     pub fn metrics_address(&self) -> SocketAddr {
         self.metrics
     }
 
-    /// Starts an entry that does not run.
+    /// Starts an entry that is not running.
     ///
     /// # Errors
     ///
-    /// A file can't be written, the process not started, or all are closed.
+    /// A file can't be written, the process can't be started, or the entries
+    /// are closed.
     pub fn start_entry(&mut self, index: usize) -> io::Result<()> {
         if self.is_closed {
-            return Err(io::Error::other("the site is closed"));
+            return Err(io::Error::other("the entries are closed"));
         }
         let ports = self.entries[index].ports;
         let settings = self.dir.path().join(format!("entry-{index}.toml"));
@@ -115,7 +117,7 @@
         Ok(())
     }
 
-    /// The lines that an entry wrote so far.
+    /// The log of an entry so far.
     ///
     /// # Errors
     ///
@@ -146,11 +148,11 @@
     pub fn signal(&self, index: usize, signal: Signal) {
         let Some(child) = &self.entries[index].child else { return };
         let pid = Pid::from_child(child);
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = kill_process(pid, signal);
     }
 
-    /// Kills an entry and waits for its end.
+    /// Kills an entry and waits until its process has exited.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.entries[index].child.take() {
             let _ = child.kill();
@@ -158,25 +160,26 @@
         }
     }
 
-    /// Whether an entry's process has ended; its exit code.
+    /// The exit code of an entry; `None` while it is running, if a signal ended
+    /// it, or after [`Entries::kill`].
     pub fn exit_code(&mut self, index: usize) -> Option<i32> {
         let child = self.entries[index].child.as_mut()?;
         child.try_wait().ok().flatten().and_then(|status| status.code())
     }
 
-    /// Whether an entry's process was started and not ended here.
+    /// Whether an entry was started and not killed by [`Entries::kill`].
     pub fn is_running(&self, index: usize) -> bool {
         self.entries[index].child.is_some()
     }
 
-    /// Where the balancer asks an entry.
+    /// Address at which the load balancer checks an entry's readiness.
     pub fn ready_address(&self, index: usize) -> SocketAddr {
         ([127, 0, 0, 1], self.entries[index].ports.ready).into()
     }
 }
 
 impl Entries {
-    /// Kills all entries, for good.
+    /// Kills all entries and prevents further starts.
     pub fn close(&mut self) {
         self.is_closed = true;
         for index in 0..self.entries.len() {
@@ -191,9 +194,10 @@
     }
 }
 
-/// Reads a target; status and body.
+/// Sends a GET request and returns the status and the body.
 pub async fn get(address: SocketAddr, target: &str) -> Option<(u16, String)> {
-    let mut connection = Outbound::connect(address, CALL).await.ok()?;
+    let mut connection =
+        Outbound::connect(address, CALL_TIMEOUT).await.ok()?;
     let mut out = format!("GET {target} HTTP/1.1\r\n").into_bytes();
     push_header(&mut out, "host", &address.to_string());
     out.extend_from_slice(b"\r\n");
@@ -204,7 +208,7 @@
     Some((head.status, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// Ports that are free now.
+/// Ports for an entry that are free at present.
 fn free_ports(index: usize) -> EntryPorts {
     let port = || free_address().port();
     EntryPorts { index, clients: port(), ready: port(), inner: port() }
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -1,8 +1,8 @@
 //! Faults of the connections between entries and the rest of the site.
 //!
-//! Where a site has links, connections to the store and to servers pass a
-//! relay of their own: one for each entry's way to the store, one before each
-//! server.
+//! If a site emulates links, connections to the store and to servers go
+//! through relays: one between each entry and the store, and one in front of
+//! each server.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 /// How a link fails.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkFault {
-    /// What passes is late by this time.
+    /// All bytes are delayed by this time.
     Delayed(Duration),
-    /// The connections that are open are reset.
+    /// Open connections are reset.
     Reset,
-    /// The connections that are open fall silent for good.
+    /// Open connections permanently stop delivering bytes.
     Silent,
-    /// Nothing reaches the other end for a time.
+    /// No bytes reach the server for some time.
     CutForth,
-    /// Nothing comes back for a time.
+    /// No bytes reach the client for some time.
     CutBack,
 }
 
 impl LinkFault {
-    /// Begins on a link, or ends where it lasts.
+    /// Starts the fault on a link, or ends a fault that lasts.
     pub(crate) fn set(self, relay: &Relay, is_on: bool) {
         match (self, is_on) {
             (LinkFault::Delayed(delay), true) => relay.slow(delay),
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,6 +1,7 @@
-//! Requests at their times.
+//! Sends requests on a schedule.
 //!
-//! Open loop: a request begins at its time, also when earlier ones wait.
+//! The load is open-loop: a request starts at its scheduled time, even while
+//! earlier requests wait for responses.
 
 use std::{
     collections::BTreeMap,
@@ -14,52 +15,54 @@
 
 use crate::caller::{Outcome, RequestKind, RequestSpec, send_request};
 
-/// Requests a second of each kind, for a time.
+/// Rates of requests by kind, for some time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests a second.
+    /// Requests per second by kind.
     pub per_s: BTreeMap<RequestKind, f64>,
-    /// How long requests begin.
+    /// Time during which requests start.
     pub duration: Duration,
-    /// Events of a stream.
+    /// Events per stream.
     pub events: u64,
-    /// Seed of times and entries.
+    /// Seed for start times and choice of entries.
     pub seed: u64,
 }
 
-/// Makes all requests; their outcomes in the order of their ends.
+/// Sends all requests and returns their outcomes in order of completion.
 pub async fn run(
     executor: &Arc<Executor<'static>>,
     load: &Load,
     entries: &[SocketAddr],
 ) -> Vec<Outcome> {
     let mut rng = fastrand::Rng::with_seed(load.seed);
-    let (sender, ended) = async_channel::unbounded();
+    let (sender, finished) = async_channel::unbounded();
     let start = Instant::now();
     let entries: Arc<[SocketAddr]> = entries.into();
-    for (number, (at, kind)) in times(load, &mut rng).into_iter().enumerate() {
+    for (number, (at, kind)) in
+        schedule(load, &mut rng).into_iter().enumerate()
+    {
         let token = format!("t{:x}-{number}", load.seed);
-        let wish = RequestSpec::new(kind, &token, load.events);
+        let spec = RequestSpec::new(kind, &token, load.events);
         let (entries, sender) = (entries.clone(), sender.clone());
-        let first = rng.usize(..entries.len());
+        let first_entry = rng.usize(..entries.len());
         let task = async move {
             Timer::at(start + at).await;
-            let outcome = send_request(&wish, &entries, first, at).await;
-            // The receiver waits for all.
+            let outcome = send_request(&spec, &entries, first_entry, at).await;
+            // The receiver outlives all senders.
             let _ = sender.send(outcome).await;
         };
         executor.spawn(task).detach();
     }
     drop(sender);
     let mut outcomes = Vec::new();
-    while let Ok(outcome) = ended.recv().await {
+    while let Ok(outcome) = finished.recv().await {
         outcomes.push(outcome);
     }
     outcomes
 }
 
-/// When requests of which kind begin.
-fn times(
+/// Start times of the requests, with their kinds.
+fn schedule(
     load: &Load,
     rng: &mut fastrand::Rng,
 ) -> Vec<(Duration, RequestKind)> {
@@ -67,7 +70,7 @@
     for (kind, per_s) in &load.per_s {
         let mut at_s = 0.0;
         loop {
-            // Exponential pauses make a Poisson process.
+            // Exponential intervals give a Poisson process.
             at_s += -(1.0 - rng.f64()).ln() / per_s.max(1e-9);
             if at_s >= load.duration.as_secs_f64() {
                 break;
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! What is emulated: counts, layers, configuration.
+//! Description of the emulated site: counts, layers, configuration.
 
 use std::net::SocketAddr;
 
@@ -8,56 +8,57 @@
 pub const MODEL_SERVICE: &str = "desk";
 /// Name of the plain service.
 pub const PLAIN_SERVICE: &str = "ledger";
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "desk.example";
-/// Path of resumable streams.
+/// Path prefix of resumable streams.
 pub const STREAM_PATH: &str = "/stream/";
-/// Path of idempotent requests.
+/// Path prefix of idempotent requests.
 pub const IDEMPOTENT_PATH: &str = "/lookup/";
-/// Path of non-idempotent requests.
+/// Path prefix of non-idempotent requests.
 pub const ONCE_PATH: &str = "/letter/";
-/// A key that holds from the start.
+/// API key that is valid from the start.
 pub const KEY: &str = "key-one";
 /// Client account of [`KEY`].
 pub const ACCOUNT: &str = "kaolack";
-/// Further arrivals for each request, in every window of 10 s.
+/// Retries allowed per request in every window of 10 s.
 pub const RETRY_RATIO: f64 = 0.2;
 /// Memory of a layer, in megabytes.
 const LAYER_MB: f64 = 1_000.0;
 /// Memory of an engine, in megabytes.
 const ENGINE_MB: f64 = 5_600.0;
-/// Memory of a token through all layers, in bytes.
+/// KV memory of a token over all layers, in bytes.
 const TOKEN_BYTES: f64 = 160_000.0;
 
-/// What is emulated.
+/// The emulated site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layer_count: u32,
-    /// Engines in each data centre.
+    /// Number of engines in each data centre.
     pub engines_each: usize,
-    /// Data centres.
+    /// Names of the data centres.
     pub data_centres: Vec<String>,
-    /// Backend servers of the plain service.
+    /// Number of backend servers of the plain service.
     pub plain_servers: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Events of a stream.
+    /// Events per stream.
     pub events: u64,
-    /// Time from one event to the next, in milliseconds.
+    /// Interval between the events of a stream, in milliseconds.
     pub event_ms: u64,
-    /// Time of a plain request, in milliseconds.
+    /// Duration of a plain request, in milliseconds.
     pub plain_ms: u64,
-    /// Further arrivals that are free in every window of 10 s.
+    /// Retries allowed in every window of 10 s regardless of the number of
+    /// requests.
     pub retry_slack: f64,
-    /// Time of the route of streams, in milliseconds.
+    /// Timeout of the route for streams, in milliseconds.
     pub stream_timeout_ms: u64,
-    /// Whether connections to the store and to servers pass relays.
+    /// Whether connections to the store and to servers go through relays.
     pub has_links: bool,
 }
 
 impl Site {
-    /// Two data centres with five engines each, three entries.
+    /// Two data centres with five engines each, and three entries.
     pub fn small() -> Site {
         Site {
             layer_count: 12,
@@ -75,7 +76,7 @@
     }
 
     /// One data centre with eight engines and six entries, of which one reads
-    /// the store's feeds for the others.
+    /// the store's feeds and serves them to the others.
     pub fn with_shared_feeds() -> Site {
         Site {
             engines_each: 8,
@@ -85,18 +86,19 @@
         }
     }
 
-    /// Layers that all engines could hold.
+    /// Number of layers that all engines together can hold.
     pub fn layer_capacity(&self) -> u32 {
-        let each = (ENGINE_MB / LAYER_MB) as u32;
-        each * (self.engines_each * self.data_centres.len()) as u32
+        let per_engine = (ENGINE_MB / LAYER_MB) as u32;
+        per_engine * (self.engines_each * self.data_centres.len()) as u32
     }
 
-    /// Most layers of an engine.
+    /// Maximum number of layers on one engine.
     pub fn max_layers(&self) -> u32 {
         (ENGINE_MB / LAYER_MB) as u32
     }
 
-    /// The operator's configuration with these keys of the one account.
+    /// The operator's configuration with these keys for the only client
+    /// account.
     pub fn configuration(&self, version: u64, keys: &[&str]) -> Value {
         let route = |name: &str, prefix: &str, kind: &str, service: &str| {
             json!({
@@ -219,12 +221,12 @@
 /// Ports of an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EntryPorts {
-    /// Which entry.
+    /// Index of the entry.
     pub index: usize,
-    /// Where clients connect.
+    /// Port for clients.
     pub clients: u16,
-    /// Where the balancer asks.
+    /// Port for readiness checks of the load balancer.
     pub ready: u16,
-    /// For other entries and metrics.
+    /// Port for other entries, metrics and status.
     pub inner: u16,
 }
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: rows, transactions, feeds, and its faults.
+//! Stand-in for the platform's store: rows, transactions, feeds, and faults.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -17,23 +17,23 @@
 use chestnutreach_http::relay::{Inbound, InboundLimits, RelayRequest};
 use serde_json::{Value, json};
 
-/// Time between looks of a feed that waits.
-const FEED_LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a waiting feed checks for changes.
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How the store fails.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreFault {
-    /// It serves.
+    /// No fault.
     None,
-    /// It answers nothing.
+    /// Calls get no response.
     Silent,
-    /// It refuses with 503.
+    /// Calls are rejected with status 503.
     Busy,
-    /// It answers late, by these milliseconds.
+    /// Responses are delayed by this many milliseconds.
     Slow(u64),
-    /// Writes are done and not answered.
+    /// Writes are applied and get no response.
     LosesAnswers,
-    /// Writes are done these milliseconds later and not answered.
+    /// Writes are applied this many milliseconds later and get no response.
     LateWrites(u64),
 }
 
@@ -47,10 +47,12 @@
 #[derive(Debug, Default)]
 struct State {
     rows: BTreeMap<(String, String), Row>,
-    /// Changes in order, with what was dropped.
+    /// Changes in order: version, table, key, and the value, `None` for a
+    /// deletion.
     history: VecDeque<(u64, String, String, Option<String>)>,
-    /// Feeds must begin after this version.
-    forgotten: u64,
+    /// Changes up to this version are discarded; feeds must start at it or
+    /// later.
+    discarded_version: u64,
     version: u64,
 }
 
@@ -70,7 +72,7 @@
 }
 
 impl Store {
-    /// An empty store that listens on a port of its own.
+    /// Starts an empty store on a free port.
     ///
     /// # Errors
     ///
@@ -99,33 +101,34 @@
         Ok((store, address))
     }
 
-    /// Sets how it fails.
+    /// Sets the fault of the store.
     pub fn set_fault(&self, fault: StoreFault) {
         *self.shared.fault.lock().expect("no holder panics") = fault;
     }
 
-    /// Calls taken so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.shared.calls.load(Relaxed)
     }
 
-    /// Writes a row as the operator or a server does; its version.
+    /// Writes a row as the operator or a server does and returns its version.
     pub fn put(&self, table: &str, key: &str, value: &Value) -> u64 {
         let value = BASE64.encode(value.to_string());
         self.lock().set(table, key, Some(value))
     }
 
-    /// Writes a row whose value is a text as it stands.
+    /// Writes a row with a text as its value, which need not be JSON.
     pub fn put_text(&self, table: &str, key: &str, text: &str) -> u64 {
         self.lock().set(table, key, Some(BASE64.encode(text)))
     }
 
-    /// Writes a row whose value is no base64.
+    /// Writes a row whose value is not valid base64.
     pub fn put_invalid_base64(&self, table: &str, key: &str) -> u64 {
         self.lock().set(table, key, Some("\u{7}no base64".to_owned()))
     }
 
-    /// Has feeds tell of a row as it was once, while reads show it as it is.
+    /// Makes feeds deliver an old value of a row, while reads return its
+    /// current value.
     pub fn push_stale_change(&self, table: &str, key: &str, value: &Value) {
         let value = BASE64.encode(value.to_string());
         let mut state = self.lock();
@@ -135,23 +138,24 @@
         state.history.push_back(change);
     }
 
-    /// Drops a row.
+    /// Deletes a row.
     pub fn delete_row(&self, table: &str, key: &str) {
         self.lock().set(table, key, None);
     }
 
-    /// A row's value, if it is there.
+    /// The value of a row, if the row exists and holds JSON.
     pub fn get(&self, table: &str, key: &str) -> Option<Value> {
         let state = self.lock();
         let row = state.rows.get(&(table.to_owned(), key.to_owned()))?;
         serde_json::from_slice(&BASE64.decode(&row.value).ok()?).ok()
     }
 
-    /// Forgets its history: feeds that go on get 410.
+    /// Discards the history of changes: feeds that resume from an earlier
+    /// version get status 410.
     pub fn discard_history(&self) {
         let mut state = self.lock();
         state.history.clear();
-        state.forgotten = state.version;
+        state.discarded_version = state.version;
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -175,12 +179,13 @@
             let Ok(request) = inbound.receive(&limits).await else {
                 return;
             };
-            // Who sees the call counted knows that this fault strikes it.
+            // The fault is read before the call is counted: a test that sees
+            // the count knows that this fault applies to the call.
             let fault = self.fault();
             self.shared.calls.fetch_add(1, Relaxed);
-            let answer = self.answer(&request, fault).await;
-            let Some((status, body)) = answer else {
-                // Nothing further comes on this connection.
+            let response = self.respond(&request, fault).await;
+            let Some((status, body)) = response else {
+                // Keep the connection open without a response.
                 Timer::after(Duration::from_secs(30)).await;
                 return;
             };
@@ -197,8 +202,8 @@
         }
     }
 
-    /// The answer; none where none comes.
-    async fn answer(
+    /// The response to a call; `None` if the fault suppresses the response.
+    async fn respond(
         &self,
         request: &RelayRequest,
         fault: StoreFault,
@@ -239,14 +244,14 @@
             |name: &str| body[name].as_array().cloned().unwrap_or_default();
         let mut state = self.lock();
         for row in list("expect-rev") {
-            let current = state.rows.get(&name_of(&row));
+            let current = state.rows.get(&table_and_key(&row));
             let version = current.map_or(0, |row| row.version);
             if row["ver"].as_u64() != Some(version) {
                 return (412, json!({"rows": [], "ver": state.version}));
             }
         }
         for row in list("set-keys") {
-            let (table, key) = name_of(&row);
+            let (table, key) = table_and_key(&row);
             if matches!(table.as_str(), "op" | "servers") {
                 return (403, json!({}));
             }
@@ -264,15 +269,15 @@
         let state = self.lock();
         let first = (table.clone(), from);
         let rows = state.rows.range(first..).filter(|row| row.0.0 == table);
-        let all: Vec<Value> = rows
+        let found: Vec<Value> = rows
             .take(limit + 1)
             .map(|((table, key), row)| {
                 json!({"table": table, "part": "", "key": key,
                     "value": row.value, "ver": row.version})
             })
             .collect();
-        let is_truncated = all.len() > limit;
-        let rows = &all[..all.len().min(limit)];
+        let is_truncated = found.len() > limit;
+        let rows = &found[..found.len().min(limit)];
         let body = json!({"rows": rows, "truncated": is_truncated,
             "ver": state.version, "now-ms": self.now_ms()});
         (200, body)
@@ -290,7 +295,7 @@
             }
             {
                 let state = self.lock();
-                if after < state.forgotten {
+                if after < state.discarded_version {
                     return Some((410, json!({})));
                 }
                 let rows = state.changes(&table, after);
@@ -300,7 +305,7 @@
                     return Some((200, body));
                 }
             }
-            Timer::after(FEED_LOOK).await;
+            Timer::after(FEED_POLL_INTERVAL).await;
         }
     }
 
@@ -340,12 +345,12 @@
     }
 }
 
-fn name_of(row: &Value) -> (String, String) {
+fn table_and_key(row: &Value) -> (String, String) {
     let text = |name: &str| row[name].as_str().unwrap_or("").to_owned();
     (text("table"), text("key"))
 }
 
-/// The query of a request.
+/// Query parameters of a request.
 struct Query(BTreeMap<String, String>);
 
 impl Query {
