--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -1,9 +1,9 @@
-//! One request of a client, and its checks.
+//! Sends one request as a caller does and checks the responses.
 //!
-//! The client does as the platform's clients do: it waits until its deadline,
-//! leaves a stream that stands still, and tries once more where that is
-//! allowed, each time with a new id and on a new connection. A stream goes on
-//! after the last event that it has.
+//! The caller behaves like the platform's callers: it waits until its
+//! deadline, abandons a stalled stream, and retries once where that is
+//! allowed, each attempt with a new id and on a new connection. A stream
+//! resumes after the last event received.
 
 use std::{
     net::SocketAddr,
@@ -19,18 +19,18 @@
     site::{HOST, IDEMPOTENT_PATH, KEY, ONCE_PATH, STREAM_PATH},
 };
 
-/// A stream is left after a gap of this length.
-const GAP: Duration = Duration::from_secs(2);
-/// Time for a new connection.
-const DIAL: Duration = Duration::from_secs(1);
-/// A client that is told when to come back waits for at most one part in so
-/// many of the time that it has left.
-const COME_BACK_PART: u32 = 3;
+/// Time without bytes after which the caller abandons a stream.
+const GAP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for connecting to an entry.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A caller honours `Retry-After` up to this fraction (one in so many) of the
+/// time until its deadline.
+const RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// Kinds of requests.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum RequestKind {
-    /// A stream that may be resumed.
+    /// A resumable stream.
     Stream,
     /// A request that may run more than once.
     Idempotent,
@@ -39,11 +39,11 @@
 }
 
 impl RequestKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [RequestKind; 3] =
         [RequestKind::Stream, RequestKind::Idempotent, RequestKind::Once];
 
-    /// Its name in experiments and reports.
+    /// Name of the kind in experiments and reports.
     pub fn name(self) -> &'static str {
         match self {
             RequestKind::Stream => "stream",
@@ -70,108 +70,110 @@
     }
 }
 
-/// A request to make.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// Its kind.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// What it is about; the answer is made of it.
+    /// Token that the response must repeat.
     pub token: String,
-    /// Key of the client account.
+    /// API key of the client account.
     pub key: String,
-    /// Events of a whole stream.
+    /// Number of events of a complete stream.
     pub events: u64,
-    /// Tries at most.
+    /// Maximum number of attempts.
     pub max_attempts: usize,
 }
 
 impl RequestSpec {
-    /// A request with the site's key and one retry.
+    /// Creates a request with the site's key and one retry.
     pub fn new(kind: RequestKind, token: &str, events: u64) -> RequestSpec {
         let (token, key) = (token.to_owned(), KEY.to_owned());
         RequestSpec { kind, token, key, events, max_attempts: 2 }
     }
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AttemptEnd {
-    /// A whole answer.
+    /// With a complete response.
     Whole,
-    /// An answer with this status.
+    /// With a response of this status.
     Status(u16),
-    /// No connection was made.
+    /// No connection could be opened.
     NoConnection,
-    /// The connection ended without a whole answer.
+    /// The connection closed before the response was complete.
     Cut,
-    /// The client left.
+    /// The caller abandoned the attempt.
     Left,
 }
 
-/// One try of a client.
+/// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its id.
+    /// Request id of the attempt.
     pub id: String,
-    /// Which entry it went to.
+    /// Address of the entry.
     pub entry: SocketAddr,
-    /// When it was sent.
+    /// Start time.
     pub sent_at: Instant,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// When it is to come back, as it was told.
+    /// Value of `Retry-After` in the response.
     pub retry_after: Option<Duration>,
-    /// When.
+    /// End time.
     pub ended_at: Instant,
 }
 
-/// What came of a request.
+/// Outcome of a request over all attempts.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The request.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// When it began, from the start of the load.
+    /// Scheduled time, from the start of the load.
     pub at: Duration,
-    /// Its tries.
+    /// Attempts in order.
     pub attempts: Vec<Attempt>,
-    /// Time to the first event or answer.
+    /// Time to the first event or to the body of a plain response.
     pub time_to_first: Option<Duration>,
-    /// Time to the whole answer.
+    /// Time to the end of the complete response.
     pub total_time: Option<Duration>,
-    /// Longest pause between events.
+    /// Longest gap between events.
     pub max_gap: Duration,
-    /// What must not happen and did.
+    /// Violations of invariants.
     pub violations: Vec<String>,
 }
 
 impl Outcome {
-    /// Whether the answer came whole.
+    /// Whether a complete response arrived.
     pub fn is_served(&self) -> bool {
         self.total_time.is_some()
     }
 }
 
-struct Reading {
+/// Progress of a request over its attempts.
+struct RequestProgress {
     start: Instant,
-    last: Instant,
+    last_progress: Instant,
     events: u64,
     outcome: Outcome,
 }
 
-/// Makes a request, trying the entries in turn from this one on.
+/// Sends a request. Attempts go to the entries in order, starting with
+/// `first_entry`.
 pub async fn send_request(
-    wish: &RequestSpec,
+    spec: &RequestSpec,
     entries: &[SocketAddr],
     first_entry: usize,
     at: Duration,
 ) -> Outcome {
     let start = Instant::now();
-    let mut reading = Reading {
+    let mut progress = RequestProgress {
         start,
-        last: start,
+        last_progress: start,
         events: 0,
         outcome: Outcome {
-            kind: wish.kind,
+            kind: spec.kind,
             at,
             attempts: Vec::new(),
             time_to_first: None,
@@ -180,29 +182,30 @@
             violations: Vec::new(),
         },
     };
-    for index in 0..wish.max_attempts {
+    for index in 0..spec.max_attempts {
         let entry = entries[(first_entry + index) % entries.len()];
         let id = format!("{:016x}", fastrand::u64(..));
         let sent_at = Instant::now();
         let (end, retry_after) =
-            try_once(wish, entry, &id, &mut reading).await;
-        let may_again =
-            may_try_again(wish.kind, &end) && index + 1 < wish.max_attempts;
+            attempt_once(spec, entry, &id, &mut progress).await;
+        let will_retry =
+            may_retry(spec.kind, &end) && index + 1 < spec.max_attempts;
         let ended_at = Instant::now();
-        let ended = Attempt { id, entry, sent_at, end, retry_after, ended_at };
-        reading.outcome.attempts.push(ended);
-        if !may_again {
+        let attempt =
+            Attempt { id, entry, sent_at, end, retry_after, ended_at };
+        progress.outcome.attempts.push(attempt);
+        if !will_retry {
             break;
         }
-        let deadline = wish.kind.deadline();
+        let deadline = spec.kind.deadline();
         let left = deadline.saturating_sub(start.elapsed());
         let retry_after = retry_after.unwrap_or_default();
-        Timer::after(retry_after.min(left / COME_BACK_PART)).await;
+        Timer::after(retry_after.min(left / RETRY_AFTER_DIVISOR)).await;
     }
-    reading.outcome
+    progress.outcome
 }
 
-fn may_try_again(kind: RequestKind, end: &AttemptEnd) -> bool {
+fn may_retry(kind: RequestKind, end: &AttemptEnd) -> bool {
     match end {
         AttemptEnd::Whole => false,
         AttemptEnd::Status(408 | 421 | 429 | 503)
@@ -214,24 +217,25 @@
     }
 }
 
-async fn try_once(
-    wish: &RequestSpec,
+async fn attempt_once(
+    spec: &RequestSpec,
     entry: SocketAddr,
     id: &str,
-    reading: &mut Reading,
+    progress: &mut RequestProgress,
 ) -> (AttemptEnd, Option<Duration>) {
-    let deadline = wish.kind.deadline();
-    let left = deadline.saturating_sub(reading.start.elapsed());
-    let bytes = request_bytes(wish, id, reading.events, left);
-    let Ok(mut connection) = Outbound::connect(entry, DIAL).await else {
+    let deadline = spec.kind.deadline();
+    let left = deadline.saturating_sub(progress.start.elapsed());
+    let bytes = request_bytes(spec, id, progress.events, left);
+    let Ok(mut connection) = Outbound::connect(entry, CONNECT_TIMEOUT).await
+    else {
         return (AttemptEnd::NoConnection, None);
     };
-    reading.last = Instant::now();
+    progress.last_progress = Instant::now();
     let exchange = async {
         if connection.send(&bytes).await.is_err() {
             return (AttemptEnd::Cut, None);
         }
-        read_answer(wish, id, &mut connection, reading).await
+        read_response(spec, id, &mut connection, progress).await
     };
     let limit = async {
         Timer::after(left).await;
@@ -241,24 +245,24 @@
 }
 
 fn request_bytes(
-    wish: &RequestSpec,
+    spec: &RequestSpec,
     id: &str,
     events: u64,
     left: Duration,
 ) -> Vec<u8> {
-    let method = match wish.kind {
+    let method = match spec.kind {
         RequestKind::Idempotent => "GET",
         RequestKind::Stream | RequestKind::Once => "POST",
     };
-    let target = format!("{}{}", wish.kind.path(), wish.token);
+    let target = format!("{}{}", spec.kind.path(), spec.token);
     let mut out = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
     push_header(&mut out, "Host", HOST);
     push_header(&mut out, "X-Request-Id", id);
     push_header(&mut out, "X-Deadline-Ms", &left.as_millis().to_string());
-    push_header(&mut out, "Authorization", &format!("Bearer {}", wish.key));
-    // A client may not name its own account.
+    push_header(&mut out, "Authorization", &format!("Bearer {}", spec.key));
+    // The entry must replace an account that the caller claims.
     push_header(&mut out, "X-Tenant", "somebody-else");
-    if wish.kind == RequestKind::Stream {
+    if spec.kind == RequestKind::Stream {
         push_header(&mut out, "X-Model", "m");
         push_header(&mut out, "X-Token-Count", "100,30");
         push_header(&mut out, "X-Prompt-Prefix", "5c1e07a2:100");
@@ -275,13 +279,13 @@
     out
 }
 
-async fn read_answer(
-    wish: &RequestSpec,
+async fn read_response(
+    spec: &RequestSpec,
     id: &str,
     connection: &mut Outbound,
-    reading: &mut Reading,
+    progress: &mut RequestProgress,
 ) -> (AttemptEnd, Option<Duration>) {
-    let head = match within_gap(wish, connection.read_head()).await {
+    let head = match with_gap_timeout(spec, connection.read_head()).await {
         None => return (AttemptEnd::Left, None),
         Some(Err(_)) => return (AttemptEnd::Cut, None),
         Some(Ok(head)) => head,
@@ -289,7 +293,7 @@
     for name in ["server-limit", "server-leaving"] {
         if head.header(name).is_some() {
             let text = format!("{id}: was passed on {name}");
-            reading.outcome.violations.push(text);
+            progress.outcome.violations.push(text);
         }
     }
     if head.status != 200 {
@@ -298,124 +302,128 @@
         let end = AttemptEnd::Status(head.status);
         return (end, retry_after.map(Duration::from_secs_f64));
     }
-    check_head(id, &head, reading);
-    let end = match wish.kind {
+    check_signature(id, &head, progress);
+    let end = match spec.kind {
         RequestKind::Stream => {
-            read_stream(wish, &head, connection, reading).await
+            read_stream(spec, &head, connection, progress).await
         }
-        _ => read_plain(wish, &head, connection, reading).await,
+        _ => read_plain(spec, &head, connection, progress).await,
     };
     if end == AttemptEnd::Whole {
-        reading.outcome.total_time = Some(reading.start.elapsed());
+        progress.outcome.total_time = Some(progress.start.elapsed());
     }
     (end, None)
 }
 
-fn check_head(id: &str, head: &AnswerHead, reading: &mut Reading) {
+fn check_signature(
+    id: &str,
+    head: &AnswerHead,
+    progress: &mut RequestProgress,
+) {
     let signed = find(&head.headers, "x-response-signature");
     if signed != Some(signature(id).as_str()) {
         let text = format!("{id}: signature {signed:?}");
-        reading.outcome.violations.push(text);
+        progress.outcome.violations.push(text);
     }
 }
 
 async fn read_plain(
-    wish: &RequestSpec,
+    spec: &RequestSpec,
     head: &AnswerHead,
     connection: &mut Outbound,
-    reading: &mut Reading,
+    progress: &mut RequestProgress,
 ) -> AttemptEnd {
     let method =
-        if wish.kind == RequestKind::Idempotent { "GET" } else { "POST" };
+        if spec.kind == RequestKind::Idempotent { "GET" } else { "POST" };
     let Ok(body) = connection.read_body(head.body(method), 1 << 20).await
     else {
         return AttemptEnd::Cut;
     };
-    reading.outcome.time_to_first = Some(reading.start.elapsed());
-    if body != wish.token.as_bytes() {
+    progress.outcome.time_to_first = Some(progress.start.elapsed());
+    if body != spec.token.as_bytes() {
         let body = String::from_utf8_lossy(&body).into_owned();
-        let text = format!("{}: answer {body:?}", wish.token);
-        reading.outcome.violations.push(text);
+        let text = format!("{}: answer {body:?}", spec.token);
+        progress.outcome.violations.push(text);
     }
     AttemptEnd::Whole
 }
 
 async fn read_stream(
-    wish: &RequestSpec,
+    spec: &RequestSpec,
     head: &AnswerHead,
     connection: &mut Outbound,
-    reading: &mut Reading,
+    progress: &mut RequestProgress,
 ) -> AttemptEnd {
     let mut body = head.body("POST");
     let mut unread = Vec::new();
     loop {
-        let part = connection.next_part(&mut body);
-        let part = match within_gap(wish, part).await {
+        let chunk = connection.next_part(&mut body);
+        let chunk = match with_gap_timeout(spec, chunk).await {
             None => return AttemptEnd::Left,
             Some(Err(_)) => return AttemptEnd::Cut,
-            Some(Ok(part)) => part,
+            Some(Ok(chunk)) => chunk,
         };
-        let Some(part) = part else {
-            return check_whole(wish, &unread, reading);
+        let Some(chunk) = chunk else {
+            return check_complete(spec, &unread, progress);
         };
-        unread.extend_from_slice(&part);
-        take_events(wish, &mut unread, reading);
+        unread.extend_from_slice(&chunk);
+        check_events(spec, &mut unread, progress);
     }
 }
 
-fn take_events(
-    wish: &RequestSpec,
+fn check_events(
+    spec: &RequestSpec,
     unread: &mut Vec<u8>,
-    reading: &mut Reading,
+    progress: &mut RequestProgress,
 ) {
     let end = |bytes: &[u8]| bytes.windows(2).position(|w| w == b"\n\n");
     while let Some(at) = end(unread) {
         let event: Vec<u8> = unread.drain(..at + 2).collect();
-        reading.events += 1;
-        let expected = event_text(&wish.token, reading.events);
+        progress.events += 1;
+        let expected = event_text(&spec.token, progress.events);
         if event != expected.as_bytes() {
             let event = String::from_utf8_lossy(&event).into_owned();
             let text = format!("event {event:?} in place of {expected:?}");
-            reading.outcome.violations.push(text);
+            progress.outcome.violations.push(text);
         }
         let now = Instant::now();
-        match reading.outcome.time_to_first {
+        match progress.outcome.time_to_first {
             None => {
-                reading.outcome.time_to_first = Some(reading.start.elapsed())
+                progress.outcome.time_to_first = Some(progress.start.elapsed())
             }
             Some(_) => {
-                let gap = now - reading.last;
-                let longest = &mut reading.outcome.max_gap;
+                let gap = now - progress.last_progress;
+                let longest = &mut progress.outcome.max_gap;
                 *longest = gap.max(*longest);
             }
         }
-        reading.last = now;
+        progress.last_progress = now;
     }
 }
 
-fn check_whole(
-    wish: &RequestSpec,
+fn check_complete(
+    spec: &RequestSpec,
     unread: &[u8],
-    reading: &mut Reading,
+    progress: &mut RequestProgress,
 ) -> AttemptEnd {
-    if reading.events != wish.events || !unread.is_empty() {
+    if progress.events != spec.events || !unread.is_empty() {
         let text = format!(
             "{}: ended as whole after {} of {} events",
-            wish.token, reading.events, wish.events
+            spec.token, progress.events, spec.events
         );
-        reading.outcome.violations.push(text);
+        progress.outcome.violations.push(text);
     }
     AttemptEnd::Whole
 }
 
-/// Bounds a wait for the next piece of a stream.
-async fn within_gap<T>(
-    wish: &RequestSpec,
+/// Limits a wait for the next bytes of a response.
+async fn with_gap_timeout<T>(
+    spec: &RequestSpec,
     work: impl Future<Output = T>,
 ) -> Option<T> {
-    let limit = match wish.kind {
-        RequestKind::Stream => GAP,
-        RequestKind::Idempotent | RequestKind::Once => wish.kind.deadline(),
+    let limit = match spec.kind {
+        RequestKind::Stream => GAP_TIMEOUT,
+        RequestKind::Idempotent | RequestKind::Once => spec.kind.deadline(),
     };
     let work = async { Some(work.await) };
     let limit = async {
--- a/crates/emulator/src/entries.rs
+++ b/crates/emulator/src/entries.rs
@@ -27,8 +27,8 @@
     /// Address of the store for each entry.
     stores: Vec<SocketAddr>,
     entries: Vec<Entry>,
-    /// Metrics address passed to all entries; only the first entry can bind it,
-    /// as all run on one machine.
+    /// Metrics address passed to all entries; only the first entry can bind
+    /// it, as all run on one machine.
     metrics: SocketAddr,
     /// Set when the entries are closed; no process is started after that.
     is_closed: bool,
@@ -160,8 +160,8 @@
         }
     }
 
-    /// The exit code of an entry; `None` while it is running, if a signal ended
-    /// it, or after [`Entries::kill`].
+    /// The exit code of an entry; `None` while it is running, if a signal
+    /// ended it, or after [`Entries::kill`].
     pub fn exit_code(&mut self, index: usize) -> Option<i32> {
         let child = self.entries[index].child.as_mut()?;
         child.try_wait().ok().flatten().and_then(|status| status.code())
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,7 +1,7 @@
-//! Load and faults from a file.
+//! Parses load and faults from a file.
 //!
-//! An experiment is an INI file: what is emulated, the load of each kind,
-//! and faults at their times. Everything wrong in it is reported together.
+//! An experiment is an INI file that describes the site, the load by request
+//! kind, and faults with their times. All errors are reported together.
 //!
 //! ```ini
 //! [site]
@@ -29,81 +29,82 @@
     store::StoreFault,
 };
 
-/// What happens at one moment.
+/// A fault that is injected at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// When, from the start of the load.
+    /// Time from the start of the load.
     pub at: Duration,
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// How long, for those that end.
+    /// Duration, for faults that last.
     pub duration: Duration,
 }
 
-/// What happens.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FaultKind {
-    /// An engine's process ends; an empty one starts in its place.
+    /// An engine exits, and an engine without layers starts at its address.
     EngineEnds,
-    /// An engine's process ends and starts again, empty, under its id.
+    /// An engine restarts without layers under its old id.
     EngineRestarts,
-    /// Another writer writes rows that no server writes.
+    /// Another writer writes invalid rows to the table of servers.
     RowsForeign,
-    /// An engine falls silent for good.
+    /// An engine stops responding; a replacement starts later.
     EngineDark,
     /// An engine becomes slow.
     EngineSlow,
-    /// An engine answers streams with failures.
+    /// An engine fails all streams with status 500.
     EngineFails,
-    /// An engine leaves in order.
+    /// An engine drains, and a new engine starts.
     EngineDrains,
-    /// An empty engine comes.
+    /// A new engine without layers is added.
     EngineComes,
-    /// Plain servers lose half of their answers.
+    /// Plain servers lose half of their responses.
     AnswersLost,
     /// Plain servers fail half of their requests.
     PlainFails,
-    /// The store fails in this way.
+    /// The store fails.
     Store(StoreFault),
-    /// The store forgets its history.
+    /// The store discards its history of changes.
     HistoryLost,
-    /// An entry is killed and started again.
+    /// An entry is killed and restarted.
     EntryKilled,
-    /// An entry is told to stop and started again.
+    /// An entry gets SIGTERM and is restarted after it has exited.
     EntryStops,
-    /// An entry stands still.
+    /// An entry is paused with SIGSTOP.
     EntryPauses,
-    /// An entry is told that its settings changed.
+    /// An entry gets SIGHUP to reload its settings.
     EntryHangsUp,
-    /// A new version of the configuration.
+    /// A new version of the configuration is written.
     Configuration,
-    /// A feed tells of an older configuration, without the key.
+    /// Feeds deliver an older configuration without the API key.
     ConfigurationOld,
-    /// An engine ends and the plain service takes its address.
+    /// An engine exits and a plain server reuses its address.
     AddressReused,
-    /// Engines reset nine in ten of the streams that they begin.
+    /// Engines reset nine in ten of the streams that they start.
     StreamsReset,
-    /// Plain servers send an answer of another request first.
+    /// Plain servers send the response to another request first.
     AnswersMixed,
-    /// An entry's way to the store fails.
+    /// The connections of an entry to the store fail.
     StoreLink(LinkFault),
-    /// The way to a server fails, for all entries.
+    /// The connections of all entries to a server fail.
     ServerLink(LinkFault),
-    /// A stream that crashes each engine that begins it comes again and
-    /// again, at any entry.
+    /// A stream that crashes every engine that starts it is repeated at random
+    /// entries.
     RequestCrashes,
-    /// A server names a limit on its requests.
+    /// A server announces a rate limit.
     LimitNamed,
-    /// A server turns requests away and asks for rest.
+    /// A server rejects requests and requests a cooldown.
     RestAsked,
-    /// An engine leaves, and says so in its answers before the list does.
+    /// An engine announces in its responses that it leaves, before its row
+    /// does.
     EngineSaysLeaving,
 }
 
-/// Delay on a link, over what an entry waits for a dial.
+/// Delay on a link; longer than the connect timeout of an entry.
 const LINK_DELAY: LinkFault = LinkFault::Delayed(Duration::from_millis(180));
 
-/// Every name of a fault, and what it is.
+/// All faults with their names in experiments.
 const FAULTS: [(&str, FaultKind); 40] = [
     ("engine-ends", FaultKind::EngineEnds),
     ("engine-dark", FaultKind::EngineDark),
@@ -147,17 +148,17 @@
     ("engine-says-leaving", FaultKind::EngineSaysLeaving),
 ];
 
-/// How long a fault lasts where nothing is said.
-const DEFAULT_LENGTH: Duration = Duration::from_millis(1_500);
+/// Duration of a fault for which the experiment gives none.
+const DEFAULT_DURATION: Duration = Duration::from_millis(1_500);
 
 impl FaultKind {
-    /// Its name in experiments.
+    /// Name of the fault in experiments.
     pub fn name(self) -> &'static str {
         let found = FAULTS.iter().find(|fault| fault.1 == self);
         found.map_or("store", |fault| fault.0)
     }
 
-    /// Whether engines may break streams off because of it.
+    /// Whether the fault may make engines abort streams.
     pub fn breaks_streams(self) -> bool {
         matches!(
             self,
@@ -173,49 +174,51 @@
         )
     }
 
-    /// Whether it is one of a link.
+    /// Whether the fault affects a link.
     pub fn affects_link(self) -> bool {
         matches!(self, FaultKind::StoreLink(_) | FaultKind::ServerLink(_))
     }
 
-    /// Whether it is one of starts under the same id, or of rows.
+    /// Whether the fault affects the identity of servers: a restart under the
+    /// same id, or foreign rows.
     pub fn affects_identity(self) -> bool {
         matches!(self, FaultKind::EngineRestarts | FaultKind::RowsForeign)
     }
 
-    /// Whether it is one of requests.
+    /// Whether the fault is a request that crashes servers.
     pub fn is_crashing_request(self) -> bool {
         self == FaultKind::RequestCrashes
     }
 
-    /// Whether it is a need that a server tells of itself.
+    /// Whether the fault is a limit that a server announces.
     pub fn is_announced_limit(self) -> bool {
         self == FaultKind::LimitNamed
     }
 
-    /// Whether it is a server's word on whether it takes requests.
+    /// Whether the fault is a notice of a server on whether it accepts
+    /// requests.
     pub fn is_admission_notice(self) -> bool {
         matches!(self, FaultKind::RestAsked | FaultKind::EngineSaysLeaving)
     }
 
-    /// Every fault that has a name.
+    /// All kinds of faults that have a name.
     pub fn all() -> impl Iterator<Item = FaultKind> {
         FAULTS.iter().map(|fault| fault.1)
     }
 }
 
-/// Load and faults.
+/// Site, load and faults of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Experiment {
-    /// What is emulated.
+    /// The emulated site.
     pub site: Site,
     /// The load.
     pub load: Load,
-    /// Faults in order of time.
+    /// Faults, sorted by time.
     pub faults: Vec<Fault>,
 }
 
-/// What is wrong with an experiment.
+/// All errors in an experiment.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Findings(pub Vec<String>);
 
@@ -228,34 +231,34 @@
 impl std::error::Error for Findings {}
 
 impl Experiment {
-    /// Reads an experiment from a file.
+    /// Loads an experiment from a file.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it.
+    /// The file can't be read, or all errors in the experiment.
     pub fn try_load(path: &Path) -> Result<Experiment, Findings> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| Findings(vec![format!("{}: {e}", path.display())]))?;
         Experiment::try_parse(&text)
     }
 
-    /// Reads an experiment.
+    /// Parses an experiment.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it.
+    /// All errors in the experiment.
     pub fn try_parse(text: &str) -> Result<Experiment, Findings> {
         let ini = Ini::load_from_str(text)
             .map_err(|e| Findings(vec![e.to_string()]))?;
         let mut findings = Vec::new();
-        let site = read_site(&ini, &mut findings);
-        let load = read_load(&ini, &site, &mut findings);
-        let faults = read_faults(&ini, &mut findings);
+        let site = parse_site(&ini, &mut findings);
+        let load = parse_load(&ini, &site, &mut findings);
+        let faults = parse_faults(&ini, &mut findings);
         let has_links = faults.iter().any(|fault| fault.kind.affects_link());
         let site = Site { has_links, ..site };
         for name in ini.sections().flatten() {
             if !["site", "load", "faults"].contains(&name) {
-                findings.push(format!("[{name}] is not known"));
+                findings.push(format!("[{name}] is not a known section"));
             }
         }
         match findings.is_empty() {
@@ -265,25 +268,25 @@
     }
 }
 
-fn number<T: std::str::FromStr>(
-    place: &str,
+fn parse_number<T: std::str::FromStr>(
+    location: &str,
     text: &str,
     findings: &mut Vec<String>,
 ) -> Option<T> {
     let parsed = text.parse().ok();
     if parsed.is_none() {
-        findings.push(format!("{place}: {text:?} is no number"));
+        findings.push(format!("{location}: {text:?} is not a number"));
     }
     parsed
 }
 
-fn read_site(ini: &Ini, findings: &mut Vec<String>) -> Site {
+fn parse_site(ini: &Ini, findings: &mut Vec<String>) -> Site {
     let mut site = Site::small();
     let Some(section) = ini.section(Some("site")) else { return site };
     for (key, text) in section.iter() {
-        let place = format!("[site] {key}");
+        let location = format!("[site] {key}");
         let mut set = |to: &mut usize| {
-            if let Some(value) = number(&place, text, findings) {
+            if let Some(value) = parse_number(&location, text, findings) {
                 *to = value;
             }
         };
@@ -296,13 +299,13 @@
                 set(&mut events);
                 site.events = events as u64;
             }
-            _ => findings.push(format!("{place} is not known")),
+            _ => findings.push(format!("{location} is not a known key")),
         }
     }
     site
 }
 
-fn read_load(ini: &Ini, site: &Site, findings: &mut Vec<String>) -> Load {
+fn parse_load(ini: &Ini, site: &Site, findings: &mut Vec<String>) -> Load {
     let mut load = Load {
         duration: Duration::from_secs(5),
         events: site.events,
@@ -314,42 +317,45 @@
         return load;
     };
     for (key, text) in section.iter() {
-        let place = format!("[load] {key}");
+        let location = format!("[load] {key}");
         let kind =
             RequestKind::ALL.into_iter().find(|kind| kind.name() == key);
         match (key, kind) {
             ("seconds", _) => {
-                let seconds = number(&place, text, findings).unwrap_or(1.0);
+                let seconds =
+                    parse_number(&location, text, findings).unwrap_or(1.0);
                 load.duration = Duration::from_secs_f64(seconds);
             }
             ("seed", _) => {
-                load.seed = number(&place, text, findings).unwrap_or(1);
+                load.seed =
+                    parse_number(&location, text, findings).unwrap_or(1);
             }
             (_, Some(kind)) => {
-                let per_s = number(&place, text, findings).unwrap_or(0.0);
+                let per_s =
+                    parse_number(&location, text, findings).unwrap_or(0.0);
                 load.per_s.insert(kind, per_s);
             }
-            _ => findings.push(format!("{place} is not known")),
+            _ => findings.push(format!("{location} is not a known key")),
         }
     }
     load
 }
 
-fn read_faults(ini: &Ini, findings: &mut Vec<String>) -> Vec<Fault> {
+fn parse_faults(ini: &Ini, findings: &mut Vec<String>) -> Vec<Fault> {
     let Some(section) = ini.section(Some("faults")) else {
         return Vec::new();
     };
     let mut faults = Vec::new();
     for (key, text) in section.iter() {
-        let place = format!("[faults] {key}");
-        let at = number(&place, key, findings).unwrap_or(0.0);
+        let location = format!("[faults] {key}");
+        let at = parse_number(&location, key, findings).unwrap_or(0.0);
         let (name, duration) = match text.split_once(" for ") {
             Some((name, duration)) => {
                 let duration =
-                    number(&place, duration, findings).unwrap_or(1.0);
+                    parse_number(&location, duration, findings).unwrap_or(1.0);
                 (name, Duration::from_secs_f64(duration))
             }
-            None => (text, DEFAULT_LENGTH),
+            None => (text, DEFAULT_DURATION),
         };
         match FAULTS.iter().find(|fault| fault.0 == name) {
             Some((_, kind)) => faults.push(Fault {
@@ -357,7 +363,9 @@
                 kind: *kind,
                 duration,
             }),
-            None => findings.push(format!("{place}: no fault {name:?}")),
+            None => {
+                findings.push(format!("{location}: unknown fault {name:?}"))
+            }
         }
     }
     faults.sort_by_key(|fault| fault.at);
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -15,11 +15,11 @@
     Delayed(Duration),
     /// Open connections are reset.
     Reset,
-    /// Open connections permanently stop delivering bytes.
+    /// Open connections drop all bytes from then on; new connections work.
     Silent,
-    /// No bytes reach the server for some time.
+    /// Bytes towards the server are held back until the fault ends.
     CutForth,
-    /// No bytes reach the client for some time.
+    /// Bytes from the server are held back until the fault ends.
     CutBack,
 }
 
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! Outcomes, latencies and recovery as text, JSON and plot.
+//! Outcomes and latencies of a run as text, JSON and plot.
 
 use std::{
     collections::BTreeMap,
@@ -17,29 +17,30 @@
 };
 
 /// Width and height of the plot.
-const PLOT: (f64, f64) = (800.0, 240.0);
-/// What a server had turned away by then, or was on its way, may arrive.
-const REST_HOLDS_AFTER: Duration = Duration::from_millis(500);
-/// Time of a bar in the plot.
-const BAR: Duration = Duration::from_millis(250);
+const PLOT_SIZE: (f64, f64) = (800.0, 240.0);
+/// Time after a rejection for which requests that were already on their way
+/// may still arrive within the cooldown.
+const COOLDOWN_GRACE: Duration = Duration::from_millis(500);
+/// Time span of a bar in the plot.
+const BAR_SPAN: Duration = Duration::from_millis(250);
 
-/// What an experiment gave.
+/// Results of an experiment.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// When the load began.
+    /// Start of the load.
     pub start: Instant,
-    /// What came of each request.
+    /// Outcome of each request.
     pub outcomes: Vec<Outcome>,
-    /// What engines saw.
+    /// Observations of backend servers.
     pub observations: Observations,
-    /// Faults that were made.
+    /// Injected faults.
     pub faults: Vec<Fault>,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub store_calls: u64,
 }
 
 impl Report {
-    /// Everything that must not happen and did, at callers and engines.
+    /// All violations of invariants at callers and backend servers.
     pub fn violations(&self) -> Vec<String> {
         let callers = self.outcomes.iter().flat_map(|o| o.violations.clone());
         let engines = self.observations.violations.iter().cloned();
@@ -47,7 +48,7 @@
         all.chain(self.false_denials()).collect()
     }
 
-    /// Requests that were denied although the key and the route hold.
+    /// Attempts that were denied although key and route are valid.
     fn false_denials(&self) -> Vec<String> {
         let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
         let denied = attempts.filter(|t| {
@@ -56,7 +57,8 @@
         denied.map(|t| format!("{}: {:?}", t.id, t.end)).collect()
     }
 
-    /// Requests that were told that they did not run, and had.
+    /// Non-idempotent attempts whose response states that they did not run,
+    /// although they ran.
     fn false_refusals(&self) -> Vec<String> {
         let once =
             self.outcomes.iter().filter(|o| o.kind == RequestKind::Once);
@@ -69,18 +71,19 @@
         ran.map(|t| format!("{}: {:?}, and it ran", t.id, t.end)).collect()
     }
 
-    /// Most requests of one entry that reached a server at rest, from half a
-    /// second after it had turned that entry away.
+    /// Highest number of requests from one entry that reached a server within
+    /// a cooldown, counted from half a second after the server rejected a
+    /// request of that entry.
     pub fn max_requests_in_cooldown(&self) -> usize {
         let entries = self.entries_of_requests();
-        let in_rest = |rest: &CooldownRequest| {
-            let Arrival { server, request, at } = &rest.rejected;
-            let from = *at + REST_HOLDS_AFTER;
+        let count_arrivals = |cooldown: &CooldownRequest| {
+            let Arrival { server, request, at } = &cooldown.rejected;
+            let from = *at + COOLDOWN_GRACE;
             let arrived =
                 self.observations.arrival_log.iter().filter(|arrival| {
                     arrival.server == *server
                         && from <= arrival.at
-                        && arrival.at < *at + rest.duration
+                        && arrival.at < *at + cooldown.duration
                         && entries.get(&arrival.request)
                             == entries.get(request)
                 });
@@ -89,14 +92,15 @@
         self.observations
             .cooldown_requests
             .iter()
-            .map(in_rest)
+            .map(count_arrivals)
             .max()
             .unwrap_or(0)
     }
 
-    /// Requests that reached a server which leaves, sent later than some time
-    /// after an answer that the same entry passed on had said so; at any
-    /// entry with `at_any`.
+    /// Number of requests that reached a leaving server and were sent more
+    /// than
+    /// `after` later than the announcement in a response through the same entry,
+    /// or through any entry with `at_any`.
     pub fn late_requests_at_leaving_servers(
         &self,
         after: Duration,
@@ -110,36 +114,37 @@
             let sent = sent.get(arrival.request.as_str());
             let entry = entries.get(&arrival.request);
             sent.is_some_and(|sent| {
-                self.observations.leaving_notices.iter().any(|told| {
-                    told.server == arrival.server
-                        && (at_any || entries.get(&told.request) == entry)
-                        && *sent > told.at + after
+                self.observations.leaving_notices.iter().any(|notice| {
+                    notice.server == arrival.server
+                        && (at_any || entries.get(&notice.request) == entry)
+                        && *sent > notice.at + after
                 })
             })
         };
         self.observations.arrival_log.iter().filter(is_late).count()
     }
 
-    /// Which entry each try went to, by the id of its request.
+    /// The entry of each attempt, by request id.
     fn entries_of_requests(&self) -> BTreeMap<String, SocketAddr> {
         let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
         attempts.map(|t| (t.id.clone(), t.entry)).collect()
     }
 
-    /// Share of the requests of a kind that were served.
+    /// Share of the requests of a kind that got a complete response.
     pub fn served_share(&self, kind: RequestKind) -> f64 {
         let of_kind = || self.outcomes.iter().filter(|o| o.kind == kind);
         let served = of_kind().filter(|o| o.is_served()).count();
         served as f64 / of_kind().count().max(1) as f64
     }
 
-    /// Arrivals at engines beyond the first of each request.
+    /// Number of arrivals at backend servers beyond the first of each request
+    /// id.
     pub fn retry_arrivals(&self) -> u64 {
         let arrivals = self.observations.arrival_counts.values();
         arrivals.map(|count| u64::from(count.saturating_sub(1))).sum()
     }
 
-    /// As JSON.
+    /// The report as JSON.
     pub fn to_json(&self) -> Value {
         let kinds: BTreeMap<&str, Value> = RequestKind::ALL
             .into_iter()
@@ -168,7 +173,7 @@
         })
     }
 
-    /// As text.
+    /// The report as text.
     pub fn to_text(&self) -> String {
         let mut out = String::new();
         for kind in RequestKind::ALL {
@@ -202,10 +207,12 @@
         out
     }
 
-    /// Served and other requests over time, with the faults, as an SVG.
+    /// Plot of served and unserved requests over time, with the faults, as
+    /// SVG.
     pub fn to_svg(&self) -> String {
-        let bar_of =
-            |o: &Outcome| (o.at.as_secs_f64() / BAR.as_secs_f64()) as usize;
+        let bar_of = |o: &Outcome| {
+            (o.at.as_secs_f64() / BAR_SPAN.as_secs_f64()) as usize
+        };
         let bars = self.outcomes.iter().map(bar_of).max().unwrap_or(0) + 1;
         let mut counts = vec![(0_u32, 0_u32); bars];
         for outcome in &self.outcomes {
@@ -215,10 +222,10 @@
                 false => count.1 += 1,
             }
         }
-        let most = counts.iter().map(|c| c.0 + c.1).max().unwrap_or(1);
-        let (width, height) = PLOT;
+        let max_count = counts.iter().map(|c| c.0 + c.1).max().unwrap_or(1);
+        let (width, height) = PLOT_SIZE;
         let bar = width / bars as f64;
-        let scale = height / f64::from(most.max(1));
+        let scale = height / f64::from(max_count.max(1));
         let mut out = format!(
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{width}\" \
              height=\"{height}\">\n"
@@ -238,7 +245,7 @@
             );
         }
         for fault in &self.faults {
-            let x = fault.at.as_secs_f64() / BAR.as_secs_f64() * bar;
+            let x = fault.at.as_secs_f64() / BAR_SPAN.as_secs_f64() * bar;
             let _ = writeln!(
                 out,
                 "<text x=\"{x:.1}\" y=\"12\" font-size=\"9\">{}</text>",
@@ -252,7 +259,7 @@
 
 fn quantiles(times: impl Iterator<Item = Duration>) -> Value {
     let mut histogram =
-        Histogram::<u64>::new(3).expect("three digits are allowed");
+        Histogram::<u64>::new(3).expect("3 significant digits are supported");
     for time in times {
         histogram.saturating_record(time.as_millis() as u64);
     }
--- a/crates/emulator/src/running.rs
+++ b/crates/emulator/src/running.rs
@@ -28,36 +28,37 @@
 
 mod faults;
 
-/// Time for a site to be ready.
-const READY: Duration = Duration::from_secs(20);
-/// Time within which it serves again after the last fault.
-pub(crate) const RECOVER: Duration = Duration::from_secs(12);
+/// Time within which a site must become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time within which the site must serve all requests again after the last
+/// fault.
+pub(crate) const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// A running site.
 pub struct RunningSite {
     /// The store.
     pub store: Store,
-    /// Engines and plain servers.
+    /// Engines and servers of the plain service.
     pub backends: BackendServers,
-    /// Entries.
+    /// Entry processes.
     pub entries: Arc<Mutex<Entries>>,
-    /// Where clients connect.
+    /// Addresses at which clients connect, by entry.
     pub addresses: Vec<SocketAddr>,
     version: Mutex<u64>,
-    /// Relays between each entry and the store, where the site has links.
+    /// Relays between each entry and the store, if the site emulates links.
     store_links: Vec<Arc<Relay>>,
-    /// Planned stops of entries, with their times.
+    /// Planned stops: address of the entry and time.
     pub(crate) stops: Mutex<Vec<(SocketAddr, Instant)>>,
-    /// Entries that were killed or paused.
+    /// Addresses of entries that were killed or paused.
     pub(crate) kills: Mutex<Vec<SocketAddr>>,
     executor: Arc<Executor<'static>>,
 }
 
-/// Starts a site and waits until it serves.
+/// Starts a site and waits until all entries serve.
 ///
 /// # Errors
 ///
-/// Something could not be started, or is not ready in time.
+/// A part of the site can't be started or is not ready within the timeout.
 pub async fn start(
     executor: &Arc<Executor<'static>>,
     binary: &Path,
@@ -73,9 +74,9 @@
             .collect(),
         false => Vec::new(),
     };
-    let own = |at: usize| store_links.get(at).map(|link| link.address());
+    let relayed = |at: usize| store_links.get(at).map(|link| link.address());
     let stores: Vec<SocketAddr> =
-        (0..site.entries).map(|at| own(at).unwrap_or(address)).collect();
+        (0..site.entries).map(|at| relayed(at).unwrap_or(address)).collect();
     let entries = Entries::start(binary, site, &stores)
         .with_context(|| format!("entries of {}", binary.display()))?;
     let addresses = (0..entries.count()).map(|i| entries.address(i));
@@ -92,17 +93,24 @@
     };
     let has_full_coverage = running
         .backends
-        .wait_for(READY, BackendServers::has_full_coverage)
+        .wait_for(READY_TIMEOUT, BackendServers::has_full_coverage)
         .await;
-    anyhow::ensure!(has_full_coverage, "no engine was ordered to hold layers");
-    anyhow::ensure!(running.are_ready().await, "an entry is not ready");
+    anyhow::ensure!(
+        has_full_coverage,
+        "some layers are held by no engine when the timeout ends"
+    );
+    anyhow::ensure!(
+        running.wait_until_ready().await,
+        "an entry serves no request when the timeout ends"
+    );
     Ok(running)
 }
 
 impl Drop for RunningSite {
-    /// Tasks of faults that last may hold the entries beyond the site: what
-    /// they started later would outlive this process. Servers that went on
-    /// would hold their descriptors through all later seeds.
+    /// Closes the entries and terminates the servers. Tasks of lasting faults
+    /// may keep the entries alive longer than the site, and a process that
+    /// they start later would outlive this process. Servers that keep running
+    /// would keep their file descriptors open during all later seeds.
     fn drop(&mut self) {
         self.entries().close();
         self.backends.terminate_all();
@@ -110,15 +118,15 @@
 }
 
 impl RunningSite {
-    async fn are_ready(&self) -> bool {
-        let until = Instant::now() + READY;
+    async fn wait_until_ready(&self) -> bool {
+        let until = Instant::now() + READY_TIMEOUT;
         for index in 0..self.addresses.len() {
             loop {
-                let wish = RequestSpec::new(RequestKind::Stream, "ready", 1);
-                let wish = RequestSpec { max_attempts: 1, ..wish };
-                let own = [self.addresses[index]];
+                let spec = RequestSpec::new(RequestKind::Stream, "ready", 1);
+                let spec = RequestSpec { max_attempts: 1, ..spec };
+                let entry = [self.addresses[index]];
                 let outcome =
-                    send_request(&wish, &own, 0, Duration::ZERO).await;
+                    send_request(&spec, &entry, 0, Duration::ZERO).await;
                 if outcome.time_to_first.is_some() {
                     break;
                 }
@@ -131,7 +139,8 @@
         true
     }
 
-    /// Puts a new version of the configuration into the store.
+    /// Writes a new version of the configuration to the store and returns the
+    /// version.
     pub fn configure(&self, keys: &[&str]) -> u64 {
         let mut version = self.version.lock().expect("no holder panics");
         *version += 3;
@@ -160,18 +169,18 @@
         self.entries().kill(entry);
     }
 
-    /// The exit code of an entry that has ended.
+    /// The exit code of an entry whose process has exited.
     pub fn exit_code(&self, entry: usize) -> Option<i32> {
         self.entries().exit_code(entry)
     }
 
-    /// Where an entry shows its metrics and status.
+    /// Address of an entry's metrics and status.
     pub fn ops_address(&self, entry: usize) -> SocketAddr {
         self.entries().ops_address(entry)
     }
 
-    /// The server that most requests reached: of the model service, or of the
-    /// plain one.
+    /// The server that received most requests, among the engines or among the
+    /// servers of the plain service.
     pub fn busiest_server(&self, is_model: bool) -> SocketAddr {
         let servers = match is_model {
             true => self.backends.engines(),
@@ -180,29 +189,30 @@
         let observations = self.backends.observations();
         let arrivals = |address: &SocketAddr| {
             let id = self.backends.server(*address).map(|server| server.id);
-            let here = observations.arrival_log.iter().filter(|arrival| {
-                id.as_ref().is_some_and(|id| *id == arrival.server)
-            });
-            here.count()
+            let at_server =
+                observations.arrival_log.iter().filter(|arrival| {
+                    id.as_ref().is_some_and(|id| *id == arrival.server)
+                });
+            at_server.count()
         };
         let busiest_server = servers.into_iter().max_by_key(arrivals);
         busiest_server.unwrap_or(self.addresses[0])
     }
 
-    /// Whether an entry tells the balancer that it is ready.
+    /// Whether an entry reports to the load balancer that it is ready.
     pub async fn is_ready(&self, entry: usize) -> bool {
         let address = self.entries().ready_address(entry);
         matches!(get(address, "/v1/ready").await, Some((200, _)))
     }
 
-    /// The lines of all entries.
+    /// Logs of all entries, concatenated.
     pub fn logs(&self) -> String {
         let entries = self.entries();
         let log = |entry| entries.log(entry).unwrap_or_default();
         (0..entries.count()).map(log).collect()
     }
 
-    /// Fingerprints of requests that entries told as quarantined.
+    /// Fingerprints of requests that entries logged as quarantined.
     pub fn quarantined_fingerprints(&self) -> BTreeSet<String> {
         let logs = self.logs();
         let fingerprint = |line| {
@@ -213,13 +223,13 @@
         lines.filter_map(fingerprint).collect()
     }
 
-    /// What an entry knows, as it says itself; none if it doesn't answer.
+    /// The status document of an entry; `None` if the entry doesn't respond.
     pub async fn status(&self, entry: usize) -> Option<serde_json::Value> {
         let (_, text) = get(self.ops_address(entry), "/status").await?;
         serde_json::from_str(&text).ok()
     }
 
-    /// Short hashes of the backend servers that an entry knows.
+    /// Short hashes of the backend servers in an entry's status document.
     pub async fn engine_hashes(&self, entry: usize) -> Vec<u32> {
         let status = self.status(entry).await.unwrap_or_default();
         let backends = status["backends"].as_array();
@@ -229,7 +239,7 @@
         backends.into_iter().flatten().filter_map(hash).collect()
     }
 
-    /// Which entry plans, as it says itself.
+    /// The entry whose status document says that it is the planner.
     pub async fn planner(&self) -> Option<usize> {
         for entry in 0..self.addresses.len() {
             let status = self.status(entry).await;
@@ -244,13 +254,13 @@
         self.entries.lock().expect("no holder panics")
     }
 
-    fn later(
+    fn spawn_after(
         &self,
-        after: Duration,
+        delay: Duration,
         work: impl Future<Output = ()> + Send + 'static,
     ) {
         let task = async move {
-            Timer::after(after).await;
+            Timer::after(delay).await;
             work.await;
         };
         self.executor.spawn(task).detach();
@@ -261,26 +271,26 @@
         self.restart_later(entry, Duration::ZERO);
     }
 
-    fn restart_later(&self, entry: usize, after: Duration) {
+    fn restart_later(&self, entry: usize, delay: Duration) {
         let entries = self.entries.clone();
-        self.later(after, async move {
+        self.spawn_after(delay, async move {
             let mut entries = entries.lock().expect("no holder panics");
             entries.kill(entry);
-            // What stays down shows in the report.
+            // An entry that fails to start shows up in the report.
             let _ = entries.start_entry(entry);
         });
     }
 
-    fn restart_when_ended(&self, entry: usize) {
+    fn restart_after_exit(&self, entry: usize) {
         let entries = self.entries.clone();
-        self.later(Duration::from_millis(50), async move {
+        self.spawn_after(Duration::from_millis(50), async move {
             let until = Instant::now() + Duration::from_secs(8);
             loop {
                 {
                     let mut entries =
                         entries.lock().expect("no holder panics");
-                    let has_ended = entries.exit_code(entry).is_some();
-                    if has_ended || Instant::now() >= until {
+                    let has_exited = entries.exit_code(entry).is_some();
+                    if has_exited || Instant::now() >= until {
                         entries.kill(entry);
                         let _ = entries.start_entry(entry);
                         return;
@@ -291,18 +301,18 @@
         });
     }
 
-    /// Runs load and faults; what came of them.
+    /// Runs load and faults and returns the report.
     pub async fn run(&self, load: &Load, faults: &[Fault]) -> Report {
         let mut rng = fastrand::Rng::with_seed(load.seed);
         let start = Instant::now();
-        let strike = async {
+        let inject = async {
             for fault in faults {
                 Timer::at(start + fault.at).await;
                 self.inject_fault(fault, &mut rng);
             }
         };
         let requests = load::run(&self.executor, load, &self.addresses);
-        let (outcomes, ()) = futures_lite::future::zip(requests, strike).await;
+        let (outcomes, ()) = futures_lite::future::zip(requests, inject).await;
         Report {
             start,
             outcomes,
@@ -312,9 +322,10 @@
         }
     }
 
-    /// Whether all entries serve within the time of a recovery.
+    /// Whether the site serves all requests of a probe load again before the
+    /// recovery timeout.
     pub async fn recovers(&self) -> bool {
-        let until = Instant::now() + RECOVER;
+        let until = Instant::now() + RECOVERY_TIMEOUT;
         while Instant::now() < until {
             let load = Load {
                 per_s: [
--- a/crates/emulator/src/running/faults.rs
+++ b/crates/emulator/src/running/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a running site.
+//! Injects faults into a running site.
 
 use std::{
     net::SocketAddr,
@@ -21,33 +21,35 @@
     store::StoreFault,
 };
 
-/// Time in which the listener of a server that ended is closed.
-const LISTENER_ENDS: Duration = Duration::from_millis(100);
-/// Most ends of first engines that a stream meets by choice.
-const MOST_ENDS_MET: u32 = 2;
-/// How long the row of a server stays whose address is reused.
-const STAYS_LISTED: Duration = Duration::from_millis(4_000);
+/// Time within which the listener of an exited server is closed.
+const LISTENER_CLOSE_TIME: Duration = Duration::from_millis(100);
+/// Maximum number of first engines that [`RunningSite`] terminates on purpose
+/// under one stream.
+const MAX_FIRST_STAGE_EXITS: u32 = 2;
+/// Time for which the row of a server stays when its address is reused.
+const REUSED_ROW_TIME: Duration = Duration::from_millis(4_000);
 /// Share of streams that engines reset.
-const STREAMS_RESET: f64 = 0.9;
-/// Time of a slow engine's step, over that of a sound one.
+const STREAM_RESET_RATE: f64 = 0.9;
+/// Step time of a slow engine, relative to a healthy engine.
 const SLOWNESS: f64 = 8.0;
-/// Share of plain requests that fail, or whose answers are lost.
-const PLAIN_SHARE: f64 = 0.5;
-/// Pause until such a request comes again.
-const CRASHING_EVERY: Duration = Duration::from_millis(200);
-/// How long it does so beyond the time of its fault.
-const CRASHING_LASTS: Duration = Duration::from_millis(9_000);
-/// Limits that servers name, in requests a second.
+/// Share of plain requests that fail, or whose responses are lost.
+const PLAIN_FAULT_RATE: f64 = 0.5;
+/// Interval at which a request that crashes servers is repeated.
+const CRASHING_INTERVAL: Duration = Duration::from_millis(200);
+/// Time after the end of the fault for which such a request is repeated.
+const CRASHING_EXTRA_TIME: Duration = Duration::from_millis(9_000);
+/// Limits that servers announce, in requests per second.
 const LIMITS_PER_S: [f64; 3] = [1.0, 3.0, 6.0];
-/// How long a server names one beyond the time of its fault.
-const LIMIT_LASTS: Duration = Duration::from_millis(6_000);
-/// Rests that servers ask for, in seconds.
-const RESTS_S: [&str; 3] = ["0.4", "1", "3"];
-/// How long a server says that it leaves before the list does.
-const SAYS_BEFORE: Duration = Duration::from_millis(1_000);
+/// Time after the end of the fault for which a server announces a limit.
+const LIMIT_EXTRA_TIME: Duration = Duration::from_millis(6_000);
+/// Cooldowns that servers request, in seconds.
+const COOLDOWNS_S: [&str; 3] = ["0.4", "1", "3"];
+/// Time from the announcement of a server that it leaves to the same change in
+/// its row.
+const ANNOUNCED_BEFORE_ROW: Duration = Duration::from_millis(1_000);
 
 impl RunningSite {
-    /// Makes a fault; those that last are ended by a task of their own.
+    /// Injects a fault. A separate task ends faults that last.
     pub fn inject_fault(&self, fault: &Fault, rng: &mut fastrand::Rng) {
         let engines = self.backends.engines();
         let engine = rng.choice(engines.iter()).copied();
@@ -58,17 +60,17 @@
                 self.replace(engine, duration);
             }
             (FaultKind::EngineRestarts, Some(engine)) => {
-                self.restart_engine(engine, LISTENER_ENDS);
+                self.restart_engine(engine, LISTENER_CLOSE_TIME);
             }
             (FaultKind::EngineDark, Some(engine)) => {
                 self.backends.make_unresponsive(engine);
-                self.replace_gone(engine, duration);
+                self.start_replacement(engine, duration);
             }
             (FaultKind::EngineSlow, Some(engine)) => {
                 self.slow_down(engine, duration);
             }
             (FaultKind::EngineFails, Some(engine)) => {
-                self.have_fail(engine, duration);
+                self.fail_streams(engine, duration);
             }
             (FaultKind::EngineDrains, Some(engine)) => {
                 self.start_engine_like(engine);
@@ -78,16 +80,18 @@
                 self.start_engine_like(engine);
             }
             (FaultKind::EngineSaysLeaving, Some(engine)) => {
-                self.have_say_leaving(engine);
+                self.announce_leaving(engine);
             }
             (FaultKind::AddressReused, Some(engine)) => {
                 self.reuse_address(engine, entry);
             }
             (FaultKind::StreamsReset, _) => self.reset_streams(duration),
-            (FaultKind::AnswersLost, _) => self.lose_answers(duration),
-            (FaultKind::PlainFails, _) => self.have_plain_fail(duration),
-            (FaultKind::AnswersMixed, _) => self.mix_answers(duration),
-            (FaultKind::Store(kind), _) => self.strike_store(kind, duration),
+            (FaultKind::AnswersLost, _) => self.lose_responses(duration),
+            (FaultKind::PlainFails, _) => self.fail_plain_requests(duration),
+            (FaultKind::AnswersMixed, _) => self.mix_responses(duration),
+            (FaultKind::Store(kind), _) => {
+                self.apply_store_fault(kind, duration)
+            }
             (FaultKind::HistoryLost, _) => self.store.discard_history(),
             (FaultKind::RowsForeign, _) => {
                 self.backends.overwrite_rows(duration)
@@ -107,57 +111,59 @@
             }
             (FaultKind::StoreLink(link), _) => {
                 let relay = self.store_links.get(entry).cloned();
-                self.break_link(relay, link, duration);
+                self.apply_link_fault(relay, link, duration);
             }
             (FaultKind::ServerLink(link), _) => {
                 let relay = self.backends.relay(self.any_server(rng));
-                self.break_link(relay, link, duration);
+                self.apply_link_fault(relay, link, duration);
             }
             (FaultKind::RequestCrashes, _) => {
-                self.have_request_crash(rng.u32(..), duration);
+                self.repeat_crashing_request(rng.u32(..), duration);
             }
-            (FaultKind::LimitNamed, _) => self.have_name_limit(duration, rng),
-            (FaultKind::RestAsked, _) => self.have_ask_for_rest(duration, rng),
+            (FaultKind::LimitNamed, _) => self.announce_limit(duration, rng),
+            (FaultKind::RestAsked, _) => self.request_cooldown(duration, rng),
             (_, None) => {}
         }
     }
 
     fn slow_down(&self, engine: SocketAddr, duration: Duration) {
         let engines = move |_: &BackendServers| vec![engine];
-        self.switch(duration, engines, |server, is_on| {
+        self.apply_for(duration, engines, |server, is_on| {
             server.slowness = if is_on { SLOWNESS } else { 1.0 };
         });
     }
 
-    fn have_fail(&self, engine: SocketAddr, duration: Duration) {
+    fn fail_streams(&self, engine: SocketAddr, duration: Duration) {
         let engines = move |_: &BackendServers| vec![engine];
-        self.switch(duration, engines, |server, is_on| {
+        self.apply_for(duration, engines, |server, is_on| {
             server.failure_rate = if is_on { 1.0 } else { 0.0 };
         });
     }
 
-    fn have_say_leaving(&self, engine: SocketAddr) {
+    fn announce_leaving(&self, engine: SocketAddr) {
         self.start_engine_like(engine);
         self.backends
             .update_server(engine, |server| server.announces_leaving = true);
         let backends = self.backends.clone();
-        self.later(SAYS_BEFORE, async move { backends.drain(engine) });
+        self.spawn_after(ANNOUNCED_BEFORE_ROW, async move {
+            backends.drain(engine)
+        });
     }
 
-    /// The row of an engine that ended stays, and an entry that starts just
-    /// then knows nothing but the row.
+    /// Starts a plain server at the address of an exited engine whose row
+    /// stays. An entry that restarts meanwhile knows only the row.
     fn reuse_address(&self, engine: SocketAddr, entry: usize) {
-        self.backends.terminate_with_late_removal(engine, STAYS_LISTED);
-        self.kill_for(entry, STAYS_LISTED / 10);
+        self.backends.terminate_with_late_removal(engine, REUSED_ROW_TIME);
+        self.kill_for(entry, REUSED_ROW_TIME / 10);
         let backends = self.backends.clone();
-        self.later(LISTENER_ENDS, async move {
-            let place = backends.site().data_centres[0].clone();
+        self.spawn_after(LISTENER_CLOSE_TIME, async move {
+            let data_centre = backends.site().data_centres[0].clone();
             let port = engine.port();
-            // An address that is still held is reused by nobody.
+            // If the address is still in use, no server is started.
             let _ = engines::start_without_row(
                 &backends,
                 PLAIN_SERVICE,
-                &place,
+                &data_centre,
                 port,
                 None,
             );
@@ -165,35 +171,36 @@
     }
 
     fn reset_streams(&self, duration: Duration) {
-        self.switch(duration, BackendServers::engines, |server, is_on| {
+        self.apply_for(duration, BackendServers::engines, |server, is_on| {
             server.response_loss_rate =
-                if is_on { STREAMS_RESET } else { 0.0 };
+                if is_on { STREAM_RESET_RATE } else { 0.0 };
         });
     }
 
-    fn lose_answers(&self, duration: Duration) {
-        self.switch(
+    fn lose_responses(&self, duration: Duration) {
+        self.apply_for(
             duration,
             BackendServers::plain_servers,
             |server, is_on| {
                 server.response_loss_rate =
-                    if is_on { PLAIN_SHARE } else { 0.0 };
+                    if is_on { PLAIN_FAULT_RATE } else { 0.0 };
             },
         );
     }
 
-    fn have_plain_fail(&self, duration: Duration) {
-        self.switch(
+    fn fail_plain_requests(&self, duration: Duration) {
+        self.apply_for(
             duration,
             BackendServers::plain_servers,
             |server, is_on| {
-                server.failure_rate = if is_on { PLAIN_SHARE } else { 0.0 };
+                server.failure_rate =
+                    if is_on { PLAIN_FAULT_RATE } else { 0.0 };
             },
         );
     }
 
-    fn mix_answers(&self, duration: Duration) {
-        self.switch(
+    fn mix_responses(&self, duration: Duration) {
+        self.apply_for(
             duration,
             BackendServers::plain_servers,
             |server, is_on| {
@@ -202,10 +209,10 @@
         );
     }
 
-    fn strike_store(&self, fault: StoreFault, duration: Duration) {
+    fn apply_store_fault(&self, fault: StoreFault, duration: Duration) {
         self.store.set_fault(fault);
         let store = self.store.clone();
-        self.later(duration, async move {
+        self.spawn_after(duration, async move {
             store.set_fault(StoreFault::None);
         });
     }
@@ -219,60 +226,65 @@
     fn stop(&self, entry: usize) {
         self.entries().signal(entry, Signal::TERM);
         self.record_stop(entry);
-        self.restart_when_ended(entry);
+        self.restart_after_exit(entry);
     }
 
     fn pause(&self, entry: usize, duration: Duration) {
         self.record_kill(entry);
         self.entries().signal(entry, Signal::STOP);
         let entries = self.entries.clone();
-        self.later(duration, async move {
+        self.spawn_after(duration, async move {
             let entries = entries.lock().expect("no holder panics");
             entries.signal(entry, Signal::CONT);
         });
     }
 
-    fn have_name_limit(&self, duration: Duration, rng: &mut fastrand::Rng) {
+    fn announce_limit(&self, duration: Duration, rng: &mut fastrand::Rng) {
         let server = self.any_server(rng);
         let per_s = LIMITS_PER_S[rng.usize(..LIMITS_PER_S.len())];
-        self.backends.announce_limit(server, per_s, duration + LIMIT_LASTS);
+        self.backends.announce_limit(
+            server,
+            per_s,
+            duration + LIMIT_EXTRA_TIME,
+        );
     }
 
-    fn have_ask_for_rest(&self, duration: Duration, rng: &mut fastrand::Rng) {
-        let rest = RESTS_S[rng.usize(..RESTS_S.len())];
+    fn request_cooldown(&self, duration: Duration, rng: &mut fastrand::Rng) {
+        let cooldown = COOLDOWNS_S[rng.usize(..COOLDOWNS_S.len())];
         let server = self.any_server(rng);
         let servers = move |_: &BackendServers| vec![server];
-        self.switch(duration, servers, move |server, is_on| {
-            server.cooldown = is_on.then(|| rest.to_owned());
+        self.apply_for(duration, servers, move |server, is_on| {
+            server.cooldown = is_on.then(|| cooldown.to_owned());
         });
     }
 
-    /// An engine or plain server.
+    /// A random engine or plain server.
     fn any_server(&self, rng: &mut fastrand::Rng) -> SocketAddr {
         let mut servers = self.backends.engines();
         servers.extend(self.backends.plain_servers());
         rng.choice(servers).unwrap_or(self.addresses[0])
     }
 
-    /// Has a stream come again and again that crashes its engines.
-    fn have_request_crash(&self, number: u32, duration: Duration) {
+    /// Repeats a stream that crashes its engines.
+    fn repeat_crashing_request(&self, number: u32, duration: Duration) {
         let token = format!("{CRASH_PREFIX}-{number}");
-        let wish = RequestSpec::new(RequestKind::Stream, &token, 1);
-        let wish = RequestSpec { max_attempts: 1, ..wish };
+        let spec = RequestSpec::new(RequestKind::Stream, &token, 1);
+        let spec = RequestSpec { max_attempts: 1, ..spec };
         let entries = self.addresses.clone();
-        let until = Instant::now() + duration + CRASHING_LASTS;
-        let come = async move {
+        let until = Instant::now() + duration + CRASHING_EXTRA_TIME;
+        let repeat = async move {
             while Instant::now() < until {
-                let first = fastrand::usize(..entries.len());
-                send_request(&wish, &entries, first, Duration::ZERO).await;
-                Timer::after(CRASHING_EVERY).await;
+                let first_entry = fastrand::usize(..entries.len());
+                send_request(&spec, &entries, first_entry, Duration::ZERO)
+                    .await;
+                Timer::after(CRASHING_INTERVAL).await;
             }
         };
-        self.executor.spawn(come).detach();
+        self.executor.spawn(repeat).detach();
     }
 
-    /// Breaks a link for a time, if there is one.
-    fn break_link(
+    /// Applies a fault to a link for some time, if the site emulates links.
+    fn apply_link_fault(
         &self,
         relay: Option<Arc<Relay>>,
         fault: LinkFault,
@@ -280,17 +292,17 @@
     ) {
         let Some(relay) = relay else { return };
         fault.set(&relay, true);
-        // Its server may end sooner, and the relay with it.
+        // The server and its relay may be closed before the fault ends.
         let relay = Arc::downgrade(&relay);
-        self.later(duration, async move {
+        self.spawn_after(duration, async move {
             if let Some(relay) = relay.upgrade() {
                 fault.set(&relay, false);
             }
         });
     }
 
-    /// Sets something on servers, and back after a time.
-    fn switch(
+    /// Applies a change to servers and reverts the change after some time.
+    fn apply_for(
         &self,
         duration: Duration,
         servers: impl Fn(&BackendServers) -> Vec<SocketAddr> + Send + 'static,
@@ -303,12 +315,12 @@
         };
         set_all(&self.backends, true);
         let backends = self.backends.clone();
-        self.later(duration, async move { set_all(&backends, false) });
+        self.spawn_after(duration, async move { set_all(&backends, false) });
     }
 
     fn start_engine_like(&self, engine: SocketAddr) {
         let Some(server) = self.backends.server(engine) else { return };
-        // Without a free port there is one engine less.
+        // Without a free port, no engine is started.
         let _ = engines::start(
             &self.backends,
             MODEL_SERVICE,
@@ -317,49 +329,52 @@
         );
     }
 
-    /// Ends the engine that is first of most streams, as soon as there is
-    /// one, and starts an empty one at its address later.
+    /// Terminates the engine that runs the first stage of most streams, as
+    /// soon as there is such an engine, and starts an engine without layers at
+    /// its address later.
     ///
-    /// An engine by chance may be first of no stream. One is left out that
-    /// would be the third to end under a stream: entries rightly refuse a
-    /// request under which three ended.
-    pub async fn terminate_first_stage_engine(&self, empty_after: Duration) {
-        let may_end = |engine: &SocketAddr| {
-            self.backends.max_first_stage_exits(*engine) < MOST_ENDS_MET
+    /// A random engine might run the first stage of no stream. An engine that
+    /// would be the third to exit under a stream is skipped: entries correctly
+    /// refuse a request under which three engines exited.
+    pub async fn terminate_first_stage_engine(&self, delay: Duration) {
+        let may_terminate = |engine: &SocketAddr| {
+            self.backends.max_first_stage_exits(*engine)
+                < MAX_FIRST_STAGE_EXITS
         };
         loop {
-            let first = self.backends.first_stage_engines();
-            if let Some(engine) = first.into_iter().find(may_end) {
-                return self.replace(engine, empty_after);
+            let candidates = self.backends.first_stage_engines();
+            if let Some(engine) = candidates.into_iter().find(may_terminate) {
+                return self.replace(engine, delay);
             }
-            Timer::after(LISTENER_ENDS).await;
+            Timer::after(LISTENER_CLOSE_TIME).await;
         }
     }
 
-    /// Ends an engine and starts an empty one at its address later.
-    fn replace(&self, engine: SocketAddr, after: Duration) {
+    /// Terminates an engine and starts an engine without layers at its address
+    /// later.
+    fn replace(&self, engine: SocketAddr, delay: Duration) {
         self.backends.terminate(engine);
-        self.replace_gone(engine, after);
+        self.start_replacement(engine, delay);
     }
 
-    /// Ends an engine and starts it again, empty, under its id.
-    pub fn restart_engine(&self, engine: SocketAddr, after: Duration) {
+    /// Terminates an engine and restarts it without layers under its old id.
+    pub fn restart_engine(&self, engine: SocketAddr, delay: Duration) {
         let Some(server) = self.backends.server(engine) else { return };
         self.backends.terminate_keeping_row(engine);
         let backends = self.backends.clone();
-        self.later(after.max(LISTENER_ENDS), async move {
-            // An address that is still held is reused by nobody.
+        self.spawn_after(delay.max(LISTENER_CLOSE_TIME), async move {
+            // If the address is still in use, the engine stays down.
             let _ = engines::restart(&backends, engine, &server);
         });
     }
 
-    fn replace_gone(&self, engine: SocketAddr, after: Duration) {
+    fn start_replacement(&self, engine: SocketAddr, delay: Duration) {
         let Some(server) = self.backends.server(engine) else { return };
         let backends = self.backends.clone();
-        self.later(after, async move {
+        self.spawn_after(delay, async move {
             backends.terminate(engine);
-            // Its listener ends a moment later.
-            Timer::after(LISTENER_ENDS).await;
+            // The listener is closed a moment later.
+            Timer::after(LISTENER_CLOSE_TIME).await;
             let _ = engines::start(
                 &backends,
                 MODEL_SERVICE,
--- a/crates/emulator/src/soak.rs
+++ b/crates/emulator/src/soak.rs
@@ -1,8 +1,8 @@
-//! Seeded mixes of faults against the promises.
+//! Seeded random faults, checked against the invariants.
 //!
-//! From a seed come the faults, their times and the load. Faults come in
-//! series and overlap, also while entries stop and start. Afterwards the
-//! site must serve again, and no promise may have been broken.
+//! The seed determines the faults, their times and the load. Faults follow
+//! each other and overlap, also while entries stop and start. Afterwards the
+//! site must serve all requests again, and no invariant may be violated.
 
 use std::{path::Path, sync::Arc, time::Duration};
 
@@ -13,37 +13,39 @@
     experiment::{Experiment, Fault, FaultKind},
     load::Load,
     report::Report,
-    running::{RECOVER, start},
+    running::{RECOVERY_TIMEOUT, start},
     site::Site,
 };
 
 mod checks;
 
-/// Further arrivals that are free, so few that the bound is met.
+/// Retries allowed regardless of the number of requests; so few that runs
+/// reach the retry limit.
 const SOAK_RETRY_SLACK: f64 = 10.0;
-/// Faults of a seeded run.
-const FAULTS: usize = 6;
-/// Seeds from here on have links that fail as well; those before stay what
-/// they are.
-const LINK_SEEDS: u64 = 1 << 20;
-/// Seeds from here on have starts under the same id and foreign rows as well.
-const IDENTITY_SEEDS: u64 = 1 << 21;
-/// Seeds from which on entries of one data centre share what they learn.
-const SHARED_SEEDS: u64 = 1 << 22;
-/// Seeds from here on have requests that crash engines as well.
-const CRASH_SEEDS: u64 = 1 << 23;
-/// Seeds from here on have servers that tell of a need as well.
-const NEED_SEEDS: u64 = 1 << 24;
-/// Seeds from here on have servers that ask for rest, or say that they leave.
-const TAKING_SEEDS: u64 = 1 << 25;
-/// Load of a seeded run.
-const LENGTH: Duration = Duration::from_secs(6);
+/// Number of faults of a seeded run.
+const FAULT_COUNT: usize = 6;
+/// First seed with faults of links. Like the other first seeds below, this
+/// keeps the experiments of lower seeds unchanged.
+const FIRST_LINK_SEED: u64 = 1 << 20;
+/// First seed with restarts under the same id and with foreign rows.
+const FIRST_IDENTITY_SEED: u64 = 1 << 21;
+/// First seed with a site whose entries share the store's feeds.
+const FIRST_SHARED_FEEDS_SEED: u64 = 1 << 22;
+/// First seed with requests that crash engines.
+const FIRST_CRASH_SEED: u64 = 1 << 23;
+/// First seed with servers that announce a limit.
+const FIRST_LIMIT_SEED: u64 = 1 << 24;
+/// First seed with servers that request a cooldown or announce that they
+/// leave.
+const FIRST_ADMISSION_SEED: u64 = 1 << 25;
+/// Duration of the load of a seeded run.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 
-/// The experiment of a seed.
+/// Generates the experiment of a seed.
 pub fn experiment(seed: u64) -> Experiment {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let has_links = seed >= LINK_SEEDS;
-    let base = match seed >= SHARED_SEEDS {
+    let has_links = seed >= FIRST_LINK_SEED;
+    let base = match seed >= FIRST_SHARED_FEEDS_SEED {
         true => Site::with_shared_feeds(),
         false => Site::small(),
     };
@@ -51,24 +53,26 @@
         Site { events: 60, retry_slack: SOAK_RETRY_SLACK, has_links, ..base };
     let kinds: Vec<FaultKind> = FaultKind::all()
         .filter(|kind| has_links || !kind.affects_link())
-        .filter(|kind| seed >= IDENTITY_SEEDS || !kind.affects_identity())
-        .filter(|kind| seed >= CRASH_SEEDS || !kind.is_crashing_request())
-        .filter(|kind| seed >= NEED_SEEDS || !kind.is_announced_limit())
-        .filter(|kind| seed >= TAKING_SEEDS || !kind.is_admission_notice())
+        .filter(|kind| seed >= FIRST_IDENTITY_SEED || !kind.affects_identity())
+        .filter(|kind| seed >= FIRST_CRASH_SEED || !kind.is_crashing_request())
+        .filter(|kind| seed >= FIRST_LIMIT_SEED || !kind.is_announced_limit())
+        .filter(|kind| {
+            seed >= FIRST_ADMISSION_SEED || !kind.is_admission_notice()
+        })
         .collect();
-    let mut faults: Vec<Fault> = (0..FAULTS)
+    let mut faults: Vec<Fault> = (0..FAULT_COUNT)
         .map(|_| Fault {
-            at: LENGTH.mul_f64(0.1 + 0.8 * rng.f64()),
+            at: LOAD_DURATION.mul_f64(0.1 + 0.8 * rng.f64()),
             kind: kinds[rng.usize(..kinds.len())],
             duration: Duration::from_millis(rng.u64(300..2_500)),
         })
         .collect();
-    if seed >= TAKING_SEEDS {
+    if seed >= FIRST_ADMISSION_SEED {
         faults[1].kind = FaultKind::RestAsked;
         faults[2].kind = FaultKind::EngineSaysLeaving;
-    } else if seed >= NEED_SEEDS {
+    } else if seed >= FIRST_LIMIT_SEED {
         faults[1].kind = FaultKind::LimitNamed;
-    } else if seed >= CRASH_SEEDS {
+    } else if seed >= FIRST_CRASH_SEED {
         faults[0].kind = FaultKind::RequestCrashes;
     }
     faults.sort_by_key(|fault| fault.at);
@@ -79,19 +83,19 @@
             (RequestKind::Once, 8.0),
         ]
         .into(),
-        duration: LENGTH,
+        duration: LOAD_DURATION,
         events: site.events,
         seed,
     };
     Experiment { site, load, faults }
 }
 
-/// What a seeded run broke; empty when nothing. Logs of entries are kept in
-/// a directory when something was.
+/// Runs the experiment of a seed and returns the report with all violations.
+/// If there are any, the logs of the entries are copied to a directory.
 ///
 /// # Errors
 ///
-/// The site could not be started.
+/// The site can't be started, or the logs can't be copied.
 pub async fn run_seed(
     executor: &Arc<Executor<'static>>,
     binary: &Path,
@@ -101,14 +105,15 @@
     let experiment = experiment(seed);
     let running = start(executor, binary, &experiment.site).await?;
     let report = running.run(&experiment.load, &experiment.faults).await;
-    let mut broken = report.violations();
+    let mut violations = report.violations();
     if !running.recovers().await {
-        broken.push(format!("not served again within {RECOVER:?}"));
+        violations
+            .push(format!("not served again within {RECOVERY_TIMEOUT:?}"));
     }
     let slack = experiment.site.retry_slack;
-    broken.extend(checks::broken(&report, &running, slack));
-    if let Some(dir) = logs.filter(|_| !broken.is_empty()) {
+    violations.extend(checks::violations(&report, &running, slack));
+    if let Some(dir) = logs.filter(|_| !violations.is_empty()) {
         running.entries().copy_logs(&dir.join(seed.to_string()))?;
     }
-    Ok((report, broken))
+    Ok((report, violations))
 }
--- a/crates/emulator/src/soak/checks.rs
+++ b/crates/emulator/src/soak/checks.rs
@@ -1,4 +1,5 @@
-//! What a seeded run must not show, beside what its callers and servers saw.
+//! Checks of a seeded run beyond the violations that its callers and servers
+//! recorded.
 
 use std::{
     collections::BTreeSet,
@@ -13,41 +14,44 @@
     site::RETRY_RATIO,
 };
 
-/// Time after a planned stop in which nothing may be cut; the grace is 5 s.
-const STOP_KEEPS: Duration = Duration::from_millis(4_300);
-/// Time after a fault of an engine in which it may be why a stream was cut.
-const ENGINE_CUTS: Duration = Duration::from_millis(2_500);
-/// Time within which all entries know of what happened.
-const CONTACT: Duration = Duration::from_millis(3_000);
-/// Arrivals of such a request that are allowed later than that after its third
-/// crash.
-const MOST_LATE_ARRIVALS: usize = 3;
-/// Span in which requests to such a server are counted.
+/// Time after a planned stop within which no connection may be aborted; the
+/// entry's grace period is 5 s.
+const STOP_GRACE: Duration = Duration::from_millis(4_300);
+/// Time after a fault of an engine within which the fault may be the cause of
+/// an aborted stream.
+const ENGINE_ABORT_WINDOW: Duration = Duration::from_millis(2_500);
+/// Time within which all entries learn of an event.
+const PROPAGATION_TIME: Duration = Duration::from_millis(3_000);
+/// Allowed arrivals of a request that crashes engines, later than
+/// [`PROPAGATION_TIME`] after its third crash.
+const MAX_LATE_ARRIVALS: usize = 3;
+/// Span over which requests to a server with a limit are counted.
 const LIMIT_SPAN: Duration = Duration::from_secs(4);
-/// Most requests of an entry within a rest, as of the platform's rule.
-const MOST_IN_REST: usize = 2;
-/// Time for which a server that leaves is still used.
-const DRAIN: Duration = Duration::from_millis(1_000);
+/// Maximum number of requests of one entry within a cooldown, by the
+/// platform's rule.
+const MAX_IN_COOLDOWN: usize = 2;
+/// Time for which a leaving server may still get requests.
+const LEAVING_GRACE: Duration = Duration::from_millis(1_000);
 
-/// All that was broken; the site serves no load any more.
-pub(super) fn broken(
+/// All violations; called when the load has ended.
+pub(super) fn violations(
     report: &Report,
     running: &RunningSite,
     slack: f64,
 ) -> Vec<String> {
     let observations = running.backends.observations();
-    let mut broken = cut_by_stops(report, running);
-    broken.extend(crashed_on(&observations));
-    broken.extend(beyond_limits(&observations));
-    broken.extend(against_their_word(report));
-    broken.extend(harmless_quarantined(&observations, running));
-    broken.extend(beyond_bound(report, slack));
-    broken
+    let mut violations = aborted_by_stops(report, running);
+    violations.extend(late_crashing_arrivals(&observations));
+    violations.extend(exceeded_limits(&observations));
+    violations.extend(ignored_notices(report));
+    violations.extend(excess_quarantines(&observations, running));
+    violations.extend(exceeded_retry_limit(report, slack));
+    violations
 }
 
-/// Requests that a planned stop cut: an entry that stops ends what it has,
-/// unless it was killed or an engine broke off.
-fn cut_by_stops(report: &Report, running: &RunningSite) -> Vec<String> {
+/// Attempts that a planned stop aborted: a stopping entry finishes its
+/// requests, unless the entry was killed or an engine aborted a stream.
+fn aborted_by_stops(report: &Report, running: &RunningSite) -> Vec<String> {
     let stops = running.stops.lock().expect("no holder panics").clone();
     let kills = running.kills.lock().expect("no holder panics").clone();
     let engine_faults: Vec<Instant> = report
@@ -63,22 +67,22 @@
     };
     let attempts =
         report.outcomes.iter().flat_map(|outcome| &outcome.attempts);
-    let cut = attempts.filter(|t| t.end == AttemptEnd::Cut);
-    let by_stop = cut.filter(|t| {
-        let stopped = stops.iter().any(|(entry, at)| {
-            *entry == t.entry && (*at..*at + STOP_KEEPS).contains(&t.ended_at)
+    let aborted = attempts.filter(|t| t.end == AttemptEnd::Cut);
+    let by_stop = aborted.filter(|t| {
+        let is_after_stop = stops.iter().any(|(entry, at)| {
+            *entry == t.entry && (*at..*at + STOP_GRACE).contains(&t.ended_at)
         });
-        stopped
+        is_after_stop
             && !kills.contains(&t.entry)
-            && !is_after_fault(t.ended_at, ENGINE_CUTS)
+            && !is_after_fault(t.ended_at, ENGINE_ABORT_WINDOW)
     });
     by_stop
         .map(|t| format!("{}: cut by the stop of {}", t.id, t.entry))
         .collect()
 }
 
-/// Arrivals of streams at engines beyond the shared bound.
-fn beyond_bound(report: &Report, slack: f64) -> Option<String> {
+/// Retries of streams at engines beyond the retry limit of all entries.
+fn exceeded_retry_limit(report: &Report, slack: f64) -> Option<String> {
     let streams =
         report.outcomes.iter().filter(|o| o.kind == RequestKind::Stream);
     let ids: Vec<&str> = streams
@@ -88,61 +92,70 @@
     let arrivals = ids
         .iter()
         .filter_map(|id| report.observations.arrival_counts.get(*id));
-    let further: u32 = arrivals.map(|count| count.saturating_sub(1)).sum();
-    let bound = ids.len() as f64 * RETRY_RATIO + slack;
-    (f64::from(further) > bound)
-        .then(|| format!("{further} further arrivals, over {bound:.0}"))
+    let retries: u32 = arrivals.map(|count| count.saturating_sub(1)).sum();
+    let max_retries = ids.len() as f64 * RETRY_RATIO + slack;
+    (f64::from(retries) > max_retries)
+        .then(|| format!("{retries} further arrivals, over {max_retries:.0}"))
 }
 
-/// Requests that went on to engines long after three had crashed.
-fn crashed_on(observations: &Observations) -> Vec<String> {
+/// Requests that still reached engines long after three engines had crashed
+/// under them.
+fn late_crashing_arrivals(observations: &Observations) -> Vec<String> {
     let tokens: BTreeSet<&str> = observations
         .crashing_arrivals
         .iter()
         .map(|c| c.token.as_str())
         .collect();
-    let late = |token: &&str| {
-        observations.arrivals_after_crash(token, 3, CONTACT)
-            > MOST_LATE_ARRIVALS
+    let has_late_arrivals = |token: &&str| {
+        observations.arrivals_after_crash(token, 3, PROPAGATION_TIME)
+            > MAX_LATE_ARRIVALS
     };
-    let broken = tokens.into_iter().filter(late);
-    broken.map(|token| format!("{token}: goes on to engines")).collect()
+    let violating = tokens.into_iter().filter(has_late_arrivals);
+    violating.map(|token| format!("{token}: goes on to engines")).collect()
 }
 
-/// Servers that got more than the limit that they named, as of the
-/// platform's rule.
-fn beyond_limits(observations: &Observations) -> Vec<String> {
-    let most = |limit: &ExpiredLimit| {
-        let times = (limit.announced_at + CONTACT, limit.ended_at);
+/// Servers that got more requests than the platform's rule allows for the
+/// limit that they announced.
+fn exceeded_limits(observations: &Observations) -> Vec<String> {
+    let max_arrivals = |limit: &ExpiredLimit| {
+        let times = (limit.announced_at + PROPAGATION_TIME, limit.ended_at);
         observations.max_arrivals(&limit.server, LIMIT_SPAN, times)
     };
     let allowed = |limit: &ExpiredLimit| {
         1.5 * limit.per_s * LIMIT_SPAN.as_secs_f64() + 5.0
     };
     let limits = observations.expired_limits.iter();
-    let broken = limits.filter(|limit| most(limit) as f64 > allowed(limit));
+    let exceeded =
+        limits.filter(|limit| max_arrivals(limit) as f64 > allowed(limit));
     let text = |limit: &ExpiredLimit| {
-        format!("{}: {} in 4 s at {}", limit.server, most(limit), limit.per_s)
+        format!(
+            "{}: {} in 4 s at {}",
+            limit.server,
+            max_arrivals(limit),
+            limit.per_s
+        )
     };
-    broken.map(text).collect()
+    exceeded.map(text).collect()
 }
 
-/// Requests that servers got in spite of their word: at rest, or leaving.
-fn against_their_word(report: &Report) -> Vec<String> {
-    let mut broken = Vec::new();
-    let most = report.max_requests_in_cooldown();
-    if most > MOST_IN_REST {
-        broken.push(format!("{most} requests of an entry in a rest"));
+/// Requests that servers got although they had requested a cooldown or
+/// announced that they leave.
+fn ignored_notices(report: &Report) -> Vec<String> {
+    let mut violations = Vec::new();
+    let in_cooldown = report.max_requests_in_cooldown();
+    if in_cooldown > MAX_IN_COOLDOWN {
+        violations
+            .push(format!("{in_cooldown} requests of an entry in a rest"));
     }
-    let late = report.late_requests_at_leaving_servers(DRAIN, false);
+    let late = report.late_requests_at_leaving_servers(LEAVING_GRACE, false);
     if late > 0 {
-        broken.push(format!("{late} requests at servers that leave"));
+        violations.push(format!("{late} requests at servers that leave"));
     }
-    broken
+    violations
 }
 
-/// Requests that were quarantined beyond those that crash engines.
-fn harmless_quarantined(
+/// Quarantined requests, if there are more than requests that crash engines.
+fn excess_quarantines(
     observations: &Observations,
     running: &RunningSite,
 ) -> Option<String> {
@@ -151,8 +164,7 @@
         .iter()
         .map(|c| c.token.as_str())
         .collect();
-    let quarantined_fingerprints = running.quarantined_fingerprints();
-    (quarantined_fingerprints.len() > crashing.len()).then(|| {
-        format!("{quarantined_fingerprints:?} quarantined for {crashing:?}")
-    })
+    let quarantined = running.quarantined_fingerprints();
+    (quarantined.len() > crashing.len())
+        .then(|| format!("{quarantined:?} quarantined for {crashing:?}"))
 }
--- a/crates/emulator/tests/experiment.rs
+++ b/crates/emulator/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments are read, with all that is wrong with them at once.
+//! Parsing of experiments, and experiments generated from seeds.
 
 use chestnutreach_emulator::{
     caller::RequestKind,
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn the_example_is_read() {
+fn the_example_experiment_parses() {
     let text = include_str!("../../../examples/experiment.ini");
     let experiment = Experiment::try_parse(text).unwrap();
     assert_eq!(experiment.load.per_s[&RequestKind::Stream], 20.0);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn all_faults_of_a_file_are_told() {
+fn all_errors_of_an_experiment_are_reported() {
     let text = "[site]\nentries = many\n[load]\nstream = 1\nodd = 2\n\
                 [faults]\nsoon = engine-ends\n1 = nothing\n[more]\na = 1\n";
     let findings = Experiment::try_parse(text).unwrap_err().0;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_fault_of_a_link_brings_links() {
+fn a_link_fault_adds_relays_to_the_site() {
     let text = "[load]\nstream = 1\n[faults]\n";
     let cut = "1 = store-link-cut-back for 2\n";
     let has_links =
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn earlier_seeds_have_no_links() {
+fn seeds_below_the_first_link_seed_have_no_link_faults() {
     let has_link = |seed| {
         let experiment = soak::experiment(seed);
         let affects_link =
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_experiment() {
+fn a_seed_always_gives_the_same_experiment() {
     assert_eq!(soak::experiment(7), soak::experiment(7));
     assert_ne!(soak::experiment(7), soak::experiment(8));
 }
