--- a/crates/emulator/src/backend_servers.rs
+++ b/crates/emulator/src/backend_servers.rs
@@ -57,7 +57,7 @@
     Exited,
 }
 
-/// Stage of a path: engine, first layer, end of the layers (exclusive).
+/// Stage of a path: engine, first layer, and end of the layers, exclusive.
 pub type PathStage = (SocketAddr, u32, u32);
 
 /// A backend server.
@@ -264,14 +264,14 @@
     ) -> Option<String> {
         let mut state = self.lock();
         let server = state.servers.get(&address)?.clone();
-        let rest = server.cooldown?;
-        if let Ok(rest_s) = rest.parse() {
+        let cooldown = server.cooldown?;
+        if let Ok(cooldown_s) = cooldown.parse() {
             state.observations.cooldown_requests.push(CooldownRequest {
                 rejected: Arrival::now(&server.id, request),
-                duration: Duration::from_secs_f64(rest_s),
+                duration: Duration::from_secs_f64(cooldown_s),
             });
         }
-        Some(rest)
+        Some(cooldown)
     }
 
     /// Copy of the current state of a server.
@@ -355,7 +355,8 @@
 
     pub(crate) fn close_relay(&self, address: SocketAddr) {
         let relay = self.lock().relays.remove(&address);
-        // Dropping the relay closes its connections; not under the lock.
+        // Dropping the relay closes its connections, which must not happen
+        // under the lock.
         drop(relay);
     }
 
--- a/crates/emulator/src/backend_servers/rows.rs
+++ b/crates/emulator/src/backend_servers/rows.rs
@@ -52,7 +52,8 @@
             server.streams.clear();
         }
         let relays = std::mem::take(&mut state.relays);
-        // Dropping the relays closes their connections; not under the lock.
+        // Dropping the relays closes their connections, which must not happen
+        // under the lock.
         drop(state);
         drop(relays);
     }
@@ -72,7 +73,8 @@
         self.remove_row_later(address, ROW_EXPIRY);
     }
 
-    /// Drains a server: its row says so, and the server exits later.
+    /// Drains a server: its row changes to draining, and the server exits
+    /// later.
     pub fn drain(&self, address: SocketAddr) {
         self.update_server(address, |server| {
             server.status = ServerStatus::Draining
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -23,8 +23,8 @@
 const GAP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout for connecting to an entry.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A caller honours `Retry-After` up to this fraction (one in so many) of the
-/// time until its deadline.
+/// A caller waits for `Retry-After` at most this fraction of the time until
+/// its deadline: 1 / `RETRY_AFTER_DIVISOR`.
 const RETRY_AFTER_DIVISOR: u32 = 3;
 
 /// Kind of a request.
@@ -198,9 +198,9 @@
             break;
         }
         let deadline = spec.kind.deadline();
-        let left = deadline.saturating_sub(start.elapsed());
+        let remaining = deadline.saturating_sub(start.elapsed());
         let retry_after = retry_after.unwrap_or_default();
-        Timer::after(retry_after.min(left / RETRY_AFTER_DIVISOR)).await;
+        Timer::after(retry_after.min(remaining / RETRY_AFTER_DIVISOR)).await;
     }
     progress.outcome
 }
@@ -224,8 +224,8 @@
     progress: &mut RequestProgress,
 ) -> (AttemptEnd, Option<Duration>) {
     let deadline = spec.kind.deadline();
-    let left = deadline.saturating_sub(progress.start.elapsed());
-    let bytes = request_bytes(spec, id, progress.events, left);
+    let remaining = deadline.saturating_sub(progress.start.elapsed());
+    let bytes = request_bytes(spec, id, progress.events, remaining);
     let Ok(mut connection) = Outbound::connect(entry, CONNECT_TIMEOUT).await
     else {
         return (AttemptEnd::NoConnection, None);
@@ -238,7 +238,7 @@
         read_response(spec, id, &mut connection, progress).await
     };
     let limit = async {
-        Timer::after(left).await;
+        Timer::after(remaining).await;
         (AttemptEnd::Left, None)
     };
     exchange.or(limit).await
@@ -248,7 +248,7 @@
     spec: &RequestSpec,
     id: &str,
     events: u64,
-    left: Duration,
+    remaining: Duration,
 ) -> Vec<u8> {
     let method = match spec.kind {
         RequestKind::Idempotent => "GET",
@@ -258,7 +258,7 @@
     let mut out = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
     push_header(&mut out, "Host", HOST);
     push_header(&mut out, "X-Request-Id", id);
-    push_header(&mut out, "X-Deadline-Ms", &left.as_millis().to_string());
+    push_header(&mut out, "X-Deadline-Ms", &remaining.as_millis().to_string());
     push_header(&mut out, "Authorization", &format!("Bearer {}", spec.key));
     // The entry must replace an account that the caller claims.
     push_header(&mut out, "X-Tenant", "somebody-else");
@@ -393,8 +393,8 @@
             }
             Some(_) => {
                 let gap = now - progress.last_progress;
-                let longest = &mut progress.outcome.max_gap;
-                *longest = gap.max(*longest);
+                let max_gap = &mut progress.outcome.max_gap;
+                *max_gap = gap.max(*max_gap);
             }
         }
         progress.last_progress = now;
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -98,9 +98,8 @@
     }
 
     /// Number of requests that reached a leaving server and were sent more
-    /// than
-    /// `after` later than the announcement in a response through the same entry,
-    /// or through any entry with `at_any`.
+    /// than `after` later than the announcement in a response through the same
+    /// entry, or through any entry with `at_any`.
     pub fn late_requests_at_leaving_servers(
         &self,
         after: Duration,
--- a/crates/emulator/src/running.rs
+++ b/crates/emulator/src/running.rs
@@ -195,8 +195,8 @@
                 });
             at_server.count()
         };
-        let busiest_server = servers.into_iter().max_by_key(arrivals);
-        busiest_server.unwrap_or(self.addresses[0])
+        let busiest = servers.into_iter().max_by_key(arrivals);
+        busiest.unwrap_or(self.addresses[0])
     }
 
     /// Whether an entry reports to the load balancer that it is ready.
@@ -266,7 +266,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Kills an entry and starts it again.
+    /// Kills and restarts an entry.
     pub fn restart_entry(&self, entry: usize) {
         self.restart_later(entry, Duration::ZERO);
     }
