--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! Outcomes, latencies and recovery as text, JSON and plot.
+//! Outcomes and latencies of a run as text, JSON and plot.
 
 use std::{
     collections::BTreeMap,
@@ -11,140 +11,157 @@
 use serde_json::{Value, json};
 
 use crate::{
-    caller::{Kind, Outcome, TryEnd},
+    backend_servers::{Arrival, CooldownRequest, Observations},
+    caller::{AttemptEnd, Outcome, RequestKind},
     experiment::Fault,
-    world::{Arrival, AskedRest, Seen},
 };
 
 /// Width and height of the plot.
-const PLOT: (f64, f64) = (800.0, 240.0);
-/// What a server had turned away by then, or was on its way, may arrive.
-const REST_HOLDS_AFTER: Duration = Duration::from_millis(500);
-/// Time of a bar in the plot.
-const BAR: Duration = Duration::from_millis(250);
+const PLOT_SIZE: (f64, f64) = (800.0, 240.0);
+/// Time after a rejection for which requests that were already on their way
+/// may still arrive within the cooldown.
+const COOLDOWN_GRACE: Duration = Duration::from_millis(500);
+/// Time span of a bar in the plot.
+const BAR_SPAN: Duration = Duration::from_millis(250);
 
-/// What an experiment gave.
+/// Results of an experiment.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// When the load began.
+    /// Start of the load.
     pub start: Instant,
-    /// What came of each request.
+    /// Outcome of each request.
     pub outcomes: Vec<Outcome>,
-    /// What engines saw.
-    pub seen: Seen,
-    /// Faults that were made.
+    /// Observations of backend servers.
+    pub observations: Observations,
+    /// Injected faults.
     pub faults: Vec<Fault>,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub store_calls: u64,
 }
 
 impl Report {
-    /// Everything that must not happen and did, at callers and engines.
+    /// All violations of invariants at callers and backend servers.
     pub fn violations(&self) -> Vec<String> {
         let callers = self.outcomes.iter().flat_map(|o| o.violations.clone());
-        let engines = self.seen.violations.iter().cloned();
+        let engines = self.observations.violations.iter().cloned();
         let all = callers.chain(engines).chain(self.false_refusals());
         all.chain(self.false_denials()).collect()
     }
 
-    /// Requests that were denied although the key and the route hold.
+    /// Attempts that were denied although key and route are valid.
     fn false_denials(&self) -> Vec<String> {
-        let tries = self.outcomes.iter().flat_map(|o| &o.tries);
-        let denied = tries.filter(|t| {
-            matches!(t.end, TryEnd::Status(400 | 401 | 403 | 404))
+        let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
+        let denied = attempts.filter(|t| {
+            matches!(t.end, AttemptEnd::Status(400 | 401 | 403 | 404))
         });
         denied.map(|t| format!("{}: {:?}", t.id, t.end)).collect()
     }
 
-    /// Requests that were told that they did not run, and had.
+    /// Non-idempotent attempts whose response states that they did not run,
+    /// although they ran.
     fn false_refusals(&self) -> Vec<String> {
-        let once = self.outcomes.iter().filter(|o| o.kind == Kind::Once);
-        let tries = once.flat_map(|outcome| &outcome.tries);
-        let refused = tries.filter(|t| {
-            matches!(t.end, TryEnd::Status(408 | 421 | 429 | 503))
+        let once =
+            self.outcomes.iter().filter(|o| o.kind == RequestKind::Once);
+        let attempts = once.flat_map(|outcome| &outcome.attempts);
+        let refused = attempts.filter(|t| {
+            matches!(t.end, AttemptEnd::Status(408 | 421 | 429 | 503))
         });
-        let ran = refused.filter(|t| self.seen.runs.contains_key(&t.id));
+        let ran = refused
+            .filter(|t| self.observations.run_counts.contains_key(&t.id));
         ran.map(|t| format!("{}: {:?}, and it ran", t.id, t.end)).collect()
     }
 
-    /// Most requests of one entry that reached a server at rest, from half a
-    /// second after it had turned that entry away.
-    pub fn most_in_rest(&self) -> usize {
+    /// Highest number of requests from one entry that reached a server within
+    /// a cooldown, counted from half a second after the server rejected a
+    /// request of that entry.
+    pub fn max_requests_in_cooldown(&self) -> usize {
         let entries = self.entries_of_requests();
-        let in_rest = |rest: &AskedRest| {
-            let Arrival { server, request, at } = &rest.turned_away;
-            let from = *at + REST_HOLDS_AFTER;
-            let arrived = self.seen.arrived.iter().filter(|arrival| {
-                arrival.server == *server
-                    && from <= arrival.at
-                    && arrival.at < *at + rest.length
-                    && entries.get(&arrival.request) == entries.get(request)
-            });
+        let count_arrivals = |cooldown: &CooldownRequest| {
+            let Arrival { server, request, at } = &cooldown.rejected;
+            let from = *at + COOLDOWN_GRACE;
+            let arrived =
+                self.observations.arrival_log.iter().filter(|arrival| {
+                    arrival.server == *server
+                        && from <= arrival.at
+                        && arrival.at < *at + cooldown.duration
+                        && entries.get(&arrival.request)
+                            == entries.get(request)
+                });
             arrived.count()
         };
-        self.seen.rests.iter().map(in_rest).max().unwrap_or(0)
+        self.observations
+            .cooldown_requests
+            .iter()
+            .map(count_arrivals)
+            .max()
+            .unwrap_or(0)
     }
 
-    /// Requests that reached a server which leaves, sent later than some time
-    /// after an answer that the same entry passed on had said so; at any
-    /// entry with `at_any`.
-    pub fn late_at_leaving(&self, after: Duration, at_any: bool) -> usize {
+    /// Number of requests that reached a leaving server and were sent more
+    /// than `after` later than the announcement in a response through the same
+    /// entry, or through any entry with `at_any`.
+    pub fn late_requests_at_leaving_servers(
+        &self,
+        after: Duration,
+        at_any: bool,
+    ) -> usize {
         let entries = self.entries_of_requests();
-        let tries = self.outcomes.iter().flat_map(|o| &o.tries);
+        let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
         let sent: BTreeMap<&str, Instant> =
-            tries.map(|t| (t.id.as_str(), t.sent_at)).collect();
+            attempts.map(|t| (t.id.as_str(), t.sent_at)).collect();
         let is_late = |arrival: &&Arrival| {
             let sent = sent.get(arrival.request.as_str());
             let entry = entries.get(&arrival.request);
             sent.is_some_and(|sent| {
-                self.seen.told_leaving.iter().any(|told| {
-                    told.server == arrival.server
-                        && (at_any || entries.get(&told.request) == entry)
-                        && *sent > told.at + after
+                self.observations.leaving_notices.iter().any(|notice| {
+                    notice.server == arrival.server
+                        && (at_any || entries.get(&notice.request) == entry)
+                        && *sent > notice.at + after
                 })
             })
         };
-        self.seen.arrived.iter().filter(is_late).count()
+        self.observations.arrival_log.iter().filter(is_late).count()
     }
 
-    /// Which entry each try went to, by the id of its request.
+    /// The entry of each attempt, by request id.
     fn entries_of_requests(&self) -> BTreeMap<String, SocketAddr> {
-        let tries = self.outcomes.iter().flat_map(|o| &o.tries);
-        tries.map(|t| (t.id.clone(), t.entry)).collect()
+        let attempts = self.outcomes.iter().flat_map(|o| &o.attempts);
+        attempts.map(|t| (t.id.clone(), t.entry)).collect()
     }
 
-    /// Share of the requests of a kind that were served.
-    pub fn served_share(&self, kind: Kind) -> f64 {
+    /// Share of the requests of a kind that got a complete response.
+    pub fn served_share(&self, kind: RequestKind) -> f64 {
         let of_kind = || self.outcomes.iter().filter(|o| o.kind == kind);
         let served = of_kind().filter(|o| o.is_served()).count();
         served as f64 / of_kind().count().max(1) as f64
     }
 
-    /// Arrivals at engines beyond the first of each request.
-    pub fn further_arrivals(&self) -> u64 {
-        let arrivals = self.seen.arrivals.values();
+    /// Number of arrivals at backend servers beyond the first of each request
+    /// id.
+    pub fn retry_arrivals(&self) -> u64 {
+        let arrivals = self.observations.arrival_counts.values();
         arrivals.map(|count| u64::from(count.saturating_sub(1))).sum()
     }
 
-    /// As JSON.
+    /// The report as JSON.
     pub fn to_json(&self) -> Value {
-        let kinds: BTreeMap<&str, Value> = Kind::ALL
+        let kinds: BTreeMap<&str, Value> = RequestKind::ALL
             .into_iter()
             .map(|kind| (kind.name(), self.kind_json(kind)))
             .collect();
         json!({
             "kinds": kinds,
             "violations": self.violations(),
-            "path_changes": self.seen.path_changes,
-            "further_arrivals": self.further_arrivals(),
+            "path_changes": self.observations.path_changes,
+            "further_arrivals": self.retry_arrivals(),
             "store_calls": self.store_calls,
         })
     }
 
-    fn kind_json(&self, kind: Kind) -> Value {
+    fn kind_json(&self, kind: RequestKind) -> Value {
         let of_kind: Vec<&Outcome> =
             self.outcomes.iter().filter(|o| o.kind == kind).collect();
-        let first = of_kind.iter().filter_map(|o| o.first);
+        let first = of_kind.iter().filter_map(|o| o.time_to_first);
         let gaps = of_kind.iter().map(|o| o.max_gap);
         json!({
             "requests": of_kind.len(),
@@ -155,10 +172,10 @@
         })
     }
 
-    /// As text.
+    /// The report as text.
     pub fn to_text(&self) -> String {
         let mut out = String::new();
-        for kind in Kind::ALL {
+        for kind in RequestKind::ALL {
             let count =
                 self.outcomes.iter().filter(|o| o.kind == kind).count();
             if count == 0 {
@@ -179,8 +196,8 @@
         let _ = writeln!(
             out,
             "{} path changes, {} further arrivals, {} calls to the store",
-            self.seen.path_changes,
-            self.further_arrivals(),
+            self.observations.path_changes,
+            self.retry_arrivals(),
             self.store_calls
         );
         for violation in self.violations() {
@@ -189,10 +206,12 @@
         out
     }
 
-    /// Served and other requests over time, with the faults, as an SVG.
+    /// Plot of served and unserved requests over time, with the faults, as
+    /// SVG.
     pub fn to_svg(&self) -> String {
-        let bar_of =
-            |o: &Outcome| (o.at.as_secs_f64() / BAR.as_secs_f64()) as usize;
+        let bar_of = |o: &Outcome| {
+            (o.at.as_secs_f64() / BAR_SPAN.as_secs_f64()) as usize
+        };
         let bars = self.outcomes.iter().map(bar_of).max().unwrap_or(0) + 1;
         let mut counts = vec![(0_u32, 0_u32); bars];
         for outcome in &self.outcomes {
@@ -202,10 +221,10 @@
                 false => count.1 += 1,
             }
         }
-        let most = counts.iter().map(|c| c.0 + c.1).max().unwrap_or(1);
-        let (width, height) = PLOT;
+        let max_count = counts.iter().map(|c| c.0 + c.1).max().unwrap_or(1);
+        let (width, height) = PLOT_SIZE;
         let bar = width / bars as f64;
-        let scale = height / f64::from(most.max(1));
+        let scale = height / f64::from(max_count.max(1));
         let mut out = format!(
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{width}\" \
              height=\"{height}\">\n"
@@ -225,7 +244,7 @@
             );
         }
         for fault in &self.faults {
-            let x = fault.at.as_secs_f64() / BAR.as_secs_f64() * bar;
+            let x = fault.at.as_secs_f64() / BAR_SPAN.as_secs_f64() * bar;
             let _ = writeln!(
                 out,
                 "<text x=\"{x:.1}\" y=\"12\" font-size=\"9\">{}</text>",
@@ -239,7 +258,7 @@
 
 fn quantiles(times: impl Iterator<Item = Duration>) -> Value {
     let mut histogram =
-        Histogram::<u64>::new(3).expect("three digits are allowed");
+        Histogram::<u64>::new(3).expect("3 significant digits are supported");
     for time in times {
         histogram.saturating_record(time.as_millis() as u64);
     }
@@ -253,7 +272,7 @@
 fn ends(outcomes: &[&Outcome]) -> BTreeMap<String, usize> {
     let mut ends = BTreeMap::new();
     for outcome in outcomes {
-        let last = outcome.tries.last().map(|t| format!("{:?}", t.end));
+        let last = outcome.attempts.last().map(|t| format!("{:?}", t.end));
         *ends.entry(last.unwrap_or_default()).or_default() += 1;
     }
     ends
--- a/crates/emulator/src/running.rs
+++ b/crates/emulator/src/running.rs
@@ -15,7 +15,8 @@
 use rustix::process::Signal;
 
 use crate::{
-    caller::{Kind, Wish, make},
+    backend_servers::BackendServers,
+    caller::{RequestKind, RequestSpec, send_request},
     engines,
     entries::{Entries, get},
     experiment::Fault,
@@ -23,66 +24,66 @@
     report::Report,
     site::{KEY, Site},
     store::Store,
-    world::World,
 };
 
 mod faults;
 
-/// Time for a site to be ready.
-const READY: Duration = Duration::from_secs(20);
-/// Time within which it serves again after the last fault.
-pub(crate) const RECOVER: Duration = Duration::from_secs(12);
+/// Time within which a site must become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time within which the site must serve all requests again after the last
+/// fault.
+pub(crate) const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// A running site.
-pub struct Running {
+pub struct RunningSite {
     /// The store.
     pub store: Store,
-    /// Engines and plain servers.
-    pub world: World,
-    /// Entries.
+    /// Engines and servers of the plain service.
+    pub backends: BackendServers,
+    /// Entry processes.
     pub entries: Arc<Mutex<Entries>>,
-    /// Where clients connect.
+    /// Addresses at which clients connect, by entry.
     pub addresses: Vec<SocketAddr>,
     version: Mutex<u64>,
-    /// Relays between each entry and the store, where the site has links.
+    /// Relays between each entry and the store, if the site emulates links.
     store_links: Vec<Arc<Relay>>,
-    /// Planned stops of entries, with their times.
+    /// Planned stops: address of the entry and time.
     pub(crate) stops: Mutex<Vec<(SocketAddr, Instant)>>,
-    /// Entries that were killed or paused.
+    /// Addresses of entries that were killed or paused.
     pub(crate) kills: Mutex<Vec<SocketAddr>>,
     executor: Arc<Executor<'static>>,
 }
 
-/// Starts a site and waits until it serves.
+/// Starts a site and waits until all entries serve.
 ///
 /// # Errors
 ///
-/// Something could not be started, or is not ready in time.
+/// A part of the site can't be started or is not ready within the timeout.
 pub async fn start(
     executor: &Arc<Executor<'static>>,
     binary: &Path,
     site: &Site,
-) -> anyhow::Result<Running> {
+) -> anyhow::Result<RunningSite> {
     let (store, address) = Store::start(executor)?;
     store.put("op", "config", &site.configuration(1, &[KEY]));
-    let world = World::new(site, &store, executor);
-    engines::start_all(&world)?;
+    let backends = BackendServers::new(site, &store, executor);
+    engines::start_all(&backends)?;
     let store_links: Vec<Arc<Relay>> = match site.has_links {
         true => (0..site.entries)
             .map(|_| Arc::new(Relay::start(address)))
             .collect(),
         false => Vec::new(),
     };
-    let own = |at: usize| store_links.get(at).map(|link| link.address());
+    let relayed = |at: usize| store_links.get(at).map(|link| link.address());
     let stores: Vec<SocketAddr> =
-        (0..site.entries).map(|at| own(at).unwrap_or(address)).collect();
+        (0..site.entries).map(|at| relayed(at).unwrap_or(address)).collect();
     let entries = Entries::start(binary, site, &stores)
         .with_context(|| format!("entries of {}", binary.display()))?;
     let addresses = (0..entries.count()).map(|i| entries.address(i));
-    let running = Running {
+    let running = RunningSite {
         addresses: addresses.collect(),
         store,
-        world,
+        backends,
         entries: Arc::new(Mutex::new(entries)),
         version: Mutex::new(1),
         store_links,
@@ -90,32 +91,43 @@
         kills: Mutex::default(),
         executor: executor.clone(),
     };
-    let is_covered = running.world.wait_for(READY, World::is_covered).await;
-    anyhow::ensure!(is_covered, "no engine was ordered to hold layers");
-    anyhow::ensure!(running.are_ready().await, "an entry is not ready");
+    let has_full_coverage = running
+        .backends
+        .wait_for(READY_TIMEOUT, BackendServers::has_full_coverage)
+        .await;
+    anyhow::ensure!(
+        has_full_coverage,
+        "some layers are held by no engine when the timeout ends"
+    );
+    anyhow::ensure!(
+        running.wait_until_ready().await,
+        "an entry serves no request when the timeout ends"
+    );
     Ok(running)
 }
 
-impl Drop for Running {
-    /// Tasks of faults that last may hold the entries beyond the site: what
-    /// they started later would outlive this process. Servers that went on
-    /// would hold their descriptors through all later seeds.
+impl Drop for RunningSite {
+    /// Closes the entries and terminates the servers. Tasks of lasting faults
+    /// may keep the entries alive longer than the site, and a process that
+    /// they start later would outlive this process. Servers that keep running
+    /// would keep their file descriptors open during all later seeds.
     fn drop(&mut self) {
         self.entries().close();
-        self.world.end_all();
+        self.backends.terminate_all();
     }
 }
 
-impl Running {
-    async fn are_ready(&self) -> bool {
-        let until = Instant::now() + READY;
+impl RunningSite {
+    async fn wait_until_ready(&self) -> bool {
+        let until = Instant::now() + READY_TIMEOUT;
         for index in 0..self.addresses.len() {
             loop {
-                let wish = Wish::new(Kind::Stream, "ready", 1);
-                let wish = Wish { tries: 1, ..wish };
-                let own = [self.addresses[index]];
-                let outcome = make(&wish, &own, 0, Duration::ZERO).await;
-                if outcome.first.is_some() {
+                let spec = RequestSpec::new(RequestKind::Stream, "ready", 1);
+                let spec = RequestSpec { max_attempts: 1, ..spec };
+                let entry = [self.addresses[index]];
+                let outcome =
+                    send_request(&spec, &entry, 0, Duration::ZERO).await;
+                if outcome.time_to_first.is_some() {
                     break;
                 }
                 if Instant::now() >= until {
@@ -127,21 +139,22 @@
         true
     }
 
-    /// Puts a new version of the configuration into the store.
+    /// Writes a new version of the configuration to the store and returns the
+    /// version.
     pub fn configure(&self, keys: &[&str]) -> u64 {
         let mut version = self.version.lock().expect("no holder panics");
         *version += 3;
-        let new = self.world.site().configuration(*version, keys);
+        let new = self.backends.site().configuration(*version, keys);
         self.store.put("op", "config", &new);
         *version
     }
 
-    fn note_stop(&self, entry: usize) {
+    fn record_stop(&self, entry: usize) {
         let mut stops = self.stops.lock().expect("no holder panics");
         stops.push((self.addresses[entry], Instant::now()));
     }
 
-    fn note_kill(&self, entry: usize) {
+    fn record_kill(&self, entry: usize) {
         let mut kills = self.kills.lock().expect("no holder panics");
         kills.push(self.addresses[entry]);
     }
@@ -156,50 +169,51 @@
         self.entries().kill(entry);
     }
 
-    /// The exit code of an entry that has ended.
+    /// The exit code of an entry whose process has exited.
     pub fn exit_code(&self, entry: usize) -> Option<i32> {
         self.entries().exit_code(entry)
     }
 
-    /// Where an entry shows its metrics and status.
+    /// Address of an entry's metrics and status.
     pub fn ops_address(&self, entry: usize) -> SocketAddr {
         self.entries().ops_address(entry)
     }
 
-    /// The server that most requests reached: of the model service, or of the
-    /// plain one.
-    pub fn busiest(&self, is_model: bool) -> SocketAddr {
+    /// The server that received most requests, among the engines or among the
+    /// servers of the plain service.
+    pub fn busiest_server(&self, is_model: bool) -> SocketAddr {
         let servers = match is_model {
-            true => self.world.engines(),
-            false => self.world.plain_servers(),
+            true => self.backends.engines(),
+            false => self.backends.plain_servers(),
         };
-        let seen = self.world.seen();
+        let observations = self.backends.observations();
         let arrivals = |address: &SocketAddr| {
-            let id = self.world.server(*address).map(|server| server.id);
-            let here = seen.arrived.iter().filter(|arrival| {
-                id.as_ref().is_some_and(|id| *id == arrival.server)
-            });
-            here.count()
+            let id = self.backends.server(*address).map(|server| server.id);
+            let at_server =
+                observations.arrival_log.iter().filter(|arrival| {
+                    id.as_ref().is_some_and(|id| *id == arrival.server)
+                });
+            at_server.count()
         };
         let busiest = servers.into_iter().max_by_key(arrivals);
         busiest.unwrap_or(self.addresses[0])
     }
 
-    /// Whether an entry tells the balancer that it is ready.
+    /// Whether an entry reports to the load balancer that it is ready.
     pub async fn is_ready(&self, entry: usize) -> bool {
         let address = self.entries().ready_address(entry);
         matches!(get(address, "/v1/ready").await, Some((200, _)))
     }
 
-    /// The lines of all entries.
+    /// Logs of all entries, concatenated.
     pub fn logs(&self) -> String {
         let entries = self.entries();
         let log = |entry| entries.log(entry).unwrap_or_default();
         (0..entries.count()).map(log).collect()
     }
 
-    /// Fingerprints of requests that entries told as quarantined.
-    pub fn quarantined(&self) -> BTreeSet<String> {
+    /// Fingerprints of requests that entries logged as quarantined.
+    pub fn quarantined_fingerprints(&self) -> BTreeSet<String> {
         let logs = self.logs();
         let fingerprint = |line| {
             let rest = str::split_once(line, "\"fingerprint\":\"")?.1;
@@ -209,13 +223,13 @@
         lines.filter_map(fingerprint).collect()
     }
 
-    /// What an entry knows, as it says itself; none if it doesn't answer.
+    /// The status document of an entry; `None` if the entry doesn't respond.
     pub async fn status(&self, entry: usize) -> Option<serde_json::Value> {
         let (_, text) = get(self.ops_address(entry), "/status").await?;
         serde_json::from_str(&text).ok()
     }
 
-    /// Short hashes of the backend servers that an entry knows.
+    /// Short hashes of the backend servers in an entry's status document.
     pub async fn engine_hashes(&self, entry: usize) -> Vec<u32> {
         let status = self.status(entry).await.unwrap_or_default();
         let backends = status["backends"].as_array();
@@ -225,7 +239,7 @@
         backends.into_iter().flatten().filter_map(hash).collect()
     }
 
-    /// Which entry plans, as it says itself.
+    /// The entry whose status document says that it is the planner.
     pub async fn planner(&self) -> Option<usize> {
         for entry in 0..self.addresses.len() {
             let status = self.status(entry).await;
@@ -240,45 +254,45 @@
         self.entries.lock().expect("no holder panics")
     }
 
-    fn later(
+    fn spawn_after(
         &self,
-        after: Duration,
+        delay: Duration,
         work: impl Future<Output = ()> + Send + 'static,
     ) {
         let task = async move {
-            Timer::after(after).await;
+            Timer::after(delay).await;
             work.await;
         };
         self.executor.spawn(task).detach();
     }
 
-    /// Kills an entry and starts it again.
-    pub fn restart(&self, entry: usize) {
+    /// Kills and restarts an entry.
+    pub fn restart_entry(&self, entry: usize) {
         self.restart_later(entry, Duration::ZERO);
     }
 
-    fn restart_later(&self, entry: usize, after: Duration) {
+    fn restart_later(&self, entry: usize, delay: Duration) {
         let entries = self.entries.clone();
-        self.later(after, async move {
+        self.spawn_after(delay, async move {
             let mut entries = entries.lock().expect("no holder panics");
             entries.kill(entry);
-            // What stays down shows in the report.
-            let _ = entries.start_one(entry);
+            // An entry that fails to start shows up in the report.
+            let _ = entries.start_entry(entry);
         });
     }
 
-    fn restart_when_ended(&self, entry: usize) {
+    fn restart_after_exit(&self, entry: usize) {
         let entries = self.entries.clone();
-        self.later(Duration::from_millis(50), async move {
+        self.spawn_after(Duration::from_millis(50), async move {
             let until = Instant::now() + Duration::from_secs(8);
             loop {
                 {
                     let mut entries =
                         entries.lock().expect("no holder panics");
-                    let has_ended = entries.exit_code(entry).is_some();
-                    if has_ended || Instant::now() >= until {
+                    let has_exited = entries.exit_code(entry).is_some();
+                    if has_exited || Instant::now() >= until {
                         entries.kill(entry);
-                        let _ = entries.start_one(entry);
+                        let _ = entries.start_entry(entry);
                         return;
                     }
                 }
@@ -287,38 +301,43 @@
         });
     }
 
-    /// Runs load and faults; what came of them.
-    pub async fn play(&self, load: &Load, faults: &[Fault]) -> Report {
+    /// Runs load and faults and returns the report.
+    pub async fn run(&self, load: &Load, faults: &[Fault]) -> Report {
         let mut rng = fastrand::Rng::with_seed(load.seed);
         let start = Instant::now();
-        let strike = async {
+        let inject = async {
             for fault in faults {
                 Timer::at(start + fault.at).await;
-                self.make_fault(fault, &mut rng);
+                self.inject_fault(fault, &mut rng);
             }
         };
         let requests = load::run(&self.executor, load, &self.addresses);
-        let (outcomes, ()) = futures_lite::future::zip(requests, strike).await;
+        let (outcomes, ()) = futures_lite::future::zip(requests, inject).await;
         Report {
             start,
             outcomes,
-            seen: self.world.seen(),
+            observations: self.backends.observations(),
             faults: faults.to_vec(),
             store_calls: self.store.calls(),
         }
     }
 
-    /// Whether all entries serve within the time of a recovery.
+    /// Whether the site serves all requests of a probe load again before the
+    /// recovery timeout.
     pub async fn recovers(&self) -> bool {
-        let until = Instant::now() + RECOVER;
+        let until = Instant::now() + RECOVERY_TIMEOUT;
         while Instant::now() < until {
             let load = Load {
-                per_s: [(Kind::Stream, 10.0), (Kind::Idempotent, 10.0)].into(),
-                length: Duration::from_secs(1),
-                events: self.world.site().events,
+                per_s: [
+                    (RequestKind::Stream, 10.0),
+                    (RequestKind::Idempotent, 10.0),
+                ]
+                .into(),
+                duration: Duration::from_secs(1),
+                events: self.backends.site().events,
                 seed: fastrand::u64(..),
             };
-            let report = self.play(&load, &[]).await;
+            let report = self.run(&load, &[]).await;
             if report.outcomes.iter().all(|o| o.is_served()) {
                 return true;
             }
