--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,8 +1,8 @@
-//! The control port: status, drains and explanations.
+//! Control calls: status, drains and explanations of routing choices.
 //!
-//! Everything is answered from memory. A drain by an operator and a stop use
-//! the same switch, so both go through one lock: an operator who ends a
-//! drain never takes back a stop.
+//! All responses come from memory. A drain by an operator and a stop of the
+//! process set the same flag of the role. Both hold the same lock, so that
+//! an operator who ends a drain can't cancel a stop.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -18,58 +18,59 @@
 use chestnutreach_side::Side;
 use chestnutreach_telemetry::{Event, Metrics, Readiness, emit};
 
-/// Why a process that an operator drains is not ready.
-const IS_DRAINING: &str = "drain";
+/// Readiness condition of a process that an operator drains.
+const DRAIN_CONDITION: &str = "drain";
 const DRAIN_REASON: &str = "an operator drains this VM";
 const DRAIN_CAUSE: &str = "operator";
 
-/// The role that a process has.
-pub(crate) enum Served {
+/// The role that this process runs.
+pub(crate) enum RunningRole {
     Entry(Entry),
     Side(Side),
 }
 
-/// Answers control calls.
+/// Handles control calls.
 pub(crate) struct Control {
-    pub(crate) served: Served,
+    pub(crate) role: RunningRole,
     pub(crate) in_force: Arc<ActiveManifest>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) readiness: Arc<Readiness>,
     pub(crate) drain_limit_ms: u64,
-    pub(crate) stopping: Stopping,
+    pub(crate) stop_state: StopState,
 }
 
-/// Whether the process stops; locked while its role is told to leave.
+/// Whether the process is stopping; locked while the role changes whether it
+/// drains.
 #[derive(Default)]
-pub(crate) struct Stopping {
+pub(crate) struct StopState {
     is_stopping: Mutex<bool>,
 }
 
-impl Stopping {
+impl StopState {
     fn lock(&self) -> MutexGuard<'_, bool> {
         self.is_stopping.lock().expect("no holder panics")
     }
 }
 
-impl Served {
-    fn set_leaving(&self, is_leaving: bool) {
+impl RunningRole {
+    fn set_draining(&self, is_draining: bool) {
         match self {
-            Served::Entry(entry) => entry.set_draining(is_leaving),
-            Served::Side(side) => side.set_leaving(is_leaving),
+            RunningRole::Entry(entry) => entry.set_draining(is_draining),
+            RunningRole::Side(side) => side.set_leaving(is_draining),
         }
     }
 
-    fn set_backend_leaving(
+    fn set_backend_draining(
         &self,
         call: &str,
         name: &str,
-        is_leaving: bool,
+        is_draining: bool,
     ) -> Result<(), ControlRefusal> {
-        let Served::Side(side) = self else {
+        let RunningRole::Side(side) = self else {
             let call = format!("{call} of a backend server");
             return Err(ControlRefusal::NotForRole { call });
         };
-        match side.set_backend_leaving(name, is_leaving) {
+        match side.set_backend_leaving(name, is_draining) {
             true => Ok(()),
             false => {
                 let backend = name.to_owned();
@@ -78,39 +79,39 @@
         }
     }
 
-    fn is_leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         match self {
-            Served::Entry(entry) => entry.is_draining(),
-            Served::Side(side) => side.is_leaving(None),
+            RunningRole::Entry(entry) => entry.is_draining(),
+            RunningRole::Side(side) => side.is_leaving(None),
         }
     }
 
     fn in_flight(&self) -> usize {
         match self {
-            Served::Entry(entry) => entry.in_flight(),
-            Served::Side(side) => {
-                let held = side.in_flight();
-                held.runs + held.reservations
+            RunningRole::Entry(entry) => entry.in_flight(),
+            RunningRole::Side(side) => {
+                let in_flight = side.in_flight();
+                in_flight.runs + in_flight.reservations
             }
         }
     }
 
     fn generation(&self) -> u64 {
         match self {
-            Served::Entry(entry) => entry.generation(),
-            Served::Side(side) => side.generation(),
+            RunningRole::Entry(entry) => entry.generation(),
+            RunningRole::Side(side) => side.generation(),
         }
     }
 
     fn links(&self) -> &Links {
         match self {
-            Served::Entry(entry) => entry.links(),
-            Served::Side(side) => side.links(),
+            RunningRole::Entry(entry) => entry.links(),
+            RunningRole::Side(side) => side.links(),
         }
     }
 
     fn backends(&self) -> Vec<BackendStatus> {
-        let Served::Side(side) = self else {
+        let RunningRole::Side(side) = self else {
             return Vec::new();
         };
         let loads = side.loads().into_iter();
@@ -124,28 +125,29 @@
         status.collect()
     }
 
-    fn role(&self) -> NodeRole {
+    fn node_role(&self) -> NodeRole {
         match self {
-            Served::Entry(_) => NodeRole::Entry,
-            Served::Side(_) => NodeRole::Side,
+            RunningRole::Entry(_) => NodeRole::Entry,
+            RunningRole::Side(_) => NodeRole::Side,
         }
     }
 }
 
 impl Control {
-    /// The process stops: its role leaves, whatever an operator says later.
+    /// Marks the process as stopping and drains the role; an operator can't
+    /// undo this drain.
     pub(crate) fn begin_stop(&self) {
-        let mut is_stopping = self.stopping.lock();
+        let mut is_stopping = self.stop_state.lock();
         *is_stopping = true;
-        self.served.set_leaving(true);
+        self.role.set_draining(true);
     }
 
-    /// Runs a change of a drain, unless the process stops.
+    /// Runs a change of a drain unless the process is stopping.
     fn unless_stopping(
         &self,
         change: impl FnOnce() -> Result<(), ControlRefusal>,
     ) -> Result<(), ControlRefusal> {
-        let is_stopping = self.stopping.lock();
+        let is_stopping = self.stop_state.lock();
         match *is_stopping {
             true => Err(ControlRefusal::Stopping),
             false => change(),
@@ -153,32 +155,32 @@
     }
 
     fn drain_all(&self) {
-        self.served.set_leaving(true);
-        self.readiness.block(IS_DRAINING, DRAIN_REASON);
+        self.role.set_draining(true);
+        self.readiness.block(DRAIN_CONDITION, DRAIN_REASON);
         self.metrics.is_draining.set(1);
     }
 
     fn undrain_all(&self) {
-        self.served.set_leaving(false);
-        self.readiness.clear(IS_DRAINING);
+        self.role.set_draining(false);
+        self.readiness.clear(DRAIN_CONDITION);
         self.metrics.is_draining.set(0);
     }
 
-    fn note_drain(&self, backend: &str) {
+    fn log_drain_started(&self, backend: &str) {
         emit(
             Event::DrainStarted,
             &[
                 ("backend", &backend),
                 ("cause", &DRAIN_CAUSE),
-                ("in_flight", &self.served.in_flight()),
+                ("in_flight", &self.role.in_flight()),
                 ("limit_ms", &self.drain_limit_ms),
             ],
         );
     }
 
     fn explain_request(&self, id: &str) -> Result<String, ControlRefusal> {
-        let Served::Entry(entry) = &self.served else {
-            return Err(not_for_side());
+        let RunningRole::Entry(entry) = &self.role else {
+            return Err(explain_not_supported());
         };
         let request: Option<RequestId> = id.parse().ok();
         let choices = request.and_then(|r| entry.recent_choices(r));
@@ -190,10 +192,10 @@
         &self,
         described: &DescribedRequest,
     ) -> Result<String, ControlRefusal> {
-        let Served::Entry(entry) = &self.served else {
-            return Err(not_for_side());
+        let RunningRole::Entry(entry) = &self.role else {
+            return Err(explain_not_supported());
         };
-        let shape = to_shape(described);
+        let shape = to_request_shape(described);
         let explained = entry.explain(&described.service, &shape);
         explained.map_err(|reason| ControlRefusal::Other { reason })
     }
@@ -201,28 +203,28 @@
 
 impl ControlHandler for Control {
     fn info(&self) -> NodeInfo {
-        let identity = self.served.links().identity();
+        let identity = self.role.links().identity();
         NodeInfo {
             vm: identity.vm.clone(),
-            role: self.served.role(),
+            role: self.role.node_role(),
             boot_id: identity.boot_id,
             ..NodeInfo::default()
         }
     }
 
     fn status(&self) -> NodeStatus {
-        let links = self.served.links();
+        let links = self.role.links();
         let identity = links.identity();
         NodeStatus {
             vm: identity.vm.clone(),
-            role: self.served.role(),
+            role: self.role.node_role(),
             data_centre: identity.data_centre.clone(),
             boot_id: identity.boot_id,
-            generation: self.served.generation(),
+            generation: self.role.generation(),
             is_ready: self.readiness.is_ready(),
-            is_draining: self.served.is_leaving(),
-            requests_in_flight: self.served.in_flight() as u64,
-            backends: self.served.backends(),
+            is_draining: self.role.is_draining(),
+            requests_in_flight: self.role.in_flight() as u64,
+            backends: self.role.backends(),
             links: links.open().iter().map(peer_status).collect(),
         }
     }
@@ -231,11 +233,11 @@
         self.unless_stopping(|| {
             match backend {
                 Some(name) => {
-                    self.served.set_backend_leaving("drain", name, true)?;
+                    self.role.set_backend_draining("drain", name, true)?;
                 }
                 None => self.drain_all(),
             }
-            self.note_drain(backend.unwrap_or_default());
+            self.log_drain_started(backend.unwrap_or_default());
             Ok(())
         })
     }
@@ -244,7 +246,7 @@
         self.unless_stopping(|| {
             match backend {
                 Some(name) => {
-                    self.served.set_backend_leaving("undrain", name, false)?;
+                    self.role.set_backend_draining("undrain", name, false)?;
                 }
                 None => self.undrain_all(),
             }
@@ -281,11 +283,11 @@
     }
 }
 
-fn not_for_side() -> ControlRefusal {
+fn explain_not_supported() -> ControlRefusal {
     ControlRefusal::NotForRole { call: "explain".to_owned() }
 }
 
-fn to_shape(described: &DescribedRequest) -> RequestShape {
+fn to_request_shape(described: &DescribedRequest) -> RequestShape {
     let priority = match described.priority {
         RequestPriority::Low => Priority::Low,
         RequestPriority::Normal => Priority::Normal,
@@ -296,8 +298,8 @@
         .priority(priority)
 }
 
-/// An open link. What its peer said since it was opened is not kept with it,
-/// so only what cannot change is told.
+/// Describes an open link by the values that stay constant while the link is
+/// open: the link doesn't keep what the peer reports later.
 fn peer_status(link: &Link) -> PeerStatus {
     let peer = link.peer();
     PeerStatus {
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,78 +1,82 @@
-//! A planned stop: no new work, then wait for what is in progress.
+//! Planned stop: accepts no new work and waits for the work in progress.
 
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
 use chestnutreach_telemetry::{Event, emit};
 
-/// Time between two looks at what is left.
-const LOOK: Duration = Duration::from_millis(20);
-/// How long nothing must be left before the process ends: frames that were
-/// on their way when the stop began are still answered.
-const QUIET: Duration = Duration::from_millis(300);
-/// How long a process that has cut its requests goes on, so that those who
-/// sent them are told.
-const TELL: Duration = Duration::from_millis(1_000);
+/// Interval at which the remaining work is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long no work may remain before the process exits, so that frames which
+/// were in transit when the stop began still get a response.
+const IDLE_PERIOD: Duration = Duration::from_millis(300);
+/// Longest time between aborting the requests and the exit of the process, in
+/// which their senders are informed.
+const ABORT_GRACE: Duration = Duration::from_millis(1_000);
 
-/// How a planned stop ended.
+/// Result of a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Stopped {
-    /// Every request in progress came to its end.
-    Whole,
-    /// The bound passed with requests in progress.
-    Cut,
+pub(crate) enum DrainOutcome {
+    /// Every request in progress finished.
+    Completed,
+    /// Requests were still in progress at the time limit and were aborted.
+    Aborted,
 }
 
-/// A stop under way, with its bound.
+/// A planned stop in progress and its time limit.
 pub(crate) struct Drain {
     started: Instant,
     limit_ms: u64,
 }
 
 impl Drain {
-    /// A stop that begins now.
+    /// Starts the time limit of a stop.
     pub(crate) fn start(limit_ms: u64) -> Drain {
         Drain { started: Instant::now(), limit_ms }
     }
 
-    /// Waits until nothing is left; at the bound the rest is cut.
+    /// Waits until no work remains and calls `abort` at the time limit.
     pub(crate) async fn finish(
         &self,
-        left: impl Fn() -> usize,
-        cut: impl FnOnce(),
-    ) -> Stopped {
+        remaining: impl Fn() -> usize,
+        abort: impl FnOnce(),
+    ) -> DrainOutcome {
         let limit = Duration::from_millis(self.limit_ms);
-        if wait_until_quiet(self.started + limit, &left).await {
+        if wait_until_idle(self.started + limit, &remaining).await {
             let elapsed_ms = self.started.elapsed().as_millis();
             emit(Event::DrainEnded, &[("elapsed_ms", &elapsed_ms)]);
-            return Stopped::Whole;
+            return DrainOutcome::Completed;
         }
         emit(
             Event::DrainCut,
-            &[("in_flight", &left()), ("limit_ms", &self.limit_ms)],
+            &[("in_flight", &remaining()), ("limit_ms", &self.limit_ms)],
         );
-        cut();
-        wait_until_quiet(Instant::now() + TELL, &left).await;
-        Stopped::Cut
+        abort();
+        wait_until_idle(Instant::now() + ABORT_GRACE, &remaining).await;
+        DrainOutcome::Aborted
     }
 }
 
-/// Whether nothing was left for a while before the end of the time. With
-/// nothing left at that end, the while is still waited for.
-async fn wait_until_quiet(until: Instant, left: impl Fn() -> usize) -> bool {
+/// Waits until no work has remained for [`IDLE_PERIOD`] and returns true, or
+/// returns false if work remains at `until`. An idle period that is running at
+/// `until` is still waited for.
+async fn wait_until_idle(
+    until: Instant,
+    remaining: impl Fn() -> usize,
+) -> bool {
     let mut idle_since = None;
     loop {
-        if left() > 0 {
+        if remaining() > 0 {
             idle_since = None;
             if Instant::now() >= until {
                 return false;
             }
         } else {
             let since: Instant = *idle_since.get_or_insert_with(Instant::now);
-            if since.elapsed() >= QUIET {
+            if since.elapsed() >= IDLE_PERIOD {
                 return true;
             }
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,11 +1,11 @@
-//! The daemon of chestnutreach, in the role `entry` or `side`.
+//! The chestnutreach daemon, in the role `entry` or `side`.
 //!
-//! With `--users-platform` it is an entry on the users' platform: its settings
-//! are the file that the platform hands over.
+//! With `--users-platform` the daemon runs as an entry on the users' platform
+//! and reads the settings file that the platform provides.
 //!
-//! Exit codes: 0 after a stop that cut nothing, 1 when the daemon could not
-//! start or go on, 2 when the command line or the settings are wrong, 3 when
-//! a stop reached its bound and cut requests.
+//! Exit codes: 0 after a stop in which every request finished, 1 when the
+//! daemon could not start or continue, 2 when the command line or the settings
+//! are invalid, 3 when a stop reached its time limit and aborted requests.
 
 mod control;
 mod direct;
@@ -21,8 +21,8 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 
 const EXIT_FAILED: u8 = 1;
-const EXIT_SETTINGS: u8 = 2;
-const EXIT_CUT: u8 = 3;
+const EXIT_INVALID_SETTINGS: u8 = 2;
+const EXIT_ABORTED: u8 = 3;
 
 fn main() -> ExitCode {
     let arguments = command().get_matches();
@@ -31,12 +31,12 @@
         return direct::main(arguments.get_flag("check"), metrics_port);
     }
     let path: &PathBuf =
-        arguments.get_one("settings").expect("clap asks for it");
+        arguments.get_one("settings").expect("clap requires this argument");
     let settings = match DaemonSettings::try_load(path) {
         Ok(settings) => settings,
         Err(findings) => {
             eprintln!("{findings}");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if arguments.get_flag("check") {
@@ -44,8 +44,8 @@
         return ExitCode::SUCCESS;
     }
     match run(settings) {
-        Ok(drain::Stopped::Whole) => ExitCode::SUCCESS,
-        Ok(drain::Stopped::Cut) => ExitCode::from(EXIT_CUT),
+        Ok(drain::DrainOutcome::Completed) => ExitCode::SUCCESS,
+        Ok(drain::DrainOutcome::Aborted) => ExitCode::from(EXIT_ABORTED),
         Err(e) => {
             eprintln!("chestnutreachd: {e:#}");
             ExitCode::from(EXIT_FAILED)
@@ -78,25 +78,25 @@
                 .value_name("PORT")
                 .value_parser(value_parser!(u16).range(1..))
                 .requires("users-platform")
-                .help("Show the metrics at this port as well"),
+                .help("Serve the metrics on this port as well"),
         )
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings, print every finding, and end"),
+                .help("Check the settings, print every finding and exit"),
         )
         .after_help(
-            "Exit codes: 0 clean stop, 1 failure, 2 wrong settings, \
-             3 requests were cut at the bound of a stop",
+            "Exit codes: 0 clean stop, 1 failure, 2 invalid settings, \
+             3 requests were aborted at the time limit of a stop",
         )
 }
 
-fn run(settings: DaemonSettings) -> anyhow::Result<drain::Stopped> {
+fn run(settings: DaemonSettings) -> anyhow::Result<drain::DrainOutcome> {
     let log = settings.node().log;
     chestnutreach_telemetry::log::init(log.format, log.level)?;
     let executor = roles::start_threads(settings.node())?;
-    let stopped = async_io::block_on(async {
+    let outcome = async_io::block_on(async {
         match settings {
             DaemonSettings::Entry(entry) => {
                 roles::run_entry(entry, executor).await
@@ -106,6 +106,9 @@
             }
         }
     })?;
-    emit(Event::DaemonStopped, &[("cut", &(stopped == drain::Stopped::Cut))]);
-    Ok(stopped)
+    emit(
+        Event::DaemonStopped,
+        &[("cut", &(outcome == drain::DrainOutcome::Aborted))],
+    );
+    Ok(outcome)
 }
--- a/crates/daemon/src/roles.rs
+++ b/crates/daemon/src/roles.rs
@@ -1,4 +1,4 @@
-//! Starting a role, and stopping it.
+//! Starts and stops the roles `entry` and `side`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,17 +28,17 @@
 };
 
 use crate::{
-    control::{Control, Served, Stopping},
-    drain::{Drain, Stopped},
+    control::{Control, RunningRole, StopState},
+    drain::{Drain, DrainOutcome},
     listen::listen,
     signals::stop_signal,
 };
 
-/// Why a process is not ready.
-const NEEDS_MANIFEST: &str = "manifest";
-const IS_STOPPING: &str = "stopping";
+/// Readiness conditions: no manifest is in force, or the process is stopping.
+const MANIFEST_CONDITION: &str = "manifest";
+const STOPPING_CONDITION: &str = "stopping";
 
-/// Starts the threads that run a daemon's tasks.
+/// Starts the threads that run the tasks of a daemon.
 pub(crate) fn start_threads(
     node: &NodeSettings,
 ) -> anyhow::Result<Arc<Executor<'static>>> {
@@ -47,38 +47,38 @@
     Ok(executor)
 }
 
-/// What both roles are started with.
-struct Common {
+/// Components that both roles share.
+struct SharedParts {
     executor: Arc<Executor<'static>>,
     identity: Identity,
     metrics: Arc<Metrics>,
     readiness: Arc<Readiness>,
-    heard: Arc<PeerReports>,
+    peer_reports: Arc<PeerReports>,
     in_force: Arc<ActiveManifest>,
     table: Arc<TableClient>,
     objects: Arc<ObjectClient>,
 }
 
-impl Common {
+impl SharedParts {
     fn new(
         node: &NodeSettings,
         role: Role,
         executor: Arc<Executor<'static>>,
-    ) -> Common {
+    ) -> SharedParts {
         let platform = &node.platform;
         let timeout = Duration::from_millis(platform.request_timeout_ms);
         let name = role_name(role);
         let metrics = Arc::new(Metrics::new(name, &node.vm));
         let table = TableClient::new(platform.table_address, timeout)
-            .on_call(counted(metrics.clone()));
+            .on_call(count_table_calls(metrics.clone()));
         let objects = ObjectClient::new(platform.object_address, timeout);
-        Common {
+        SharedParts {
             executor,
             identity: Identity::new(&node.vm, role, &node.data_centre)
                 .with_control(node.control_address),
             metrics,
-            readiness: Arc::new(Readiness::new(&[NEEDS_MANIFEST])),
-            heard: Arc::new(PeerReports::new()),
+            readiness: Arc::new(Readiness::new(&[MANIFEST_CONDITION])),
+            peer_reports: Arc::new(PeerReports::new()),
             in_force: Arc::new(ActiveManifest::new()),
             table: Arc::new(table),
             objects: Arc::new(objects),
@@ -91,10 +91,16 @@
         let platform = &node.platform;
         let timeout = Duration::from_millis(platform.request_timeout_ms);
         let seeds = node.seed_peers.clone();
-        let peers = PeerManifests::new(seeds, self.heard.clone(), timeout);
-        let heard = self.heard.clone();
-        ManifestFollower::new(store, peers, heard, platform.manifest_poll_ms)
-            .active_manifest(self.in_force.clone())
+        let peers =
+            PeerManifests::new(seeds, self.peer_reports.clone(), timeout);
+        let peer_reports = self.peer_reports.clone();
+        ManifestFollower::new(
+            store,
+            peers,
+            peer_reports,
+            platform.manifest_poll_ms,
+        )
+        .active_manifest(self.in_force.clone())
     }
 
     fn serve_ops(
@@ -117,16 +123,16 @@
     fn serve_control(
         &self,
         node: &NodeSettings,
-        served: Served,
+        role: RunningRole,
     ) -> anyhow::Result<Arc<Control>> {
         let listener = listen("control calls", node.control_address)?;
         let control = Arc::new(Control {
-            served,
+            role,
             in_force: self.in_force.clone(),
             metrics: self.metrics.clone(),
             readiness: self.readiness.clone(),
             drain_limit_ms: node.drain_limit_ms,
-            stopping: Stopping::default(),
+            stop_state: StopState::default(),
         });
         let executor = self.executor.clone();
         let task = serve_control(listener, executor, control.clone());
@@ -134,7 +140,7 @@
         Ok(control)
     }
 
-    fn note_started(&self, node: &NodeSettings, role: Role) {
+    fn log_started(&self, node: &NodeSettings, role: Role) {
         emit(
             Event::DaemonStarted,
             &[
@@ -146,8 +152,8 @@
         );
     }
 
-    fn note_stopping(&self, cause: &str, in_flight: usize) {
-        self.readiness.block(IS_STOPPING, cause);
+    fn enter_stopping(&self, cause: &str, in_flight: usize) {
+        self.readiness.block(STOPPING_CONDITION, cause);
         self.metrics.is_draining.set(1);
         emit(
             Event::DaemonStopping,
@@ -155,19 +161,19 @@
         );
     }
 
-    /// What is done when a generation is in force.
-    fn note_in_force(&self) -> impl Fn(u64) + Send + 'static {
+    /// Returns a callback that records the manifest generation in force.
+    fn on_manifest_in_force(&self) -> impl Fn(u64) + Send + 'static {
         let readiness = self.readiness.clone();
         let metrics = self.metrics.clone();
         move |generation| {
             metrics.generation.set(generation as i64);
-            readiness.clear(NEEDS_MANIFEST);
+            readiness.clear(MANIFEST_CONDITION);
         }
     }
 }
 
-/// Counts each call to the table service.
-fn counted(
+/// Returns a callback that counts each call to the table service.
+fn count_table_calls(
     metrics: Arc<Metrics>,
 ) -> impl Fn(TableCall, CallResult) + Send + Sync + 'static {
     move |call, result| {
@@ -193,94 +199,96 @@
     }
 }
 
-/// Runs the role `entry` until it is told to stop.
+/// Runs the role `entry` until a signal stops the process.
 pub(crate) async fn run_entry(
     settings: EntrySettings,
     executor: Arc<Executor<'static>>,
-) -> anyhow::Result<Stopped> {
+) -> anyhow::Result<DrainOutcome> {
     let node = settings.node.clone();
     let lame_duck = Duration::from_millis(settings.lame_duck_ms);
-    let common = Common::new(&node, Role::Entry, executor.clone());
+    let shared = SharedParts::new(&node, Role::Entry, executor.clone());
     let claim_options = ClaimOptions::new()
         .batch(settings.claim_batch)
         .flush_ms(settings.claim_flush_ms)
         .claim_timeout(Duration::from_millis(node.platform.request_timeout_ms))
-        .objects(common.objects.clone());
+        .objects(shared.objects.clone());
     let claims =
-        ClaimStore::new(common.table.clone(), claim_options, executor.clone());
+        ClaimStore::new(shared.table.clone(), claim_options, executor.clone());
     let http = listen("callers", settings.http_address)?;
     let inner = listen("inner connections", node.inner_address)?;
     let entry = Entry::start(EntryParts {
         settings,
-        identity: common.identity.clone(),
-        metrics: common.metrics.clone(),
-        peer_reports: common.heard.clone(),
+        identity: shared.identity.clone(),
+        metrics: shared.metrics.clone(),
+        peer_reports: shared.peer_reports.clone(),
         claims,
         executor: executor.clone(),
         http,
         inner,
     });
     let follow = {
-        let (entry, note) = (entry.clone(), common.note_in_force());
-        common.follower(&node).run(move |generation, manifest| {
+        let (entry, record_generation) =
+            (entry.clone(), shared.on_manifest_in_force());
+        shared.follower(&node).run(move |generation, manifest| {
             entry.apply(generation, manifest);
-            note(generation);
+            record_generation(generation);
         })
     };
     executor.spawn(follow).detach();
-    let list = {
+    let vm_list = {
         let entry = entry.clone();
         let timeout = Duration::from_millis(node.platform.request_timeout_ms);
         let client = VmListClient::new(node.platform.vm_list_address, timeout);
         let poll_ms = node.platform.vm_list_poll_ms;
         follow_vm_list(client, poll_ms, move |vms| entry.set_draining_vms(vms))
     };
-    executor.spawn(list).detach();
+    executor.spawn(vm_list).detach();
     let status = {
         let entry = entry.clone();
         move || entry.status()
     };
-    common.serve_ops(&node, status)?;
-    let traffic = count_traffic(entry.links().clone(), common.metrics.clone());
+    shared.serve_ops(&node, status)?;
+    let traffic = count_traffic(entry.links().clone(), shared.metrics.clone());
     executor.spawn(traffic).detach();
-    let served = Served::Entry(entry.clone());
-    let control = common.serve_control(&node, served)?;
-    common.note_started(&node, Role::Entry);
+    let role = RunningRole::Entry(entry.clone());
+    let control = shared.serve_control(&node, role)?;
+    shared.log_started(&node, Role::Entry);
 
     let cause = stop_signal().await?;
     control.begin_stop();
-    common.note_stopping(cause, entry.in_flight());
+    shared.enter_stopping(cause, entry.in_flight());
     let drain = Drain::start(node.drain_limit_ms);
     Timer::after(lame_duck).await;
     entry.stop_accepting();
-    let left = || {
-        let left = entry.remaining_work();
-        left.connections.max(left.requests) + left.unsettled_claims
+    let remaining = || {
+        let work = entry.remaining_work();
+        work.connections.max(work.requests) + work.unsettled_claims
     };
-    Ok(drain.finish(left, || entry.abort_requests()).await)
+    Ok(drain.finish(remaining, || entry.abort_requests()).await)
 }
 
-/// Runs the role `side` until it is told to stop.
+/// Runs the role `side` until a signal stops the process.
 pub(crate) async fn run_side(
     settings: SideSettings,
     executor: Arc<Executor<'static>>,
-) -> anyhow::Result<Stopped> {
+) -> anyhow::Result<DrainOutcome> {
     let node = settings.node.clone();
-    let common = Common::new(&node, Role::Side, executor.clone());
+    let shared = SharedParts::new(&node, Role::Side, executor.clone());
     let inner = listen("inner connections", node.inner_address)?;
     let side = Side::start(SideParts {
         settings,
-        identity: common.identity.clone(),
-        metrics: common.metrics.clone(),
-        peer_reports: common.heard.clone(),
+        identity: shared.identity.clone(),
+        metrics: shared.metrics.clone(),
+        peer_reports: shared.peer_reports.clone(),
         executor: executor.clone(),
         inner,
     });
     let follow = {
-        let (side, note) = (side.clone(), common.note_in_force());
-        common.follower(&node).run(move |generation, manifest| {
+        let (side, record_generation) =
+            (side.clone(), shared.on_manifest_in_force());
+        shared.follower(&node).run(move |generation, manifest| {
             side.apply(generation, manifest);
-            note(generation);
+            record_generation(generation);
         })
     };
     executor.spawn(follow).detach();
@@ -288,20 +296,20 @@
         let side = side.clone();
         move || side.status()
     };
-    common.serve_ops(&node, status)?;
-    let traffic = count_traffic(side.links().clone(), common.metrics.clone());
+    shared.serve_ops(&node, status)?;
+    let traffic = count_traffic(side.links().clone(), shared.metrics.clone());
     executor.spawn(traffic).detach();
-    let served = Served::Side(side.clone());
-    let control = common.serve_control(&node, served)?;
-    common.note_started(&node, Role::Side);
+    let role = RunningRole::Side(side.clone());
+    let control = shared.serve_control(&node, role)?;
+    shared.log_started(&node, Role::Side);
 
     let cause = stop_signal().await?;
     control.begin_stop();
     let in_flight = || {
-        let held = side.in_flight();
-        held.runs + held.reservations
+        let in_flight = side.in_flight();
+        in_flight.runs + in_flight.reservations
     };
-    common.note_stopping(cause, in_flight());
+    shared.enter_stopping(cause, in_flight());
     let drain = Drain::start(node.drain_limit_ms);
     Ok(drain.finish(in_flight, || side.abort_requests()).await)
 }
