--- a/crates/daemon/tests/fleet_common/load.rs
+++ b/crates/daemon/tests/fleet_common/load.rs
@@ -1,8 +1,8 @@
-//! Steady load on a fleet, as its callers see it.
+//! Steady load on a fleet, and a check of every response.
 //!
-//! Callers go to entries that say they are ready, as a balancer in front of
-//! them would: it looks a few times in a second, so that it notices a stop a
-//! little late.
+//! Callers choose among the entries that report to be ready, as a load
+//! balancer would. Readiness is polled a few times a second, so the balancer
+//! notices a stop with a delay.
 
 use std::{
     net::SocketAddr,
@@ -20,26 +20,26 @@
 };
 use chestnutreach_standins::engine::expected_answer;
 
-/// Wait while no entry is ready.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause of a caller while no entry is ready.
+const NOT_READY_PAUSE: Duration = Duration::from_millis(20);
 /// Layers of the model.
 const LAYERS: u32 = 24;
 
-/// What is sent, and how.
+/// Requests to send, and their rate.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPlan {
-    /// Entries, from the first.
+    /// Number of entries that get requests, from the first on.
     pub entries: usize,
-    /// What is sent.
+    /// Kinds of requests.
     pub kinds: &'static [Kind],
-    /// Callers of each kind.
+    /// Concurrent callers of each kind.
     pub callers: usize,
-    /// Tokens of each answer.
+    /// Output tokens of each request.
     pub tokens: u32,
-    /// Wait of a caller between two requests.
+    /// Pause of a caller between two requests.
     pub pause_ms: u64,
-    /// Time between two looks of the balancer.
-    pub look_ms: u64,
+    /// Interval at which the balancer polls readiness.
+    pub ready_poll_ms: u64,
 }
 
 impl Default for LoadPlan {
@@ -50,7 +50,7 @@
             callers: 2,
             tokens: 24,
             pause_ms: 0,
-            look_ms: 50,
+            ready_poll_ms: 50,
         }
     }
 }
@@ -58,40 +58,40 @@
 /// What a caller sends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// An idempotent streamed answer.
+    /// An idempotent request with a streamed response.
     Stream,
-    /// A whole answer that may not be run twice.
+    /// A non-idempotent request with a full response.
     Once,
-    /// A whole answer under a key.
+    /// A request with an idempotency key and a full response.
     Keyed,
-    /// A call of the plain service that may not be run twice.
+    /// A non-idempotent call of the plain service.
     PlainOnce,
 }
 
-/// One request and what came of it.
+/// One request and its response.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub kind: Kind,
     pub entry: usize,
-    pub sent: Instant,
+    pub sent_at: Instant,
     pub answer: Answer,
-    /// What is wrong with the answer; empty when it is whole and right.
+    /// What is wrong with the response; empty if it is complete and correct.
     pub problem: String,
 }
 
-/// Callers that send one request after another.
+/// Callers that each send one request after another.
 pub struct Load {
-    is_over: Arc<AtomicBool>,
-    sent: Arc<Mutex<Vec<Sent>>>,
+    is_stopped: Arc<AtomicBool>,
+    sent: Arc<Mutex<Vec<SentRequest>>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Entries as the balancer knows them.
+/// Entries and their readiness, as of the last poll.
 struct Balancer {
-    entries: Vec<Balanced>,
+    entries: Vec<BalancedEntry>,
 }
 
-struct Balanced {
+struct BalancedEntry {
     http: SocketAddr,
     ops: SocketAddr,
     is_ready: AtomicBool,
@@ -100,15 +100,15 @@
 impl Balancer {
     fn new(fleet: &Fleet, entries: usize) -> Balancer {
         let ops = fleet.ops_addresses();
-        let balanced = |entry| Balanced {
+        let to_balanced = |entry| BalancedEntry {
             http: fleet.entry_address(entry),
             ops: ops[&entry_name(entry)],
             is_ready: AtomicBool::new(true),
         };
-        Balancer { entries: (0..entries).map(balanced).collect() }
+        Balancer { entries: (0..entries).map(to_balanced).collect() }
     }
 
-    fn look(&self) {
+    fn poll_readiness(&self) {
         for entry in &self.entries {
             let ready = Caller::new(entry.ops, "").call("GET", "/ready", "");
             entry.is_ready.store(ready.status == 200, Ordering::Release);
@@ -117,7 +117,7 @@
 
     fn choose(&self) -> Option<usize> {
         let is_ready =
-            |entry: &Balanced| entry.is_ready.load(Ordering::Acquire);
+            |entry: &BalancedEntry| entry.is_ready.load(Ordering::Acquire);
         let ready: Vec<usize> = (0..self.entries.len())
             .filter(|at| is_ready(&self.entries[*at]))
             .collect();
@@ -127,42 +127,42 @@
 }
 
 impl Load {
-    /// Starts the callers of a plan.
+    /// Starts the callers and the balancer of a plan.
     pub fn start(fleet: &Fleet, plan: LoadPlan) -> Load {
-        let is_over = Arc::new(AtomicBool::new(false));
+        let is_stopped = Arc::new(AtomicBool::new(false));
         let sent = Arc::new(Mutex::new(Vec::new()));
         let balancer = Arc::new(Balancer::new(fleet, plan.entries));
         let mut tasks = Vec::new();
-        let (until, looking) = (is_over.clone(), balancer.clone());
+        let (until, polled) = (is_stopped.clone(), balancer.clone());
         tasks.push(thread::spawn(move || {
             while !until.load(Ordering::Acquire) {
-                looking.look();
-                thread::sleep(Duration::from_millis(plan.look_ms));
+                polled.poll_readiness();
+                thread::sleep(Duration::from_millis(plan.ready_poll_ms));
             }
         }));
         let callers = plan.kinds.len() * plan.callers;
         for (number, kind) in (0..callers).zip(plan.kinds.iter().cycle()) {
-            let task = Sending {
+            let task = CallerTask {
                 kind: *kind,
                 number,
                 plan,
                 balancer: balancer.clone(),
-                is_over: is_over.clone(),
+                is_stopped: is_stopped.clone(),
                 sent: sent.clone(),
             };
             tasks.push(thread::spawn(move || task.run()));
         }
-        Load { is_over, sent, tasks }
+        Load { is_stopped, sent, tasks }
     }
 
-    /// Requests that have ended until now.
-    pub fn ended(&self) -> usize {
+    /// Number of requests that have finished.
+    pub fn finished_count(&self) -> usize {
         self.sent.lock().expect("no holder panics").len()
     }
 
-    /// Ends the load; all that was sent.
-    pub fn stop(self) -> Vec<Sent> {
-        self.is_over.store(true, Ordering::Release);
+    /// Stops the load and returns all requests that were sent.
+    pub fn stop(self) -> Vec<SentRequest> {
+        self.is_stopped.store(true, Ordering::Release);
         for task in self.tasks {
             task.join().expect("no caller panics");
         }
@@ -171,46 +171,46 @@
     }
 }
 
-struct Sending {
+struct CallerTask {
     kind: Kind,
     number: usize,
     plan: LoadPlan,
     balancer: Arc<Balancer>,
-    is_over: Arc<AtomicBool>,
-    sent: Arc<Mutex<Vec<Sent>>>,
+    is_stopped: Arc<AtomicBool>,
+    sent: Arc<Mutex<Vec<SentRequest>>>,
 }
 
-impl Sending {
+impl CallerTask {
     fn run(&self) {
         let addresses = self.balancer.entries.iter().map(|e| e.http);
         let callers: Vec<Caller> =
             addresses.map(|http| Caller::new(http, ACCOUNTS[0].1)).collect();
         for count in 0.. {
-            if self.is_over.load(Ordering::Acquire) {
+            if self.is_stopped.load(Ordering::Acquire) {
                 return;
             }
             let Some(entry) = self.balancer.choose() else {
-                thread::sleep(PAUSE);
+                thread::sleep(NOT_READY_PAUSE);
                 continue;
             };
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             let name = format!("n{}-{count}", self.number);
             let answer = self.send(&callers[entry], &name);
             let problem = self.problem(&name, &answer);
             let kind = self.kind;
-            let sent = Sent { kind, entry, sent, answer, problem };
+            let sent = SentRequest { kind, entry, sent_at, answer, problem };
             self.sent.lock().expect("no holder panics").push(sent);
             thread::sleep(Duration::from_millis(self.plan.pause_ms));
         }
     }
 
     fn send(&self, caller: &Caller, name: &str) -> Answer {
-        let once = ("chestnutreach-non-idempotent", "true");
+        let non_idempotent = ("chestnutreach-non-idempotent", "true");
         match self.kind {
             Kind::Stream => caller.stream(name, self.plan.tokens, |_| {}),
-            Kind::Once => {
-                caller.header(once.0, once.1).chat(name, self.plan.tokens)
-            }
+            Kind::Once => caller
+                .header(non_idempotent.0, non_idempotent.1)
+                .chat(name, self.plan.tokens),
             Kind::Keyed => caller
                 .header("idempotency-key", name)
                 .chat(name, self.plan.tokens),
@@ -241,11 +241,11 @@
     }
 }
 
-/// The requests whose answer is not whole and right.
-pub fn problems(sent: &[Sent]) -> Vec<String> {
+/// Describes the requests with an incomplete or incorrect response.
+pub fn problems(sent: &[SentRequest]) -> Vec<String> {
     let wrong = sent.iter().filter(|sent| !sent.problem.is_empty());
-    let tell = |sent: &Sent| {
+    let describe = |sent: &SentRequest| {
         format!("{:?} at entry {}: {}", sent.kind, sent.entry, sent.problem)
     };
-    wrong.map(tell).collect()
+    wrong.map(describe).collect()
 }
--- a/crates/daemon/tests/fleet_common/mod.rs
+++ b/crates/daemon/tests/fleet_common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests over fleets of processes share.
+//! Helpers of the tests that run fleets of processes.
 
-// Each test program uses a part of it.
+// Each test program uses only some of these helpers.
 #![allow(dead_code)]
 
 pub mod load;
@@ -11,44 +11,44 @@
 use chestnutreach_fleet::{Fleet, Plan};
 use serde_json::Value;
 
-/// Fleets that may run at the same time.
-const FLEETS: usize = 2;
+/// Fleets of one test program that run at the same time.
+const MAX_FLEETS: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static SLOT_FREED: Condvar = Condvar::new();
 
-/// Leave to run a fleet, until it is dropped.
-struct Turn;
+/// The right to run one fleet, returned on drop.
+struct FleetSlot;
 
-impl Turn {
-    fn wait() -> Turn {
+impl FleetSlot {
+    fn acquire() -> FleetSlot {
         let running = RUNNING.lock().expect("no holder panics");
-        let mut running = ENDED
-            .wait_while(running, |running| *running >= FLEETS)
+        let mut running = SLOT_FREED
+            .wait_while(running, |running| *running >= MAX_FLEETS)
             .expect("no holder panics");
         *running += 1;
-        Turn
+        FleetSlot
     }
 }
 
-impl Drop for Turn {
+impl Drop for FleetSlot {
     fn drop(&mut self) {
         *RUNNING.lock().expect("no holder panics") -= 1;
-        ENDED.notify_one();
+        SLOT_FREED.notify_one();
     }
 }
 
-/// Runs a test on a fleet; a failed one tells the state of its processes.
+/// Runs a test on a fleet and prints the states of its processes on failure.
 pub fn with_fleet(plan: Plan, test: impl FnOnce(&mut Fleet)) {
-    let _turn = Turn::wait();
+    let _slot = FleetSlot::acquire();
     let mut fleet = Fleet::start(plan).expect("the fleet starts");
-    let states = StatesOnPanic(&mut fleet);
-    test(states.0);
+    let guard = PrintStatesOnPanic(&mut fleet);
+    test(guard.0);
 }
 
-struct StatesOnPanic<'a>(&'a mut Fleet);
+struct PrintStatesOnPanic<'a>(&'a mut Fleet);
 
-impl Drop for StatesOnPanic<'_> {
+impl Drop for PrintStatesOnPanic<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("{}", self.0.states());
@@ -56,7 +56,7 @@
     }
 }
 
-/// What an entry shows of a backend server of the model.
-pub fn server_of(fleet: &Fleet, entry: usize, server: &str) -> Value {
+/// Returns the state of a backend server of the model in an entry's status.
+pub fn server_status(fleet: &Fleet, entry: usize, server: &str) -> Value {
     fleet.entry_status(entry)["services"]["desk-llm"][server].clone()
 }
--- a/crates/daemon/tests/fleet_common/watch.rs
+++ b/crates/daemon/tests/fleet_common/watch.rs
@@ -1,4 +1,4 @@
-//! Watching that no daemon goes back to an older generation.
+//! Checks that no daemon returns to an older manifest generation.
 
 use std::{
     collections::BTreeMap,
@@ -13,59 +13,60 @@
 
 use chestnutreach_fleet::{Caller, Fleet};
 
-/// Watches the generations that all daemons show.
-pub struct Watch {
-    is_over: Arc<AtomicBool>,
-    watching: JoinHandle<Seen>,
+/// Polls the manifest generation of all daemons in a thread.
+pub struct GenerationWatch {
+    is_stopped: Arc<AtomicBool>,
+    thread: JoinHandle<Observations>,
 }
 
-/// What a watch has seen.
+/// Observations of a watch.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Looks at one daemon.
-    pub looks: usize,
-    /// Steps back: a daemon, what it showed before, and what then.
-    pub steps_back: Vec<(String, u64, u64)>,
+pub struct Observations {
+    /// Number of times that a daemon was polled.
+    pub poll_count: usize,
+    /// Daemon, its highest generation before, and the lower generation.
+    pub decreases: Vec<(String, u64, u64)>,
 }
 
-impl Watch {
-    /// Watches from now on. A daemon that shows no generation, because it
-    /// does not run or has none yet, is left out of that look.
-    pub fn start(fleet: &Fleet) -> Watch {
-        let is_over = Arc::new(AtomicBool::new(false));
+impl GenerationWatch {
+    /// Starts the watch. A daemon without a generation, because the daemon
+    /// isn't running or has no manifest yet, is skipped.
+    pub fn start(fleet: &Fleet) -> GenerationWatch {
+        let is_stopped = Arc::new(AtomicBool::new(false));
         let daemons = fleet.ops_addresses();
-        let until = is_over.clone();
-        let watching = thread::spawn(move || {
+        let until = is_stopped.clone();
+        let thread = thread::spawn(move || {
             let mut highest: BTreeMap<String, u64> = BTreeMap::new();
-            let mut seen = Seen::default();
+            let mut observations = Observations::default();
             while !until.load(Ordering::Acquire) {
                 for (name, address) in &daemons {
-                    let generation = shown_generation(*address);
+                    let generation = current_generation(*address);
                     let old = highest.entry(name.clone()).or_insert(0);
-                    seen.looks += 1;
+                    observations.poll_count += 1;
                     if (1..*old).contains(&generation) {
-                        let step = (name.clone(), *old, generation);
-                        seen.steps_back.push(step);
+                        let decrease = (name.clone(), *old, generation);
+                        observations.decreases.push(decrease);
                     }
                     *old = generation.max(*old);
                 }
                 thread::sleep(Duration::from_millis(5));
             }
-            seen
+            observations
         });
-        Watch { is_over, watching }
+        GenerationWatch { is_stopped, thread }
     }
 
-    /// Ends the watch: nothing has stepped back.
-    pub fn assert_no_step_back(self) {
-        self.is_over.store(true, Ordering::Release);
-        let seen = self.watching.join().expect("the watch does not panic");
-        assert!(seen.looks > 0);
-        assert!(seen.steps_back.is_empty(), "{seen:?}");
+    /// Stops the watch and fails if a generation decreased.
+    pub fn assert_no_decrease(self) {
+        self.is_stopped.store(true, Ordering::Release);
+        let observations =
+            self.thread.join().expect("the watch does not panic");
+        assert!(observations.poll_count > 0);
+        assert!(observations.decreases.is_empty(), "{observations:?}");
     }
 }
 
-fn shown_generation(ops: SocketAddr) -> u64 {
+fn current_generation(ops: SocketAddr) -> u64 {
     let status = Caller::new(ops, "").call("GET", "/status", "").json();
     status["generation"].as_u64().unwrap_or(0)
 }
--- a/crates/daemon/tests/fleet_manifest.rs
+++ b/crates/daemon/tests/fleet_manifest.rs
@@ -1,4 +1,4 @@
-//! One manifest on all VMs, on fleets of separate processes.
+//! Distribution of the manifest to all VMs, on fleets of separate processes.
 
 mod fleet_common;
 
@@ -20,21 +20,21 @@
 use chestnutreach_platform::manifest_store::{
     Head, ObjectDigest, PartCache, SubmitError,
 };
-use fleet_common::{watch::Watch, with_fleet};
+use fleet_common::{watch::GenerationWatch, with_fleet};
 use serde_json::{Value, json};
 
-/// Two entries and two engines that each hold the whole model.
+/// Two entries, and two engines that each hold all layers.
 fn plan() -> Plan {
     Plan::new().stages(&[0, 24], 2).plain_servers(0)
 }
 
-fn set_store(fleet: &Fleet, faults: &Value) {
+fn set_store_faults(fleet: &Fleet, faults: &Value) {
     for name in ["table", "objects"] {
         fleet.set_faults(name, faults);
     }
 }
 
-fn down() -> Value {
+fn unavailable() -> Value {
     json!({"down": "unavailable"})
 }
 
@@ -49,9 +49,9 @@
     }
 }
 
-/// Sources and generations that a daemon has put in force, over all its
-/// lives.
-fn in_force(fleet: &mut Fleet, name: &str) -> Vec<String> {
+/// Returns the events of a daemon, over all its process lifetimes, that put a
+/// generation in force.
+fn in_force_events(fleet: &mut Fleet, name: &str) -> Vec<String> {
     fleet.events(name, "manifest_in_force")
 }
 
@@ -60,8 +60,8 @@
     fleet.start_again(name).unwrap();
 }
 
-/// Each entry asks the side processes.
-fn seed_entries(fleet: &Fleet) {
+/// Sets the side processes as seed peers of each entry.
+fn set_seed_peers(fleet: &Fleet) {
     let control = fleet.control_addresses();
     let sides = control.iter().filter(|(name, _)| name.starts_with("side-"));
     let sides: Vec<String> = sides.map(|(_, a)| a.to_string()).collect();
@@ -71,18 +71,18 @@
 }
 
 #[test]
-fn a_restart_during_an_outage_does_not_go_back() {
+fn a_restart_during_a_store_outage_keeps_the_generation() {
     with_fleet(plan(), |fleet| {
-        seed_entries(fleet);
+        set_seed_peers(fleet);
         fleet.apply(1).unwrap();
         let names = fleet.daemon_names();
         wait_for_generation(fleet, &names, 2);
-        let watch = Watch::start(fleet);
-        set_store(fleet, &down());
+        let watch = GenerationWatch::start(fleet);
+        set_store_faults(fleet, &unavailable());
         for name in &names {
             restart(fleet, name);
             wait_for_generation(fleet, std::slice::from_ref(name), 2);
-            let last = in_force(fleet, name).pop().unwrap();
+            let last = in_force_events(fleet, name).pop().unwrap();
             assert!(last.contains("peer"), "{last}");
         }
         for entry in 0..2 {
@@ -94,18 +94,18 @@
             let answer = fleet.caller(entry).chat("a b c", 5);
             assert_eq!(answer.status, 200, "{answer:?}");
         }
-        watch.assert_no_step_back();
+        watch.assert_no_decrease();
     });
 }
 
 #[test]
-fn without_store_and_peers_a_daemon_waits_for_the_store() {
+fn a_daemon_without_store_and_peers_waits_for_the_store() {
     with_fleet(plan(), |fleet| {
         fleet.apply(1).unwrap();
         let names = fleet.daemon_names();
         wait_for_generation(fleet, &names, 2);
-        let watch = Watch::start(fleet);
-        set_store(fleet, &down());
+        let watch = GenerationWatch::start(fleet);
+        set_store_faults(fleet, &unavailable());
         for name in &names {
             fleet.process(name).kill();
         }
@@ -114,19 +114,19 @@
         }
         for name in &names {
             fleet
-                .wait_for("the outage to be told", |fleet| {
+                .wait_for("a status without a generation", |fleet| {
                     fleet.status(name)["generation"] == 0
                 })
                 .unwrap();
             assert!(!fleet.is_ready(name));
         }
-        set_store(fleet, &json!({}));
+        set_store_faults(fleet, &json!({}));
         wait_for_generation(fleet, &names, 2);
-        watch.assert_no_step_back();
+        watch.assert_no_decrease();
     });
 }
 
-/// A peer that has an old generation in force.
+/// A peer that serves an old generation.
 struct StalePeer {
     head: Head,
     objects: PartCache,
@@ -167,8 +167,8 @@
     }
 }
 
-/// Serves what the store has accepted until now for as long as the test
-/// runs.
+/// Starts a peer that serves the current generation of the store for the rest
+/// of the test.
 fn start_stale_peer(fleet: &Fleet) -> SocketAddr {
     let store = fleet.manifest_store(Duration::from_secs(2));
     let mut objects = PartCache::new();
@@ -192,33 +192,33 @@
 }
 
 #[test]
-fn of_several_peers_the_highest_generation_counts() {
+fn the_highest_generation_of_several_peers_is_used() {
     with_fleet(plan(), |fleet| {
         let stale = start_stale_peer(fleet);
         fleet.apply(1).unwrap();
         let names = fleet.daemon_names();
         wait_for_generation(fleet, &names, 2);
-        let gone = chestnutreach_fleet::ports::free_address();
-        let fresh = fleet.control_addresses()["entry-1"];
-        let seeds = format!("{stale}, {gone}, {fresh}");
+        let unreachable = chestnutreach_fleet::ports::free_address();
+        let current = fleet.control_addresses()["entry-1"];
+        let seeds = format!("{stale}, {unreachable}, {current}");
         for name in ["entry-0", "side-desk-0a"] {
             fleet.add_node_setting(name, "seed-peers", &seeds).unwrap();
         }
-        let watch = Watch::start(fleet);
-        set_store(fleet, &down());
+        let watch = GenerationWatch::start(fleet);
+        set_store_faults(fleet, &unavailable());
         for name in ["entry-0", "side-desk-0a"] {
-            let before = in_force(fleet, name).len();
+            let before = in_force_events(fleet, name).len();
             restart(fleet, name);
             wait_for_generation(fleet, &[name.to_owned()], 2);
-            let since = in_force(fleet, name).split_off(before);
+            let since = in_force_events(fleet, name).split_off(before);
             assert_eq!(since.len(), 1, "{since:?}");
         }
-        watch.assert_no_step_back();
+        watch.assert_no_decrease();
     });
 }
 
 #[test]
-fn parts_that_the_store_cannot_give_come_from_peers() {
+fn parts_that_the_store_fails_to_return_are_fetched_from_peers() {
     with_fleet(plan(), |fleet| {
         let late = "side-desk-0a".to_owned();
         fleet.process(&late).freeze();
@@ -228,21 +228,23 @@
         let names = fleet.daemon_names().into_iter();
         let others: Vec<String> = names.filter(|n| *n != late).collect();
         wait_for_generation(fleet, &others, 2);
-        fleet.set_faults("objects", &down());
+        fleet.set_faults("objects", &unavailable());
         fleet.process(&late).thaw();
         wait_for_generation(fleet, std::slice::from_ref(&late), 2);
-        let last = in_force(fleet, &late).pop().unwrap();
+        let last = in_force_events(fleet, &late).pop().unwrap();
         assert!(last.contains("peer"), "{last}");
     });
 }
 
 #[test]
-fn a_higher_generation_of_a_peer_is_fetched_at_once() {
+fn a_higher_generation_of_a_peer_is_fetched_immediately() {
     with_fleet(plan(), |fleet| {
         let names = fleet.daemon_names();
-        let rare = "[platform]\nmanifest-poll-ms = 60000\n";
+        let long_poll_interval = "[platform]\nmanifest-poll-ms = 60000\n";
         for name in &names {
-            fleet.replace_setting(name, "[platform]\n", rare).unwrap();
+            fleet
+                .replace_setting(name, "[platform]\n", long_poll_interval)
+                .unwrap();
             restart(fleet, name);
         }
         wait_for_generation(fleet, &names, 1);
@@ -255,7 +257,8 @@
     });
 }
 
-/// Submits a manifest until it or a rival of its generation is accepted.
+/// Submits a manifest until this manifest or a competing one of the same
+/// generation is accepted; returns whether this manifest was.
 fn submit(fleet: &Fleet, base: u64, text: &str, name: &str) -> bool {
     let store = fleet.manifest_store(Duration::from_millis(400));
     let sections = Manifest::try_parse("m", text).unwrap().to_sections();
@@ -285,7 +288,7 @@
 }
 
 #[test]
-fn racing_manifests_over_a_bad_store_end_as_one_everywhere() {
+fn concurrent_submissions_over_a_faulty_store_converge_on_one_manifest() {
     struct Case {
         faults: Value,
     }
@@ -294,15 +297,15 @@
         Case { faults: json!({"slow_ms": 150, "lose_answers": 4}) },
         Case { faults: json!({"error_permille": 300, "slow_ms": 100}) },
     ];
-    let wide = Plan::new().entries(3).stages(&[0, 24], 9).plain_servers(0);
-    with_fleet(wide, |fleet| {
+    let plan = Plan::new().entries(3).stages(&[0, 24], 9).plain_servers(0);
+    with_fleet(plan, |fleet| {
         let names = fleet.daemon_names();
         assert_eq!(names.len(), 12);
-        let watch = Watch::start(fleet);
+        let watch = GenerationWatch::start(fleet);
         let text = fleet.manifest_text();
         for (base, case) in (1..).zip(&cases) {
-            set_store(fleet, &case.faults);
-            let rivals = ["left", "right"].map(|side| {
+            set_store_faults(fleet, &case.faults);
+            let competing = ["left", "right"].map(|side| {
                 let weight = format!("weight = {}\n", 11 + base);
                 let text = text.replacen("weight = 10\n", &weight, 1);
                 let text = match side {
@@ -312,20 +315,20 @@
                 (format!("{side}-{base}"), text)
             });
             let fleet_ref: &Fleet = fleet;
-            let won = thread::scope(|scope| {
-                let tasks = rivals.each_ref().map(|(name, text)| {
+            let accepted = thread::scope(|scope| {
+                let tasks = competing.each_ref().map(|(name, text)| {
                     scope.spawn(move || submit(fleet_ref, base, text, name))
                 });
                 tasks.map(|task| task.join().unwrap())
             });
-            assert!(won[0] != won[1], "one of two wins: {won:?}");
+            assert!(accepted[0] != accepted[1], "exactly one: {accepted:?}");
             wait_for_generation(fleet, &names, base + 1);
-            let winner = &rivals[usize::from(won[1])].0;
+            let winner = &competing[usize::from(accepted[1])].0;
             for name in &names {
-                let last = in_force(fleet, name).pop().unwrap();
+                let last = in_force_events(fleet, name).pop().unwrap();
                 assert!(last.contains(winner.as_str()), "{name}: {last}");
             }
         }
-        watch.assert_no_step_back();
+        watch.assert_no_decrease();
     });
 }
--- a/crates/daemon/tests/fleet_members.rs
+++ b/crates/daemon/tests/fleet_members.rs
@@ -1,4 +1,4 @@
-//! Membership: who gets work, on fleets of separate processes.
+//! Membership, on fleets of separate processes: which servers get work.
 
 mod fleet_common;
 
@@ -10,51 +10,51 @@
 
 use chestnutreach_fleet::{Fleet, Plan, record::broken_promises};
 use fleet_common::{
-    load::{Kind, Load, LoadPlan, Sent, problems},
-    server_of, with_fleet,
+    load::{Kind, Load, LoadPlan, SentRequest, problems},
+    server_status, with_fleet,
 };
 use serde_json::json;
 
-/// Time within which a server that leaves gets its last new work.
-const LEAVE_LIMIT: Duration = Duration::from_secs(3);
-/// Time that load goes on after it.
-const AFTER: Duration = Duration::from_millis(1_500);
+/// Time after which a server that drains or has failed gets no new work.
+const EXCLUSION_LIMIT: Duration = Duration::from_secs(3);
+/// How long the load continues after that limit.
+const LOAD_AFTER_LIMIT: Duration = Duration::from_millis(1_500);
 
 fn plan() -> Plan {
     Plan::new().stages(&[0, 24], 2).plain_servers(0)
 }
 
 #[test]
-fn entries_know_how_many_they_are() {
+fn entry_count_follows_entries_that_stop_and_start() {
     with_fleet(plan().entries(3), |fleet| {
-        let knows = |fleet: &Fleet, count: u64| {
+        let has_count = |fleet: &Fleet, count: u64| {
             [0, 1].iter().all(|entry| {
                 fleet.entry_status(*entry)["entry_count"] == count
             })
         };
-        fleet.wait_for("three entries", |f| knows(f, 3)).unwrap();
+        fleet.wait_for("three entries", |f| has_count(f, 3)).unwrap();
         assert_eq!(fleet.stop("entry-2").unwrap(), Some(0));
-        fleet.wait_for("two entries", |f| knows(f, 2)).unwrap();
+        fleet.wait_for("two entries", |f| has_count(f, 2)).unwrap();
         fleet.process("entry-2").start_again().unwrap();
-        fleet.wait_for("three entries again", |f| knows(f, 3)).unwrap();
+        fleet.wait_for("three entries again", |f| has_count(f, 3)).unwrap();
     });
 }
 
 #[test]
-fn what_is_known_of_a_server_outlives_a_change_of_the_set() {
+fn server_state_survives_a_new_manifest_generation() {
     let slow = plan().entries(1).engine_argument("--step-us=20000");
     with_fleet(slow, |fleet| {
         let caller = fleet.caller(0);
         let stream =
             std::thread::spawn(move || caller.stream("a b c", 200, |_| {}));
         let in_flight = |fleet: &Fleet| {
-            ["desk-0a", "desk-0b"]
-                .into_iter()
-                .find(|server| server_of(fleet, 0, server)["in_flight"] == 1)
+            ["desk-0a", "desk-0b"].into_iter().find(|server| {
+                server_status(fleet, 0, server)["in_flight"] == 1
+            })
         };
         fleet.wait_for("a request", |f| in_flight(f).is_some()).unwrap();
-        let server = in_flight(fleet).expect("one of them runs it");
-        let before = server_of(fleet, 0, server);
+        let server = in_flight(fleet).expect("a server runs the request");
+        let before = server_status(fleet, 0, server);
 
         let joined = fleet.add_engine(0).unwrap();
         fleet.apply(1).unwrap();
@@ -63,9 +63,9 @@
                 f.entry_status(0)["generation"] == 2
             })
             .unwrap();
-        assert_eq!(server_of(fleet, 0, server), before);
+        assert_eq!(server_status(fleet, 0, server), before);
         fleet
-            .wait_for("the joining server", |f| {
+            .wait_for("the new server", |f| {
                 f.present(0).is_some_and(|names| names.contains(&joined))
             })
             .unwrap();
@@ -73,7 +73,7 @@
         assert_eq!(answer.outcome(), Some("completed"), "{answer:?}");
         fleet
             .wait_for("the end of the request", |f| {
-                server_of(f, 0, server)["in_flight"] == 0
+                server_status(f, 0, server)["in_flight"] == 0
             })
             .unwrap();
     });
@@ -83,52 +83,64 @@
     plan().engine_argument("--step-us=3000")
 }
 
-/// Ids of the requests that an engine has run.
-fn ran_on(fleet: &Fleet, engine: &str) -> BTreeSet<String> {
+/// Returns the ids of the requests that an engine has run.
+fn requests_run_on(fleet: &Fleet, engine: &str) -> BTreeSet<String> {
     let record = fleet.engine_record(engine);
     record.into_iter().map(|ran| ran.entry.request).collect()
 }
 
-/// Has the load go on for a while after a server must have got its last new
-/// work; all that was sent.
-fn end_load(load: Load, left: Instant) -> Vec<Sent> {
-    let until = left + LEAVE_LIMIT + AFTER;
+/// Continues the load for a while after the exclusion limit and returns all
+/// requests.
+fn finish_load(load: Load, exclusion_start: Instant) -> Vec<SentRequest> {
+    let until = exclusion_start + EXCLUSION_LIMIT + LOAD_AFTER_LIMIT;
     thread::sleep(until.saturating_duration_since(Instant::now()));
     load.stop()
 }
 
-/// No request that was sent after the limit ran there; some were sent.
-fn assert_no_new_work(sent: &[Sent], ran: &BTreeSet<String>, left: Instant) {
-    let late = |sent: &&Sent| sent.sent > left + LEAVE_LIMIT;
-    let late: Vec<&Sent> = sent.iter().filter(late).collect();
+/// Fails if a request that was sent after the exclusion limit ran on the
+/// excluded server, or if too few requests were sent after the limit.
+fn assert_no_new_work(
+    sent: &[SentRequest],
+    ran: &BTreeSet<String>,
+    exclusion_start: Instant,
+) {
+    let late =
+        |sent: &&SentRequest| sent.sent_at > exclusion_start + EXCLUSION_LIMIT;
+    let late: Vec<&SentRequest> = sent.iter().filter(late).collect();
     assert!(late.len() > 10, "only {} requests", late.len());
-    let here: Vec<&&Sent> =
+    let unexpected: Vec<&&SentRequest> =
         late.iter().filter(|s| ran.contains(s.answer.request())).collect();
-    assert!(here.is_empty(), "{here:?}");
-    let here = sent.iter().filter(|s| ran.contains(s.answer.request()));
-    let last = here.map(|s| s.sent).max().expect("it had work before");
-    println!("last new work after {:?}", last.saturating_duration_since(left));
+    assert!(unexpected.is_empty(), "{unexpected:?}");
+    let on_server = sent.iter().filter(|s| ran.contains(s.answer.request()));
+    let last = on_server
+        .map(|s| s.sent_at)
+        .max()
+        .expect("the server had work before");
+    println!(
+        "last new work after {:?}",
+        last.saturating_duration_since(exclusion_start)
+    );
 }
 
-/// Waits until an engine has run a request that it had not run before.
+/// Waits until an engine has run a request that is new since the call.
 fn wait_for_new_work(fleet: &mut Fleet, engine: &str) {
-    let before = ran_on(fleet, engine);
+    let before = requests_run_on(fleet, engine);
     fleet
         .wait_for(&format!("new work on {engine}"), |fleet| {
-            ran_on(fleet, engine).difference(&before).next().is_some()
+            requests_run_on(fleet, engine).difference(&before).next().is_some()
         })
         .unwrap();
 }
 
 #[test]
-fn a_side_process_that_is_told_to_stop_gets_no_new_work() {
+fn a_stopping_side_process_gets_no_new_work() {
     with_fleet(loaded_plan(), |fleet| {
-        // Longer than the limit, so that the process is still there.
+        // These streams outlast the exclusion limit, so that the process still
+        // runs when the limit passes.
         let long: Vec<_> = (0..4)
             .map(|number| {
-                // Time enough also on a machine that is busy with other work,
-                // where 1,500 steps are learned to take more than the 20 s
-                // that a request gets unasked.
+                // On a busy machine the entries estimate more than the default
+                // deadline of 20 s for 1,500 steps.
                 let caller = fleet
                     .caller(number % 2)
                     .header("chestnutreach-deadline-ms", "60000");
@@ -136,28 +148,33 @@
                 thread::spawn(move || caller.stream(&name, 1_500, |_| {}))
             })
             .collect();
-        // Else one of them may be the new work that is waited for, and the
-        // load may have none there yet when the process is told to stop.
+        // If a long stream started later, wait_for_new_work could take the
+        // stream for a request of the load, and the process would be stopped
+        // before any request of the load ran there.
         fleet
             .wait_for("the long streams to run", |fleet| {
-                let mut ran = ran_on(fleet, "desk-0a");
-                ran.append(&mut ran_on(fleet, "desk-0b"));
+                let mut ran = requests_run_on(fleet, "desk-0a");
+                ran.append(&mut requests_run_on(fleet, "desk-0b"));
                 ran.len() == long.len()
             })
             .unwrap();
         let load = Load::start(fleet, LoadPlan::default());
         wait_for_new_work(fleet, "desk-0a");
-        let left = Instant::now();
+        let exclusion_start = Instant::now();
         fleet.process("side-desk-0a").terminate();
         fleet
-            .wait_for("entries to know", |fleet| {
+            .wait_for("entries to see the drain", |fleet| {
                 (0..2).all(|entry| {
-                    server_of(fleet, entry, "desk-0a")["presence"] == "leaving"
+                    server_status(fleet, entry, "desk-0a")["presence"]
+                        == "leaving"
                 })
             })
             .unwrap();
-        println!("all entries knew after {:?}", left.elapsed());
-        let sent = end_load(load, left);
+        println!(
+            "all entries saw the drain after {:?}",
+            exclusion_start.elapsed()
+        );
+        let sent = finish_load(load, exclusion_start);
         for answer in long {
             let answer = answer.join().unwrap();
             assert_eq!(answer.outcome(), Some("completed"), "{answer:?}");
@@ -166,7 +183,11 @@
         let status = fleet.process("side-desk-0a").wait(limit).unwrap();
         assert_eq!(status.code(), Some(0));
         assert_eq!(problems(&sent), [""; 0]);
-        assert_no_new_work(&sent, &ran_on(fleet, "desk-0a"), left);
+        assert_no_new_work(
+            &sent,
+            &requests_run_on(fleet, "desk-0a"),
+            exclusion_start,
+        );
         assert_eq!(broken_promises(&fleet.engine_records()), [""; 0]);
     });
 }
@@ -177,12 +198,16 @@
         fleet.set_faults("vm-list", &json!({"lag_ms": 500}));
         let load = Load::start(fleet, LoadPlan::default());
         wait_for_new_work(fleet, "desk-0a");
-        let left = Instant::now();
+        let exclusion_start = Instant::now();
         fleet.list_leaving(&["side-desk-0a"]);
-        let sent = end_load(load, left);
+        let sent = finish_load(load, exclusion_start);
         assert_eq!(fleet.side_status("desk-0a")["is_leaving"], false);
         assert_eq!(problems(&sent), [""; 0]);
-        assert_no_new_work(&sent, &ran_on(fleet, "desk-0a"), left);
+        assert_no_new_work(
+            &sent,
+            &requests_run_on(fleet, "desk-0a"),
+            exclusion_start,
+        );
 
         fleet.list_leaving(&[]);
         let load = Load::start(fleet, LoadPlan::default());
@@ -192,65 +217,71 @@
 }
 
 /// The manifest states a speed that is far too high, and all servers are in
-/// their ramp, which lasts 30 s: only loads that are told in time keep work
-/// from going where it seems fastest.
+/// their ramp-up of 30 s. Only timely load reports prevent the entries from
+/// sending all work to the server that seems fastest.
 #[test]
-fn a_joining_server_takes_work_and_not_more_than_its_share() {
+fn a_new_server_gets_work_but_less_than_half_of_it() {
     with_fleet(loaded_plan().max_running(8), |fleet| {
         let kinds = &[Kind::Stream];
         let plan = LoadPlan { kinds, callers: 12, ..LoadPlan::default() };
         let load = Load::start(fleet, plan);
-        fleet.wait_for("load", |_| load.ended() > 100).unwrap();
+        fleet.wait_for("load", |_| load.finished_count() > 100).unwrap();
         let joined = fleet.add_engine(0).unwrap();
         fleet.apply(1).unwrap();
         fleet
-            .wait_for("the joining server", |fleet| {
+            .wait_for("the new server", |fleet| {
                 (0..2).all(|entry| {
                     let present = fleet.present(entry);
                     present.is_some_and(|names| names.contains(&joined))
                 })
             })
             .unwrap();
-        let since = Instant::now();
+        let joined_at = Instant::now();
         wait_for_new_work(fleet, &joined);
         thread::sleep(Duration::from_secs(3));
         let sent = load.stop();
         assert_eq!(problems(&sent), [""; 0]);
-        let late = |sent: &&Sent| sent.sent > since;
-        let late: Vec<&Sent> = sent.iter().filter(late).collect();
-        let ran = ran_on(fleet, &joined);
-        let here = late.iter().filter(|s| ran.contains(s.answer.request()));
-        let (here, all) = (here.count(), late.len());
-        println!("{here} of {all} on the joining server");
-        assert!(here > 0 && here * 2 < all, "{here} of {all}");
+        let late = |sent: &&SentRequest| sent.sent_at > joined_at;
+        let late: Vec<&SentRequest> = sent.iter().filter(late).collect();
+        let ran = requests_run_on(fleet, &joined);
+        let on_joined =
+            late.iter().filter(|s| ran.contains(s.answer.request()));
+        let (count, all) = (on_joined.count(), late.len());
+        println!("{count} of {all} on the new server");
+        assert!(count > 0 && count * 2 < all, "{count} of {all}");
     });
 }
 
 #[test]
-fn a_frozen_side_process_is_taken_out_and_comes_back() {
+fn a_frozen_side_process_is_excluded_until_thawed() {
     with_fleet(loaded_plan(), |fleet| {
         let kinds = &[Kind::Stream];
         let plan = LoadPlan { kinds, callers: 6, ..LoadPlan::default() };
         let load = Load::start(fleet, plan);
-        // A new entry has three further attempts and one more for each five
-        // requests; with fewer than callers a failure is told to some.
-        fleet.wait_for("load", |_| load.ended() >= 100).unwrap();
+        // An entry starts with a budget of three retries and gains one for
+        // each five requests. With fewer retries than callers, some callers
+        // would see a failure.
+        fleet.wait_for("load", |_| load.finished_count() >= 100).unwrap();
         wait_for_new_work(fleet, "desk-0a");
-        let left = Instant::now();
+        let exclusion_start = Instant::now();
         fleet.process("side-desk-0a").freeze();
-        let sent = end_load(load, left);
+        let sent = finish_load(load, exclusion_start);
         assert_eq!(problems(&sent), [""; 0]);
-        let slow = sent
+        let slowest = sent
             .iter()
             .filter_map(|s| s.answer.part_times.first())
             .max()
             .unwrap();
-        println!("longest wait for a first token {slow:?}");
+        println!("longest wait for a first token {slowest:?}");
         for entry in 0..2 {
-            let state = server_of(fleet, entry, "desk-0a");
+            let state = server_status(fleet, entry, "desk-0a");
             assert_eq!(state["presence"], "absent", "{state}");
         }
-        assert_no_new_work(&sent, &ran_on(fleet, "desk-0a"), left);
+        assert_no_new_work(
+            &sent,
+            &requests_run_on(fleet, "desk-0a"),
+            exclusion_start,
+        );
 
         fleet.process("side-desk-0a").thaw();
         let load = Load::start(fleet, LoadPlan::default());
@@ -260,18 +291,20 @@
     });
 }
 
-/// A VM is listed as leaving and replaced, and then the list is down: what
-/// it said of the old process does not hold for the new one.
+/// A VM is listed as leaving, the VM list becomes unavailable, and the process
+/// is replaced: the mark must not apply to the new process.
 #[test]
-fn a_list_that_is_down_takes_nobody_out() {
+fn an_unavailable_vm_list_excludes_no_server() {
     with_fleet(loaded_plan(), |fleet| {
         fleet.list_leaving(&["side-desk-0a"]);
-        let shows = |fleet: &Fleet, presence: &str| {
+        let has_presence = |fleet: &Fleet, presence: &str| {
             (0..2).all(|entry| {
-                server_of(fleet, entry, "desk-0a")["presence"] == presence
+                server_status(fleet, entry, "desk-0a")["presence"] == presence
             })
         };
-        fleet.wait_for("the mark", |f| shows(f, "leaving")).unwrap();
+        fleet
+            .wait_for("the leaving mark", |f| has_presence(f, "leaving"))
+            .unwrap();
         fleet.set_faults("vm-list", &json!({"down": "unavailable"}));
         for entry in ["entry-0", "entry-1"] {
             fleet.wait_for_event(entry, "store_unavailable").unwrap();
@@ -285,7 +318,7 @@
                 })
                 .unwrap();
         }
-        // An entry that starts while the list is down works without it.
+        // An entry that starts while the VM list is unavailable works.
         assert_eq!(fleet.stop("entry-0").unwrap(), Some(0));
         fleet.start_again("entry-0").unwrap();
         fleet
--- a/crates/daemon/tests/fleet_stops.rs
+++ b/crates/daemon/tests/fleet_stops.rs
@@ -18,7 +18,7 @@
     with_fleet,
 };
 
-/// Entries of the fleets here.
+/// Entries of each fleet.
 const ENTRIES: usize = 2;
 
 fn plan() -> Plan {
@@ -26,10 +26,9 @@
         .entries(ENTRIES)
         .plain_servers(0)
         .engine_argument("--step-us=3000")
-    //TRIAL
 }
 
-/// The attempts of each request of which an engine ran anything.
+/// Returns the attempts, by request, of which an engine ran at least one step.
 fn attempts_that_ran(
     records: &BTreeMap<String, Vec<Ran>>,
 ) -> BTreeMap<String, BTreeSet<u32>> {
@@ -40,8 +39,8 @@
     ran
 }
 
-/// Waits until every entry gives every side process work.
-fn wait_until_whole(fleet: &mut Fleet) {
+/// Waits until every entry considers every side process present.
+fn wait_until_all_present(fleet: &mut Fleet) {
     let servers = fleet
         .daemon_names()
         .iter()
@@ -57,12 +56,14 @@
     }
 }
 
-/// Replaces every VM, one after another.
+/// Stops and restarts the process of every VM, one after another.
 fn replace_all(fleet: &mut Fleet, load: &Load) {
     for name in fleet.daemon_names() {
-        let before = load.ended();
+        let before = load.finished_count();
         fleet
-            .wait_for("load before a stop", |_| load.ended() >= before + 10)
+            .wait_for("load before a stop", |_| {
+                load.finished_count() >= before + 10
+            })
             .unwrap();
         assert_eq!(fleet.stop(&name).unwrap(), Some(0), "{name}");
         let ended = fleet.events(&name, "drain_ended");
@@ -71,12 +72,12 @@
         fleet
             .wait_for(&format!("{name} to be ready"), |f| f.is_ready(&name))
             .unwrap();
-        wait_until_whole(fleet);
+        wait_until_all_present(fleet);
     }
 }
 
 #[test]
-fn replacing_every_vm_of_chains_cuts_nothing() {
+fn replacing_every_vm_of_chains_aborts_no_request() {
     with_fleet(plan(), |fleet| {
         let kinds = LoadPlan::default().kinds;
         let load = Load::start(fleet, LoadPlan::default());
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn replacing_every_vm_of_a_plain_service_cuts_nothing() {
+fn replacing_every_vm_of_a_plain_service_aborts_no_request() {
     let plan = plan().stages(&[0, 24], 1).plain_servers(2);
     with_fleet(plan, |fleet| {
         let kinds = &[Kind::PlainOnce];
@@ -109,10 +110,10 @@
     });
 }
 
-/// The requests are further apart than the time for which an entry waits for
-/// frames on their way.
+/// The pause between the requests exceeds the idle period after which a
+/// stopping process exits.
 #[test]
-fn an_entry_takes_new_requests_until_the_balancer_has_noticed() {
+fn an_entry_accepts_requests_in_its_lame_duck_period() {
     let plan = Plan::new().stages(&[0, 24], 1).plain_servers(0).setting(
         "entry",
         "lame-duck-ms",
@@ -121,7 +122,7 @@
     with_fleet(plan, |fleet| {
         fleet.process("entry-0").terminate();
         fleet
-            .wait_for("the entry to say so", |f| !f.is_ready("entry-0"))
+            .wait_for("the entry to be not ready", |f| !f.is_ready("entry-0"))
             .unwrap();
         for number in 0..3 {
             let name = format!("n{number}");
@@ -136,11 +137,11 @@
 }
 
 #[test]
-fn after_its_time_an_entry_refuses_new_connections() {
+fn an_entry_refuses_connections_after_its_lame_duck_period() {
     let plan = plan().stages(&[0, 24], 1);
     with_fleet(plan, |fleet| {
-        let running = ask(fleet.caller(0), "long", 800);
-        wait_for_output(fleet, 0, 1);
+        let running = spawn_chat(fleet.caller(0), "long", 800);
+        wait_for_running(fleet, 0, 1);
         fleet.process("entry-0").terminate();
         fleet
             .wait_for("the port to close", |fleet| {
@@ -157,10 +158,11 @@
     });
 }
 
-/// The end of a keyed request is noted after its caller has the answer; an
-/// entry that ended before would leave the repeat to a side process.
+/// An entry records the outcome of a keyed request after the caller has the
+/// response. If the entry exited before that, only the side process that ran
+/// the request could answer a repeat.
 #[test]
-fn an_entry_notes_how_keyed_requests_ended_before_it_ends() {
+fn an_entry_records_the_outcomes_of_keyed_requests_before_it_exits() {
     let plan = plan().stages(&[0, 24], 2).setting(
         "platform",
         "request-timeout-ms",
@@ -168,32 +170,36 @@
     );
     with_fleet(plan, |fleet| {
         fleet.set_faults("table", &serde_json::json!({"slow_ms": 1_200}));
-        let ask = |fleet: &Fleet, entry| {
+        let send = |fleet: &Fleet, entry| {
             let caller = fleet.caller(entry);
             caller.header("idempotency-key", "letter").chat("a b", 4)
         };
-        let first = ask(fleet, 0);
+        let first = send(fleet, 0);
         assert_eq!(first.outcome(), Some("completed"), "{first:?}");
         assert_eq!(fleet.stop("entry-0").unwrap(), Some(0));
         let records = fleet.engine_records();
-        let has_run = |runs: &Vec<Ran>| {
+        let ran_request = |runs: &Vec<Ran>| {
             runs.iter().any(|ran| ran.entry.request == first.request())
         };
-        let ran = records.iter().find(|(_, runs)| has_run(runs));
+        let ran = records.iter().find(|(_, runs)| ran_request(runs));
         let side = format!("side-{}", ran.unwrap().0);
         assert_eq!(fleet.stop(&side).unwrap(), Some(0));
         fleet.set_faults("table", &serde_json::json!({}));
-        let again = ask(fleet, 1);
+        let again = send(fleet, 1);
         assert_eq!(again.content(), first.content(), "{again:?}");
     });
 }
 
-fn ask(caller: Caller, prompt: &str, tokens: u32) -> JoinHandle<Answer> {
+fn spawn_chat(
+    caller: Caller,
+    prompt: &str,
+    tokens: u32,
+) -> JoinHandle<Answer> {
     let prompt = prompt.to_owned();
     thread::spawn(move || caller.chat(&prompt, tokens))
 }
 
-fn ask_stream(
+fn spawn_stream(
     caller: Caller,
     prompt: &str,
     tokens: u32,
@@ -202,8 +208,9 @@
     thread::spawn(move || caller.stream(&prompt, tokens, |_| {}))
 }
 
-/// Waits until an entry has this many requests and engines run all of them.
-fn wait_for_output(fleet: &mut Fleet, entry: usize, requests: usize) {
+/// Waits until an entry has `requests` requests in flight and engines run all
+/// of them.
+fn wait_for_running(fleet: &mut Fleet, entry: usize, requests: usize) {
     fleet
         .wait_for("requests to run", |fleet| {
             let shown = &fleet.entry_status(entry)["in_flight"];
@@ -217,7 +224,7 @@
     runs.iter().map(|ran| ran.entry.request.clone()).collect()
 }
 
-fn cut_plan() -> Plan {
+fn short_drain_plan() -> Plan {
     Plan::new()
         .entries(ENTRIES)
         .plain_servers(0)
@@ -232,7 +239,7 @@
     tokens.into_iter().map(|(_, text)| text).collect()
 }
 
-fn assert_cut(fleet: &mut Fleet, name: &str) {
+fn assert_drain_aborts(fleet: &mut Fleet, name: &str) {
     fleet.process(name).terminate();
     let status = fleet.process(name).wait(Duration::from_secs(5)).unwrap();
     assert_eq!(status.code(), Some(3));
@@ -240,16 +247,16 @@
 }
 
 #[test]
-fn at_the_bound_of_a_stop_an_entry_tells_every_caller() {
-    with_fleet(cut_plan(), |fleet| {
+fn an_entry_at_its_drain_limit_reports_an_outcome_to_every_caller() {
+    with_fleet(short_drain_plan(), |fleet| {
         let caller = fleet.caller(0);
         let once = caller.header("chestnutreach-non-idempotent", "true");
         let keyed = caller.header("idempotency-key", "letter");
-        let stream = ask_stream(caller, "stream", 60);
-        let once = ask(once, "once", 60);
-        let keyed = ask(keyed, "keyed", 60);
-        wait_for_output(fleet, 0, 3);
-        assert_cut(fleet, "entry-0");
+        let stream = spawn_stream(caller, "stream", 60);
+        let once = spawn_chat(once, "once", 60);
+        let keyed = spawn_chat(keyed, "keyed", 60);
+        wait_for_running(fleet, 0, 3);
+        assert_drain_aborts(fleet, "entry-0");
         struct Case {
             answer: Answer,
             outcome: &'static str,
@@ -262,7 +269,7 @@
         for Case { answer, outcome } in cases {
             assert_eq!(answer.outcome(), Some(outcome), "{answer:?}");
         }
-        // The request with a key has run on where it was.
+        // The request with a key continued on its side process.
         let caller = fleet.caller(1);
         let again = caller.header("idempotency-key", "letter");
         let again = again.chat("keyed", 60);
@@ -272,41 +279,42 @@
 }
 
 #[test]
-fn at_the_bound_of_a_stop_a_side_process_tells_every_entry() {
-    with_fleet(cut_plan(), |fleet| {
+fn a_side_process_at_its_drain_limit_reports_to_every_entry() {
+    with_fleet(short_drain_plan(), |fleet| {
         let caller = fleet.caller(0);
         let once = caller.header("chestnutreach-non-idempotent", "true");
         let running: Vec<_> = (0..6)
             .map(|number| {
                 let name = format!("n{number}");
-                let asked = match number % 2 {
-                    0 => ask_stream(caller.clone(), &name, 60),
-                    _ => ask(once.clone(), &name, 60),
+                let call = match number % 2 {
+                    0 => spawn_stream(caller.clone(), &name, 60),
+                    _ => spawn_chat(once.clone(), &name, 60),
                 };
-                let asked = thread::spawn(move || {
-                    (asked.join().unwrap(), Instant::now())
+                let call = thread::spawn(move || {
+                    (call.join().unwrap(), Instant::now())
                 });
-                (number, name, asked)
+                (number, name, call)
             })
             .collect();
-        wait_for_output(fleet, 0, 6);
-        // The one with most of the requests.
+        wait_for_running(fleet, 0, 6);
+        // The engine with the most requests is chosen.
         let records = fleet.engine_records();
-        let (engine, here) = records
+        let (engine, affected) = records
             .iter()
             .map(|(engine, runs)| (engine, requests_of(runs)))
-            .max_by_key(|(_, here)| here.len())
+            .max_by_key(|(_, requests)| requests.len())
             .unwrap();
-        assert!(here.len() >= 3, "{here:?}");
-        assert_cut(fleet, &format!("side-{engine}"));
-        // Told, and not found out when the time for asking has passed.
-        let told = Instant::now();
-        for (number, name, asked) in running {
-            let (answer, at) = asked.join().unwrap();
-            let after = at.saturating_duration_since(told);
-            let was_here = here.contains(answer.request());
+        assert!(affected.len() >= 3, "{affected:?}");
+        assert_drain_aborts(fleet, &format!("side-{engine}"));
+        // The side process must report the failure: an entry that found out by
+        // an unanswered query would take longer.
+        let exited_at = Instant::now();
+        for (number, name, call) in running {
+            let (answer, at) = call.join().unwrap();
+            let after = at.saturating_duration_since(exited_at);
+            let was_affected = affected.contains(answer.request());
             let is_once = number % 2 == 1;
-            let expected = match was_here && is_once {
+            let expected = match was_affected && is_once {
                 true => "failed",
                 false => "completed",
             };
--- a/crates/daemon/tests/matrix/cell.rs
+++ b/crates/daemon/tests/matrix/cell.rs
@@ -1,4 +1,4 @@
-//! What a cell of the matrix is.
+//! Definition of a cell of the matrix: request, step, fault and expectation.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 /// Layers of the model.
 pub const LAYER_COUNT: u32 = 24;
-/// Tokens asked for.
+/// Maximum of output tokens.
 pub const MAX_TOKENS: u32 = 12;
-/// What is asked for.
+/// Prompt of the requests to the model.
 pub const PROMPT: &str = "Write the repayment letter for loan 2417";
-/// Tokens of the prompt: the engine takes each word for one.
+/// Tokens of the prompt: the engine stand-in counts each word as one token.
 pub const PROMPT_TOKENS: u32 = 7;
 const RECEIPT: &str = "{\"loan\":2417,\"paid\":15000}";
 const DEADLINE_MS: &str = "20000";
 
-/// One cell: a request that meets a fault at a step.
+/// One cell: a request, the step at which the fault occurs, and the fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Cell {
     pub kind: Kind,
@@ -28,7 +28,7 @@
 /// Kind of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// Streamed, and may be run again.
+    /// Streamed and idempotent.
     Stream,
     /// Runs at most once, without a key.
     Once,
@@ -42,142 +42,147 @@
     Receipt,
 }
 
-/// How far a request has come.
+/// Progress of a request when the fault occurs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// The entry takes it when the fault is there already.
+    /// The fault occurs before the request is sent.
     Accepted,
-    /// Likewise, and only the chain that is struck is there.
-    AcceptedAlone,
-    /// Its key is claimed; the entry does not know so yet.
+    /// The fault occurs before the request is sent, and the affected chain is
+    /// the only one.
+    AcceptedSingleChain,
+    /// The key is claimed, and the entry has no response to the claim yet.
     Claimed,
-    /// It waits for a place at the side process.
+    /// The request waits for a slot at the side process.
     Queued,
-    /// The engine has been called and has run nothing.
+    /// The engine has received a call and has run nothing.
     Dispatched,
-    /// The engine has run the prompt, or the plain service the call; the
-    /// answer is on its way.
+    /// The engine has run the prefill, or the plain service has run the call,
+    /// and the response is in transit.
     Prefill,
     /// Some tokens have been delivered.
     BetweenTokens,
-    /// The last step has run; its answer is on its way.
+    /// The engine has run the last step, and the response is in transit.
     LastToken,
-    /// The answer is whole, its outcome not yet written to the table.
+    /// The response is complete, and the outcome isn't written to the table
+    /// yet.
     Recording,
-    /// Likewise written, and the entry does not know so yet.
+    /// The outcome is written, and the entry has no response to the write yet.
     Recorded,
-    /// The caller has the answer.
+    /// The caller has the response.
     Answered,
 }
 
-/// Which stage of the chain a fault strikes.
+/// Stage of the chain that a fault affects.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum At {
+pub enum Stage {
     First,
     Last,
 }
 
-/// When something frozen goes on.
+/// When a frozen process resumes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Thaw {
-    /// Before anybody counts it as lost.
+    /// Before any other process considers the frozen process lost.
     Soon,
-    /// After it counts as lost, and before the request's end.
+    /// After other processes consider the frozen process lost, and before the
+    /// request ends.
     Late,
-    /// When the caller has its answer.
+    /// When the caller has the response.
     Afterwards,
 }
 
-/// What happens.
+/// Fault that a cell injects.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    SideKilled(At),
-    /// Killed and started again.
-    SideRestarted(At),
-    SideFrozen(At, Thaw),
-    EngineKilled(At),
-    EngineFrozen(At, Thaw),
+    SideKilled(Stage),
+    /// The side process is killed and restarted.
+    SideRestarted(Stage),
+    SideFrozen(Stage, Thaw),
+    EngineKilled(Stage),
+    EngineFrozen(Stage, Thaw),
     EntryKilled,
     EntryFrozen(Thaw),
     /// The connections to the side process are reset.
-    Reset(At),
-    /// The connections to the side process fall silent; new ones work.
-    Silent(At),
-    /// The connections to the side process are held up; what was sent over
-    /// them arrives when the caller has its answer.
-    Stalled(At),
-    /// What goes to or from the side process is late.
-    Slow(At),
+    Reset(Stage),
+    /// The open connections to the side process stop transferring data; new
+    /// connections work.
+    Silent(Stage),
+    /// The connections to the side process are stalled; what was sent over
+    /// them arrives when the caller has the response.
+    Stalled(Stage),
+    /// The connections to the side process are delayed in both directions.
+    Slow(Stage),
     StoreDown,
     StoreSlow,
-    /// The table applies the next write and its answer is lost.
-    StoreAnswerLost,
-    ListedLeaving(At),
-    SideTerminated(At),
+    /// The table applies the next write, and the response is lost.
+    StoreResponseLost,
+    ListedLeaving(Stage),
+    SideTerminated(Stage),
     EntryTerminated,
-    /// Two at the same time.
+    /// Two faults at the same time.
     Both(&'static Fault, &'static Fault),
-    /// Again when the request has come to the step again.
+    /// The fault occurs again when the next attempt reaches the step.
     Twice(&'static Fault),
 }
 
-/// What a caller is told.
+/// Outcome that the response reports to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Told {
+pub enum Outcome {
     Completed,
     NotRun,
     Failed,
     Unknown,
-    /// Nothing: its entry has gone.
-    Broken,
+    /// The connection closed without an outcome: the entry has exited.
+    NoResponse,
 }
 
-/// What a cell expects.
+/// Expected result of a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct Expect {
-    pub told: Told,
-    /// Attempts that engines have run steps of; none for any count that the
-    /// request allows.
+    pub outcome: Outcome,
+    /// Attempts of which engines have run steps; none accepts any count that
+    /// the kind of request allows.
     pub attempts: Option<usize>,
-    /// What a repeat at the other entry is told in the end.
-    pub repeat: Told,
-    /// Longest time from the fault to the answer.
-    pub within: Duration,
+    /// Final outcome of a repeat at the other entry.
+    pub repeat: Outcome,
+    /// Maximum time from the fault to the response.
+    pub max_latency: Duration,
 }
 
-/// Time for an answer that waits for nobody beyond the limits on silence.
-const SOON: Duration = Duration::from_secs(5);
-/// Time for an answer after a side process was asked in vain.
-const AFTER_ASKING: Duration = Duration::from_secs(9);
+/// Maximum time to a response that waits only for the timeouts on silence.
+const RESPONSE_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum time to a response if a side process is queried for the state of
+/// the request and doesn't respond.
+const RESPONSE_LIMIT_AFTER_QUERY: Duration = Duration::from_secs(9);
 
 impl Expect {
-    const fn new(told: Told, repeat: Told) -> Expect {
-        Expect { told, attempts: None, repeat, within: SOON }
+    const fn new(outcome: Outcome, repeat: Outcome) -> Expect {
+        Expect { outcome, attempts: None, repeat, max_latency: RESPONSE_LIMIT }
     }
 
-    /// A whole answer.
+    /// A complete response.
     pub const fn completed() -> Expect {
-        Expect::new(Told::Completed, Told::Completed)
+        Expect::new(Outcome::Completed, Outcome::Completed)
     }
 
-    /// A refusal, and that nothing has run.
+    /// A refusal that states that nothing has run.
     pub const fn not_run() -> Expect {
-        Expect::new(Told::NotRun, Told::Completed).attempts(0)
+        Expect::new(Outcome::NotRun, Outcome::Completed).attempts(0)
     }
 
-    /// The news that it began and failed.
+    /// A response that the request has begun to run and failed.
     pub const fn failed() -> Expect {
-        Expect::new(Told::Failed, Told::Failed)
+        Expect::new(Outcome::Failed, Outcome::Failed)
     }
 
-    /// The news that nobody can tell, after asking.
+    /// A response that the outcome is unknown, after an unanswered query.
     pub const fn unknown() -> Expect {
-        Expect::new(Told::Unknown, Told::Unknown).after_asking()
+        Expect::new(Outcome::Unknown, Outcome::Unknown).after_query()
     }
 
-    /// No news, since the entry has gone.
-    pub const fn broken() -> Expect {
-        Expect::new(Told::Broken, Told::Completed)
+    /// No response, because the entry has exited.
+    pub const fn no_response() -> Expect {
+        Expect::new(Outcome::NoResponse, Outcome::Completed)
     }
 
     pub const fn attempts(mut self, count: usize) -> Expect {
@@ -185,13 +190,13 @@
         self
     }
 
-    pub const fn repeat(mut self, told: Told) -> Expect {
-        self.repeat = told;
+    pub const fn repeat(mut self, outcome: Outcome) -> Expect {
+        self.repeat = outcome;
         self
     }
 
-    pub const fn after_asking(mut self) -> Expect {
-        self.within = AFTER_ASKING;
+    pub const fn after_query(mut self) -> Expect {
+        self.max_latency = RESPONSE_LIMIT_AFTER_QUERY;
         self
     }
 }
@@ -224,14 +229,14 @@
         matches!(self, Kind::Keyed | Kind::Receipt)
     }
 
-    /// Whether it may run at most once.
+    /// Whether the request may run at most once.
     pub fn is_once(self) -> bool {
         !matches!(self, Kind::Stream | Kind::Lookup)
     }
 }
 
 impl Fault {
-    /// Whether an entry cannot know of it before it has sent something.
+    /// Whether an entry can detect the fault only after it has sent a message.
     pub fn is_hidden(&self) -> bool {
         matches!(
             self,
@@ -239,32 +244,34 @@
         )
     }
 
-    /// The stage that it strikes first.
-    pub fn at(&self) -> At {
+    /// Returns the stage that the fault affects first.
+    pub fn first_affected_stage(&self) -> Stage {
         match self {
-            Fault::SideKilled(at)
-            | Fault::SideRestarted(at)
-            | Fault::SideFrozen(at, _)
-            | Fault::EngineKilled(at)
-            | Fault::EngineFrozen(at, _)
-            | Fault::Reset(at)
-            | Fault::Silent(at)
-            | Fault::Stalled(at)
-            | Fault::Slow(at)
-            | Fault::ListedLeaving(at)
-            | Fault::SideTerminated(at) => *at,
-            Fault::Both(first, _) | Fault::Twice(first) => first.at(),
+            Fault::SideKilled(stage)
+            | Fault::SideRestarted(stage)
+            | Fault::SideFrozen(stage, _)
+            | Fault::EngineKilled(stage)
+            | Fault::EngineFrozen(stage, _)
+            | Fault::Reset(stage)
+            | Fault::Silent(stage)
+            | Fault::Stalled(stage)
+            | Fault::Slow(stage)
+            | Fault::ListedLeaving(stage)
+            | Fault::SideTerminated(stage) => *stage,
+            Fault::Both(first, _) | Fault::Twice(first) => {
+                first.first_affected_stage()
+            }
             Fault::EntryKilled
             | Fault::EntryFrozen(_)
             | Fault::StoreDown
             | Fault::StoreSlow
-            | Fault::StoreAnswerLost
-            | Fault::EntryTerminated => At::First,
+            | Fault::StoreResponseLost
+            | Fault::EntryTerminated => Stage::First,
         }
     }
 }
 
-/// The model's answer.
+/// Returns the expected output of the model.
 pub fn expected_text() -> String {
     expected_answer(PROMPT, LAYER_COUNT, MAX_TOKENS)
         .into_iter()
@@ -272,14 +279,14 @@
         .collect()
 }
 
-/// What a caller was told.
-pub fn told(answer: &Answer) -> Told {
+/// Returns the outcome that a response reports.
+pub fn outcome_of(answer: &Answer) -> Outcome {
     match answer.outcome() {
-        Some("completed") => Told::Completed,
-        Some("not-run") => Told::NotRun,
-        Some("failed") => Told::Failed,
-        Some("unknown") => Told::Unknown,
+        Some("completed") => Outcome::Completed,
+        Some("not-run") => Outcome::NotRun,
+        Some("failed") => Outcome::Failed,
+        Some("unknown") => Outcome::Unknown,
         Some(other) => panic!("outcome {other:?} of {answer:?}"),
-        None => Told::Broken,
+        None => Outcome::NoResponse,
     }
 }
--- a/crates/daemon/tests/matrix/driver.rs
+++ b/crates/daemon/tests/matrix/driver.rs
@@ -1,4 +1,5 @@
-//! Brings a request to its step, strikes, and lets it go on.
+//! Runs a cell: sends the request, restores the fleet after the fault, and
+//! checks the result.
 
 use std::{
     collections::BTreeMap,
@@ -13,40 +14,41 @@
 use serde_json::json;
 
 use crate::{
-    cell::{At, Cell, Fault, Kind, LAYER_COUNT, Step, Told, told},
+    cell::{Cell, Fault, Kind, LAYER_COUNT, Outcome, Stage, Step, outcome_of},
     invariants,
-    programs::Permit,
+    programs::FleetSlot,
 };
 
-/// Longest time until nothing is held for a request that is over: less than
-/// what is left to its deadline, when all would be given up anyway.
-const REST_LIMIT: Duration = Duration::from_secs(8);
-/// Longest wait for a step to be reached.
+/// Maximum time until all resources of a finished request are released: less
+/// than the time to the deadline, when they would be released in any case.
+const RELEASE_LIMIT: Duration = Duration::from_secs(8);
+/// Maximum wait until a step is reached.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(5);
-/// Time in which what was held up has arrived, by far.
-const ARRIVAL: Duration = Duration::from_millis(200);
-/// How long a side process keeps requests without a key whose entry has gone,
-/// in cells with a key.
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time within which the data of a stalled connection arrives after the stall.
+const TRANSIT_TIME: Duration = Duration::from_millis(200);
+/// How long a side process keeps requests without a key after the exit of
+/// their entry, in cells with a key.
 pub const ORPHAN_LIMIT_MS: &str = "100";
-/// Longest wait for a repeat's final answer, and time between two tries.
+/// Maximum wait for the final response to a repeat, and time between two
+/// attempts.
 const REPEAT_LIMIT: Duration = Duration::from_secs(20);
 const REPEAT_PAUSE: Duration = Duration::from_millis(200);
 
 /// Runs a cell.
 pub fn run(cell: Cell) {
-    let _permit = Permit::take();
+    let _slot = FleetSlot::acquire();
     let mut driver = Driver::start(cell);
-    let answer = driver.answer();
-    driver.heal();
+    let answer = driver.send_with_fault();
+    driver.end_faults();
     invariants::check_answer(&driver, &answer);
-    if told(&answer) == Told::NotRun {
-        driver.rest();
+    if outcome_of(&answer) == Outcome::NotRun {
+        driver.wait_until_released();
         invariants::check_nothing_ran(&driver);
     }
     let repeat = driver.repeat();
-    driver.rest();
+    driver.wait_until_released();
     invariants::check_records(&driver, &answer);
     if let Some(repeat) = repeat {
         invariants::check_repeat(&driver, &answer, &repeat);
@@ -54,7 +56,7 @@
     driver.check_stops();
 }
 
-/// Backend servers that a request crosses.
+/// Backend servers of the path of a request.
 #[derive(Clone, Debug, Default)]
 pub struct Chain {
     pub first: String,
@@ -62,33 +64,33 @@
 }
 
 impl Chain {
-    pub fn server(&self, at: At) -> &str {
-        match at {
-            At::First => &self.first,
-            At::Last => &self.last,
+    pub fn server(&self, stage: Stage) -> &str {
+        match stage {
+            Stage::First => &self.first,
+            Stage::Last => &self.last,
         }
     }
 }
 
 pub type Call = JoinHandle<(Answer, Instant)>;
 
-/// A cell under way.
+/// State of a running cell.
 pub struct Driver {
     pub cell: Cell,
     pub fleet: Fleet,
     pub chain: Chain,
-    /// Records of stand-ins that were killed.
-    pub lost_records: BTreeMap<String, Vec<Ran>>,
-    pub lost_plain: Vec<PlainRecord>,
-    /// Processes that go on when the caller has its answer.
+    /// Records of killed stand-ins.
+    pub killed_engine_records: BTreeMap<String, Vec<Ran>>,
+    pub killed_plain_records: Vec<PlainRecord>,
+    /// Processes that are thawed when the caller has the response.
     pub frozen: Vec<String>,
-    /// Relays that pass on what they hold up when the caller has its answer.
+    /// Relays whose connections resume when the caller has the response.
     pub stalled: Vec<String>,
-    /// Processes that were told to stop.
+    /// Processes that got a signal to stop.
     pub stopping: Vec<String>,
-    /// Time from the fault to the answer.
-    pub waited: Duration,
-    /// Requests that only took a place.
+    /// Time from the fault to the response.
+    pub latency: Duration,
+    /// Ids of requests that only occupied a slot.
     pub fillers: Vec<String>,
     pub filler: Option<Call>,
 }
@@ -100,12 +102,12 @@
             cell,
             fleet,
             chain: Chain::default(),
-            lost_records: BTreeMap::new(),
-            lost_plain: Vec::new(),
+            killed_engine_records: BTreeMap::new(),
+            killed_plain_records: Vec::new(),
             frozen: Vec::new(),
             stalled: Vec::new(),
             stopping: Vec::new(),
-            waited: Duration::ZERO,
+            latency: Duration::ZERO,
             fillers: Vec::new(),
             filler: None,
         }
@@ -115,34 +117,34 @@
         spawn(self.cell.kind, self.fleet.caller(0))
     }
 
-    pub fn join(&mut self, call: Call, struck: Instant) -> Answer {
+    pub fn join(&mut self, call: Call, fault_time: Instant) -> Answer {
         let (answer, at) = call.join().expect("no caller panics");
-        self.waited = at.saturating_duration_since(struck);
+        self.latency = at.saturating_duration_since(fault_time);
         answer
     }
 
-    /// Names of the backend servers that may be struck.
-    pub fn stage(&self, at: At) -> Vec<String> {
+    /// Returns the names of the backend servers of a stage.
+    pub fn servers_of(&self, stage: Stage) -> Vec<String> {
         let plan = plan(&self.cell);
-        match at {
+        match stage {
             _ if self.cell.kind.is_plain() => plan.plain_names(),
-            At::First => plan.stage_names(0),
-            At::Last => plan.stage_names(1),
+            Stage::First => plan.stage_names(0),
+            Stage::Last => plan.stage_names(1),
         }
     }
 
-    /// Names of the plain servers.
+    /// Returns the names of the plain servers.
     pub fn plain_names(&self) -> Vec<String> {
         plan(&self.cell).plain_names()
     }
 
-    pub fn hold(&self, names: &[String], gate: serde_json::Value) {
+    pub fn hold(&self, names: &[String], hold_point: serde_json::Value) {
         for name in names {
-            self.fleet.set_faults(name, &gate);
+            self.fleet.set_faults(name, &hold_point);
         }
     }
 
-    /// Lets the calls at stand-ins go on that answer.
+    /// Releases the calls held at the stand-ins that run.
     pub fn release(&mut self, names: &[String]) {
         for name in names {
             let is_frozen = self.frozen.contains(name);
@@ -157,8 +159,8 @@
             if call.is_some_and(JoinHandle::is_finished) {
                 panic!("the call ended before its step was reached");
             }
-            let running: Vec<String> = names.to_vec();
-            running.iter().any(|name| driver.is_holding(name))
+            let names: Vec<String> = names.to_vec();
+            names.iter().any(|name| driver.is_holding(name))
         });
     }
 
@@ -169,56 +171,65 @@
     pub fn wait_until(
         &mut self,
         what: &str,
-        is_true: impl FnMut(&mut Driver) -> bool,
+        condition: impl FnMut(&mut Driver) -> bool,
     ) {
-        self.wait_within(WAIT_LIMIT, what, is_true);
+        self.wait_within(WAIT_LIMIT, what, condition);
     }
 
     fn wait_within(
         &mut self,
         limit: Duration,
         what: &str,
-        mut is_true: impl FnMut(&mut Driver) -> bool,
+        mut condition: impl FnMut(&mut Driver) -> bool,
     ) {
         let started = Instant::now();
-        while !is_true(self) {
+        while !condition(self) {
             if started.elapsed() > limit {
                 let states = self.fleet.states();
-                panic!("waited in vain for {what}; {states}");
+                panic!("timed out waiting for {what}; {states}");
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Finds the chain of the request in flight.
     pub fn find_chain(&mut self) {
-        self.find_chain_without("");
+        self.find_chain_excluding("");
     }
 
-    /// The same for the attempt after one that a server was struck in: that
-    /// server may still hold its seat, where no release could reach it.
-    pub fn find_chain_without(&mut self, struck: &str) {
-        self.chain.first = self.holder(At::First, "runs", struck);
+    /// Finds the chain of the attempt after a fault, without the affected
+    /// server: that server may still hold the reservation of the earlier
+    /// attempt if the release didn't arrive.
+    pub fn find_chain_excluding(&mut self, excluded: &str) {
+        self.chain.first = self.find_server(Stage::First, "runs", excluded);
         self.chain.last = match self.cell.kind.is_plain() {
             true => self.chain.first.clone(),
-            false => self.holder(At::Last, "seats", struck),
+            false => self.find_server(Stage::Last, "seats", excluded),
         };
     }
 
-    pub fn holder(&mut self, at: At, what: &str, struck: &str) -> String {
-        let mut names = self.stage(at);
-        names.retain(|name| name != struck);
+    pub fn find_server(
+        &mut self,
+        stage: Stage,
+        status_key: &str,
+        excluded: &str,
+    ) -> String {
+        let mut names = self.servers_of(stage);
+        names.retain(|name| name != excluded);
         let mut found = None;
-        self.wait_until(&format!("{what} at one of {names:?}"), |driver| {
-            let mut names = names.iter();
-            let holder = names.find(|name| {
-                driver.is_up(&side_name(name))
-                    && driver.fleet.side_status(name)[what] == 1
-            });
-            found = holder.cloned();
-            found.is_some()
-        });
-        found.expect("was waited for")
+        self.wait_until(
+            &format!("{status_key} at one of {names:?}"),
+            |driver| {
+                let mut names = names.iter();
+                let server = names.find(|name| {
+                    driver.is_up(&side_name(name))
+                        && driver.fleet.side_status(name)[status_key] == 1
+                });
+                found = server.cloned();
+                found.is_some()
+            },
+        );
+        found.expect("the wait succeeded")
     }
 
     pub fn is_up(&mut self, process: &str) -> bool {
@@ -226,12 +237,13 @@
             && self.fleet.process(process).is_running()
     }
 
-    /// Has all go on that stands still, and mends what is broken for good.
-    pub fn heal(&mut self) {
+    /// Ends all faults: thaws processes, resumes connections, and resets the
+    /// stand-ins.
+    pub fn end_faults(&mut self) {
         self.thaw();
         for name in std::mem::take(&mut self.stalled) {
             self.fleet.relay(&name).resume();
-            thread::sleep(ARRIVAL);
+            thread::sleep(TRANSIT_TIME);
         }
         self.fleet.set_faults("table", &json!({}));
         let plan = plan(&self.cell);
@@ -244,8 +256,8 @@
         }
     }
 
-    /// The final answer to a repeat at the other entry, for requests that
-    /// may be repeated.
+    /// Returns the final response to a repeat at the other entry, if the
+    /// request may be repeated.
     pub fn repeat(&mut self) -> Option<Answer> {
         let kind = self.cell.kind;
         if kind.is_once() && !kind.is_keyed() {
@@ -254,37 +266,42 @@
         let started = Instant::now();
         loop {
             let answer = kind.send(&self.fleet.caller(1));
-            let may_come = told(&answer) == Told::NotRun
+            let may_retry = outcome_of(&answer) == Outcome::NotRun
                 && answer.headers.contains_key("retry-after");
-            if !may_come || started.elapsed() > REPEAT_LIMIT {
+            if !may_retry || started.elapsed() > REPEAT_LIMIT {
                 return Some(answer);
             }
             thread::sleep(REPEAT_PAUSE);
         }
     }
 
-    /// Waits until no process holds any work.
-    pub fn rest(&mut self) {
+    /// Waits until no side process has runs or reservations.
+    pub fn wait_until_released(&mut self) {
         let plan = plan(&self.cell);
         let names = [plan.engine_names(), plan.plain_names()].concat();
-        self.wait_within(REST_LIMIT, "the fleet to be at rest", |driver| {
-            names.iter().all(|name| {
-                if !driver.is_up(&side_name(name)) {
-                    return true;
-                }
-                let status = driver.fleet.side_status(name);
-                status.is_null()
-                    || (status["runs"] == 0 && status["seats"] == 0)
-            })
-        });
+        self.wait_within(
+            RELEASE_LIMIT,
+            "all runs and reservations to end",
+            |driver| {
+                names.iter().all(|name| {
+                    if !driver.is_up(&side_name(name)) {
+                        return true;
+                    }
+                    let status = driver.fleet.side_status(name);
+                    status.is_null()
+                        || (status["runs"] == 0 && status["seats"] == 0)
+                })
+            },
+        );
     }
 
-    /// Waits for the end of processes that were told to stop.
+    /// Waits until the stopping processes exit, and fails if one aborted
+    /// requests.
     pub fn check_stops(&mut self) {
         for name in std::mem::take(&mut self.stopping) {
             let status = self.fleet.process(&name).wait(WAIT_LIMIT);
             let status = status.expect("a planned stop ends");
-            assert_eq!(status.code(), Some(0), "{name} cut its requests");
+            assert_eq!(status.code(), Some(0), "{name} aborted its requests");
         }
     }
 }
@@ -296,12 +313,13 @@
     })
 }
 
-/// An entry hears that a VM stays after all with the next heartbeat.
-fn quickly_steered(plan: Plan) -> Plan {
+/// Shortens the heartbeat interval: an entry learns from the next heartbeat
+/// that a VM is no longer listed as leaving.
+fn with_short_heartbeat(plan: Plan) -> Plan {
     plan.setting("links", "idle-interval-ms", "250")
 }
 
-/// The cell's fleet.
+/// Returns the plan of the fleet of a cell.
 pub fn plan(cell: &Cell) -> Plan {
     let count = match cell.fault {
         Fault::Both(..) | Fault::Twice(_) => 3,
@@ -320,8 +338,8 @@
         plan = plan.stages(&[0, LAYER_COUNT], 1);
     }
     match cell.step {
-        Step::Queued => quickly_steered(plan.max_running(1)),
-        Step::Accepted => quickly_steered(plan),
+        Step::Queued => with_short_heartbeat(plan.max_running(1)),
+        Step::Accepted => with_short_heartbeat(plan),
         Step::Claimed => {
             plan.setting("platform", "request-timeout-ms", "2000")
         }
--- a/crates/daemon/tests/matrix/invariants.rs
+++ b/crates/daemon/tests/matrix/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold, by what the stand-ins have recorded.
+//! Checks the invariants of a cell against the records of the stand-ins.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,37 +9,37 @@
 use chestnutreach_standins::plain::PlainRecord;
 
 use crate::{
-    cell::{Kind, PROMPT_TOKENS, Step, Told, expected_text, told},
+    cell::{Kind, Outcome, PROMPT_TOKENS, Step, expected_text, outcome_of},
     driver::Driver,
 };
 
-/// Checks what the caller was told, and when.
+/// Checks the outcome that was reported to the caller, and the latency.
 pub fn check_answer(driver: &Driver, answer: &Answer) {
     let expect = driver.cell.expect;
-    assert_eq!(told(answer), expect.told, "{answer:?}");
+    assert_eq!(outcome_of(answer), expect.outcome, "{answer:?}");
     check_text(driver.cell.kind, answer);
-    let waited = driver.waited;
-    assert!(waited <= expect.within, "answered after {waited:?}");
+    let latency = driver.latency;
+    assert!(latency <= expect.max_latency, "response after {latency:?}");
 }
 
-/// Checks the text: whole if it completed, and a beginning of the expected
-/// one in any case.
+/// Checks that the text is the expected one if the request completed, and a
+/// prefix of the expected text otherwise.
 fn check_text(kind: Kind, answer: &Answer) {
     if kind.is_plain() {
-        let is_whole = answer.json()["run"].is_u64();
-        let is_completed = told(answer) == Told::Completed;
-        assert!(is_whole || !is_completed, "{answer:?}");
+        let has_result = answer.json()["run"].is_u64();
+        let is_completed = outcome_of(answer) == Outcome::Completed;
+        assert!(has_result || !is_completed, "{answer:?}");
         return;
     }
     let expected = expected_text();
-    match told(answer) {
-        Told::Completed => assert_eq!(answer.content(), expected),
+    match outcome_of(answer) {
+        Outcome::Completed => assert_eq!(answer.content(), expected),
         _ => {
             let text = if answer.parts > 0 { &*answer.text } else { "" };
             assert!(expected.starts_with(text), "{answer:?}");
         }
     }
-    if told(answer) == Told::NotRun {
+    if outcome_of(answer) == Outcome::NotRun {
         let headers = &answer.headers;
         assert!(headers.contains_key("retry-after"), "{answer:?}");
     }
@@ -48,10 +48,10 @@
 /// Checks that nothing has run so far.
 pub fn check_nothing_ran(driver: &Driver) {
     let ran = runs(driver);
-    assert!(ran.is_empty(), "was told as not run: {ran:?}");
+    assert!(ran.is_empty(), "reported as not run: {ran:?}");
 }
 
-/// Checks what has run, over all that was asked for.
+/// Checks the runs of the request and of its repeat.
 pub fn check_records(driver: &Driver, answer: &Answer) {
     let expect = driver.cell.expect;
     let ran = runs(driver);
@@ -59,12 +59,13 @@
         assert!(ran.len() <= 1, "ran more than once: {ran:?}");
     }
     check_resumed(driver, answer, &ran);
-    // A repeat of a key may run as the request that holds the key.
+    // A repeat of a request with a key may run under the id of the request
+    // that claimed the key.
     let is_repeated =
-        driver.cell.kind.is_keyed() && told(answer) == Told::NotRun;
+        driver.cell.kind.is_keyed() && outcome_of(answer) == Outcome::NotRun;
     let own = ran.iter().filter(|run| run.request == answer.request());
     let count = own.count();
-    // Without an answer there is no request to look for.
+    // Without a response, the id of the request is unknown.
     if let Some(attempts) = expect.attempts
         && !answer.request().is_empty()
         && !is_repeated
@@ -73,7 +74,7 @@
     }
 }
 
-/// Checks that a later attempt goes on after what was delivered.
+/// Checks that a later attempt continues after the delivered tokens.
 fn check_resumed(driver: &Driver, answer: &Answer, ran: &BTreeSet<Run>) {
     let is_between = driver.cell.step == Step::BetweenTokens;
     if driver.cell.kind != Kind::Stream || !is_between {
@@ -89,26 +90,26 @@
         let is_resumed = steps.all(|ran| {
             ran.entry.position > 0 || ran.entry.span > PROMPT_TOKENS
         });
-        assert!(is_resumed, "{run:?} began at the beginning");
+        assert!(is_resumed, "{run:?} started from the first token");
     }
 }
 
-/// Checks a repeat: the same answer, or an honest word that there is none.
+/// Checks that a repeat gets the same response or the expected outcome.
 pub fn check_repeat(driver: &Driver, answer: &Answer, repeat: &Answer) {
-    assert_eq!(told(repeat), driver.cell.expect.repeat, "{repeat:?}");
+    assert_eq!(outcome_of(repeat), driver.cell.expect.repeat, "{repeat:?}");
     check_text(driver.cell.kind, repeat);
-    let are_whole =
-        told(answer) == Told::Completed && told(repeat) == Told::Completed;
-    if are_whole && driver.cell.kind.is_keyed() {
+    let both_completed = outcome_of(answer) == Outcome::Completed
+        && outcome_of(repeat) == Outcome::Completed;
+    if both_completed && driver.cell.kind.is_keyed() {
         let same = (answer.content(), repeat.content());
-        assert_eq!(same.0, same.1, "another answer to the same key");
+        assert_eq!(same.0, same.1, "different responses to the same key");
         if driver.cell.kind.is_plain() {
-            assert_eq!(answer.text, repeat.text, "another answer");
+            assert_eq!(answer.text, repeat.text, "different responses");
         }
     }
 }
 
-/// An attempt that engines have run, or a call that a plain service has.
+/// An attempt that engines have run, or a call that a plain service has run.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Run {
     request: String,
@@ -120,14 +121,14 @@
         return plain_runs(driver);
     }
     let records = engine_records(driver);
-    let broken = broken_promises(&records);
-    assert!(broken.is_empty(), "promises broken: {broken:#?}");
+    let violations = broken_promises(&records);
+    assert!(violations.is_empty(), "invariants violated: {violations:#?}");
     engine_runs(driver, &records)
 }
 
 fn engine_records(driver: &Driver) -> BTreeMap<String, Vec<Ran>> {
     let mut records = driver.fleet.engine_records();
-    records.extend(driver.lost_records.clone());
+    records.extend(driver.killed_engine_records.clone());
     records
 }
 
@@ -143,7 +144,7 @@
 }
 
 fn plain_runs(driver: &Driver) -> BTreeSet<Run> {
-    let mut records: Vec<PlainRecord> = driver.lost_plain.clone();
+    let mut records: Vec<PlainRecord> = driver.killed_plain_records.clone();
     for name in driver.plain_names() {
         let record = driver.fleet.plain_record(&name);
         records.extend(record.into_iter().map(|r| r.entry));
--- a/crates/daemon/tests/matrix/main.rs
+++ b/crates/daemon/tests/matrix/main.rs
@@ -1,14 +1,15 @@
-//! The fault matrix of the request path: each step of a request by each
-//! fault, over separate processes.
+//! Fault matrix of the request path: every step of a request combined with
+//! every fault, on fleets of separate processes.
 //!
-//! A cell brings one request to a step, holds it there, strikes, lets it go
-//! on, and checks what the caller was told against what the stand-ins have
-//! recorded. Steps are reached by holding a call at a stand-in, not by
-//! waiting, so that a cell gives the same verdict every time. Each cell is a
-//! test of its own and has a fleet of its own.
+//! A cell brings one request to a step, holds the request there, injects the
+//! fault, releases the request, and compares the response with the records of
+//! the stand-ins. To reach a step, a cell holds a call at a stand-in instead
+//! of waiting for a time, so that the result is deterministic. Each cell is a
+//! separate test with its own fleet.
 
 mod cell;
 mod driver;
+mod fault_injection;
 mod invariants;
 mod keyed;
 mod once;
@@ -16,4 +17,3 @@
 mod programs;
 mod steps;
 mod stream;
-mod strike;
--- a/crates/daemon/tests/matrix/programs.rs
+++ b/crates/daemon/tests/matrix/programs.rs
@@ -1,4 +1,4 @@
-//! The programs that fleets are made of, and how many fleets run at once.
+//! Builds the programs of a fleet and limits the number of concurrent fleets.
 
 use std::{
     env,
@@ -6,37 +6,37 @@
     sync::{Condvar, Mutex, Once},
 };
 
-/// Fleets at once: each is about fifteen processes.
+/// Concurrent fleets; each has about fifteen processes.
 const MAX_FLEETS: usize = 4;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static SLOT_FREED: Condvar = Condvar::new();
 
-/// The right to run a fleet, given back when dropped.
-pub struct Permit(());
+/// The right to run one fleet, returned on drop.
+pub struct FleetSlot(());
 
-impl Permit {
+impl FleetSlot {
     /// Waits until a fleet may run.
-    pub fn take() -> Permit {
+    pub fn acquire() -> FleetSlot {
         build_standins();
         let running = RUNNING.lock().expect("no holder panics");
-        let mut running = ENDED
+        let mut running = SLOT_FREED
             .wait_while(running, |count| *count >= MAX_FLEETS)
             .expect("no holder panics");
         *running += 1;
-        Permit(())
+        FleetSlot(())
     }
 }
 
-impl Drop for Permit {
+impl Drop for FleetSlot {
     fn drop(&mut self) {
         *RUNNING.lock().expect("no holder panics") -= 1;
-        ENDED.notify_one();
+        SLOT_FREED.notify_one();
     }
 }
 
-/// Builds the stand-ins as the test was built: cargo builds only the programs
-/// of the package under test by itself.
+/// Builds the stand-ins in the profile of the test, because cargo builds only
+/// the programs of the package under test.
 fn build_standins() {
     static BUILD: Once = Once::new();
     BUILD.call_once(|| {
--- a/crates/daemon/tests/matrix/steps.rs
+++ b/crates/daemon/tests/matrix/steps.rs
@@ -1,4 +1,4 @@
-//! Bringing a request to its step.
+//! Brings a request to its step and injects the fault there.
 
 use std::{collections::BTreeSet, time::Instant};
 
@@ -6,49 +6,51 @@
 use serde_json::json;
 
 use crate::{
-    cell::{At, Fault, Kind, MAX_TOKENS, PROMPT_TOKENS, Step},
+    cell::{Fault, Kind, MAX_TOKENS, PROMPT_TOKENS, Stage, Step},
     driver::{Call, Chain, Driver, plan, spawn},
 };
 
-/// Position before which a request is held between tokens, and that of the
-/// second time.
-const BETWEEN: u32 = PROMPT_TOKENS + 4;
-const BETWEEN_AGAIN: u32 = PROMPT_TOKENS + 7;
-/// Most tries to have a call wait for a place.
-const MOST_ARRANGEMENTS: usize = 5;
+/// Position before which a request is held between tokens, and the position
+/// for the second fault.
+const BETWEEN_TOKENS_POSITION: u32 = PROMPT_TOKENS + 4;
+const SECOND_FAULT_POSITION: u32 = PROMPT_TOKENS + 7;
+/// Maximum of attempts to make a call wait for a slot.
+const MAX_QUEUE_ATTEMPTS: usize = 5;
 /// Position of the last step.
-const LAST: u32 = PROMPT_TOKENS + MAX_TOKENS - 2;
+const LAST_POSITION: u32 = PROMPT_TOKENS + MAX_TOKENS - 2;
 
 impl Driver {
-    /// The answer to the cell's request.
-    pub fn answer(&mut self) -> Answer {
+    /// Sends the request, injects the fault at the step of the cell, and
+    /// returns the response.
+    pub fn send_with_fault(&mut self) -> Answer {
         match self.cell.step {
-            Step::Accepted => self.struck_before(),
-            Step::AcceptedAlone => self.struck_alone(),
-            Step::Queued => self.struck_in_queue(),
-            Step::Claimed => self.struck_at_table("hold_answers"),
-            Step::Recording => self.struck_at_end("hold_requests"),
-            Step::Recorded => self.struck_at_end("hold_answers"),
-            Step::Answered => self.struck_afterwards(),
+            Step::Accepted => self.fault_before_request(),
+            Step::AcceptedSingleChain => self.fault_on_single_chain(),
+            Step::Queued => self.fault_in_queue(),
+            Step::Claimed => self.fault_at_table("hold_answers"),
+            Step::Recording => self.fault_at_recording("hold_requests"),
+            Step::Recorded => self.fault_at_recording("hold_answers"),
+            Step::Answered => self.fault_after_response(),
             Step::Dispatched
             | Step::Prefill
             | Step::BetweenTokens
-            | Step::LastToken => self.struck_at_engine(),
+            | Step::LastToken => self.fault_at_engine(),
         }
     }
 
-    /// What shows at once is found by the first request that meets it,
-    /// whichever chain that is; for the rest the request is led there.
-    fn struck_before(&mut self) -> Answer {
+    /// A hidden fault affects only a request that is sent to the affected
+    /// chain, so the request is steered there. Other faults need no steering:
+    /// an entry detects them before it sends a request or by the first one.
+    fn fault_before_request(&mut self) -> Answer {
         let is_hidden = self.cell.fault.is_hidden();
         if is_hidden {
             self.steer();
         } else {
             self.chain = self.first_chain();
         }
-        self.strike();
+        self.inject_fault();
         let call = self.call();
-        let struck = Instant::now();
+        let fault_time = Instant::now();
         if is_hidden {
             self.wait_until("the call to be in flight", |driver| {
                 let status = driver.fleet.entry_status(0);
@@ -56,33 +58,33 @@
             });
             self.release_steering();
         }
-        self.join(call, struck)
+        self.join(call, fault_time)
     }
 
-    fn struck_alone(&mut self) -> Answer {
+    fn fault_on_single_chain(&mut self) -> Answer {
         self.steer();
-        self.strike();
+        self.inject_fault();
         let call = self.call();
         let answer = self.join(call, Instant::now());
         self.release_steering();
         answer
     }
 
-    fn struck_in_queue(&mut self) -> Answer {
+    fn fault_in_queue(&mut self) -> Answer {
         self.steer();
         let names = vec![self.chain.first.clone()];
         let call = self.queue_call(&names);
         self.release_steering();
         let plan = plan(&self.cell);
         let all = [plan.engine_names(), plan.plain_names()].concat();
-        self.wait_until("the entry to see who stays", |driver| {
+        self.wait_until("the entry to see all servers present", |driver| {
             let present = driver.fleet.present(0);
             present.is_some_and(|names| names.len() == all.len())
         });
-        let struck = Instant::now();
-        self.strike();
+        let fault_time = Instant::now();
+        self.inject_fault();
         self.release(&names);
-        let answer = self.join(call, struck);
+        let answer = self.join(call, fault_time);
         self.thaw();
         if let Some(filler) = self.filler.take() {
             let (answer, _) = filler.join().expect("no caller panics");
@@ -91,11 +93,11 @@
         answer
     }
 
-    /// Has a call wait behind one that holds the only place. An engine that
-    /// leaves its health checks unanswered for a moment loses what it held:
-    /// then nothing waits, and both are made again.
+    /// Queues a call behind a filler that occupies the only slot. An engine
+    /// that misses its health checks for a moment loses the filler; then no
+    /// call waits, and both are sent again.
     fn queue_call(&mut self, names: &[String]) -> Call {
-        for _ in 0..MOST_ARRANGEMENTS {
+        for _ in 0..MAX_QUEUE_ATTEMPTS {
             self.hold(names, json!({"hold_before_position": 0}));
             let filler = spawn(Kind::Stream, self.fleet.caller(1));
             self.wait_held(names, Some(&filler));
@@ -104,10 +106,10 @@
             self.wait_until("the call to be queued", |driver| {
                 let status = driver.fleet.side_status(&names[0]);
                 is_queued = status["backends"][0]["queued"] == 1;
-                let has_place = driver.fleet.held(&names[0]) == 1
+                let holds_slot = driver.fleet.held(&names[0]) == 1
                     && !call.is_finished()
                     && !filler.is_finished();
-                is_queued || !has_place
+                is_queued || !holds_slot
             });
             if is_queued {
                 self.filler = Some(filler);
@@ -119,31 +121,31 @@
                 self.fillers.push(answer.request().to_owned());
             }
         }
-        panic!("the place was lost {MOST_ARRANGEMENTS} times");
+        panic!("the slot was lost {MAX_QUEUE_ATTEMPTS} times");
     }
 
-    fn struck_at_table(&mut self, hold: &str) -> Answer {
+    fn fault_at_table(&mut self, hold: &str) -> Answer {
         self.fleet.set_faults("table", &json!({hold: true}));
         let call = self.call();
         self.wait_held(&["table".to_owned()], Some(&call));
-        let struck = Instant::now();
+        let fault_time = Instant::now();
         if let Fault::StoreDown = self.cell.fault {
             let down = json!({hold: true, "down": "unavailable"});
             self.fleet.set_faults("table", &down);
         } else {
-            self.strike();
+            self.inject_fault();
             self.fleet.set_faults("table", &json!({}));
         }
-        self.join(call, struck)
+        self.join(call, fault_time)
     }
 
-    fn struck_at_end(&mut self, hold: &str) -> Answer {
-        let names = self.stage(At::Last);
-        let gate = match self.cell.kind.is_plain() {
+    fn fault_at_recording(&mut self, hold: &str) -> Answer {
+        let names = self.servers_of(Stage::Last);
+        let hold_point = match self.cell.kind.is_plain() {
             true => json!({"hold_after_position": 0}),
-            false => json!({"hold_after_position": LAST}),
+            false => json!({"hold_after_position": LAST_POSITION}),
         };
-        self.hold(&names, gate);
+        self.hold(&names, hold_point);
         let call = self.call();
         self.wait_held(&names, Some(&call));
         self.find_chain();
@@ -151,9 +153,9 @@
         self.release(&names);
         self.wait_held(&["table".to_owned()], None);
         let answer = self.join(call, Instant::now());
-        self.strike();
+        self.inject_fault();
         if self.cell.step == Step::Recording {
-            // What is held would still be written.
+            // Without this fault, the table would still run the held write.
             self.fleet.set_faults("table", &json!({"lose_requests": 1}));
             self.wait_until("the write to be lost", |driver| {
                 driver.fleet.held("table") == 0
@@ -162,8 +164,8 @@
         answer
     }
 
-    fn struck_afterwards(&mut self) -> Answer {
-        let names = self.stage(At::First);
+    fn fault_after_response(&mut self) -> Answer {
+        let names = self.servers_of(Stage::First);
         self.hold(&names, json!({"hold_before_position": 0}));
         let call = self.call();
         self.wait_held(&names, Some(&call));
@@ -175,47 +177,54 @@
                 driver.fleet.entry_status(0)["unsettled"] == 0
             });
         }
-        self.strike();
+        self.inject_fault();
         answer
     }
 
-    fn struck_at_engine(&mut self) -> Answer {
-        let names = self.stage(self.cell.fault.at());
-        self.hold(&names, self.gate());
+    fn fault_at_engine(&mut self) -> Answer {
+        let names = self.servers_of(self.cell.fault.first_affected_stage());
+        self.hold(&names, self.hold_point());
         let call = self.call();
         self.wait_held(&names, Some(&call));
         self.find_chain();
-        let mut struck = Instant::now();
+        let mut fault_time = Instant::now();
         if let Fault::Twice(_) = self.cell.fault {
-            let held = self.chain.server(self.cell.fault.at()).to_owned();
+            let affected = self
+                .chain
+                .server(self.cell.fault.first_affected_stage())
+                .to_owned();
             let others: Vec<String> =
-                names.iter().filter(|n| **n != held).cloned().collect();
-            let again = json!({"hold_before_position": BETWEEN_AGAIN});
-            self.hold(&others, again);
-            self.strike();
-            self.release(std::slice::from_ref(&held));
+                names.iter().filter(|n| **n != affected).cloned().collect();
+            let second =
+                json!({"hold_before_position": SECOND_FAULT_POSITION});
+            self.hold(&others, second);
+            self.inject_fault();
+            self.release(std::slice::from_ref(&affected));
             self.wait_held(&others, Some(&call));
-            self.find_chain_without(&held);
-            struck = Instant::now();
+            self.find_chain_excluding(&affected);
+            fault_time = Instant::now();
         }
-        self.strike();
+        self.inject_fault();
         self.release(&names);
-        self.join(call, struck)
+        self.join(call, fault_time)
     }
 
-    /// Where the request is held.
-    fn gate(&self) -> serde_json::Value {
+    /// Returns the fault setting that holds the request at its step.
+    fn hold_point(&self) -> serde_json::Value {
         match self.cell.step {
             Step::Dispatched => json!({"hold_before_position": 0}),
-            Step::BetweenTokens => json!({"hold_before_position": BETWEEN}),
+            Step::BetweenTokens => {
+                json!({"hold_before_position": BETWEEN_TOKENS_POSITION})
+            }
             Step::LastToken if !self.cell.kind.is_plain() => {
-                json!({"hold_after_position": LAST})
+                json!({"hold_after_position": LAST_POSITION})
             }
             _ => json!({"hold_after_position": 0}),
         }
     }
 
-    /// Has the next request take the first chain.
+    /// Lists all servers outside the first chain as leaving, so that the next
+    /// request uses the first chain.
     fn steer(&mut self) {
         let plan = plan(&self.cell);
         self.chain = self.first_chain();
@@ -229,14 +238,14 @@
         let others: Vec<&str> = others.iter().map(String::as_str).collect();
         self.fleet.list_leaving(&others);
         let kept = Some(BTreeSet::from(kept));
-        self.wait_until("the entries to see who leaves", |driver| {
+        self.wait_until("the entries to see who drains", |driver| {
             (0..2).all(|entry| driver.fleet.present(entry) == kept)
         });
     }
 
     fn first_chain(&self) -> Chain {
-        let first = self.stage(At::First)[0].clone();
-        let last = self.stage(At::Last)[0].clone();
+        let first = self.servers_of(Stage::First)[0].clone();
+        let last = self.servers_of(Stage::Last)[0].clone();
         Chain { first, last }
     }
 
--- a/crates/daemon/tests/users_platform/bad_input.rs
+++ b/crates/daemon/tests/users_platform/bad_input.rs
@@ -1,4 +1,5 @@
-//! What is malformed is told, and reaches no engine.
+//! Malformed settings and requests are reported, and no malformed request
+//! reaches a server.
 
 use std::{
     fs,
@@ -10,10 +11,10 @@
 
 use rstest::rstest;
 
-use crate::support::{BINARY, on_site};
+use crate::support::{BINARY, with_small_site};
 
 #[test]
-fn wrong_settings_are_refused_with_all_findings() {
+fn invalid_settings_are_refused_with_all_findings() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("settings.toml");
     fs::write(&path, "node-name = \"a\"\nip = \"x\"\n").unwrap();
@@ -24,13 +25,13 @@
         .unwrap();
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8(output.stderr).unwrap();
-    for place in ["ip", "zone", "listen.front", "bounds.revoke-ms"] {
-        assert!(text.contains(place), "{place} is told: {text}");
+    for setting in ["ip", "zone", "listen.front", "bounds.revoke-ms"] {
+        assert!(text.contains(setting), "no finding for {setting}: {text}");
     }
 }
 
 #[test]
-fn a_missing_variable_is_told() {
+fn a_missing_settings_variable_is_reported() {
     let output = Command::new(BINARY)
         .arg("--users-platform")
         .env_remove("CHESTNUTREACH_NODE_FILE")
@@ -41,7 +42,7 @@
     assert!(text.contains("CHESTNUTREACH_NODE_FILE"), "{text}");
 }
 
-struct Bad {
+struct Malformed {
     bytes: &'static str,
     status: &'static str,
 }
@@ -49,65 +50,67 @@
 const HEAD: &str = "Host: desk.example\r\nAuthorization: Bearer key-one\r\n";
 
 #[rstest]
-#[case::two_lengths(Bad {
+#[case::two_lengths(Malformed {
     bytes: "POST /letter/x HTTP/1.1\r\nHEADContent-Length: 5\r\n\
             Content-Length: 6\r\n\r\nhello",
     status: "400",
 })]
-#[case::length_and_chunks(Bad {
+#[case::length_and_chunks(Malformed {
     bytes: "POST /letter/x HTTP/1.1\r\nHEADContent-Length: 5\r\n\
             Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     status: "400",
 })]
-#[case::a_short_body(Bad {
+#[case::a_short_body(Malformed {
     bytes: "POST /letter/x HTTP/1.1\r\nHEADContent-Length: 50\r\n\r\nhello",
     status: "400",
 })]
-#[case::too_long(Bad {
+#[case::too_long(Malformed {
     bytes: "POST /letter/x HTTP/1.1\r\nHEADContent-Length: 9999999\r\n\r\n",
     status: "413",
 })]
-#[case::no_host(Bad {
+#[case::no_host(Malformed {
     bytes: "POST /letter/x HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
     status: "400",
 })]
-#[case::no_head(Bad { bytes: "\u{1}\u{2}\r\n\r\n", status: "400" })]
-#[case::no_route(Bad {
+#[case::no_head(Malformed { bytes: "\u{1}\u{2}\r\n\r\n", status: "400" })]
+#[case::no_route(Malformed {
     bytes: "GET /nowhere/ HTTP/1.1\r\nHEAD\r\n", status: "404",
 })]
-#[case::smuggled(Bad {
+#[case::smuggled(Malformed {
     bytes: "POST /letter/x HTTP/1.1\r\nHEADContent-Length: +5\r\n\r\nhello",
     status: "400",
 })]
-fn a_malformed_request_gets_its_status(#[case] bad: Bad) {
-    on_site(async |running| {
+fn a_malformed_request_gets_an_error_status_and_reaches_no_server(
+    #[case] request: Malformed,
+) {
+    with_small_site(async |running| {
         let before = running.world.seen().arrivals.len();
-        let bytes = bad.bytes.replace("HEAD", HEAD);
-        let answer = exchange(running.addresses[0], bytes.as_bytes());
-        let status = answer.get(9..12).unwrap_or_default();
-        assert_eq!(status, bad.status, "{answer}");
+        let bytes = request.bytes.replace("HEAD", HEAD);
+        let response = exchange(running.addresses[0], bytes.as_bytes());
+        let status = response.get(9..12).unwrap_or_default();
+        assert_eq!(status, request.status, "{response}");
         assert_eq!(running.world.seen().arrivals.len(), before);
     });
 }
 
 #[test]
-fn a_head_beyond_the_limit_is_refused() {
-    on_site(async |running| {
+fn a_request_head_over_the_limit_is_refused() {
+    with_small_site(async |running| {
         let long = "x".repeat(17 << 10);
         let head =
             format!("GET /lookup/a HTTP/1.1\r\n{HEAD}X: {long}\r\n\r\n");
-        let answer = exchange(running.addresses[0], head.as_bytes());
-        assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
+        let response = exchange(running.addresses[0], head.as_bytes());
+        assert!(response.starts_with("HTTP/1.1 431"), "{response}");
     });
 }
 
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
-    // The entry may answer and close before it has read all.
+    // The entry may respond and close before it has read everything.
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(Shutdown::Write);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
--- /dev/null
+++ b/crates/daemon/tests/users_platform/cooldowns.rs
@@ -0,0 +1,161 @@
+//! Servers that reject requests and request a cooldown by Retry-After, and
+//! servers that announce that they drain.
+
+use std::{net::SocketAddr, time::Duration};
+
+use async_io::Timer;
+use chestnutreach_emulator::{
+    caller::{Kind, Try, TryEnd},
+    load::Load,
+    report::Report,
+    running::Running,
+    site::Site,
+};
+use rstest::rstest;
+
+use crate::support::{
+    assert_all_served_or_log, assert_no_violation, with_small_site,
+};
+
+/// Cooldown in seconds that a server requests.
+const COOLDOWN_S: &str = "3";
+/// Requests that the platform's rule allows an entry to send within a
+/// cooldown.
+const MAX_IN_COOLDOWN: usize = 2;
+/// Time within which all entries learn of an event.
+const PROPAGATION_LIMIT: Duration = Duration::from_millis(3_000);
+/// How long entries may use a server after its announcement that it drains.
+const DRAIN_NOTICE_LIMIT: Duration = Duration::from_millis(1_000);
+
+fn load(kind: Kind, length: Duration) -> Load {
+    Load {
+        per_s: [(kind, 20.0)].into(),
+        length,
+        events: Site::small().events,
+        seed: 33,
+    }
+}
+
+fn is_model(kind: Kind) -> bool {
+    kind == Kind::Stream
+}
+
+/// Runs a load and meanwhile applies a change to the busiest server.
+async fn run_with_change(
+    running: &Running,
+    kind: Kind,
+    change: impl AsyncFnOnce(SocketAddr),
+) -> Report {
+    let second = Duration::from_secs(1);
+    running.play(&load(kind, second), &[]).await;
+    let server = running.busiest(is_model(kind));
+    let change = async {
+        Timer::after(second).await;
+        change(server).await;
+    };
+    let load = load(kind, 8 * second);
+    let played = running.play(&load, &[]);
+    futures_lite::future::zip(played, change).await.0
+}
+
+#[rstest]
+#[case::stream(Kind::Stream)]
+#[case::idempotent(Kind::Idempotent)]
+#[case::once(Kind::Once)]
+fn a_server_in_cooldown_gets_no_more_requests_than_allowed(
+    #[case] kind: Kind,
+) {
+    with_small_site(async |running| {
+        let cooldown = async |server| {
+            let world = &running.world;
+            world.change(server, |s| {
+                s.asked_rest = Some(COOLDOWN_S.to_owned())
+            });
+            Timer::after(Duration::from_secs(5)).await;
+            world.change(server, |s| s.asked_rest = None);
+        };
+        let report = run_with_change(running, kind, cooldown).await;
+        assert!(!report.seen.rests.is_empty(), "no request was rejected");
+        let max = report.most_in_rest();
+        assert!(max <= MAX_IN_COOLDOWN, "{max} requests in a cooldown");
+        // On a route that allows one server for each attempt, a request may be
+        // sent to the server in cooldown by each of two entries.
+        let may_be_rejected_twice = kind == Kind::Once;
+        match may_be_rejected_twice {
+            true => assert_no_violation(&report),
+            false => assert_all_served_or_log(running, &report),
+        }
+        let served = report.served_share(kind);
+        assert!(served >= 0.98, "{}", report.to_text());
+    });
+}
+
+/// While all servers are in cooldown, no server gets more requests than
+/// allowed, and clients are immediately refused with the time until the first
+/// server is ready.
+#[rstest]
+#[case::stream(Kind::Stream)]
+#[case::idempotent(Kind::Idempotent)]
+#[case::once(Kind::Once)]
+fn clients_get_a_retry_time_while_all_servers_are_in_cooldown(
+    #[case] kind: Kind,
+) {
+    with_small_site(async |running| {
+        let servers = match kind {
+            Kind::Stream => running.world.engines(),
+            _ => running.world.plain_servers(),
+        };
+        let cooldown = async |_| {
+            let set = |value: Option<&str>| {
+                for server in &servers {
+                    let value = value.map(str::to_owned);
+                    running.world.change(*server, |s| s.asked_rest = value);
+                }
+            };
+            set(Some(COOLDOWN_S));
+            Timer::after(Duration::from_secs(4)).await;
+            set(None);
+        };
+        let report = run_with_change(running, kind, cooldown).await;
+        let max = report.most_in_rest();
+        assert!(max <= MAX_IN_COOLDOWN, "{max} requests in a cooldown");
+        assert_no_violation(&report);
+        let refused = report.outcomes.iter().flat_map(|o| &o.tries);
+        let refused: Vec<&Try> =
+            refused.filter(|t| t.end == TryEnd::Status(503)).collect();
+        assert!(!refused.is_empty(), "{}", report.to_text());
+        let is_immediate =
+            |t: &&&Try| t.ended_at - t.sent_at < Duration::from_millis(150);
+        let immediate = refused.iter().filter(is_immediate).count();
+        let share = immediate as f64 / refused.len() as f64;
+        assert!(share >= 0.8, "{share:.2} refused immediately");
+        let longest = refused.iter().filter_map(|t| t.come_back).max();
+        let longest = longest.expect("refusals carry a retry time");
+        assert!(longest >= Duration::from_millis(2_000), "{longest:?}");
+    });
+}
+
+#[rstest]
+#[case::stream(Kind::Stream)]
+#[case::idempotent(Kind::Idempotent)]
+#[case::once(Kind::Once)]
+fn a_server_that_announces_that_it_drains_gets_no_new_requests(
+    #[case] kind: Kind,
+) {
+    with_small_site(async |running| {
+        let announce = async |server| {
+            running.world.change(server, |s| s.says_leaving = true);
+        };
+        let report = run_with_change(running, kind, announce).await;
+        assert!(!report.seen.told_leaving.is_empty(), "nothing was announced");
+        let late = report.late_at_leaving(DRAIN_NOTICE_LIMIT, false);
+        assert_eq!(late, 0, "requests at a draining server");
+        // The other entries learn of the drain within the propagation limit.
+        assert_eq!(
+            report
+                .late_at_leaving(DRAIN_NOTICE_LIMIT + PROPAGATION_LIMIT, true),
+            0
+        );
+        assert_all_served_or_log(running, &report);
+    });
+}
--- a/crates/daemon/tests/users_platform/crashing_requests.rs
+++ b/crates/daemon/tests/users_platform/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash each server that begins to run them, and come again.
+//! Requests that crash each server that runs them, and are sent repeatedly.
 
 use std::{
     net::{SocketAddr, TcpStream, UdpSocket},
@@ -20,20 +20,22 @@
 use rstest::rstest;
 
 use crate::support::{
-    assert_all_served, assert_kept, on, on_site, one, streams, wait_until,
+    assert_all_served, assert_no_violation, send_request, stream_load,
+    wait_until, with_site, with_small_site,
 };
 
-/// Time within which all entries know of what happened, as of the platform's
-/// bound on contact.
-const CONTACT: Duration = Duration::from_millis(3_000);
-/// Arrivals that are allowed later than that after the third crash.
-const MOST_LATE_ARRIVALS: usize = 3;
-/// Time in which all entries refuse a request after its third crash.
-const TOLD_WITHIN: Duration = Duration::from_millis(500);
-/// How long a request that crashes servers comes again.
-const COMES_FOR: Duration = Duration::from_secs(9);
-/// Pause until it comes again.
-const COMES_EVERY: Duration = Duration::from_millis(150);
+/// Time within which the platform's rule expects all entries to learn of an
+/// event.
+const PROPAGATION_LIMIT: Duration = Duration::from_millis(3_000);
+/// Arrivals allowed more than the propagation limit after the third crash.
+const MAX_LATE_ARRIVALS: usize = 3;
+/// Time after the third crash within which all entries refuse a request that
+/// is sent one copy at a time.
+const QUARANTINE_LIMIT: Duration = Duration::from_millis(500);
+/// How long a request that crashes servers is sent repeatedly.
+const REPEAT_PERIOD: Duration = Duration::from_secs(9);
+/// Pause between two copies of the request.
+const REPEAT_PAUSE: Duration = Duration::from_millis(150);
 
 fn site() -> Site {
     Site { engines_each: 8, ..Site::small() }
@@ -44,14 +46,14 @@
     Wish { tries: 1, ..Wish::new(kind, &token, site().events) }
 }
 
-/// Has a request come at one entry after another, one copy at a time.
-async fn come_again(running: &Running, wish: &Wish) -> Vec<Outcome> {
-    let until = Instant::now() + COMES_FOR;
+/// Sends copies of a request to one entry after another, one copy at a time.
+async fn send_repeatedly(running: &Running, wish: &Wish) -> Vec<Outcome> {
+    let until = Instant::now() + REPEAT_PERIOD;
     let mut outcomes = Vec::new();
     while Instant::now() < until {
         let entry = outcomes.len() % running.addresses.len();
-        outcomes.push(one(running, entry, wish).await);
-        Timer::after(COMES_EVERY).await;
+        outcomes.push(send_request(running, entry, wish).await);
+        Timer::after(REPEAT_PAUSE).await;
     }
     outcomes
 }
@@ -60,88 +62,99 @@
 #[case::stream(Kind::Stream)]
 #[case::idempotent(Kind::Idempotent)]
 #[case::once(Kind::Once)]
-fn a_request_that_crashed_three_servers_reaches_no_more(#[case] kind: Kind) {
-    on(&site(), async |running| {
+fn a_request_that_crashed_three_servers_reaches_no_other_server(
+    #[case] kind: Kind,
+) {
+    with_site(&site(), async |running| {
         let wish = crashing(kind, 1);
-        come_again(running, &wish).await;
+        send_repeatedly(running, &wish).await;
         let seen = running.world.seen();
-        let late = seen.arrivals_after_crash(&wish.token, 3, CONTACT);
+        let late =
+            seen.arrivals_after_crash(&wish.token, 3, PROPAGATION_LIMIT);
         let crashes = seen.crashes_of(&wish.token).len();
         assert!(
-            late <= MOST_LATE_ARRIVALS,
+            late <= MAX_LATE_ARRIVALS,
             "{late} late arrivals, {crashes} servers crashed"
         );
-        // One copy at a time: all entries are told before the next comes.
-        assert_eq!(crashes, 3, "{}", told(running));
-        let late = seen.arrivals_after_crash(&wish.token, 3, TOLD_WITHIN);
+        // With one copy at a time, all entries learn of a crash before the
+        // next copy is sent.
+        assert_eq!(crashes, 3, "{}", crash_log_lines(running));
+        let late = seen.arrivals_after_crash(&wish.token, 3, QUARANTINE_LIMIT);
         assert_eq!(late, 0);
     });
 }
 
-/// Has copies of a request come at all entries at once, again and again.
-async fn come_everywhere(running: &Running, wish: &Wish, length: Duration) {
+/// Sends copies of a request to all entries concurrently and repeatedly.
+async fn send_to_all_entries(
+    running: &Running,
+    wish: &Wish,
+    length: Duration,
+) {
     let at_entry = async |entry| {
         let until = Instant::now() + length;
         while Instant::now() < until {
-            one(running, entry, wish).await;
-            Timer::after(COMES_EVERY).await;
+            send_request(running, entry, wish).await;
+            Timer::after(REPEAT_PAUSE).await;
         }
     };
     let rest = futures_lite::future::zip(at_entry(1), at_entry(2));
     futures_lite::future::zip(at_entry(0), rest).await;
 }
 
-/// What entries told of requests that crash servers.
-fn told(running: &Running) -> String {
+/// Returns the log lines of the entries about requests that crash servers.
+fn crash_log_lines(running: &Running) -> String {
     let names = ["request_", "trial_begun", "relay_sent", "relay_broken"];
     let logs = running.logs();
-    let is_told = |line: &&str| names.iter().any(|name| line.contains(name));
-    let lines: Vec<&str> = logs.lines().filter(is_told).collect();
+    let is_about_crash =
+        |line: &&str| names.iter().any(|name| line.contains(name));
+    let lines: Vec<&str> = logs.lines().filter(is_about_crash).collect();
     lines.join("\n")
 }
 
 #[test]
-fn copies_at_all_entries_at_once_crash_no_more_than_run_already() {
-    on(&site(), async |running| {
+fn concurrent_copies_crash_only_servers_that_already_run_one() {
+    with_site(&site(), async |running| {
         let wish = crashing(Kind::Stream, 1);
-        come_everywhere(running, &wish, COMES_FOR).await;
+        send_to_all_entries(running, &wish, REPEAT_PERIOD).await;
         let seen = running.world.seen();
-        let late = seen.arrivals_after_crash(&wish.token, 3, CONTACT);
-        assert!(late <= MOST_LATE_ARRIVALS, "{late} late arrivals");
-        // Each entry may have sent its first copy before it was told.
-        let most = 3 + running.addresses.len() - 1;
+        let late =
+            seen.arrivals_after_crash(&wish.token, 3, PROPAGATION_LIMIT);
+        assert!(late <= MAX_LATE_ARRIVALS, "{late} late arrivals");
+        // Each entry may send its first copy before it learns of a crash.
+        let max = 3 + running.addresses.len() - 1;
         let crashes = seen.crashes_of(&wish.token).len();
-        assert!(crashes <= most, "{crashes} servers crashed");
+        assert!(crashes <= max, "{crashes} servers crashed");
     });
 }
 
 #[test]
-fn only_what_crashes_servers_is_quarantined() {
-    on(&site(), async |running| {
+fn only_requests_that_crash_servers_are_quarantined() {
+    with_site(&site(), async |running| {
         let wishes = [1, 2].map(|number| crashing(Kind::Stream, number));
         let length = Duration::from_secs(5);
-        let load = streams(25.0, length);
+        let load = stream_load(25.0, length);
         let both = futures_lite::future::zip(
-            come_everywhere(running, &wishes[0], length),
-            come_everywhere(running, &wishes[1], length),
+            send_to_all_entries(running, &wishes[0], length),
+            send_to_all_entries(running, &wishes[1], length),
         );
         let played = running.play(&load, &[]);
         let report = futures_lite::future::zip(played, both).await.0;
-        assert_kept(&report);
+        assert_no_violation(&report);
         assert_eq!(running.quarantined().len(), wishes.len());
         let seen = running.world.seen();
         for wish in &wishes {
-            let late = seen.arrivals_after_crash(&wish.token, 3, CONTACT);
-            assert!(late <= MOST_LATE_ARRIVALS, "{late} late arrivals");
+            let late =
+                seen.arrivals_after_crash(&wish.token, 3, PROPAGATION_LIMIT);
+            assert!(late <= MAX_LATE_ARRIVALS, "{late} late arrivals");
         }
     });
 }
 
 #[test]
-fn an_entry_that_starts_learns_what_is_quarantined() {
-    on(&site(), async |running| {
+fn a_restarted_entry_learns_which_requests_are_quarantined() {
+    with_site(&site(), async |running| {
         let wish = crashing(Kind::Stream, 1);
-        one(running, 1, &wish).await;
+        send_request(running, 1, &wish).await;
         let arrivals = || running.world.seen().crashing.len();
         let before = arrivals();
         assert_eq!(running.world.seen().crashes_of(&wish.token).len(), 3);
@@ -149,57 +162,59 @@
         Timer::after(Duration::from_millis(100)).await;
         wait_until("the entry is ready", async || running.is_ready(0).await)
             .await;
-        Timer::after(CONTACT).await;
-        let outcome = one(running, 0, &wish).await;
+        Timer::after(PROPAGATION_LIMIT).await;
+        let outcome = send_request(running, 0, &wish).await;
         assert_eq!(outcome.tries[0].end, TryEnd::Status(503));
         assert_eq!(arrivals(), before);
     });
 }
 
 #[test]
-fn an_operator_frees_a_request_at_all_entries() {
-    on(&site(), async |running| {
+fn an_operator_releases_a_quarantined_request_at_all_entries() {
+    with_site(&site(), async |running| {
         let wish = crashing(Kind::Stream, 1);
-        one(running, 1, &wish).await;
-        // Lines of the logs come a moment later.
-        let is_told = async || !running.quarantined().is_empty();
-        wait_until("it is quarantined", is_told).await;
+        send_request(running, 1, &wish).await;
+        // Log lines are written with a delay.
+        let is_logged = async || !running.quarantined().is_empty();
+        wait_until("the request is quarantined", is_logged).await;
         let fingerprints = running.quarantined();
-        let fingerprint = &fingerprints.first().expect("it is told");
+        let fingerprint =
+            &fingerprints.first().expect("a request is quarantined");
         let target = format!("/quarantine/{fingerprint}/free");
-        let answer = post(running.ops_address(0), &target).await;
-        assert!(answer.contains(r#"{"is_freed":true}"#), "{answer}");
-        Timer::after(TOLD_WITHIN).await;
+        let response = post(running.ops_address(0), &target).await;
+        assert!(response.contains(r#"{"is_freed":true}"#), "{response}");
+        Timer::after(QUARANTINE_LIMIT).await;
         let before = running.world.seen().crashing.len();
-        one(running, 2, &wish).await;
+        send_request(running, 2, &wish).await;
         assert!(running.world.seen().crashing.len() > before);
     });
 }
 
-/// Posts to a port that answers one request; the whole answer.
+/// Sends a POST request to a server that closes after one response; returns
+/// the response.
 async fn post(address: SocketAddr, target: &str) -> String {
     let mut socket = Async::<TcpStream>::connect(address).await.unwrap();
     let head = format!(
         "POST {target} HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n"
     );
     socket.write_all(head.as_bytes()).await.unwrap();
-    let mut answer = String::new();
-    socket.read_to_string(&mut answer).await.unwrap();
-    answer
+    let mut response = String::new();
+    socket.read_to_string(&mut response).await.unwrap();
+    response
 }
 
-/// A message that no entry writes.
-struct Bad {
+/// Content of a message that no entry would send.
+struct MalformedSuspects {
     suspects: Vec<SuspectRequest>,
     trials: Vec<RequestTrial>,
 }
 
 #[rstest]
-#[case::no_crash(Bad {
+#[case::no_crash(MalformedSuspects {
     suspects: vec![SuspectRequest { fingerprint: 1, crashes: Vec::new() }],
     trials: Vec::new(),
 })]
-#[case::old_beyond_time(Bad {
+#[case::old_beyond_time(MalformedSuspects {
     suspects: vec![SuspectRequest {
         fingerprint: 1,
         crashes: vec![EngineCrash {
@@ -211,7 +226,7 @@
     }],
     trials: Vec::new(),
 })]
-#[case::many(Bad {
+#[case::many(MalformedSuspects {
     suspects: (0..150)
         .map(|fingerprint| SuspectRequest {
             fingerprint,
@@ -222,24 +237,26 @@
         .map(|fingerprint| RequestTrial { fingerprint, engine: 7 })
         .collect(),
 })]
-fn a_message_of_requests_ends_no_entry(#[case] bad: Bad) {
-    on_site(async |running| {
+fn a_malformed_suspect_message_stops_no_entry(
+    #[case] content: MalformedSuspects,
+) {
+    with_small_site(async |running| {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         for is_alert in [false, true] {
-            let told = PeerState {
+            let message = PeerState {
                 boot_id: 1,
                 sequence: 1 + u64::from(is_alert),
                 is_alert,
-                suspects: bad.suspects.clone(),
-                trials: bad.trials.clone(),
+                suspects: content.suspects.clone(),
+                trials: content.trials.clone(),
                 ..PeerState::default()
             };
             for entry in 0..running.addresses.len() {
                 let address = running.ops_address(entry);
-                socket.send_to(&told.encode_to_vec(), address).unwrap();
+                socket.send_to(&message.encode_to_vec(), address).unwrap();
             }
         }
-        let load = streams(20.0, Duration::from_secs(2));
+        let load = stream_load(20.0, Duration::from_secs(2));
         let report = running.play(&load, &[]).await;
         assert_all_served(&report);
         for entry in 0..running.addresses.len() {
--- a/crates/daemon/tests/users_platform/path.rs
+++ b/crates/daemon/tests/users_platform/fault_free.rs
@@ -1,4 +1,4 @@
-//! The whole path on a calm site.
+//! The request path on a site without faults.
 
 use std::time::Duration;
 
@@ -9,11 +9,13 @@
     site::Site,
 };
 
-use crate::support::{assert_all_served, on_site, one, wait_until};
+use crate::support::{
+    assert_all_served, send_request, wait_until, with_small_site,
+};
 
 #[test]
-fn every_kind_is_served_whole_and_once() {
-    on_site(async |running| {
+fn requests_of_every_kind_are_served_completely_and_once() {
+    with_small_site(async |running| {
         let load = Load {
             per_s: [
                 (Kind::Stream, 15.0),
@@ -34,15 +36,15 @@
 
 #[test]
 fn each_data_centre_holds_all_layers_within_memory() {
-    on_site(async |running| {
+    with_small_site(async |running| {
         assert!(running.world.is_covered());
-        let most = running.world.site().max_layers();
+        let max = running.world.site().max_layers();
         for engine in running.world.engines() {
             let held = running.world.server(engine).unwrap().held;
             let layers = held.map_or(0, |held| held.1 - held.0);
-            assert!(layers <= most, "{engine} holds {layers} layers");
+            assert!(layers <= max, "{engine} holds {layers} layers");
         }
-        // One planner orders: an empty engine needs one order.
+        // Only the planner gives orders, and an empty engine needs one order.
         let orders = running.world.engines().into_iter();
         let orders = orders.map(|e| running.world.server(e).unwrap().orders);
         assert!(orders.clone().all(|count| count <= 1), "{orders:?}");
@@ -50,14 +52,14 @@
 }
 
 #[test]
-fn keys_and_routes_decide_who_is_served() {
-    on_site(async |running| {
+fn a_request_with_an_unknown_key_is_refused_and_not_run() {
+    with_small_site(async |running| {
         let unknown = Wish {
             key: "nobody".to_owned(),
             tries: 1,
             ..Wish::new(Kind::Idempotent, "a", 1)
         };
-        let outcome = one(running, 0, &unknown).await;
+        let outcome = send_request(running, 0, &unknown).await;
         assert_eq!(outcome.tries[0].end, TryEnd::Status(401));
         let seen = running.world.seen();
         assert!(!seen.runs.contains_key(&outcome.tries[0].id));
@@ -65,48 +67,48 @@
 }
 
 #[test]
-fn a_withdrawn_key_is_refused_everywhere() {
-    on_site(async |running| {
+fn a_withdrawn_key_is_refused_by_all_entries() {
+    with_small_site(async |running| {
         let wish = Wish { tries: 1, ..Wish::new(Kind::Idempotent, "a", 1) };
         running.configure(&["another"]);
         for entry in 0..running.addresses.len() {
             wait_until("the key is refused", async || {
-                let outcome = one(running, entry, &wish).await;
+                let outcome = send_request(running, entry, &wish).await;
                 outcome.tries[0].end == TryEnd::Status(401)
             })
             .await;
         }
         let other = Wish { key: "another".to_owned(), ..wish };
-        assert!(one(running, 0, &other).await.is_served());
+        assert!(send_request(running, 0, &other).await.is_served());
     });
 }
 
 #[test]
-fn metrics_are_at_the_port_asked_for_if_it_is_free() {
-    on_site(async |running| {
-        let at = running.entries.lock().unwrap().metrics_address();
-        let (status, text) = get(at, "/metrics").await.unwrap();
+fn metrics_are_served_at_the_requested_port_if_it_is_free() {
+    with_small_site(async |running| {
+        let address = running.entries.lock().unwrap().metrics_address();
+        let (status, text) = get(address, "/metrics").await.unwrap();
         assert_eq!(status, 200);
         assert!(text.contains("chestnutreach_requests_waiting"));
-        // The others of this machine serve without it.
+        // The other entries of this machine run without the metrics port.
         let logs = running.logs();
         assert_eq!(logs.matches("\"metrics_port_taken\"").count(), 2);
     });
 }
 
 #[test]
-fn metrics_and_status_are_shown() {
-    on_site(async |running| {
+fn metrics_and_status_are_served() {
+    with_small_site(async |running| {
         let wish = Wish::new(Kind::Stream, "a", Site::small().events);
-        assert!(one(running, 0, &wish).await.is_served());
-        let at = running.ops_address(0);
-        let (status, text) = get(at, "/metrics").await.unwrap();
+        assert!(send_request(running, 0, &wish).await.is_served());
+        let address = running.ops_address(0);
+        let (status, text) = get(address, "/metrics").await.unwrap();
         assert_eq!(status, 200);
         assert!(text.contains("chestnutreach_attempts_total"), "{text}");
-        let (status, text) = get(at, "/status").await.unwrap();
+        let (status, text) = get(address, "/status").await.unwrap();
         assert_eq!(status, 200);
         assert!(text.contains("\"backends\""), "{text}");
-        let (status, _) = get(at, "/ready").await.unwrap();
+        let (status, _) = get(address, "/ready").await.unwrap();
         assert_eq!(status, 200);
     });
 }
--- a/crates/daemon/tests/users_platform/faults.rs
+++ b/crates/daemon/tests/users_platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of engines and of the plain service, under streams.
+//! Faults of engines, of the plain service and of entries, under load.
 
 use std::{
     cell::Cell,
@@ -22,13 +22,15 @@
 use rstest::rstest;
 
 use crate::support::{
-    assert_all_served, assert_all_served_at, assert_kept, on, on_site, one,
-    play_while_first_engines_end, streams, wait_until,
+    assert_all_served, assert_all_served_or_log, assert_no_violation,
+    run_streams_while_first_engines_exit, send_request, stream_load,
+    wait_until, with_site, with_small_site,
 };
 
-/// Failures that an entry takes from an engine in 4 s: three in a row, one
-/// for each trial after 0.5, 1 and 2 s, and those that were under way.
-const MOST_FAILURES: usize = 9;
+/// Failures of an engine that an entry may see in 4 s: three consecutive ones
+/// that open the circuit, one in each half-open phase after 0.5, 1 and 2 s,
+/// and the requests in flight.
+const MAX_FAILURES: usize = 9;
 
 fn fault(at_ms: u64, kind: FaultKind, length_ms: u64) -> Fault {
     Fault {
@@ -38,25 +40,25 @@
     }
 }
 
-fn play(load: &Load, faults: &[Fault]) -> Report {
-    on_site(async |running| running.play(load, faults).await)
+fn run_load(load: &Load, faults: &[Fault]) -> Report {
+    with_small_site(async |running| running.play(load, faults).await)
 }
 
 #[rstest]
-#[case::ends(FaultKind::EngineEnds)]
+#[case::exits(FaultKind::EngineEnds)]
 #[case::drains(FaultKind::EngineDrains)]
 #[case::is_slow(FaultKind::EngineSlow)]
-#[case::comes(FaultKind::EngineComes)]
-#[case::dark(FaultKind::EngineDark)]
-fn streams_outlive_a_fault_of_an_engine(#[case] kind: FaultKind) {
-    let load = streams(25.0, Duration::from_secs(4));
+#[case::is_added(FaultKind::EngineComes)]
+#[case::is_unreachable(FaultKind::EngineDark)]
+fn streams_survive_an_engine_fault(#[case] kind: FaultKind) {
+    let load = stream_load(25.0, Duration::from_secs(4));
     let faults = [fault(700, kind, 1_200), fault(2_200, kind, 1_200)];
-    assert_all_served(&play(&load, &faults));
+    assert_all_served(&run_load(&load, &faults));
 }
 
 #[test]
-fn an_engine_that_fails_streams_at_once_is_left_out() {
-    on_site(async |running| {
+fn an_engine_that_fails_streams_immediately_is_excluded() {
+    with_small_site(async |running| {
         let holds_first = |address: &SocketAddr| {
             let server = running.world.server(*address);
             server.is_some_and(|s| s.held.is_some_and(|held| held.0 == 0))
@@ -64,31 +66,33 @@
         let mut engines = running.world.engines().into_iter();
         let failing = engines.find(holds_first).expect("layers are held");
         running.world.change(failing, |server| server.fails = 1.0);
-        let load = streams(40.0, Duration::from_secs(4));
+        let load = stream_load(40.0, Duration::from_secs(4));
         let report = running.play(&load, &[]).await;
-        assert_kept(&report);
+        assert_no_violation(&report);
         let logs = running.logs();
         let is_failure = |line: &&str| {
             line.contains("relay_answered") && line.contains("\"500\"")
         };
         let failures = logs.lines().filter(is_failure).count();
-        // Some in a row and a few trials at each entry, of 160 streams.
-        let most = MOST_FAILURES * running.addresses.len();
-        assert!((1..=most).contains(&failures), "{failures}");
+        // Of 160 streams, each entry sends the engine only the consecutive
+        // failures and a few attempts while the circuit is half open.
+        let max = MAX_FAILURES * running.addresses.len();
+        assert!((1..=max).contains(&failures), "{failures}");
     });
 }
 
-/// An engine after the first of a stream that runs.
-fn later_engine(running: &Running) -> Option<ServerState> {
+/// Returns the engine of the second stage of a running stream.
+fn second_stage_engine(running: &Running) -> Option<ServerState> {
     let engines = running.world.engines();
     let servers = engines.iter().filter_map(|e| running.world.server(*e));
     let mut paths = servers.flat_map(|server| server.streams.into_values());
-    let later = paths.find_map(|stream| Some(stream.path.get(1)?.0))?;
-    running.world.server(later)
+    let engine = paths.find_map(|stream| Some(stream.path.get(1)?.0))?;
+    running.world.server(engine)
 }
 
-/// What a planner tells that is about to leave an engine one layer.
-fn told_move(engine: &ServerState, sequence: u64) -> PeerState {
+/// Returns the message of a planner that announces a move of an engine to one
+/// layer.
+fn announced_move(engine: &ServerState, sequence: u64) -> PeerState {
     let mut hasher = DefaultHasher::new();
     let incarnation = format!("{}@{}", engine.id, engine.started_unix_ms);
     incarnation.hash(&mut hasher);
@@ -109,46 +113,50 @@
 }
 
 #[test]
-fn streams_leave_layers_that_a_move_gives_up() {
+fn streams_leave_layers_that_a_planned_move_releases() {
     let site = Site { events: 150, ..Site::small() };
-    on(&site, async |running| {
+    with_site(&site, async |running| {
         let load = Load {
             events: site.events,
-            ..streams(20.0, Duration::from_secs(2))
+            ..stream_load(20.0, Duration::from_secs(2))
         };
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let sequence = Cell::new(0);
-        let told = wait_until("a stream is led around", async || {
-            sequence.set(sequence.get() + 1);
-            if let Some(engine) = later_engine(running) {
-                let told = told_move(&engine, sequence.get());
-                for entry in 0..running.addresses.len() {
-                    let address = running.ops_address(entry);
-                    socket.send_to(&told.encode_to_vec(), address).unwrap();
+        let announcements =
+            wait_until("a stream changes its path", async || {
+                sequence.set(sequence.get() + 1);
+                if let Some(engine) = second_stage_engine(running) {
+                    let message = announced_move(&engine, sequence.get());
+                    for entry in 0..running.addresses.len() {
+                        let address = running.ops_address(entry);
+                        socket
+                            .send_to(&message.encode_to_vec(), address)
+                            .unwrap();
+                    }
                 }
-            }
-            running.logs().contains("path_changed")
-        });
+                running.logs().contains("path_changed")
+            });
         let played = running.play(&load, &[]);
-        let (report, ()) = futures_lite::future::zip(played, told).await;
+        let (report, ()) =
+            futures_lite::future::zip(played, announcements).await;
         assert_all_served(&report);
         assert_eq!(report.further_arrivals(), 0, "{}", report.to_text());
     });
 }
 
 #[test]
-fn a_stream_whose_first_engine_ends_goes_on_without_a_seam() {
-    on_site(async |running| {
-        let report = play_while_first_engines_end(running, 5).await;
-        assert_all_served_at(running, &report);
-        let further = report.further_arrivals();
-        assert!(further > 0, "some stream was resumed: {further}");
+fn a_stream_whose_first_engine_exits_is_resumed_completely() {
+    with_small_site(async |running| {
+        let report = run_streams_while_first_engines_exit(running, 5).await;
+        assert_all_served_or_log(running, &report);
+        let retries = report.further_arrivals();
+        assert!(retries > 0, "no stream was resumed: {retries}");
     });
 }
 
 #[test]
-fn an_engine_that_comes_back_empty_is_ordered_to_hold_layers() {
-    on_site(async |running| {
+fn an_engine_that_restarts_empty_is_ordered_to_hold_layers() {
+    with_small_site(async |running| {
         let engine = running.world.engines()[0];
         let first = running.world.server(engine).unwrap();
         running.make_fault(
@@ -164,7 +172,7 @@
 }
 
 #[rstest]
-#[case::answers_are_lost(FaultKind::AnswersLost)]
+#[case::responses_are_lost(FaultKind::AnswersLost)]
 #[case::requests_fail(FaultKind::PlainFails)]
 fn non_idempotent_requests_run_at_most_once(#[case] kind: FaultKind) {
     let load = Load {
@@ -173,16 +181,16 @@
         events: Site::small().events,
         seed: 5,
     };
-    let report = play(&load, &[fault(400, kind, 2_000)]);
-    assert_kept(&report);
-    // Idempotent ones are repeated, by the entry and then by the client.
+    let report = run_load(&load, &[fault(400, kind, 2_000)]);
+    assert_no_violation(&report);
+    // Idempotent requests are retried by the entry and then by the client.
     let idempotent = report.served_share(Kind::Idempotent);
     let once = report.served_share(Kind::Once);
     assert!(idempotent > once, "{}", report.to_text());
 }
 
 #[test]
-fn an_entry_that_is_killed_takes_no_promise_with_it() {
+fn killed_and_paused_entries_violate_no_invariant() {
     let load = Load {
         per_s: [(Kind::Stream, 15.0), (Kind::Once, 10.0)].into(),
         length: Duration::from_secs(4),
@@ -194,54 +202,54 @@
         fault(1_800, FaultKind::EntryKilled, 500),
         fault(2_000, FaultKind::EntryPauses, 700),
     ];
-    let report = play(&load, &faults);
-    assert_kept(&report);
+    let report = run_load(&load, &faults);
+    assert_no_violation(&report);
     assert!(report.served_share(Kind::Stream) > 0.9, "{}", report.to_text());
 }
 
 #[test]
-fn streams_whose_answers_vanish_go_on_elsewhere() {
-    on_site(async |running| {
-        // Enough that began to tell who is overdue.
-        let load = streams(25.0, Duration::from_secs(1));
+fn streams_without_a_response_continue_on_other_engines() {
+    with_small_site(async |running| {
+        // Enough streams for an entry to judge which stream is overdue.
+        let load = stream_load(25.0, Duration::from_secs(1));
         assert_all_served(&running.play(&load, &[]).await);
         for engine in running.world.engines() {
             running.world.change(engine, |server| server.swallows = 0.3);
         }
-        let load = streams(25.0, Duration::from_secs(3));
+        let load = stream_load(25.0, Duration::from_secs(3));
         let report = running.play(&load, &[]).await;
-        assert_kept(&report);
+        assert_no_violation(&report);
         assert!(report.further_arrivals() > 0, "{}", report.to_text());
         let logs = running.logs();
         assert!(logs.contains("later ones have begun"));
     });
 }
 
-/// An engine whose row has lapsed may live and run what it was sent, so it
-/// counts for the route's `max-attempts`, which is 2.
+/// An engine whose row has expired may still run a request that it received,
+/// so the engine counts against the route's `max-attempts`, which is 2.
 #[test]
-fn engines_that_lapsed_and_live_count_as_attempts() {
+fn running_engines_with_expired_rows_count_as_attempts() {
     let site = Site { events: 150, ..Site::small() };
-    on(&site, async |running| {
-        let lapse_all = async || {
+    with_site(&site, async |running| {
+        let expire_first_engines = async || {
             Timer::after(Duration::from_millis(500)).await;
             for first in running.world.first_engines() {
                 running.world.unlist(first);
-                // The stream looks for what its pause means, and leaves.
+                // The entry checks the stalled stream and changes its path.
                 running.world.change(first, |s| s.slowness = 40.0);
             }
         };
         let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 150) };
-        let lapse = async {
-            lapse_all().await;
-            lapse_all().await;
+        let expire = async {
+            expire_first_engines().await;
+            expire_first_engines().await;
             Timer::after(Duration::from_millis(1_500)).await;
             for engine in running.world.engines() {
                 running.world.change(engine, |s| s.slowness = 1.0);
             }
         };
-        let stream = one(running, 0, &wish);
-        let (outcome, ()) = futures_lite::future::zip(stream, lapse).await;
+        let stream = send_request(running, 0, &wish);
+        let (outcome, ()) = futures_lite::future::zip(stream, expire).await;
         let arrivals = running.world.seen().arrivals;
         assert_eq!(arrivals[&outcome.tries[0].id], 2, "{outcome:?}");
     });
--- /dev/null
+++ b/crates/daemon/tests/users_platform/feed_sharing.rs
@@ -0,0 +1,202 @@
+//! Entries of a data centre that share the store feeds that one of them reads.
+
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use chestnutreach_emulator::{
+    caller::{Kind, Wish},
+    running::Running,
+    site::{KEY, Site},
+    store::StoreFault,
+};
+use rustix::process::Signal;
+
+use crate::support::{
+    assert_all_served, send_request, stream_load, wait_until, with_site,
+};
+
+const BACKEND_TABLE: &str = "servers";
+const CONFIGURATION_TABLE: &str = "op";
+
+/// Returns the source from which an entry reads a table, or none if the entry
+/// doesn't respond.
+async fn feed_source(
+    running: &Running,
+    entry: usize,
+    table: &str,
+) -> Option<String> {
+    let status = running.status(entry).await?;
+    let feeds = status["feeds"].as_array()?.iter();
+    let mut of_table = feeds.filter(|feed| feed["table"] == table);
+    Some(of_table.next()?["asks"].as_str()?.to_owned())
+}
+
+/// Returns the entries that read a table from the store.
+async fn store_readers(running: &Running, table: &str) -> Vec<usize> {
+    let mut readers = Vec::new();
+    for entry in 0..running.addresses.len() {
+        if feed_source(running, entry, table).await.as_deref() == Some("store")
+        {
+            readers.push(entry);
+        }
+    }
+    readers
+}
+
+/// Waits until at most two entries read each table from the store: the reader
+/// and the planner.
+async fn wait_until_shared(running: &Running) {
+    for table in [BACKEND_TABLE, CONFIGURATION_TABLE] {
+        wait_until("few entries read the store", async || {
+            store_readers(running, table).await.len() <= 2
+        })
+        .await;
+    }
+}
+
+fn request_with_key(key: &str) -> Wish {
+    Wish {
+        key: key.to_owned(),
+        tries: 1,
+        ..Wish::new(Kind::Idempotent, "a", 1)
+    }
+}
+
+async fn wait_until_served(running: &Running, entry: usize, key: &str) {
+    wait_until("the key is served", async || {
+        send_request(running, entry, &request_with_key(key)).await.is_served()
+    })
+    .await;
+}
+
+#[test]
+fn few_entries_read_the_store_and_all_receive_changes() {
+    with_site(&Site::shared(), async |running| {
+        wait_until_shared(running).await;
+        running.configure(&[KEY, "another"]);
+        for entry in 0..running.addresses.len() {
+            wait_until_served(running, entry, "another").await;
+        }
+        let load = stream_load(20.0, Duration::from_secs(2));
+        assert_all_served(&running.play(&load, &[]).await);
+    });
+}
+
+#[test]
+fn each_engine_is_watched_by_two_entries() {
+    with_site(&Site::shared(), async |running| {
+        let engines = running.world.engines().len() as u64;
+        wait_until("each engine is watched twice", async || {
+            let mut watched = 0;
+            for entry in 0..running.addresses.len() {
+                let status = running.status(entry).await;
+                let status = status.unwrap_or_default();
+                watched += status["engines_watched"].as_u64().unwrap_or(0);
+            }
+            watched == 2 * engines
+        })
+        .await;
+    });
+}
+
+struct Case {
+    signal: Signal,
+}
+
+#[rstest::rstest]
+#[case::killed(Case { signal: Signal::KILL })]
+#[case::frozen(Case { signal: Signal::STOP })]
+fn changes_reach_the_other_entries_when_the_readers_fail(#[case] case: Case) {
+    with_site(&Site::shared(), async |running| {
+        wait_until_shared(running).await;
+        let readers = store_readers(running, CONFIGURATION_TABLE).await;
+        for reader in &readers {
+            running.signal(*reader, case.signal);
+        }
+        running.configure(&[KEY, "another"]);
+        let all = 0..running.addresses.len();
+        for entry in all.filter(|entry| !readers.contains(entry)) {
+            wait_until_served(running, entry, "another").await;
+        }
+        for reader in &readers {
+            running.signal(*reader, Signal::CONT);
+        }
+    });
+}
+
+#[test]
+fn an_entry_that_starts_while_the_store_is_unavailable_reads_from_peers() {
+    with_site(&Site::shared(), async |running| {
+        wait_until_shared(running).await;
+        running.store.set_fault(StoreFault::Busy);
+        let before = running.status(0).await.expect("the entry responds");
+        running.restart(0);
+        wait_until(
+            "the entry has the configuration and the backend table",
+            async || {
+                let Some(status) = running.status(0).await else {
+                    return false;
+                };
+                let backends = status["backends"].as_array();
+                status["boot_id"] != before["boot_id"]
+                    && status["configuration"] == before["configuration"]
+                    && backends.is_some_and(|b| !b.is_empty())
+            },
+        )
+        .await;
+        running.store.set_fault(StoreFault::None);
+    });
+}
+
+/// Time after the withdrawal of a key during which the key may be served: the
+/// limit in the settings of the site.
+const REVOCATION_LIMIT: Duration = Duration::from_millis(5_000);
+/// How long requests are sent to all entries after that limit.
+const CHECK_PERIOD: Duration = Duration::from_millis(2_500);
+
+struct Outage {
+    fault: StoreFault,
+    /// How long calls that wait at the store when it fails may still get a
+    /// response.
+    last_response_after: Duration,
+}
+
+/// The age of a feed counts from the last response of the store, also when
+/// entries share the feed: entries can't keep a withdrawn key valid for each
+/// other.
+#[rstest::rstest]
+#[case::silent(Outage {
+    fault: StoreFault::Silent, last_response_after: Duration::ZERO,
+})]
+#[case::busy(Outage {
+    fault: StoreFault::Busy, last_response_after: Duration::from_millis(1_500),
+})]
+fn no_entry_serves_a_withdrawn_key_after_the_revocation_limit(
+    #[case] outage: Outage,
+) {
+    with_site(&Site::shared(), async |running| {
+        wait_until_shared(running).await;
+        wait_until_served(running, 0, KEY).await;
+        running.store.set_fault(outage.fault);
+        Timer::after(outage.last_response_after).await;
+        // The key is withdrawn, and no entry can learn of the withdrawal.
+        running.configure(&["another"]);
+        Timer::after(REVOCATION_LIMIT).await;
+        let until = Instant::now() + CHECK_PERIOD;
+        let entries = running.addresses.len();
+        while Instant::now() < until {
+            for entry in 0..entries {
+                let outcome =
+                    send_request(running, entry, &request_with_key(KEY)).await;
+                assert!(!outcome.is_served(), "{entry}: {outcome:?}");
+            }
+        }
+        running.store.set_fault(StoreFault::None);
+        for entry in 0..entries {
+            wait_until_served(running, entry, "another").await;
+            let outcome =
+                send_request(running, entry, &request_with_key(KEY)).await;
+            assert!(!outcome.is_served(), "{entry}: {outcome:?}");
+        }
+    });
+}
--- a/crates/daemon/tests/users_platform/links.rs
+++ b/crates/daemon/tests/users_platform/links.rs
@@ -1,4 +1,5 @@
-//! Connections that are late, cut one way, reset or silent.
+//! Connections that are delayed, reset, silent or partitioned in one
+//! direction.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 };
 use rstest::rstest;
 
-use crate::support::{assert_all_served, assert_kept, on};
+use crate::support::{assert_all_served, assert_no_violation, with_site};
 
 fn site() -> Site {
     Site { has_links: true, ..Site::small() }
@@ -40,10 +41,10 @@
     vec![at(300), at(700), at(1_200)]
 }
 
-/// Which links fail.
+/// Links that fail.
 #[derive(Clone, Copy, Debug)]
 enum Links {
-    /// Those to the store, for less time than keys stay fresh.
+    /// Links to the store, for less time than the keys stay fresh.
     ToStore,
     ToServers,
 }
@@ -52,13 +53,13 @@
 #[case::delayed(LinkFault::Delayed(Duration::from_millis(180)))]
 #[case::reset(LinkFault::Reset)]
 #[case::silent(LinkFault::Silent)]
-#[case::cut_forth(LinkFault::CutForth)]
-#[case::cut_back(LinkFault::CutBack)]
-fn no_promise_breaks_while_links_fail(
+#[case::partitioned_forth(LinkFault::CutForth)]
+#[case::partitioned_back(LinkFault::CutBack)]
+fn no_invariant_is_violated_while_links_fail(
     #[case] fault: LinkFault,
     #[values(Links::ToStore, Links::ToServers)] links: Links,
 ) {
-    on(&site(), async |running| {
+    with_site(&site(), async |running| {
         let kind = match links {
             Links::ToStore => FaultKind::StoreLink(fault),
             Links::ToServers => FaultKind::ServerLink(fault),
@@ -67,7 +68,7 @@
         let text = report.to_text();
         match links {
             Links::ToStore => assert_all_served(&report),
-            Links::ToServers => assert_kept(&report),
+            Links::ToServers => assert_no_violation(&report),
         }
         assert!(report.served_share(Kind::Stream) > 0.9, "{text}");
         assert!(running.recovers().await, "{text}");
--- a/crates/daemon/tests/users_platform/main.rs
+++ b/crates/daemon/tests/users_platform/main.rs
@@ -1,16 +1,16 @@
-//! Entries on the users' platform, as processes of their own, before
-//! stand-ins of its store, engines and a plain service.
+//! Entries on the users' platform, run as separate processes against stand-ins
+//! of the store, the engines and a plain service.
 
 mod bad_input;
+mod cooldowns;
 mod crashing_requests;
+mod engine_restarts;
+mod fault_free;
 mod faults;
+mod feed_sharing;
 mod links;
-mod named_limits;
-mod path;
-mod rests;
-mod sharing;
+mod rate_limits;
 mod soak;
-mod starts;
 mod stops;
 mod store;
 mod support;
--- a/crates/daemon/tests/users_platform/named_limits.rs
+++ b/crates/daemon/tests/users_platform/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Servers that name how many requests a second they take.
+//! Servers that announce a limit on requests a second.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -18,36 +18,38 @@
 use prost::Message as _;
 use rstest::rstest;
 
-use crate::support::{assert_all_served_at, assert_kept, on_site};
+use crate::support::{
+    assert_all_served_or_log, assert_no_violation, with_small_site,
+};
 
-/// Time within which all entries know of what happened, as of the platform's
-/// bound on contact.
-const CONTACT: Duration = Duration::from_millis(3_000);
+/// Time within which the platform's rule expects all entries to learn of an
+/// event.
+const PROPAGATION_LIMIT: Duration = Duration::from_millis(3_000);
 /// Span in which requests are counted.
 const SPAN: Duration = Duration::from_secs(4);
-/// Share of a limit that is used at least while more is asked for.
-const LEAST_USE: f64 = 0.7;
-/// How long a server names a limit.
-const NAMED_FOR: Duration = Duration::from_secs(10);
+/// Minimum share of a limit that is used while the demand exceeds the limit.
+const MIN_UTILISATION: f64 = 0.7;
+/// How long a server announces a limit.
+const ANNOUNCEMENT_PERIOD: Duration = Duration::from_secs(10);
 
-/// A server that names a limit.
+/// A server that announces a limit, and the demand.
 #[derive(Clone, Copy, Debug)]
 struct Limited {
     kind: Kind,
-    /// Requests of that kind a second, at all servers.
-    asked_per_s: f64,
+    /// Requests of that kind per second, at all servers together.
+    demand_per_s: f64,
     limit_per_s: f64,
 }
 
 impl Limited {
-    /// Most requests in a span, as of the platform's rule.
-    fn allowed(self) -> usize {
+    /// Returns the requests that the platform's rule allows in a span.
+    fn max_arrivals(self) -> usize {
         (1.5 * self.limit_per_s * SPAN.as_secs_f64()) as usize + 5
     }
 
     fn load(self, length: Duration) -> Load {
         Load {
-            per_s: [(self.kind, self.asked_per_s)].into(),
+            per_s: [(self.kind, self.demand_per_s)].into(),
             length,
             events: Site::small().events,
             seed: 32,
@@ -55,58 +57,57 @@
     }
 }
 
-/// What entries told of limits.
-fn told(running: &Running) -> String {
+/// Returns the log lines of the entries about limits.
+fn limit_log_lines(running: &Running) -> String {
     let logs = running.logs();
-    let is_told = |line: &&str| line.contains("\"limit_");
-    let lines: Vec<&str> = logs.lines().filter(is_told).collect();
+    let is_about_limit = |line: &&str| line.contains("\"limit_");
+    let lines: Vec<&str> = logs.lines().filter(is_about_limit).collect();
     lines.join("\n")
 }
 
 #[rstest]
-#[case::streams(Limited {
-    kind: Kind::Stream, asked_per_s: 24.0, limit_per_s: 2.0,
+#[case::stream_load(Limited {
+    kind: Kind::Stream, demand_per_s: 24.0, limit_per_s: 2.0,
 })]
 #[case::streams_one_a_second(Limited {
-    kind: Kind::Stream, asked_per_s: 24.0, limit_per_s: 1.0,
+    kind: Kind::Stream, demand_per_s: 24.0, limit_per_s: 1.0,
 })]
 #[case::idempotent(Limited {
-    kind: Kind::Idempotent, asked_per_s: 16.0, limit_per_s: 3.0,
+    kind: Kind::Idempotent, demand_per_s: 16.0, limit_per_s: 3.0,
 })]
 #[case::once(Limited {
-    kind: Kind::Once, asked_per_s: 16.0, limit_per_s: 3.0,
+    kind: Kind::Once, demand_per_s: 16.0, limit_per_s: 3.0,
 })]
-fn a_server_gets_no_more_than_the_limit_that_it_named(
-    #[case] limited: Limited,
-) {
-    on_site(async |running| {
+fn a_server_gets_no_more_than_its_announced_limit(#[case] limited: Limited) {
+    with_small_site(async |running| {
         let server = warm_up(running, limited).await;
         set_limit(running, server, Some(limited.limit_per_s));
-        let report = running.play(&limited.load(NAMED_FOR), &[]).await;
-        assert_all_served_at(running, &report);
+        let report =
+            running.play(&limited.load(ANNOUNCEMENT_PERIOD), &[]).await;
+        assert_all_served_or_log(running, &report);
         let arrivals = Arrivals::of(running, server);
         arrivals.assert_within(running, limited);
         let used = arrivals.count as f64 / arrivals.length_s;
         let share = used / limited.limit_per_s;
-        assert!(share >= LEAST_USE, "{share:.2} of the limit used");
+        assert!(share >= MIN_UTILISATION, "{share:.2} of the limit used");
     });
 }
 
 #[rstest]
 #[case::killed(false)]
 #[case::restarted(true)]
-fn a_lost_entry_does_not_break_a_limit(#[case] is_back: bool) {
+fn a_limit_holds_when_entries_fail(#[case] is_restarted: bool) {
     let limited =
-        Limited { kind: Kind::Stream, asked_per_s: 24.0, limit_per_s: 2.0 };
-    on_site(async |running| {
+        Limited { kind: Kind::Stream, demand_per_s: 24.0, limit_per_s: 2.0 };
+    with_small_site(async |running| {
         let server = warm_up(running, limited).await;
         set_limit(running, server, Some(limited.limit_per_s));
-        let load = limited.load(NAMED_FOR);
-        let lose = async {
-            // Each entry in turn: one of them grants the permits.
+        let load = limited.load(ANNOUNCEMENT_PERIOD);
+        let fail_entries = async {
+            // Every entry is affected, because one of them is the issuer.
             for entry in 0..running.addresses.len() {
                 Timer::after(Duration::from_millis(2_500)).await;
-                match is_back {
+                match is_restarted {
                     true => running.restart(entry),
                     false if entry == 0 => running.kill(entry),
                     false => {}
@@ -114,20 +115,20 @@
             }
         };
         let played = running.play(&load, &[]);
-        futures_lite::future::zip(played, lose).await;
+        futures_lite::future::zip(played, fail_entries).await;
         Arrivals::of(running, server).assert_within(running, limited);
     });
 }
 
-/// A server that needs no limit any more takes its usual share again.
+/// A server that no longer announces a limit gets its full share again.
 #[test]
-fn a_limit_ends_with_the_need() {
+fn a_server_gets_its_full_share_after_its_limit_ends() {
     let limited = Limited {
         kind: Kind::Idempotent,
-        asked_per_s: 20.0,
+        demand_per_s: 20.0,
         limit_per_s: 2.0,
     };
-    on_site(async |running| {
+    with_small_site(async |running| {
         let server = warm_up(running, limited).await;
         set_limit(running, server, Some(limited.limit_per_s));
         let second = Duration::from_secs(1);
@@ -136,47 +137,54 @@
         running.play(&limited.load(second), &[]).await;
         let ended = Instant::now();
         let report = running.play(&limited.load(2 * second), &[]).await;
-        assert_all_served_at(running, &report);
-        let id = running.world.server(server).expect("it runs").id;
+        assert_all_served_or_log(running, &report);
+        let id = running.world.server(server).expect("the server runs").id;
         let times = (ended, Instant::now());
         let arrivals = report.seen.most_arrivals(&id, 3 * second, times);
-        // Half of 40 is its share of two servers, and 4 its limit.
-        assert!(arrivals >= 12, "{arrivals} of 40\n{}", told(running));
+        // The share of one of two servers is 20 of 40 requests; the limit
+        // would allow 4.
+        assert!(
+            arrivals >= 12,
+            "{arrivals} of 40\n{}",
+            limit_log_lines(running)
+        );
     });
 }
 
-/// Where all servers are limited, what they offer is used, and what finds no
-/// permit in its time is refused, mostly at once.
+/// While all servers announce a limit, their capacity is used, and requests
+/// that get no permit in time are refused.
 #[test]
-fn what_finds_no_permit_is_told_when_to_come_back() {
+fn requests_without_a_permit_are_refused() {
     let limited = Limited {
         kind: Kind::Idempotent,
-        asked_per_s: 20.0,
+        demand_per_s: 20.0,
         limit_per_s: 2.0,
     };
-    on_site(async |running| {
+    with_small_site(async |running| {
         warm_up(running, limited).await;
         let servers = running.world.plain_servers();
         for server in &servers {
             set_limit(running, *server, Some(limited.limit_per_s));
         }
-        let report = running.play(&limited.load(NAMED_FOR), &[]).await;
-        assert_kept(&report);
+        let report =
+            running.play(&limited.load(ANNOUNCEMENT_PERIOD), &[]).await;
+        assert_no_violation(&report);
         for server in &servers {
             Arrivals::of(running, *server).assert_within(running, limited);
         }
         let served = report.outcomes.iter().filter(|o| o.is_served()).count();
-        let offered = 2.0 * limited.limit_per_s * NAMED_FOR.as_secs_f64();
-        let share = served as f64 / offered;
-        assert!(share >= LEAST_USE, "{share:.2} of what is offered served");
+        let capacity =
+            2.0 * limited.limit_per_s * ANNOUNCEMENT_PERIOD.as_secs_f64();
+        let share = served as f64 / capacity;
+        assert!(share >= MIN_UTILISATION, "{share:.2} of the capacity used");
         let tries = report.outcomes.iter().flat_map(|o| &o.tries);
-        let unanswered = tries
+        let other_ends = tries
             .filter(|t| !matches!(t.end, TryEnd::Whole | TryEnd::Status(503)));
-        assert_eq!(unanswered.count(), 0, "{}", report.to_text());
+        assert_eq!(other_ends.count(), 0, "{}", report.to_text());
     });
 }
 
-/// A value that is no limit changes nothing, and a zero keeps no server out.
+/// An invalid value changes nothing, and a limit of zero excludes no server.
 #[rstest]
 #[case::nothing("", 10)]
 #[case::negative("-1", 10)]
@@ -184,25 +192,28 @@
 #[case::exponent("1e308", 10)]
 #[case::huge("999999999999", 10)]
 #[case::zero("0", 1)]
-fn any_value_is_borne(#[case] value: &str, #[case] least: usize) {
-    let load = Limited {
+fn invalid_limits_are_ignored_and_zero_excludes_no_server(
+    #[case] value: &str,
+    #[case] min: usize,
+) {
+    let limited = Limited {
         kind: Kind::Idempotent,
-        asked_per_s: 16.0,
+        demand_per_s: 16.0,
         limit_per_s: 1.0,
     };
-    on_site(async |running| {
-        let server = warm_up(running, load).await;
+    with_small_site(async |running| {
+        let server = warm_up(running, limited).await;
         running.world.change(server, |server| {
             server.named_limit = Some(value.to_owned());
         });
         let length = Duration::from_secs(6);
-        let report = running.play(&load.load(length), &[]).await;
-        assert_all_served_at(running, &report);
-        let id = running.world.server(server).expect("it runs").id;
+        let report = running.play(&limited.load(length), &[]).await;
+        assert_all_served_or_log(running, &report);
+        let id = running.world.server(server).expect("the server runs").id;
         let named_at = report.seen.limit_named_at[&id];
         let times = (named_at + Duration::from_secs(1), Instant::now());
         let arrivals = report.seen.most_arrivals(&id, length, times);
-        assert!(arrivals >= least, "{arrivals} arrivals");
+        assert!(arrivals >= min, "{arrivals} arrivals");
     });
 }
 
@@ -218,11 +229,11 @@
     });
 }
 
-/// What reached a server since it named its limit.
+/// Requests that reached a server since it announced its limit.
 struct Arrivals {
-    /// Most in a span, from the bound on contact on.
-    most: usize,
-    /// All from half a second on.
+    /// Maximum in a span, counted from the propagation limit on.
+    max: usize,
+    /// All requests, counted from half a second after the announcement on.
     count: usize,
     length_s: f64,
 }
@@ -230,54 +241,60 @@
 impl Arrivals {
     fn of(running: &Running, server: SocketAddr) -> Arrivals {
         let seen = running.world.seen();
-        let id = running.world.server(server).expect("it runs").id;
+        let id = running.world.server(server).expect("the server runs").id;
         let named_at = seen.limit_named_at[&id];
         let until = Instant::now();
-        let told_at = named_at + Duration::from_millis(500);
-        let whole = until.saturating_duration_since(told_at);
+        let count_start = named_at + Duration::from_millis(500);
+        let counted = until.saturating_duration_since(count_start);
         Arrivals {
-            most: seen.most_arrivals(&id, SPAN, (named_at + CONTACT, until)),
-            count: seen.most_arrivals(&id, whole, (told_at, until)),
-            length_s: whole.as_secs_f64(),
+            max: seen.most_arrivals(
+                &id,
+                SPAN,
+                (named_at + PROPAGATION_LIMIT, until),
+            ),
+            count: seen.most_arrivals(&id, counted, (count_start, until)),
+            length_s: counted.as_secs_f64(),
         }
     }
 
     fn assert_within(&self, running: &Running, limited: Limited) {
-        let (most, allowed) = (self.most, limited.allowed());
+        let (max, allowed) = (self.max, limited.max_arrivals());
         assert!(
-            most <= allowed,
-            "{most} requests in 4 s, over {allowed}\n{}",
-            told(running)
+            max <= allowed,
+            "{max} requests in 4 s, over {allowed}\n{}",
+            limit_log_lines(running)
         );
     }
 }
 
-/// A message that no entry writes.
-struct Bad {
+/// Values of a message that no entry would send.
+struct PermitValues {
     limit_per_s: f64,
     number: u64,
 }
 
 #[rstest]
-#[case::not_a_number(Bad { limit_per_s: f64::NAN, number: 0 })]
-#[case::infinite(Bad { limit_per_s: f64::INFINITY, number: u64::MAX })]
-#[case::negative(Bad { limit_per_s: -1.0, number: 1 })]
-#[case::huge(Bad { limit_per_s: 1e308, number: u64::MAX })]
-fn a_message_of_permits_ends_no_entry(#[case] bad: Bad) {
-    on_site(async |running| {
-        // All numbers that name no engine, and one that does.
+#[case::not_a_number(PermitValues { limit_per_s: f64::NAN, number: 0 })]
+#[case::infinite(PermitValues {
+    limit_per_s: f64::INFINITY, number: u64::MAX,
+})]
+#[case::negative(PermitValues { limit_per_s: -1.0, number: 1 })]
+#[case::huge(PermitValues { limit_per_s: 1e308, number: u64::MAX })]
+fn a_malformed_permit_message_stops_no_entry(#[case] values: PermitValues) {
+    with_small_site(async |running| {
+        // Invalid values for every known engine.
         let engines = running.engine_hashes(0).await;
         let notice = |engine| EngineNotice {
             engine,
-            limit_per_s: bad.limit_per_s,
-            named_age_ms: bad.number,
-            unnamed_age_ms: Some(bad.number),
+            limit_per_s: values.limit_per_s,
+            named_age_ms: values.number,
+            unnamed_age_ms: Some(values.number),
             issuer: 1,
             is_leaving: false,
         };
         let ask = |engine| PermitAsk {
             engine,
-            number: bad.number,
+            number: values.number,
             series: u32::MAX,
             wanted: u32::MAX,
             is_waiting: true,
@@ -287,11 +304,11 @@
         };
         let grant = |engine| PermitGrant {
             engine,
-            answers: bad.number,
+            answers: values.number,
             series: u32::MAX,
             granted: u64::MAX,
         };
-        let told = PeerState {
+        let message = PeerState {
             boot_id: 1,
             is_alert: true,
             notices: engines.iter().copied().map(notice).collect(),
@@ -302,7 +319,7 @@
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         for entry in 0..running.addresses.len() {
             let address = running.ops_address(entry);
-            socket.send_to(&told.encode_to_vec(), address).unwrap();
+            socket.send_to(&message.encode_to_vec(), address).unwrap();
         }
         let load = Load {
             per_s: [(Kind::Stream, 20.0)].into(),
@@ -310,7 +327,7 @@
             events: Site::small().events,
             seed: 32,
         };
-        assert_kept(&running.play(&load, &[]).await);
+        assert_no_violation(&running.play(&load, &[]).await);
         for entry in 0..running.addresses.len() {
             assert_eq!(running.exit_code(entry), None);
         }
--- a/crates/daemon/tests/users_platform/stops.rs
+++ b/crates/daemon/tests/users_platform/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops and reloads.
+//! Planned stops, reloads of the settings, and changes of the planner.
 
 use std::{
     io::{Read as _, Write as _},
@@ -16,44 +16,48 @@
 use rustix::process::Signal;
 
 use crate::support::{
-    assert_all_served, on, on_site, one, streams, wait_until,
+    assert_all_served, send_request, stream_load, wait_until, with_site,
+    with_small_site,
 };
 
 #[test]
-fn a_stop_cuts_nothing_and_ends_clean() {
+fn a_stop_aborts_no_request_and_exits_with_success() {
     let site = Site { events: 150, ..Site::small() };
-    on(&site, async |running| {
+    with_site(&site, async |running| {
         let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 150) };
         let stop = async {
             Timer::after(Duration::from_millis(400)).await;
             running.signal(0, Signal::TERM);
         };
-        let stream = one(running, 0, &wish);
+        let stream = send_request(running, 0, &wish);
         let (outcome, ()) = futures_lite::future::zip(stream, stop).await;
         assert!(outcome.is_served(), "{outcome:?}");
         assert!(outcome.violations.is_empty(), "{outcome:?}");
-        wait_until("it ends", async || running.exit_code(0) == Some(0)).await;
+        wait_until("the entry exits", async || {
+            running.exit_code(0) == Some(0)
+        })
+        .await;
     });
 }
 
 #[test]
-fn the_balancer_is_told_at_once() {
-    on_site(async |running| {
+fn a_stopping_entry_reports_immediately_that_it_is_not_ready() {
+    with_small_site(async |running| {
         assert!(running.is_ready(0).await);
         running.signal(0, Signal::TERM);
-        wait_until("it says that it is not ready", async || {
+        wait_until("the entry is not ready", async || {
             !running.is_ready(0).await
         })
         .await;
-        assert_eq!(running.exit_code(0), None, "it serves on for a moment");
+        assert_eq!(running.exit_code(0), None, "the entry serves for a while");
     });
 }
 
-/// A client could not tell whether a request ran whose connection ended
-/// without an answer.
+/// If the connection closed without a response, the client couldn't know
+/// whether the request ran.
 #[test]
-fn a_stop_answers_what_it_has_begun_to_read() {
-    on_site(async |running| {
+fn a_stopping_entry_responds_to_a_partly_read_request() {
+    with_small_site(async |running| {
         let mut client = TcpStream::connect(running.addresses[0]).unwrap();
         let limit = Some(Duration::from_secs(10));
         client.set_read_timeout(limit).unwrap();
@@ -61,24 +65,27 @@
                     Content-Length: 5\r\n\r\nhe";
         client.write_all(head.as_bytes()).unwrap();
         running.signal(0, Signal::TERM);
-        // Longer than a stop lasts where nothing is to be ended.
+        // Longer than a stop without requests in progress takes.
         Timer::after(Duration::from_millis(3_300)).await;
-        assert_eq!(running.exit_code(0), None, "it waits for the rest");
+        assert_eq!(running.exit_code(0), None, "the entry waits for the body");
         client.write_all(b"llo").unwrap();
-        let mut answer = Vec::new();
-        client.read_to_end(&mut answer).unwrap();
-        let answer = String::from_utf8_lossy(&answer);
-        assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
-        wait_until("it ends", async || running.exit_code(0) == Some(0)).await;
+        let mut response = Vec::new();
+        client.read_to_end(&mut response).unwrap();
+        let response = String::from_utf8_lossy(&response);
+        assert!(response.starts_with("HTTP/1.1 503 "), "{response}");
+        wait_until("the entry exits", async || {
+            running.exit_code(0) == Some(0)
+        })
+        .await;
     });
 }
 
-/// What waits in the queue of the port of a process that ends is cut unread;
-/// so the port closes before, and clients are refused.
+/// When a process exits, connections in the accept queue of its port are reset
+/// unread. So the port closes earlier, and clients are refused.
 #[test]
-fn the_port_closes_before_a_stopping_entry_ends() {
+fn the_port_closes_before_a_stopping_entry_exits() {
     let site = Site { events: 450, ..Site::small() };
-    on(&site, async |running| {
+    with_site(&site, async |running| {
         let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 450) };
         let refused = async {
             Timer::after(Duration::from_millis(400)).await;
@@ -91,19 +98,19 @@
             .await;
             (started.elapsed(), running.exit_code(0))
         };
-        // It keeps the entry from ending.
-        let stream = one(running, 0, &wish);
+        // The stream keeps the entry from exiting.
+        let stream = send_request(running, 0, &wish);
         let (_, (elapsed, exit)) =
             futures_lite::future::zip(stream, refused).await;
-        assert_eq!(exit, None, "it ended before its port closed");
+        assert_eq!(exit, None, "the entry exited before its port closed");
         assert!(elapsed >= Duration::from_millis(2_500), "{elapsed:?}");
     });
 }
 
 #[test]
-fn a_rolling_restart_under_load_loses_nothing() {
-    on_site(async |running| {
-        let load = streams(15.0, Duration::from_secs(6));
+fn a_rolling_restart_under_load_loses_no_request() {
+    with_small_site(async |running| {
+        let load = stream_load(15.0, Duration::from_secs(6));
         let stop = |at_ms| Fault {
             at: Duration::from_millis(at_ms),
             kind: FaultKind::EntryStops,
@@ -115,15 +122,15 @@
 }
 
 #[test]
-fn a_hang_up_reloads_and_cuts_nothing() {
-    on_site(async |running| {
-        let load = streams(15.0, Duration::from_secs(2));
-        let hang_up = Fault {
+fn a_sighup_reloads_the_settings_and_aborts_no_request() {
+    with_small_site(async |running| {
+        let load = stream_load(15.0, Duration::from_secs(2));
+        let sighup = Fault {
             at: Duration::from_millis(700),
             kind: FaultKind::EntryHangsUp,
             length: Duration::ZERO,
         };
-        assert_all_served(&running.play(&load, &[hang_up]).await);
+        assert_all_served(&running.play(&load, &[sighup]).await);
         wait_until("the reload is in the logs", async || {
             running.logs().contains("settings_reloaded")
         })
@@ -132,11 +139,12 @@
 }
 
 #[test]
-fn another_entry_plans_when_the_planner_dies() {
-    on_site(async |running| {
-        let planner = running.planner().await.expect("one entry plans");
+fn another_entry_becomes_planner_when_the_planner_is_killed() {
+    with_small_site(async |running| {
+        let planner =
+            running.planner().await.expect("an entry is the planner");
         running.kill(planner);
-        wait_until("another entry plans", async || {
+        wait_until("another entry is the planner", async || {
             running.planner().await.is_some_and(|new| new != planner)
         })
         .await;
@@ -148,7 +156,7 @@
             },
             &mut fastrand::Rng::with_seed(1),
         );
-        wait_until("it fills the gap", async || {
+        wait_until("the new planner fills the gap", async || {
             running.world.is_covered() && running.world.engines().len() == 10
         })
         .await;
@@ -156,18 +164,22 @@
 }
 
 #[test]
-fn one_entry_stands_in_while_nobody_can_hold_the_lease() {
-    on_site(async |running| {
+fn one_entry_is_deputy_planner_while_no_entry_can_hold_the_lease() {
+    with_small_site(async |running| {
         running.store.set_fault(StoreFault::Silent);
-        wait_until("an entry stands in", async || {
+        wait_until("an entry is the deputy planner", async || {
             running.logs().contains("\"stands_in\":\"true\"")
         })
         .await;
         let logs = running.logs();
-        let began = |line: &&str| line.contains("\"stands_in\":\"true\"");
-        assert_eq!(logs.lines().filter(began).count(), 1, "one of all");
+        let is_start = |line: &&str| line.contains("\"stands_in\":\"true\"");
+        assert_eq!(
+            logs.lines().filter(is_start).count(),
+            1,
+            "only one deputy"
+        );
         running.store.set_fault(StoreFault::None);
-        wait_until("it leaves the orders to a holder", async || {
+        wait_until("the lease holder gives the orders again", async || {
             running.planner().await.is_some()
                 && running.logs().contains("\"stands_in\":\"false\"")
         })
@@ -176,9 +188,9 @@
 }
 
 #[test]
-fn nothing_is_started_after_a_site_has_ended() {
-    let entries = on_site(async |running| {
-        // An entry that a lasting fault would start again later.
+fn no_entry_is_started_after_a_site_was_shut_down() {
+    let entries = with_small_site(async |running| {
+        // The fault would restart the entry after 200 ms.
         let fault = Fault {
             at: Duration::ZERO,
             kind: FaultKind::EntryKilled,
--- a/crates/daemon/tests/users_platform/store.rs
+++ b/crates/daemon/tests/users_platform/store.rs
@@ -1,4 +1,4 @@
-//! Faults of the store.
+//! Store faults.
 
 use std::time::Duration;
 
@@ -12,16 +12,18 @@
 };
 use rstest::rstest;
 
-use crate::support::{assert_all_served, on_site, one, streams, wait_until};
+use crate::support::{
+    assert_all_served, send_request, stream_load, wait_until, with_small_site,
+};
 
 #[rstest]
 #[case::silent(StoreFault::Silent)]
 #[case::busy(StoreFault::Busy)]
 #[case::slow(StoreFault::Slow(150))]
-#[case::loses_answers(StoreFault::LosesAnswers)]
+#[case::loses_responses(StoreFault::LosesAnswers)]
 #[case::late_writes(StoreFault::LateWrites(1_500))]
-fn traffic_goes_on_while_the_store_fails(#[case] kind: StoreFault) {
-    on_site(async |running| {
+fn requests_are_served_while_the_store_fails(#[case] kind: StoreFault) {
+    with_small_site(async |running| {
         let load = Load {
             per_s: [(Kind::Stream, 15.0), (Kind::Idempotent, 10.0)].into(),
             length: Duration::from_secs(3),
@@ -39,25 +41,25 @@
 
 #[test]
 fn keys_are_refused_once_they_may_have_been_withdrawn() {
-    on_site(async |running| {
+    with_small_site(async |running| {
         let wish = Wish { tries: 1, ..Wish::new(Kind::Idempotent, "a", 1) };
         running.store.set_fault(StoreFault::Silent);
         wait_until("the key is refused", async || {
-            let outcome = one(running, 0, &wish).await;
+            let outcome = send_request(running, 0, &wish).await;
             outcome.tries[0].end == TryEnd::Status(503)
         })
         .await;
         running.store.set_fault(StoreFault::None);
         wait_until("the key is served again", async || {
-            one(running, 0, &wish).await.is_served()
+            send_request(running, 0, &wish).await.is_served()
         })
         .await;
     });
 }
 
 #[test]
-fn a_change_reaches_entries_whose_history_was_lost() {
-    on_site(async |running| {
+fn a_change_reaches_all_entries_after_the_store_lost_its_history() {
+    with_small_site(async |running| {
         running.store.forget_history();
         running.configure(&["another"]);
         let wish = Wish {
@@ -67,7 +69,7 @@
         };
         for entry in 0..running.addresses.len() {
             wait_until("the new key is served", async || {
-                one(running, entry, &wish).await.is_served()
+                send_request(running, entry, &wish).await.is_served()
             })
             .await;
         }
@@ -75,8 +77,8 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_into_force() {
-    on_site(async |running| {
+fn an_older_configuration_is_never_put_in_force() {
+    with_small_site(async |running| {
         running.configure(&["another"]);
         let wish = Wish {
             key: "another".to_owned(),
@@ -84,41 +86,43 @@
             ..Wish::new(Kind::Idempotent, "a", 1)
         };
         wait_until("the new key is served", async || {
-            one(running, 0, &wish).await.is_served()
+            send_request(running, 0, &wish).await.is_served()
         })
         .await;
-        // The store would not do this; a reader of stale rows might see it.
+        // The store never does this, but a reader of stale rows may see an
+        // older row.
         let old = running.world.site().configuration(1, &[KEY]);
         running.store.put("op", "config", &old);
         Timer::after(Duration::from_millis(500)).await;
-        assert!(one(running, 0, &wish).await.is_served());
-        let gone = Wish { key: KEY.to_owned(), ..wish };
-        let outcome = one(running, 0, &gone).await;
+        assert!(send_request(running, 0, &wish).await.is_served());
+        let withdrawn = Wish { key: KEY.to_owned(), ..wish };
+        let outcome = send_request(running, 0, &withdrawn).await;
         assert_eq!(outcome.tries[0].end, TryEnd::Status(401));
     });
 }
 
 #[test]
-fn servers_that_lapsed_during_an_outage_serve_on() {
-    on_site(async |running| {
+fn servers_whose_rows_expire_during_a_store_outage_stay_in_use() {
+    with_small_site(async |running| {
         running.store.set_fault(StoreFault::Silent);
         Timer::after(Duration::from_millis(3_200)).await;
-        // All rows lapse while the store is away, and come back after it.
+        // All rows expire while the store is unavailable, and are written
+        // again afterwards.
         let engines = running.world.engines();
         for engine in &engines {
             let id = running.world.server(*engine).unwrap().id;
             running.store.drop_row("servers", &id);
         }
         running.store.set_fault(StoreFault::None);
-        let load = streams(15.0, Duration::from_millis(2_500));
-        let back = async {
+        let load = stream_load(15.0, Duration::from_millis(2_500));
+        let rewrite = async {
             Timer::after(Duration::from_millis(900)).await;
             for engine in &engines {
                 running.world.tell(*engine);
             }
         };
         let played = running.play(&load, &[]);
-        let (report, ()) = futures_lite::future::zip(played, back).await;
+        let (report, ()) = futures_lite::future::zip(played, rewrite).await;
         assert_all_served(&report);
     });
 }
--- a/crates/daemon/tests/users_platform/support.rs
+++ b/crates/daemon/tests/users_platform/support.rs
@@ -1,4 +1,4 @@
-//! A small site and what tests do with it.
+//! Helpers that run tests on a simulated site.
 
 use std::{
     path::Path,
@@ -19,38 +19,42 @@
 
 pub(crate) const BINARY: &str = env!("CARGO_BIN_EXE_chestnutreachd");
 
-/// The stand-ins of all tests of this process run on one thread.
+/// Returns the executor of the stand-ins: one thread for all tests of this
+/// process.
 pub(crate) fn executor() -> &'static Arc<Executor<'static>> {
     static EXECUTOR: OnceLock<Arc<Executor<'static>>> = OnceLock::new();
-    EXECUTOR.get_or_init(|| start_executor().expect("a thread is left"))
+    EXECUTOR.get_or_init(|| start_executor().expect("the thread starts"))
 }
 
-/// Plays on a small site.
-pub(crate) fn on_site<T>(play: impl AsyncFnOnce(&Running) -> T) -> T {
-    on(&Site::small(), play)
+/// Runs a test on a small site.
+pub(crate) fn with_small_site<T>(test: impl AsyncFnOnce(&Running) -> T) -> T {
+    with_site(&Site::small(), test)
 }
 
-/// Plays on a site.
-pub(crate) fn on<T>(site: &Site, play: impl AsyncFnOnce(&Running) -> T) -> T {
+/// Runs a test on a site.
+pub(crate) fn with_site<T>(
+    site: &Site,
+    test: impl AsyncFnOnce(&Running) -> T,
+) -> T {
     async_io::block_on(async {
         let started = start(executor(), Path::new(BINARY), site).await;
         let running = started.expect("the site starts");
-        play(&running).await
+        test(&running).await
     })
 }
 
-/// Makes one request at an entry.
-pub(crate) async fn one(
+/// Sends one request to an entry.
+pub(crate) async fn send_request(
     running: &Running,
     entry: usize,
     wish: &Wish,
 ) -> Outcome {
-    let own = [running.addresses[entry]];
-    make(wish, &own, 0, Duration::ZERO).await
+    let addresses = [running.addresses[entry]];
+    make(wish, &addresses, 0, Duration::ZERO).await
 }
 
-/// Streams at a steady rate.
-pub(crate) fn streams(per_s: f64, length: Duration) -> Load {
+/// Returns a load of streams at a steady rate.
+pub(crate) fn stream_load(per_s: f64, length: Duration) -> Load {
     Load {
         per_s: [(Kind::Stream, per_s)].into(),
         length,
@@ -59,58 +63,60 @@
     }
 }
 
-/// Plays streams while first engines end, one after another, each under a
-/// stream.
-pub(crate) async fn play_while_first_engines_end(
+/// Runs streams while engines of the first stage exit one after another, each
+/// during a stream.
+pub(crate) async fn run_streams_while_first_engines_exit(
     running: &Running,
     count: u64,
 ) -> Report {
-    let load = streams(25.0, Duration::from_secs(3));
-    let end = async {
+    let load = stream_load(25.0, Duration::from_secs(3));
+    let exits = async {
         for _ in 0..count {
             Timer::after(Duration::from_millis(400)).await;
             running.end_first_engine(Duration::from_millis(300)).await;
         }
     };
     let played = running.play(&load, &[]);
-    futures_lite::future::zip(played, end).await.0
+    futures_lite::future::zip(played, exits).await.0
 }
 
-/// Fails with the report unless no promise was broken.
-pub(crate) fn assert_kept(report: &Report) {
+/// Fails with the report if an invariant was violated.
+pub(crate) fn assert_no_violation(report: &Report) {
     let violations = report.violations();
     assert!(violations.is_empty(), "{}", report.to_text());
 }
 
-/// Fails with the report unless every request was served.
+/// Fails with the report if an invariant was violated or a request was not
+/// served.
 pub(crate) fn assert_all_served(report: &Report) {
-    assert_kept(report);
+    assert_no_violation(report);
     let served = report.outcomes.iter().all(Outcome::is_served);
     assert!(served, "{}", report.to_text());
 }
 
-/// The same, with what the entries told of requests that were not served.
-pub(crate) fn assert_all_served_at(running: &Running, report: &Report) {
+/// Like [`assert_all_served`], and prints the log lines of the requests that
+/// were not served.
+pub(crate) fn assert_all_served_or_log(running: &Running, report: &Report) {
     let unserved = report.outcomes.iter().filter(|o| !o.is_served());
     let tries = unserved.flat_map(|outcome| &outcome.tries);
     let ids: Vec<&str> = tries.map(|t| t.id.as_str()).collect();
     if ids.is_empty() {
-        return assert_kept(report);
+        return assert_no_violation(report);
     }
     let logs = running.logs();
-    let is_told = |line: &&str| ids.iter().any(|id| line.contains(id));
-    let told: Vec<&str> = logs.lines().filter(is_told).collect();
-    panic!("{}\n{}", report.to_text(), told.join("\n"));
+    let is_about = |line: &&str| ids.iter().any(|id| line.contains(id));
+    let lines: Vec<&str> = logs.lines().filter(is_about).collect();
+    panic!("{}\n{}", report.to_text(), lines.join("\n"));
 }
 
-/// Waits until something is as wished.
+/// Waits until a condition holds.
 pub(crate) async fn wait_until(
     what: &str,
-    mut is_so: impl AsyncFnMut() -> bool,
+    mut condition: impl AsyncFnMut() -> bool,
 ) {
     let until = Instant::now() + Duration::from_secs(20);
-    while !is_so().await {
-        assert!(Instant::now() < until, "not in time: {what}");
+    while !condition().await {
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         Timer::after(Duration::from_millis(30)).await;
     }
 }
