--- a/crates/daemon/tests/users_platform/traces.rs
+++ b/crates/daemon/tests/users_platform/traces.rs
@@ -1,4 +1,5 @@
-//! From a failed request's id to its cause, as docs/OPERATIONS.md leads.
+//! Traces the id of a failed request to the cause, by the numbered steps of
+//! docs/OPERATIONS.md.
 
 use chestnutreach_emulator::{
     caller::{Kind, Outcome, TryEnd, Wish},
@@ -9,48 +10,50 @@
 use serde_json::Value;
 
 use crate::support::{
-    on, on_site, one, play_while_first_engines_end, wait_until,
+    run_streams_while_first_engines_exit, send_request, wait_until, with_site,
+    with_small_site,
 };
 
-/// Lines of the logs that name a request, as step 1 of the page does.
-fn lines_of(running: &Running, request: &str) -> Vec<Value> {
+/// Returns the log lines that name a request: step 1.
+fn log_lines_of(running: &Running, request: &str) -> Vec<Value> {
     let logs = running.logs();
     let lines = logs.lines().filter(|line| line.contains(request));
     lines.map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
-fn named<'a>(lines: &'a [Value], name: &str) -> Option<&'a Value> {
+fn find_event<'a>(lines: &'a [Value], name: &str) -> Option<&'a Value> {
     lines.iter().map(|line| &line["kvs"]).find(|kvs| kvs["name"] == name)
 }
 
-/// Waits for the line that tells a request's outcome.
-async fn ended(running: &Running, request: &str) -> Vec<Value> {
+/// Waits for the log line with the outcome of a request and returns all log
+/// lines of the request.
+async fn wait_for_outcome(running: &Running, request: &str) -> Vec<Value> {
     wait_until("the outcome is in the logs", async || {
-        named(&lines_of(running, request), "relay_ended").is_some()
+        find_event(&log_lines_of(running, request), "relay_ended").is_some()
     })
     .await;
-    lines_of(running, request)
+    log_lines_of(running, request)
 }
 
 #[test]
-fn a_refused_request_leads_to_the_store() {
-    on_site(async |running| {
+fn a_refused_request_is_traced_to_the_store() {
+    with_small_site(async |running| {
         running.store.set_fault(StoreFault::Silent);
         let wish = Wish { tries: 1, ..Wish::new(Kind::Idempotent, "a", 1) };
         let mut refused = None;
         wait_until("a request is refused", async || {
-            let outcome = one(running, 0, &wish).await;
+            let outcome = send_request(running, 0, &wish).await;
             let is_refused = outcome.tries[0].end == TryEnd::Status(503);
             refused = is_refused.then(|| outcome.tries[0].id.clone());
             is_refused
         })
         .await;
-        let lines = ended(running, &refused.unwrap()).await;
+        let lines = wait_for_outcome(running, &refused.unwrap()).await;
         // Step 2: the outcome and its reason.
-        let end = named(&lines, "relay_ended").unwrap();
+        let end = find_event(&lines, "relay_ended").unwrap();
         assert_eq!(end["outcome"], "not_run");
         assert_eq!(end["reason"], "keys_stale");
-        // Step 3: how old the knowledge was, and since when.
+        // Step 3: the age of the configuration, and the start of the outage.
         let age: u64 =
             end["configuration_age_ms"].as_str().unwrap().parse().unwrap();
         assert!(age > 4_000, "{age}");
@@ -61,97 +64,98 @@
 }
 
 #[test]
-fn a_refused_stream_leads_to_the_missing_layers() {
-    on_site(async |running| {
+fn a_refused_stream_is_traced_to_the_missing_layers() {
+    with_small_site(async |running| {
         for engine in running.world.engines() {
             running.world.end(engine);
         }
         let wish = Wish { tries: 1, ..Wish::new(Kind::Stream, "a", 1) };
-        // The first may still be sent to engines that are not known to be
-        // gone.
+        // The first requests may still be sent to engines whose exit isn't
+        // detected yet.
         let mut lines = Vec::new();
-        wait_until("a request waits in vain", async || {
-            let outcome = one(running, 0, &wish).await;
-            lines = ended(running, &outcome.tries[0].id).await;
-            named(&lines, "path_awaited").is_some()
+        wait_until("a request waits for a path and is refused", async || {
+            let outcome = send_request(running, 0, &wish).await;
+            lines = wait_for_outcome(running, &outcome.tries[0].id).await;
+            find_event(&lines, "path_awaited").is_some()
                 && outcome.tries[0].end == TryEnd::Status(503)
         })
         .await;
-        // Step 2: it was refused for want of a path.
-        let end = named(&lines, "relay_ended").unwrap();
+        // Step 2: the request was refused because no path was found.
+        let end = find_event(&lines, "relay_ended").unwrap();
         assert_eq!(end["reason"], "no_backend");
         assert_eq!(end["attempts"], "0");
-        // Step 3: it waited in the queue, and for whom.
-        let awaited = named(&lines, "path_awaited").unwrap();
+        // Step 3: the request waited in the queue, in the name of an account.
+        let awaited = find_event(&lines, "path_awaited").unwrap();
         assert_eq!(awaited["result"], "none");
         assert_eq!(awaited["account"], "kaolack");
         // Step 4: no data centre holds all layers.
-        wait_until("the planner tells of the layers", async || {
+        wait_until("the planner logs the missing layers", async || {
             let logs = running.logs();
-            let mut cover =
+            let mut changes =
                 logs.lines().filter(|l| l.contains("\"cover_changed\""));
-            cover.next_back().is_some_and(|line| line.contains("x0"))
+            changes.next_back().is_some_and(|line| line.contains("x0"))
         })
         .await;
     });
 }
 
 #[test]
-fn a_stream_that_broke_leads_to_its_engine() {
-    on_site(async |running| {
-        let report = play_while_first_engines_end(running, 4).await;
-        let is_changed = |outcome: &&Outcome| {
-            let lines = lines_of(running, &outcome.tries[0].id);
-            named(&lines, "relay_broken").is_some()
+fn an_interrupted_stream_is_traced_to_its_engine() {
+    with_small_site(async |running| {
+        let report = run_streams_while_first_engines_exit(running, 4).await;
+        let is_interrupted = |outcome: &&Outcome| {
+            let lines = log_lines_of(running, &outcome.tries[0].id);
+            find_event(&lines, "relay_broken").is_some()
         };
-        let resumed = || report.outcomes.iter().find(is_changed);
+        let resumed = || report.outcomes.iter().find(is_interrupted);
         wait_until("a stream was resumed", async || resumed().is_some()).await;
         let outcome = resumed().unwrap();
-        let lines = ended(running, &outcome.tries[0].id).await;
-        // Step 2: it was whole, after more than one attempt.
-        let end = named(&lines, "relay_ended").unwrap();
+        let lines = wait_for_outcome(running, &outcome.tries[0].id).await;
+        // Step 2: the stream completed after more than one attempt.
+        let end = find_event(&lines, "relay_ended").unwrap();
         assert_eq!(end["outcome"], "completed");
         assert_ne!(end["attempts"], "1");
-        // Step 3: which engine broke, after which event.
-        let broken = named(&lines, "relay_broken").unwrap();
+        // Step 3: the engine that failed.
+        let broken = find_event(&lines, "relay_broken").unwrap();
         let backend = broken["backend"].as_str().unwrap();
-        // Step 4: what the entry believed of that engine, or of the one
-        // because of which it left that engine.
+        // Step 4: the suspicions against that engine, or against the engine
+        // because of which the entry changed the path.
         let suspects = broken["suspects"].as_str().unwrap();
-        let named = suspects.split(',').find(|id| !id.is_empty());
-        let dead = named.unwrap_or(backend);
+        let suspect = suspects.split(',').find(|id| !id.is_empty());
+        let failed = suspect.unwrap_or(backend);
         let logs = running.logs();
-        let of_dead = logs.lines().filter(|l| l.contains(dead));
+        let of_failed = logs.lines().filter(|l| l.contains(failed));
         let mut suspicions =
-            of_dead.filter(|l| l.contains("backend_suspected"));
-        assert!(suspicions.next().is_some(), "{dead}: {logs}");
-        // Step 5: where it went on.
+            of_failed.filter(|l| l.contains("backend_suspected"));
+        assert!(suspicions.next().is_some(), "{failed}: {logs}");
+        // Step 5: the engines on which the stream resumed.
         let resumed = lines.iter().map(|line| &line["kvs"]).find(|kvs| {
             kvs["name"] == "relay_sent" && kvs["cause"] == "resumed"
         });
-        let resumed = resumed.expect("the resumption is told");
+        let resumed = resumed.expect("the resumption is logged");
         assert!(!resumed["backends"].as_str().unwrap().contains(backend));
     });
 }
 
 #[test]
-fn an_unknown_end_leads_to_the_lost_answer() {
+fn an_unknown_outcome_is_traced_to_the_lost_response() {
     let site = Site { plain_servers: 1, ..Site::small() };
-    on(&site, async |running| {
+    with_site(&site, async |running| {
         for server in running.world.plain_servers() {
             running.world.change(server, |s| s.loses_answers = 1.0);
         }
         let wish = Wish { tries: 1, ..Wish::new(Kind::Once, "letter", 1) };
-        let outcome = one(running, 0, &wish).await;
+        let outcome = send_request(running, 0, &wish).await;
         assert_eq!(outcome.tries[0].end, TryEnd::Status(502));
-        let lines = ended(running, &outcome.tries[0].id).await;
-        // Step 2: it may have run.
-        let end = named(&lines, "relay_ended").unwrap();
+        let lines = wait_for_outcome(running, &outcome.tries[0].id).await;
+        // Step 2: the request may have run.
+        let end = find_event(&lines, "relay_ended").unwrap();
         assert_eq!(end["outcome"], "unknown");
-        assert_eq!(end["attempts"], "1", "it was not sent again");
-        // Step 3: it was sent, and the connection ended without an answer.
-        let sent = named(&lines, "relay_sent").unwrap();
-        let broken = named(&lines, "relay_broken").unwrap();
+        assert_eq!(end["attempts"], "1", "the request was not retried");
+        // Step 3: the request was sent, and the connection closed without a
+        // response.
+        let sent = find_event(&lines, "relay_sent").unwrap();
+        let broken = find_event(&lines, "relay_broken").unwrap();
         assert_eq!(sent["backends"], broken["backend"]);
     });
 }
