--- a/crates/engine/src/error.rs
+++ b/crates/engine/src/error.rs
@@ -41,7 +41,7 @@
     /// Error for a call that is not sent because the engine is in a cooldown
     /// that it requested.
     pub fn in_cooldown(left: Duration) -> EngineError {
-        let message = "the engine requested a cooldown".to_owned();
+        let message = "the engine asked for rest".to_owned();
         EngineError::Status { status: 503, message, cooldown: Some(left) }
     }
 
@@ -89,17 +89,14 @@
             | EngineError::Lost(e)
             | EngineError::Timeout(e) => e.fmt(f),
             EngineError::Status { status, message, .. } => {
-                write!(
-                    f,
-                    "the engine responded with status {status}: {message}"
-                )
+                write!(f, "the engine answered {status}: {message}")
             }
             EngineError::OldFencingNumber { sent, held } => write!(
                 f,
                 "fencing number {sent} is older than the engine's {held}"
             ),
             EngineError::Protocol(why) => {
-                write!(f, "the engine violated the protocol: {why}")
+                write!(f, "the engine broke the protocol: {why}")
             }
         }
     }
--- a/crates/engine/src/wire/request.rs
+++ b/crates/engine/src/wire/request.rs
@@ -173,7 +173,7 @@
     let LayerRange { first_layer, end_layer } = received.parameters;
     if first_layer >= end_layer {
         let message =
-            format!("layers {first_layer}..{end_layer} are not a valid range");
+            format!("layers {first_layer}..{end_layer} are no range");
         return Err(WireError::new(message));
     }
     let tensors = Tensors::with_equal_rows(received.inputs)?;
@@ -254,9 +254,7 @@
                 span: self.span.number(row)?,
                 bytes: from_base64(self.input.text(row)?, "input")?,
             }),
-            other => {
-                Err(WireError::new(format!("unknown kind of step {other:?}")))
-            }
+            other => Err(WireError::new(format!("no kind of step {other:?}"))),
         }
     }
 
--- a/crates/engine/src/wire/response.rs
+++ b/crates/engine/src/wire/response.rs
@@ -160,7 +160,7 @@
     let received: ReceivedBody<'_> = serde_json::from_slice(body)?;
     if received.id != id {
         let message =
-            format!("the response is for call {:?}, not {id:?}", received.id);
+            format!("the answer is to call {:?}, not {id:?}", received.id);
         return Err(WireError::new(message));
     }
     let tensors = Tensors::new(received.outputs, steps.len())?;
@@ -207,7 +207,7 @@
         let sequence = self.sequence.text(row)?;
         if sequence.parse() != Ok(expected) {
             return Err(WireError::new(format!(
-                "row {row} is for sequence {sequence:?}, not {expected}"
+                "row {row} is of sequence {sequence:?}, not {expected}"
             )));
         }
         let error = self.error.text(row)?;
@@ -233,9 +233,9 @@
                 text: self.text.text(row)?.to_owned(),
                 is_stop: self.finish.text(row)? == FINISH_STOP,
             }),
-            other => Err(WireError::new(format!(
-                "unknown kind of output {other:?}"
-            ))),
+            other => {
+                Err(WireError::new(format!("no kind of output {other:?}")))
+            }
         }
     }
 }
--- a/crates/engine/src/wire/tensor.rs
+++ b/crates/engine/src/wire/tensor.rs
@@ -136,7 +136,7 @@
         &self,
         name: &str,
     ) -> Result<&Tensor<'a>, WireError> {
-        let missing = || WireError::new(format!("missing tensor {name:?}"));
+        let missing = || WireError::new(format!("no tensor {name:?}"));
         self.find(name).ok_or_else(missing)
     }
 }
@@ -158,7 +158,7 @@
     type Value = Element<'de>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a string or an unsigned 32-bit number")
+        f.write_str("a string, or a number of 32 bits")
     }
 
     fn visit_u64<E: de::Error>(self, v: u64) -> Result<Element<'de>, E> {
--- a/crates/engine/tests/wire.rs
+++ b/crates/engine/tests/wire.rs
@@ -117,18 +117,18 @@
 })]
 #[case::name(Replacement {
     from: r#""name":"kind""#, to: r#""name":"sort""#,
-    error: "missing tensor \"kind\"",
+    error: "no tensor \"kind\"",
 })]
 #[case::sequence(Replacement {
     from: "/2", to: "/-2", error: "is not \"<request in hex>/<attempt>\"",
 })]
 #[case::layers(Replacement {
     from: r#""first_layer":3"#, to: r#""first_layer":9"#,
-    error: "layers 9..9 are not a valid range",
+    error: "layers 9..9 are no range",
 })]
 #[case::number(Replacement {
     from: "4294967295", to: "4294967296",
-    error: "a string or an unsigned 32-bit number",
+    error: "a string, or a number of 32 bits",
 })]
 #[case::truncated(Replacement { from: "}]}", to: "}", error: "EOF" })]
 fn invalid_requests_are_rejected(#[case] case: Replacement) {
@@ -147,7 +147,7 @@
 })]
 #[case::kind(Replacement {
     from: r#""token","activation""#, to: r#""tokens","activation""#,
-    error: "unknown kind of step \"tokens\"",
+    error: "no kind of step \"tokens\"",
 })]
 #[case::type_of_column(Replacement {
     from: r#""data":[0,4294967295,0]"#, to: r#""data":[0,"1",0]"#,
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -222,7 +222,7 @@
         })?;
     let Arrival { request, arrived } = arrival;
     if entry.is_full() {
-        let detail = "this VM has reached its limit of requests in flight";
+        let detail = "this VM has as many requests in flight as it may";
         return Err(not_run_response(
             entry,
             NotRunReason::Full,
@@ -320,6 +320,6 @@
         "invalid_request_error",
         code,
         None,
-        &format!("no service matches {what:?}"),
+        &format!("no service answers to {what:?}"),
     )
 }
--- a/crates/entry/src/error_response.rs
+++ b/crates/entry/src/error_response.rs
@@ -132,7 +132,7 @@
         "invalid_request_error",
         "method_not_allowed",
         None,
-        &format!("the supported methods are {allow}"),
+        &format!("only {allow} are served here"),
     );
     response.insert_header("allow", allow);
     response
--- a/crates/entry/src/failure.rs
+++ b/crates/entry/src/failure.rs
@@ -108,14 +108,14 @@
 pub(super) fn failure_message(reason: FailureReason) -> &'static str {
     match reason {
         FailureReason::BackendError => "a backend server failed",
-        FailureReason::BackendSilent => "a backend server did not respond",
-        FailureReason::StageLost => "a backend server became unreachable",
-        FailureReason::Deadline => "the deadline was exceeded",
-        FailureReason::Cancelled => "the request was cancelled",
-        FailureReason::Sequence => "the output arrived out of order",
+        FailureReason::BackendSilent => "a backend server did not answer",
+        FailureReason::StageLost => "a backend server was lost",
+        FailureReason::Deadline => "the time was over",
+        FailureReason::Cancelled => "the request was given up",
+        FailureReason::Sequence => "the answer came out of order",
         FailureReason::Stopped => "a backend server stopped",
         FailureReason::BadRequest => "the model refused the request",
-        FailureReason::AtRest => "a backend server requested a cooldown",
+        FailureReason::AtRest => "a backend server asked for rest",
         FailureReason::Unspecified => "the request failed",
     }
 }
@@ -124,19 +124,19 @@
 pub(super) fn refusal_message(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Full | RefusalReason::TableFull => {
-            "no backend server has free capacity"
+            "no backend server has room"
         }
         RefusalReason::Share => "the client account has used its share",
-        RefusalReason::TooLate => {
-            "the request could not finish by its deadline"
-        }
-        RefusalReason::Leaving => "the backend server is draining",
+        RefusalReason::TooLate => "it could not finish in its time",
+        RefusalReason::Leaving => "the backend server is leaving",
         RefusalReason::BackendDown
         | RefusalReason::StageUnreachable
         | RefusalReason::WrongTarget
-        | RefusalReason::UnknownService => "no backend server can be reached",
+        | RefusalReason::UnknownService => {
+            "no backend server can be reached now"
+        }
         RefusalReason::Fenced
         | RefusalReason::AlreadyRun
-        | RefusalReason::Unspecified => "the request was cancelled",
+        | RefusalReason::Unspecified => "the request was given up",
     }
 }
--- a/crates/entry/src/key_claim.rs
+++ b/crates/entry/src/key_claim.rs
@@ -183,7 +183,7 @@
             ],
         );
         let retry_after_ms = Some(self.entry.store_outage.record_failure());
-        let detail = format!("the table service failed: {error}");
+        let detail = format!("the table service: {error}");
         RequestFailure::not_run(
             NotRunReason::StoreDown,
             retry_after_ms,
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -135,12 +135,11 @@
         }
         RepeatAction::KeyReused => {
             entry.metrics.record_claim(ClaimResult::KeyReused);
-            let detail =
-                "the idempotency key was used for a different request";
+            let detail = "the idempotency key was used for another request";
             not_run(NotRunReason::KeyReused, None, detail)
         }
         RepeatAction::InProgress => {
-            let detail = "a request with this idempotency key is in progress";
+            let detail = "a request with this idempotency key runs now";
             not_run(
                 NotRunReason::InProgress,
                 Some(in_progress_retry_ms()),
@@ -149,7 +148,7 @@
         }
         RepeatAction::Failed => {
             let detail = "the request with this idempotency key failed \
-                          after it started";
+                          after it began";
             let failure = RequestFailure::failed(detail);
             Resolution::Respond(vec![Progress::Failed(failure)])
         }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -171,7 +171,7 @@
     ) -> Result<String, String> {
         let view = self.shared.view.load();
         let Some(service) = view.services.get(service) else {
-            return Err(format!("unknown service {service:?}"));
+            return Err(format!("service {service:?} is not known"));
         };
         let policy = self.shared.policy();
         let now_ms = self.shared.clock.now_ms();
--- a/crates/entry/src/openai/request.rs
+++ b/crates/entry/src/openai/request.rs
@@ -112,8 +112,8 @@
             return Ok(());
         };
         let message = format!(
-            "is {} tokens, but must be less than the model's context length \
-             of {max_context_tokens} tokens",
+            "is {} tokens, not less than the {max_context_tokens} tokens of \
+             the model's context",
             self.max_tokens
         );
         Err(invalid(field, &message))
@@ -217,7 +217,7 @@
         [text] => Ok(text.len()),
         texts => {
             let message = format!(
-                "has {} texts, but only 1 per request is supported",
+                "has {} texts, but 1 a request is served",
                 texts.len()
             );
             Err(invalid("prompt", &message))
@@ -239,8 +239,7 @@
     for (field, value, range) in numbers {
         if let Some(value) = value.filter(|v| !range.contains(v)) {
             let (min, max) = (range.start(), range.end());
-            let message =
-                format!("is {value}, but must be from {min} to {max}");
+            let message = format!("is {value}, not from {min} to {max}");
             return Err(invalid(field, &message));
         }
     }
@@ -261,9 +260,8 @@
 fn check_supported(body: &Body) -> Result<(), ValidationError> {
     for (field, count) in [("n", body.n), ("best_of", body.best_of)] {
         if let Some(count) = count.filter(|count| *count != 1) {
-            let message = format!(
-                "is {count}, but only 1 answer per request is supported"
-            );
+            let message =
+                format!("is {count}, but 1 answer a request is served");
             return Err(invalid(field, &message));
         }
     }
@@ -288,17 +286,16 @@
         ("modalities", wants_other_modality),
     ];
     match unsupported.iter().find(|(_, is_requested)| *is_requested) {
-        Some((field, _)) => Err(invalid(field, "is not supported")),
+        Some((field, _)) => Err(invalid(field, "is not served")),
         None => Ok(()),
     }
 }
 
 fn wants_usage(body: &Body, is_stream: bool) -> Result<bool, ValidationError> {
     match &body.stream_options {
-        Some(_) if !is_stream => Err(invalid(
-            "stream_options",
-            "is only allowed for a streamed response",
-        )),
+        Some(_) if !is_stream => {
+            Err(invalid("stream_options", "is only for a streamed answer"))
+        }
         Some(Object(options)) => Ok(options.include_usage.unwrap_or(false)),
         None => Ok(false),
     }
@@ -318,10 +315,7 @@
     for (field, limit) in stated {
         match limit {
             Some(0) => {
-                return Err(invalid(
-                    field,
-                    "is 0, but must be at least 1 token",
-                ));
+                return Err(invalid(field, "is 0, not 1 token or more"));
             }
             Some(limit) => return Ok((limit, Some(field))),
             None => {}
--- a/crates/entry/src/request_options.rs
+++ b/crates/entry/src/request_options.rs
@@ -141,8 +141,7 @@
     };
     let count = values.iter().count();
     if count > 1 {
-        let message =
-            format!("header {name} is given {count} times, not once");
+        let message = format!("header {name} is given {count} times, not 1");
         return Err(HeaderError { name, message });
     }
     Ok(Some(values.last().as_str().trim()))
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -25,10 +25,7 @@
     /// Chooses a chain and sends the request to its first stage.
     pub(super) async fn dispatch(&mut self) {
         if self.remaining_ms() <= DEADLINE_MARGIN_MS {
-            self.fail_without_retry(
-                Cause::Deadline,
-                "the deadline was exceeded",
-            );
+            self.fail_without_retry(Cause::Deadline, "the time was over");
             return;
         }
         if self.attempt_count > 0 && !self.may_retry() {
@@ -198,7 +195,7 @@
                         RequestFailure::not_run(
                             NotRunReason::NoChain,
                             Some(self.entry.retry_after_ms()),
-                            "no backend server can be reached",
+                            "no backend server can be reached now",
                         )
                         .with_operator_detail(&e.to_string()),
                     );
--- a/crates/entry/src/session/events.rs
+++ b/crates/entry/src/session/events.rs
@@ -40,7 +40,7 @@
     /// keyed request continues at its side process, where a repeated request
     /// finds it.
     pub(super) fn abort(&mut self) {
-        let detail = "the VM that accepted the request is shutting down";
+        let detail = "the VM that took the request has stopped";
         let is_keyed = self.keyed.is_some();
         if !is_keyed {
             self.cancel();
@@ -87,13 +87,10 @@
         self.cancel();
         let is_accepted = self.attempt.as_ref().is_some_and(|a| a.is_accepted);
         if is_accepted || self.attempt.is_none() {
-            self.fail_without_retry(
-                Cause::Deadline,
-                "the deadline was exceeded",
-            );
+            self.fail_without_retry(Cause::Deadline, "the time was over");
         } else {
-            let detail = "the deadline was exceeded before the backend server \
-                          reported whether the request started";
+            let detail = "the time was over before the backend server \
+                          told whether it began";
             let outcome = Outcome::Unknown;
             self.fail(RequestFailure::new(outcome, Cause::Deadline, detail));
         }
@@ -144,7 +141,7 @@
             self.fail_attempt(
                 reason,
                 "",
-                "a position of the output is missing",
+                "a position of the answer is missing",
             );
             return;
         }
@@ -171,11 +168,7 @@
     pub(super) fn handle_finished(&mut self, m: wire::Finished) {
         if m.output_count != self.next_position {
             let reason = FailureReason::Sequence;
-            self.fail_attempt(
-                reason,
-                "",
-                "the output has an unexpected length",
-            );
+            self.fail_attempt(reason, "", "the answer has another length");
             return;
         }
         self.record_completed(&m);
@@ -234,7 +227,7 @@
         };
         self.phase = Phase::Idle;
         if m.reason() == RefusalReason::AlreadyRun {
-            let detail = "the backend server has received the request before";
+            let detail = "the backend server has seen the request before";
             let outcome = Outcome::Unknown;
             self.fail(RequestFailure::new(outcome, Cause::Backend, detail));
             return;
--- a/crates/entry/src/session/recover.rs
+++ b/crates/entry/src/session/recover.rs
@@ -170,11 +170,10 @@
                 let backend = self.first_backend();
                 let reason = response.failure();
                 self.handle_outputs(response.outputs);
-                self.fail_attempt(reason, &backend, "the attempt failed");
+                self.fail_attempt(reason, &backend, "the attempt had failed");
             }
             RunState::Running if self.attempt_count == 0 => {
-                let detail =
-                    "a request with this idempotency key is in progress";
+                let detail = "a request with this idempotency key runs now";
                 let failure = RequestFailure::not_run(
                     NotRunReason::InProgress,
                     Some(in_progress_retry_ms()),
@@ -186,8 +185,7 @@
             }
             RunState::CannotTell if !self.job.is_idempotent => {
                 self.attempt = None;
-                let detail =
-                    "the side process cannot tell whether the request ran";
+                let detail = "the side process cannot tell whether it ran";
                 let outcome = Outcome::Unknown;
                 self.fail(RequestFailure::new(
                     outcome,
@@ -211,7 +209,7 @@
     /// be retrieved.
     fn fail_response_lost(&mut self) {
         let backend = self.first_backend();
-        let detail = "the output is no longer available";
+        let detail = "the answer is no longer kept";
         self.fail_attempt(FailureReason::StageLost, &backend, detail);
     }
 }
--- a/crates/entry/tests/openai.rs
+++ b/crates/entry/tests/openai.rs
@@ -123,7 +123,7 @@
         Chat,
         chat!(r#""stream_options":{"include_usage":true}"#),
         "stream_options",
-        "only allowed for a streamed response",
+        "only for a streamed answer",
     ),
     refused(
         Chat,
@@ -163,18 +163,18 @@
     ),
     refused(Chat, chat!(r#""seed":"x""#), "seed", "i64"),
     refused(Chat, chat!(r#""user":7"#), "user", "string"),
-    refused(Chat, chat!(r#""logprobs":true"#), "logprobs", "not supported"),
+    refused(Chat, chat!(r#""logprobs":true"#), "logprobs", "not served"),
     refused(
         Chat,
         chat!(r#""tools":[{"type":"function"}]"#),
         "tools",
-        "not supported",
+        "not served",
     ),
     refused(
         Chat,
         chat!(r#""modalities":["text","audio"]"#),
         "modalities",
-        "not supported",
+        "not served",
     ),
     refused(Completions, r#"{"prompt":"hi"}"#, "model", "missing"),
     refused(Completions, r#"{"model":"m"}"#, "prompt", "missing"),
@@ -195,13 +195,13 @@
         Completions,
         r#"{"model":"m","prompt":"hi","logprobs":0}"#,
         "logprobs",
-        "not supported",
+        "not served",
     ),
     refused(
         Completions,
         r#"{"model":"m","prompt":"hi","echo":true}"#,
         "echo",
-        "not supported",
+        "not served",
     ),
     refused(
         Completions,
@@ -213,7 +213,7 @@
         Completions,
         r#"{"model":"m","prompt":"hi","suffix":"x"}"#,
         "suffix",
-        "not supported",
+        "not served",
     ),
 ];
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -76,17 +76,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ClientError::NotSent { address, source } => {
-                write!(f, "cannot connect to {address}: {source}")
+                write!(f, "{address} was not reached: {source}")
             }
             ClientError::Lost { address, detail } => {
-                write!(f, "no complete response from {address}: {detail}")
+                write!(f, "{address} gave no whole answer: {detail}")
             }
             ClientError::Timeout { address, limit_ms } => {
-                write!(f, "no response from {address} within {limit_ms} ms")
+                write!(f, "{address} gave no answer within {limit_ms} ms")
             }
             ClientError::TooLong { address, limit_bytes } => write!(
                 f,
-                "response of {address} is longer than {limit_bytes} bytes"
+                "the answer of {address} is longer than {limit_bytes} bytes"
             ),
         }
     }
@@ -276,9 +276,7 @@
         let limit = self.options.max_response_bytes;
         let body = match info.framing {
             None => {
-                return Err(self.lost(
-                    "the response has neither a content length nor chunks",
-                ));
+                return Err(self.lost("the answer states no length"));
             }
             Some(BodyFraming::None) => Ok(Vec::new()),
             Some(BodyFraming::Length(length)) if length > limit as u64 => {
--- a/crates/platform/src/claims/outcome.rs
+++ b/crates/platform/src/claims/outcome.rs
@@ -39,7 +39,7 @@
         f.write_str(match self {
             ClaimError::StoreUnavailable => "the claim was not written",
             ClaimError::Ambiguous => "the claim may have been written",
-            ClaimError::NotOwner { .. } => "another claim holds the key",
+            ClaimError::NotOwner { .. } => "the claim is held by another",
         })
     }
 }
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -49,7 +49,7 @@
                 "frame of {length} bytes is longer than {limit} bytes"
             ),
             DecodeError::Malformed(why) => {
-                write!(f, "cannot decode frame: {why}")
+                write!(f, "frame cannot be read: {why}")
             }
             DecodeError::Empty => write!(f, "frame has no known body"),
         }
--- a/crates/protocol/src/link/error.rs
+++ b/crates/protocol/src/link/error.rs
@@ -44,10 +44,10 @@
         match self {
             LinkError::Closed(why) => write!(f, "link is closed: {why:?}"),
             LinkError::Timeout(address) => {
-                write!(f, "{address} did not respond before the timeout")
+                write!(f, "{address} did not answer")
             }
             LinkError::Unreachable(address, why) => {
-                write!(f, "cannot connect to {address}: {why}")
+                write!(f, "{address} cannot be reached: {why}")
             }
             LinkError::Refused(address, why) => {
                 write!(f, "{address} refused the connection: {why}")
--- a/crates/protocol/src/link/handshake.rs
+++ b/crates/protocol/src/link/handshake.rs
@@ -58,7 +58,7 @@
                 Err(LinkError::Refused(address, why.reason))
             }
             _ => {
-                let why = "the first message is not a Hello";
+                let why = "the first message is no greeting";
                 Err(LinkError::Refused(address, why.to_owned()))
             }
         }
--- a/crates/protocol/tests/links.rs
+++ b/crates/protocol/tests/links.rs
@@ -70,7 +70,7 @@
     reason: "only 99 here".to_owned(),
 }), "99")]
 #[case::other_version(hello(OTHER_VERSION), "99")]
-#[case::no_hello(Body::Heartbeat(Heartbeat::default()), "not a Hello")]
+#[case::no_hello(Body::Heartbeat(Heartbeat::default()), "no greeting")]
 fn refused_connect_fails_with_the_reason(
     #[case] response: Body,
     #[case] reason: &str,
--- a/crates/routing/src/no_chain.rs
+++ b/crates/routing/src/no_chain.rs
@@ -38,10 +38,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.reason {
             NoChainReason::NoCandidate { first_layer } => {
-                write!(
-                    f,
-                    "no backend server is available from layer {first_layer}"
-                )
+                write!(f, "no backend server continues at layer {first_layer}")
             }
             NoChainReason::AllAvoided => {
                 f.write_str("every backend server has been tried")
--- a/crates/side/src/backend.rs
+++ b/crates/side/src/backend.rs
@@ -325,8 +325,7 @@
                 Server::Plain(_) => None,
             })
         else {
-            let detail =
-                "the manifest no longer lists the server as an engine";
+            let detail = "no longer an engine in the manifest";
             return Err(EngineError::Protocol(detail.to_owned()));
         };
         let timeout_ms = if is_first {
--- a/crates/side/src/plain.rs
+++ b/crates/side/src/plain.rs
@@ -110,10 +110,10 @@
     client: &chestnutreach_http::Client,
 ) -> Result<Request, String> {
     let Work::PlainCall(call) = &run.work else {
-        return Err("the request is not a call of a plain service".to_owned());
+        return Err("not a call of a plain service".to_owned());
     };
     let method = Method::from_str(&call.method)
-        .map_err(|_| format!("unknown method {:?}", call.method))?;
+        .map_err(|_| format!("method {:?} is not known", call.method))?;
     let url = client
         .url(&call.target)
         .map_err(|e| format!("target {:?}: {e}", call.target))?;
--- a/crates/side/src/reservation/steps.rs
+++ b/crates/side/src/reservation/steps.rs
@@ -131,7 +131,7 @@
         let state = reservation.lock();
         let Some((link, _)) = &state.next_link else {
             drop(state);
-            let detail = "the last stage returned no token";
+            let detail = "no token from the last stage";
             let reason = FailureReason::Sequence;
             self.fail_reservation(
                 reservation,
--- a/crates/side/src/run/tokens.rs
+++ b/crates/side/src/run/tokens.rs
@@ -76,7 +76,7 @@
             StepOutput::Activation(activation) => {
                 let Some(next) = run.chain.get(1) else {
                     drop(state);
-                    let detail = "the only stage returned no token";
+                    let detail = "no token from a whole model";
                     let reason = FailureReason::Sequence;
                     self.stop(run, reason, &run.backend.name, detail);
                     return;
@@ -151,7 +151,7 @@
                 "gap"
             });
             if !is_repeat {
-                let detail = "a token arrived before its predecessor";
+                let detail = "a token came before the one it follows";
                 self.stop(run, FailureReason::Sequence, "", detail);
             }
             return;
--- a/crates/side/src/sweep.rs
+++ b/crates/side/src/sweep.rs
@@ -84,7 +84,7 @@
                 let detail = "the deadline has passed";
                 self.stop(&run, FailureReason::Deadline, "", detail);
             } else if self.is_orphan(&run, now_ms) {
-                let detail = "the entry has disconnected";
+                let detail = "its entry has gone";
                 self.stop(&run, FailureReason::Cancelled, "", detail);
             }
         }
