--- a/crates/direct/src/cluster/engine.rs
+++ b/crates/direct/src/cluster/engine.rs
@@ -17,7 +17,7 @@
 
 use crate::{clock::now_ms, cluster::notices::Notices, rate::Rate};
 
-/// An engine with progress this recent counts as alive without a connect.
+/// An engine with progress this recent counts as responding without a connect.
 pub(crate) const RECENT_PROGRESS_MS: u64 = 60;
 
 /// Unit in which entries report memory to each other, in tokens times layers.
@@ -60,7 +60,7 @@
     /// the first stage. Without the breaker, an engine that fails immediately
     /// looks idle and is chosen more and more often.
     pub(crate) circuit: CircuitBreaker,
-    /// Limits and leaving notices from the engine's response headers.
+    /// Limits and drain notices from the engine's response headers.
     pub(crate) notices: Notices,
     state: Mutex<EngineState>,
 }
@@ -102,17 +102,17 @@
     pub(crate) orders_begun: u64,
     /// Usage that other entries reported, by boot id.
     peer_usage: BTreeMap<u64, EngineUsage>,
-    /// When the engine was first known to be leaving.
+    /// When the engine was first known to be draining.
     pub(crate) leaving_since_ms: Option<u64>,
-    /// A response of the engine announced that it is leaving. The notice holds
-    /// for the rest of the process lifetime.
+    /// A response of the engine announced that the engine is draining. The
+    /// notice holds for the rest of the process lifetime.
     pub(crate) has_said_leaving: bool,
     /// Layers that the engine is to hold after a pending move.
     pub(crate) planned_layers: Option<LayerRange>,
 }
 
 impl EngineState {
-    /// Time since the engine began to leave, or `None` if it stays.
+    /// Time since the engine began to drain, or `None` if the engine serves.
     pub(crate) fn leaving_ms(&self, now_ms: u64) -> Option<u64> {
         let since_ms = self.leaving_since_ms?;
         Some(now_ms.saturating_sub(since_ms))
@@ -162,7 +162,7 @@
         now_ms.saturating_sub(self.connected_ms) >= pause_ms
     }
 
-    /// Records a leaving notice from a response; returns false if one was
+    /// Records a drain notice from a response; returns false if one was
     /// recorded before.
     pub(crate) fn mark_leaving(&mut self, now_ms: u64) -> bool {
         self.leaving_since_ms.get_or_insert(now_ms);
--- a/crates/direct/src/cluster/notices.rs
+++ b/crates/direct/src/cluster/notices.rs
@@ -60,7 +60,7 @@
     sent: VecDeque<u64>,
     permits: PermitHolder,
     issuer: Issuer,
-    /// The server announced that it is leaving; reported to other entries for
+    /// The server announced that it is draining; reported to other entries for
     /// as long as the server is listed.
     has_said_leaving: bool,
 }
@@ -178,7 +178,7 @@
     }
 
     /// Notice for other entries, if a limit is in force or ended recently, or
-    /// the server is leaving.
+    /// the server is draining.
     pub(crate) fn peer_notice(&self, now_ms: u64) -> Option<EngineNotice> {
         let state = self.lock();
         let limit = state.limit.current();
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -111,7 +111,7 @@
     );
 }
 
-/// Applies a leaving notice. The server gets no new requests, and streams move
+/// Applies a drain notice. The server gets no new requests, and streams move
 /// away from it as they do from a server that is listed as draining.
 fn apply_leaving(
     core: &Core,
--- a/crates/direct/src/cluster/peer_table.rs
+++ b/crates/direct/src/cluster/peer_table.rs
@@ -266,13 +266,14 @@
         self.lock().values().map(|peer| peer.interconnect_bytes_per_s).sum()
     }
 
-    /// Number of other entries that reported such traffic recently.
+    /// Number of other entries that recently reported traffic between data
+    /// centres.
     pub(crate) fn interconnect_user_count(&self, now_ms: u64) -> usize {
-        let crosses = |peer: &&Peer| {
+        let is_user = |peer: &&Peer| {
             let at_ms = peer.interconnect_used_ms;
             at_ms > 0 && now_ms.saturating_sub(at_ms) < INTERCONNECT_USE_MS
         };
-        self.lock().values().filter(crosses).count()
+        self.lock().values().filter(is_user).count()
     }
 
     /// Highest fencing number that a lease holder reported as released.
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -141,7 +141,7 @@
 }
 
 /// Records a successful connect to an engine and clears its suspicion if that
-/// proves the engine alive.
+/// proves that the engine responds.
 pub(crate) fn record_connected(core: &Core, engine: &Engine) {
     let now_ms = now_ms();
     let mut state = engine.lock();
@@ -244,7 +244,7 @@
 }
 
 /// Whether an engine is known to have crashed: its process exited while it was
-/// not leaving. A silent engine does not count, since it may be partitioned.
+/// not draining. A silent engine does not count, since it may be partitioned.
 fn has_crashed(engine: &Engine) -> bool {
     let state = engine.lock();
     let evidence = state.suspicion.map(|suspicion| suspicion.evidence);
@@ -268,7 +268,7 @@
     connected
 }
 
-/// Probes the engines of a path that nothing else shows to be alive.
+/// Probes the engines of a path that no other evidence shows to respond.
 pub(crate) fn probe_path(core: &Arc<Core>, path: &Path) {
     let now_ms = now_ms();
     for stage in &path.stages {
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -226,7 +226,7 @@
 
 /// Checks whether the engine of a failed run has crashed. The connection may
 /// end before the port is closed, so the check is repeated; the request does
-/// not wait for the last one, nor for an engine that is silent.
+/// not wait for the last check, and not for a silent engine.
 pub(crate) async fn check_crash(core: &Arc<Core>, run: FailedRun) -> bool {
     for pause in CRASH_CHECK_PAUSES {
         Timer::after(pause).await;
@@ -320,7 +320,7 @@
 }
 
 /// Logs that a request has been quarantined, and notifies the streams so that
-/// those which run the request leave their engines. Does nothing unless the
+/// streams that run the request leave their engines. Does nothing unless the
 /// quarantine is new.
 fn apply_quarantine(
     core: &Core,
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -194,7 +194,7 @@
     let mut is_closed = pin!(accept_period_ends(&core));
     loop {
         // Pending connections are accepted before the port closes: the kernel
-        // would reset them, and their callers could not tell whether their
+        // would reset them, and their callers could not know whether their
         // requests ran.
         let next = async { Some(port.accept().await) };
         let closed = async {
--- a/crates/direct/src/request/path.rs
+++ b/crates/direct/src/request/path.rs
@@ -26,7 +26,7 @@
         LayerRange::new(self.first_layer, self.end_layer)
     }
 
-    /// How long the engine has been leaving; `None` if the engine stays.
+    /// How long the engine has been draining; `None` if the engine serves.
     pub(crate) fn leaving_ms(&self, now_ms: u64) -> Option<u64> {
         self.engine.lock().leaving_ms(now_ms)
     }
--- a/crates/direct/src/request/stream/supervise.rs
+++ b/crates/direct/src/request/stream/supervise.rs
@@ -33,7 +33,7 @@
 /// Minimum time for a stream to begin, as a fraction of the route's target;
 /// after it, another engine can still begin within the target.
 const MIN_START_SHARE: f64 = 0.7;
-/// An engine that showed activity within this time counts as alive.
+/// An engine that showed activity within this time counts as responding.
 const ALIVE_WITHIN_MS: u64 = 250;
 /// Timeout of an order.
 pub(super) const ORDER_TIMEOUT: Duration = Duration::from_millis(350);
@@ -88,7 +88,7 @@
 }
 
 /// Whether an engine can't be relied on to finish its requests: it is
-/// suspected to have failed, has been leaving for long, or waits for its
+/// suspected to have failed, has been draining for long, or waits for its
 /// requests to end before releasing layers of this stage.
 fn is_unreliable(stage: &Stage, leave_after_ms: u64) -> bool {
     let leaving_ms = stage.leaving_ms(now_ms());
--- a/crates/entry/src/error_response.rs
+++ b/crates/entry/src/error_response.rs
@@ -37,7 +37,7 @@
     response
 }
 
-/// Whether a client may retry the request automatically.
+/// Whether a caller may retry the request automatically.
 fn may_retry(failure: &RequestFailure, is_idempotent: bool) -> bool {
     match failure.outcome {
         Outcome::Completed => false,
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -264,7 +264,7 @@
                     let object = error_response::error_object(&failure);
                     self.writer.write(error_event(&object));
                     // Dropping the writer without `finish` truncates the
-                    // body, so that the client sees an incomplete response.
+                    // body, so that the caller sees an incomplete response.
                     return;
                 }
                 Progress::Head(_)
--- a/crates/http/src/retry_after.rs
+++ b/crates/http/src/retry_after.rs
@@ -2,7 +2,7 @@
 //!
 //! The header counts only in a response with status 503, as a number of
 //! seconds. Both operating modes use this parser. A date is rejected, because
-//! the clocks of two machines differ by more than the usual cooldown.
+//! the clocks of two machines differ by more than a typical cooldown.
 
 use std::time::Duration;
 
--- a/crates/membership/src/feed_source.rs
+++ b/crates/membership/src/feed_source.rs
@@ -18,8 +18,8 @@
 
 use crate::rendezvous;
 
-/// Fewest entries of a data centre that share a feed; with fewer entries, the
-/// savings do not justify a dependency on another entry.
+/// Minimum number of entries of a data centre that share a feed; with fewer
+/// entries, the savings do not justify a dependency on another entry.
 pub const MIN_SHARING_ENTRIES: usize = 4;
 /// How long an entry that failed is not asked.
 const AVOIDANCE_MS: u64 = 3_000;
--- a/crates/membership/src/issuer.rs
+++ b/crates/membership/src/issuer.rs
@@ -1,13 +1,13 @@
 //! Which entry issues permits, and for which share of the limit.
 //!
 //! All entries rank the entries that they receive messages from in the same
-//! way, so usually one issues. During a network partition, several may issue.
-//! An issuer therefore grants only the fraction of the limit that corresponds
-//! to the entries that choose it, out of all known entries. Each entry chooses
-//! one issuer and reports its choice, so the shares of all issuers never add
-//! up to more than the whole, however the network is partitioned. A recently
-//! lost entry still counts as known ([`sharing_count`]), so less is granted
-//! for a while.
+//! way, so usually a single entry issues permits. During a network partition,
+//! several entries may issue permits. An issuer therefore grants only the
+//! fraction of the limit that corresponds to the entries that choose it, out
+//! of all known entries. Each entry chooses one issuer and reports its choice,
+//! so the shares of all issuers never add up to more than the whole, however
+//! the network is partitioned. A recently lost entry still counts as known
+//! ([`sharing_count`]), so less is granted for a while.
 
 use std::collections::BTreeMap;
 
--- a/crates/protocol/src/link/connection.rs
+++ b/crates/protocol/src/link/connection.rs
@@ -27,7 +27,7 @@
     wire::{Hello, frame::Body},
 };
 
-/// Stands for the absence of an unanswered heartbeat request.
+/// Value that means that no heartbeat request is unanswered.
 const NO_PENDING_HEARTBEAT: u64 = u64::MAX;
 
 /// An open connection. Clones are handles to the same connection.
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -90,7 +90,7 @@
     /// The other requests that hold a slot run at another stage of their
     /// chain or are in prefill, and so would requests in the free slots.
     /// A step of a full server therefore has `batch * slots / busy_slots`
-    /// tokens; [`step_share`] gives the time it takes.
+    /// tokens; `step_share` gives the time it takes.
     pub fn learn_step(
         &mut self,
         prompt_tokens: u32,
--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -32,7 +32,7 @@
 pub enum ExclusionReason {
     /// The request must avoid the server.
     Avoided,
-    /// The server is absent or leaving.
+    /// The server is absent or draining.
     NotPresent,
     /// The server is suspect and other servers are available.
     Suspect,
--- a/crates/routing/src/capacity_wait.rs
+++ b/crates/routing/src/capacity_wait.rs
@@ -1,4 +1,4 @@
-//! Whether a request waits for free capacity, and when a refused one may
+//! Whether a request waits for free capacity, and when a refused request may
 //! retry.
 //!
 //! When demand exceeds capacity for longer than a short peak, each waiting
@@ -10,17 +10,17 @@
 //! others are refused at once.
 //!
 //! A queue this short no longer gives each account its fair share, because the
-//! account that asks most would get most. So an account that has recently used
-//! its share does not wait while other accounts ask for more than they get
-//! ([`FairShares`]).
+//! account with the most requests would get the most capacity. So an account
+//! that has recently used its share does not wait while other accounts request
+//! more than they get (`FairShares`).
 //!
 //! In a short peak, or while some engines are unavailable, capacity becomes
 //! free again. Then all requests may wait, and those that can still start
 //! within their target go first (see [`SearchTurns`]).
 //!
-//! A refused client retries once the requests that run now have ended and
+//! A refused caller may retry once the requests that run now have ended and
 //! their capacity is free. That time is the tokens of running requests divided
-//! by the start rate, plus jitter of up to as long again, so that clients
+//! by the start rate, plus jitter of up to as long again, so that callers
 //! refused together do not retry together.
 //!
 //! [`SearchTurns`]: crate::SearchTurns
@@ -31,7 +31,7 @@
 
 /// Contention that a peak explains: as long as a request may wait.
 pub const PEAK_MS: u64 = MAX_WAIT_MS;
-/// Longest wait for capacity: clients give up 2 s after their request, and a
+/// Longest wait for capacity: callers give up 2 s after their request, and a
 /// request that starts needs some of that time.
 pub const MAX_WAIT_MS: u64 = 1_500;
 /// Window of the start rate: some tens of requests at a full entry, and
@@ -41,7 +41,7 @@
 /// requests of accounts that had less go first and capacity is freed unevenly.
 const MAX_EXPECTED_SHARE: f64 = 0.5;
 /// Range of the retry time before jitter: no sooner than some requests have
-/// ended, and no later than clients accept, a third of their 20 s.
+/// ended, and no later than callers accept, a third of their 20 s.
 const RETRY_AFTER_RANGE_MS: (u64, u64) = (500, 3_000);
 
 /// A request that finds no free capacity.
--- a/crates/routing/src/cooldown_wait.rs
+++ b/crates/routing/src/cooldown_wait.rs
@@ -1,12 +1,12 @@
 //! Whether a request waits while all servers that could take it are in
 //! cooldown.
 //!
-//! A server that refuses a request may state for how long it wants no requests
-//! of this entry. This decision applies only if no other server takes the
-//! request. The request waits if the first server leaves its cooldown within
-//! the time for which the request may wait. Otherwise it is refused at once,
-//! and its client is told when to retry. Clients that retried together would
-//! be refused together, so that time has jitter.
+//! A server that refuses a request may request a cooldown, in which this entry
+//! sends it no requests. This decision applies only if no other server takes
+//! the request. The request waits if the first server leaves its cooldown
+//! within the time for which the request may wait. Otherwise it is refused at
+//! once, and the response states when to retry. Callers that retried together
+//! would be refused together, so that time has jitter.
 
 /// Upper limit of the jitter, in milliseconds.
 const MAX_JITTER_MS: u64 = 1_000;
@@ -18,7 +18,7 @@
 pub enum CooldownWait {
     /// The request waits: a server leaves its cooldown soon enough.
     Wait,
-    /// The request is refused; the client may retry after this many
+    /// The request is refused; the caller may retry after this many
     /// milliseconds.
     Refuse(u64),
 }
--- a/crates/routing/src/first_event_wait.rs
+++ b/crates/routing/src/first_event_wait.rs
@@ -9,7 +9,7 @@
 
 /// Number of recent first events that are kept.
 const WINDOW_LEN: usize = 8;
-/// Fewest later requests that must have begun.
+/// Minimum number of later requests that must have begun.
 const MIN_OVERTAKING: usize = 2;
 /// Multiple of the second longest recent wait. The longest one is ignored,
 /// because a single request may have been rerouted around a failure.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -22,7 +22,7 @@
 //! | [`mod@capacity_wait`] | whether a request waits for free capacity |
 //! | [`mod@cooldown_wait`] | whether a request waits for servers in cooldown |
 //! | [`startup_wait`] | how long a request waits for a configuration |
-//! | [`first_event_wait`] | whether a stream still starts within its target |
+//! | [`first_event_wait`] | whether the first event of a stream is overdue |
 //! | [`stall_check`] | when a stream without events is checked |
 //! | [`attempts`] | whether a request may be sent to another server |
 //! | [`retry_budget`] | limit on the retries of one entry |
--- a/crates/routing/src/permits/holder.rs
+++ b/crates/routing/src/permits/holder.rs
@@ -22,7 +22,8 @@
 const MAX_DEMANDS: usize = 256;
 /// Time without a response after which the issuer counts as unreachable.
 const ISSUER_TIMEOUT_MS: u64 = 400;
-/// Fewest unanswered permit requests for that, because one may be lost.
+/// Minimum number of unanswered permit requests after which the issuer counts
+/// as unreachable, because a single request may be lost.
 const MIN_UNANSWERED_REQUESTS: u32 = 3;
 /// Age of a permit request after which its grant is ignored: the grant was
 /// delayed, and the issuer may already count its permits as used.
--- a/crates/routing/src/quarantine/suspects.rs
+++ b/crates/routing/src/quarantine/suspects.rs
@@ -6,10 +6,10 @@
 
 /// Crashes after which a request is quarantined.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Score needed for a quarantine: each crash counts one, and one more if it
-/// happened in a trial and no other request was on trial there. One of three
-/// crashes may thus be due to another request; copies that ran on several
-/// servers that failed together still need a crash in a trial.
+/// Score needed for a quarantine: each crash scores 1, or 2 if it happened in
+/// a trial while no other request was on trial there. So one of three crashes
+/// may be due to another request; copies that ran on several servers that
+/// failed together still need a crash in a trial.
 const QUARANTINE_SCORE: usize = 5;
 /// Length of the first quarantine, from the last crash.
 pub const QUARANTINE_MS: u64 = 600_000;
@@ -26,8 +26,8 @@
 /// Limit on changed requests in one message.
 const MAX_CHANGED_PER_MESSAGE: usize = 16;
 /// Reports per second that each entry receives about an unchanged request, so
-/// that entries that have just started or were partitioned learn of it, and
-/// the limit for all such requests together.
+/// that entries that have just started or were partitioned learn of the
+/// request, and the limit for all unchanged requests together.
 const REPEATS_PER_S: f64 = 3.0;
 const MAX_REPEATS_PER_S: f64 = 80.0;
 
--- a/crates/routing/src/retry_window.rs
+++ b/crates/routing/src/retry_window.rs
@@ -1,14 +1,14 @@
 //! Retries under a limit that all entries share.
 //!
 //! In any window, the retries at a service stay below a share of its requests
-//! plus a number of free retries. A part of that limit is distributed: each
+//! plus a number of free retries. A share of that limit is distributed: each
 //! entry has its quota of the free retries and the share of its own requests,
 //! whatever the other entries use. Because failures fall on few entries,
 //! another part is shared, and an entry that has used its own quota borrows
 //! from it. Entries learn late what others have borrowed. In that time each
 //! entry borrows at most its quota of half of the remaining part, so that all
 //! entries together stay below the limit. An entry that restarts forgets its
-//! retries; the part that is neither distributed nor shared covers them.
+//! retries; the share that is neither distributed nor shared covers them.
 
 use std::collections::VecDeque;
 
@@ -52,7 +52,7 @@
 /// What an entry sent to a service within the window.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SentCounts {
-    /// First attempts of client requests.
+    /// First attempts of requests from callers.
     pub requests: u32,
     /// Retries.
     pub retries: u32,
--- a/crates/routing/src/startup_wait.rs
+++ b/crates/routing/src/startup_wait.rs
@@ -1,14 +1,14 @@
 //! How long a request waits for the first configuration of an entry.
 //!
-//! When all entries start together, the clients of all aborted streams
+//! When all entries start together, the callers of all aborted streams
 //! reconnect at once. A small entry takes a third of a second to read a large
-//! configuration; if it refused these clients meanwhile, they would all retry
+//! configuration; if it refused these callers meanwhile, they would all retry
 //! at the same time. While the store is unavailable, waiting gains nothing.
 
 /// Uptime after which the read counts as failed even without an error.
 const MAX_UPTIME_MS: u64 = 1_000;
-/// Part of the client's remaining time for which a request waits: one half, so
-/// that as much is left for an attempt at another entry.
+/// Divisor of the caller's remaining time for which a request waits: one half,
+/// so that as much is left for an attempt at another entry.
 const CALLER_TIME_DIVISOR: u64 = 2;
 
 /// State of an entry that has no configuration yet.
@@ -18,7 +18,7 @@
     pub uptime_ms: u64,
     /// Whether a read of the store has failed.
     pub is_store_unavailable: bool,
-    /// Time for which the client will still wait.
+    /// Time for which the caller will still wait.
     pub caller_remaining_ms: u64,
 }
 
--- a/crates/routing/src/usage_estimate.rs
+++ b/crates/routing/src/usage_estimate.rs
@@ -1,6 +1,6 @@
 //! Estimated usage of an engine by entries that have not reported yet.
 //!
-//! When all entries start at the same time, the clients of all aborted streams
+//! When all entries start at the same time, the callers of all aborted streams
 //! retry within some milliseconds, before any entry has reported its usage.
 //! Each entry alone sees the same engines as empty and prefers the fastest
 //! ones. Together the entries would send many times the capacity of these
--- a/crates/side/src/node.rs
+++ b/crates/side/src/node.rs
@@ -148,14 +148,14 @@
         shared.send_status();
     }
 
-    /// Sets whether the process is leaving and sends the new status on every
-    /// link. A leaving process accepts no new requests.
+    /// Sets whether the process is draining and sends the new status on every
+    /// link. A draining process accepts no new requests.
     pub fn set_draining(&self, is_draining: bool) {
         self.shared.is_draining.store(is_draining, Ordering::Release);
         self.shared.send_status();
     }
 
-    /// Sets whether one backend server is leaving. Returns false if this
+    /// Sets whether one backend server is draining. Returns false if this
     /// process has no such backend server.
     pub fn set_backend_draining(&self, name: &str, is_draining: bool) -> bool {
         let Some(backend) = self.shared.backends.get(name) else {
@@ -220,7 +220,7 @@
         })
     }
 
-    /// Whether the process, or the given backend server, is leaving.
+    /// Whether the process, or the given backend server, is draining.
     pub fn is_draining(&self, backend: Option<&str>) -> bool {
         let is_draining = self.shared.is_draining.load(Ordering::Acquire);
         let backend = backend.and_then(|n| self.shared.backends.get(n));
--- a/crates/site/src/configuration.rs
+++ b/crates/site/src/configuration.rs
@@ -13,7 +13,7 @@
     pub routes: BTreeMap<String, Vec<Route>>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Limits on client requests.
+    /// Limits on requests from callers.
     pub limits: Limits,
     /// Client accounts by key; `None` if requests need no key.
     pub accounts: Option<BTreeMap<String, Account>>,
@@ -133,7 +133,7 @@
     pub model: Option<Model>,
 }
 
-/// Limits on the size and timing of client requests.
+/// Limits on the size and timing of requests from callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Maximum size of a request head.
--- a/crates/site/src/settings.rs
+++ b/crates/site/src/settings.rs
@@ -13,7 +13,7 @@
     pub data_centre: String,
     /// All data centres, sorted by name.
     pub data_centres: Vec<String>,
-    /// Listen address for clients.
+    /// Listen address for callers.
     pub clients_address: SocketAddr,
     /// Listen address for the readiness checks of the load balancer.
     pub ready_address: SocketAddr,
@@ -65,6 +65,6 @@
     pub free_retries: f64,
     /// Maximum time for which a request stalls when its engine has failed.
     pub stall_ms: u64,
-    /// Maximum time until an event is forwarded to the client.
+    /// Maximum time until an event is forwarded to the caller.
     pub pass_ms: u64,
 }
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -10,11 +10,11 @@
 //! the number, and whoever forwards orders refuses a lower number: see
 //! [`FencingGate`]. The number also covers pauses that no clock of the holder
 //! shows, such as an order that was decided before the pause and sent after
-//! it, or a VM whose clock stood still during the pause.
+//! it, or a VM whose clock stopped during the pause.
 //!
 //! A write whose response was lost is settled by reading the row. Until then,
 //! the holder keeps its earlier deadline. A repeated write counts from when
-//! the first copy was sent, because either copy may have taken effect.
+//! the first attempt was sent, because either attempt may have taken effect.
 
 mod gate;
 mod message;
--- a/crates/state/src/run_once.rs
+++ b/crates/state/src/run_once.rs
@@ -18,15 +18,15 @@
 //! The retention time must be longer than the deadline of any request and
 //! longer than a connection can delay a frame. The eviction of an idempotent
 //! run does not make the request run twice, but the table can then not tell
-//! the request from one never seen. Until the retention time of the last such
-//! record has passed, a query for an unknown request is answered with
-//! [`RunState::CannotTell`]; a capacity of the peak rate times the retention
-//! time avoids this. If no record may be evicted, the table refuses new
-//! requests: a refusal is harmless, a forgotten run is not.
+//! the request from a request that it has never seen. Until the retention time
+//! of the last evicted record has passed, a query for an unknown request
+//! returns [`RunState::CannotTell`]; a capacity of the peak rate times the
+//! retention time avoids this. If no record may be evicted, the table refuses
+//! new requests: a refusal is harmless, a forgotten run is not.
 //!
 //! A refused request that was never queried needs no fence: an entry sends
-//! each attempt once, on one connection. If such records were retained, a
-//! burst of refusals would fill the table for the whole retention time.
+//! each attempt once, on one connection. If its record were retained, a burst
+//! of refusals would fill the table for the whole retention time.
 //!
 //! Every operation takes time logarithmic in the number of records.
 
