--- a/crates/direct/src/cluster.rs
+++ b/crates/direct/src/cluster.rs
@@ -1,6 +1,6 @@
 //! An entry's view of the store, the backend servers and the other entries.
 //!
-//! | module | what it holds |
+//! | module | purpose |
 //! |---|---|
 //! | `feed_follower` | tasks that follow the configuration and backend list |
 //! | `feeds`, `feed_health` | copies of store tables, and the store's health |
--- a/crates/direct/src/cluster/engine.rs
+++ b/crates/direct/src/cluster/engine.rs
@@ -144,10 +144,11 @@
         is_new
     }
 
-    /// Whether a connect is worthwhile. None is due while streams through the
-    /// engine make progress. The interval doubles with each successful connect
-    /// that no progress follows: otherwise every stream that waits for another
-    /// engine of its path would connect to this one again and again.
+    /// Whether a connect is worthwhile. No connect is due while streams
+    /// through the engine make progress. The interval doubles with each
+    /// successful connect that no progress follows: otherwise every stream
+    /// that waits for another engine of its path would connect to this engine
+    /// again and again.
     pub(crate) fn is_connect_due(
         &mut self,
         now_ms: u64,
@@ -164,7 +165,7 @@
 
     /// Records a drain notice from a response; returns false if one was
     /// recorded before.
-    pub(crate) fn mark_leaving(&mut self, now_ms: u64) -> bool {
+    pub(crate) fn mark_draining(&mut self, now_ms: u64) -> bool {
         self.leaving_since_ms.get_or_insert(now_ms);
         !std::mem::replace(&mut self.has_said_leaving, true)
     }
@@ -211,7 +212,8 @@
     }
 }
 
-/// Order of the incarnation in a row or report relative to the known one.
+/// Order of the incarnation in a row or report relative to the known
+/// incarnation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StartOrder {
     /// An earlier incarnation, or no start time although one is known: the
@@ -223,7 +225,7 @@
 }
 
 impl StartOrder {
-    /// Compares the start time in a row or report with the known one.
+    /// Compares the start time in a row or report with the known start time.
     pub(crate) fn of(reported: Option<u64>, known: Option<u64>) -> StartOrder {
         match reported.cmp(&known) {
             Ordering::Less => StartOrder::Earlier,
--- a/crates/direct/src/cluster/feed_server.rs
+++ b/crates/direct/src/cluster/feed_server.rs
@@ -29,7 +29,7 @@
 const MAX_CONNECTIONS: usize = 256;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// A configuration with 1,600 client accounts is far smaller.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// Opens the second of the internal ports, or any free port if there is only
 /// one.
@@ -111,7 +111,7 @@
     pub(crate) fn new(address: SocketAddr) -> FeedClient {
         let options = ClientOptions::new()
             .connect_timeout(CONNECT_TIMEOUT)
-            .max_response_bytes(MAX_ANSWER_BYTES);
+            .max_response_bytes(MAX_RESPONSE_BYTES);
         FeedClient { client: Client::new(address, options) }
     }
 
--- a/crates/direct/src/cluster/fleet.rs
+++ b/crates/direct/src/cluster/fleet.rs
@@ -58,8 +58,8 @@
     Known,
     /// The incarnation is new; a process that had the same id has exited.
     New,
-    /// The row belongs to an earlier incarnation than the known one, or lacks
-    /// a start time although one is known.
+    /// The row belongs to an incarnation before the known incarnation, or
+    /// lacks a start time although the start time is known.
     EarlierStart,
 }
 
--- a/crates/direct/src/cluster/notices.rs
+++ b/crates/direct/src/cluster/notices.rs
@@ -4,7 +4,7 @@
 //! An entry reports the absence of a limit only from its own responses, but
 //! repeats a limit in force that any entry received. A message's delay makes
 //! the reported event appear later than it was. This may keep a limit in force
-//! for longer, but must not end one.
+//! for longer, but must not end a limit.
 //!
 //! `apply` holds the functions that change this state.
 
@@ -157,7 +157,7 @@
     }
 
     /// Chooses the issuer. `choose` returns an entry that is not among the
-    /// excluded ones.
+    /// excluded entries.
     pub(crate) fn choose_issuer(
         &self,
         choose: impl Fn(&[u64]) -> u64,
--- a/crates/direct/src/cluster/notices/apply.rs
+++ b/crates/direct/src/cluster/notices/apply.rs
@@ -45,7 +45,7 @@
     }
     apply_cooldown(core, engine, response);
     if notices::is_leaving(response.head.values(notices::LEAVING)) {
-        apply_leaving(core, engine, response.request, OWN);
+        apply_drain_notice(core, engine, response.request, OWN);
     }
     let now_ms = now_ms();
     let values = response.head.values(notices::LIMIT);
@@ -113,7 +113,7 @@
 
 /// Applies a drain notice. The server gets no new requests, and streams move
 /// away from it as they do from a server that is listed as draining.
-fn apply_leaving(
+fn apply_drain_notice(
     core: &Core,
     engine: &Engine,
     request: &str,
@@ -123,7 +123,7 @@
     let listed_ms = {
         let mut state = engine.lock();
         let listed_ms = state.leaving_ms(now_ms);
-        if !state.mark_leaving(now_ms) {
+        if !state.mark_draining(now_ms) {
             return;
         }
         listed_ms
@@ -153,7 +153,7 @@
     notice: &EngineNotice,
 ) {
     if notice.is_leaving {
-        apply_leaving(core, engine, "", PEER);
+        apply_drain_notice(core, engine, "", PEER);
     }
     let now_ms = now_ms();
     let ago = |age_ms: u64| now_ms.saturating_sub(age_ms);
--- a/crates/direct/src/cluster/probe.rs
+++ b/crates/direct/src/cluster/probe.rs
@@ -203,8 +203,8 @@
 
 /// Whether connects show that the process of an engine has exited or is
 /// unreachable. If `is_patient`, waits for a connect that decides an unclear
-/// case. A process at the address of a removed engine may be another one, but
-/// counts as the same.
+/// case. A process at the address of a removed engine may be another process,
+/// but counts as the same.
 pub(crate) async fn has_exited(
     core: &Arc<Core>,
     engine: &Arc<Engine>,
@@ -355,7 +355,7 @@
     }
 }
 
-/// Order of the report's incarnation relative to the known one.
+/// Order of the report's incarnation relative to the known incarnation.
 fn report_start_order(engine: &Engine, report: &Report) -> StartOrder {
     match engine.started_unix_ms {
         Some(known) => StartOrder::of(report.started_unix_ms, Some(known)),
--- a/crates/direct/src/core.rs
+++ b/crates/direct/src/core.rs
@@ -302,7 +302,7 @@
     }
 
     /// Whether a stream that was sent at `sent_ms` without a first event is
-    /// unlikely to get one.
+    /// unlikely to get a first event.
     pub(crate) fn is_overdue(
         &self,
         service: &str,
--- a/crates/direct/src/placement.rs
+++ b/crates/direct/src/placement.rs
@@ -1,6 +1,6 @@
 //! Planning of which engine holds which layers, and the orders for that.
 //!
-//! | module | what it holds |
+//! | module | purpose |
 //! |---|---|
 //! | `lease` | the lease of the planner |
 //! | `authority` | the authority under which this entry sends orders |
--- a/crates/direct/src/request/exchange.rs
+++ b/crates/direct/src/request/exchange.rs
@@ -102,9 +102,9 @@
 ) -> Result<ResponseHead, OutboundError> {
     loop {
         let head = connection.read_head().await?;
-        let answered = head.header(caller::REQUEST_ID);
-        let is_other_request = match (answered, request_id) {
-            (Some(answered), Some(own)) => answered != own,
+        let response_id = head.header(caller::REQUEST_ID);
+        let is_other_request = match (response_id, request_id) {
+            (Some(response_id), Some(own)) => response_id != own,
             _ => false,
         };
         if !is_other_request {
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -392,8 +392,8 @@
     result
 }
 
-/// Classifies a response: one that states that the request did not run counts
-/// as no response.
+/// Classifies a response. A response that states that the request did not run
+/// counts as no response.
 fn classify_response(
     admitted: &AdmittedRequest,
     context: &AttemptContext<'_>,
--- a/crates/direct/src/request/stream/search.rs
+++ b/crates/direct/src/request/stream/search.rs
@@ -227,7 +227,7 @@
         PermitDemand { request: self.permit_key, is_waiting, urgency }
     }
 
-    /// Requests a permit at every engine that could be first with one.
+    /// Requests a permit at every engine that could be first with a permit.
     fn request_any_permit(&self) {
         let now_ms = now_ms();
         for engine in
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -233,8 +233,8 @@
     Ok(Call { received, account, service, options, request, arrived })
 }
 
-/// Response while no manifest is in force: without one, no bearer key can be
-/// verified.
+/// Response while no manifest is in force: without a manifest, no bearer key
+/// can be verified.
 fn no_manifest_response(entry: &Shared, arrival: Arrival) -> Box<Response> {
     let detail = "no manifest is in force on this VM yet";
     not_run_response(entry, NotRunReason::NoChain, arrival, detail)
--- a/crates/entry/src/language.rs
+++ b/crates/entry/src/language.rs
@@ -278,11 +278,11 @@
 
     /// The next progress; `None` if the caller has disconnected.
     async fn next(&mut self) -> Option<Progress> {
-        let reader_gone = async {
+        let reader_disconnected = async {
             self.writer.reader_dropped().await;
             None
         };
-        self.responder.next().or(reader_gone).await
+        self.responder.next().or(reader_disconnected).await
     }
 }
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -209,8 +209,8 @@
     }
 }
 
-/// Adds a header and skips one that is not ASCII: `http_types` panics on such
-/// a header, and a peer must not be able to trigger the panic.
+/// Adds a header unless it is not ASCII: `http_types` panics on a header that
+/// is not ASCII, and a peer must not be able to trigger the panic.
 fn append(response: &mut Response, header: &wire::Header) {
     let name = HeaderName::from_str(&header.name);
     let value = HeaderValue::from_str(&header.value);
--- a/crates/entry/src/session/dispatch.rs
+++ b/crates/entry/src/session/dispatch.rs
@@ -80,11 +80,11 @@
         self.phase = Phase::InAttempt;
     }
 
-    /// Whether another attempt is allowed. An attempt after one that delivered
-    /// output is free: it uses the slot that the failed attempt released, and
-    /// the request makes progress. All other retries are limited in number and
-    /// use the service's retry budget, so that immediate failures and refusals
-    /// do not multiply the load.
+    /// Whether another attempt is allowed. An attempt is free if the previous
+    /// attempt delivered output: it uses the slot that the failed attempt
+    /// released, and the request makes progress. All other retries are limited
+    /// in number and use the service's retry budget, so that immediate
+    /// failures and refusals do not multiply the load.
     fn may_retry(&mut self) -> bool {
         let has_progress = self.next_position > self.attempt_start_position;
         self.attempt_start_position = self.next_position;
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -237,7 +237,8 @@
             );
         }
         // An entry outside the manifest's data centres is assigned to the
-        // first one: validation of its settings does not see the manifest.
+        // first data centre: validation of its settings does not see the
+        // manifest.
         let local = indices.get(data_centre).copied().unwrap_or(0);
         DataCentres { indices, network, local }
     }
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -2,12 +2,12 @@
 //!
 //! Every process ranks the entries that it receives messages from, so nothing
 //! is coordinated or stored. Two processes with different lists of live
-//! entries disagree about few assignments. Then either two entries hold one,
-//! which costs a duplicate, or a process asks an entry that does not hold the
-//! assignment, and that entry takes it over. The loss of an entry moves only
-//! the assignments of that entry.
+//! entries disagree about few assignments. Then either two entries hold the
+//! same assignment, which costs a duplicate, or a process asks an entry that
+//! does not hold the assignment, and that entry takes it over. The loss of an
+//! entry moves only the assignments of that entry.
 
-/// Entries by rank for an assignment; the first one is the assignee.
+/// Entries by rank for an assignment; the first entry is the assignee.
 pub fn ranked(
     entries: impl IntoIterator<Item = u64>,
     assignment: u64,
--- a/crates/node/src/manifest_follower.rs
+++ b/crates/node/src/manifest_follower.rs
@@ -2,8 +2,9 @@
 //!
 //! A process polls one row, the manifest's head, with jitter so that many
 //! processes do not poll at the same time, and fetches only the parts that
-//! changed. The follower never applies a generation lower than the one in
-//! force, nor a first generation lower than one that a peer has reported.
+//! changed. The follower never applies a generation lower than the generation
+//! in force, and no first generation lower than a generation that a peer has
+//! reported.
 //!
 //! While the store is unavailable, the manifest in force stays in force, and
 //! the polls back off. The follower queries peers if a peer has a higher
@@ -165,7 +166,7 @@
         else {
             return false;
         };
-        // A first generation lower than one that a peer has reported could be
+        // A first generation lower than what a peer has reported could be
         // a rollback: this VM may have had the higher one in force before its
         // restart.
         let min_generation =
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -60,7 +60,7 @@
         known
     }
 
-    /// Queries peers for the highest generation that one has in force.
+    /// Queries peers for the highest generation that any of them has in force.
     pub(crate) async fn highest(&self) -> Option<PeerGeneration> {
         let queried = self.sample();
         let mut calls = Vec::new();
--- a/crates/planner/src/chain_repair.rs
+++ b/crates/planner/src/chain_repair.rs
@@ -39,8 +39,8 @@
     price_micros_per_hour: u64,
 }
 
-/// Adds orders that complete a chain; adds none if the memory of all servers
-/// is too small for one.
+/// Adds orders that complete a chain, or no orders if the memory of all servers
+/// is too small for a chain.
 pub(crate) fn restore_chain(draft: &mut Draft<'_>) {
     match cheapest_chain(draft) {
         Some(chain) => {
--- a/crates/planner/src/scale_up.rs
+++ b/crates/planner/src/scale_up.rs
@@ -108,8 +108,8 @@
     best.map(|at| (at, range))
 }
 
-/// The server whose move to the lowest segment raises the capacity most; of
-/// equal ones, the server that loads the fewest layers.
+/// The server whose move to the lowest segment raises the capacity most; among
+/// equals, the server that loads the fewest layers.
 fn best_donor(
     draft: &Draft<'_>,
     lowest: &Segment,
--- a/crates/routing/src/first_event_wait.rs
+++ b/crates/routing/src/first_event_wait.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether a request that was sent at `sent_ms` and has no event yet is
-    /// unlikely to get one. No request is overdue before `min_wait_ms`.
+    /// unlikely to get an event. No request is overdue before `min_wait_ms`.
     pub fn is_overdue(
         &self,
         sent_ms: u64,
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -19,7 +19,7 @@
 //! price does not count. Each additional stage and each link between data
 //! centres is charged as one more thing that can fail, and utilisation counts
 //! four times as much, which leaves headroom on every server for the requests
-//! of a failed one. Costs within a band count as equal and are ordered at
+//! of a failed server. Costs within a band count as equal and are ordered at
 //! random; the band is `near_equal_permille` at 0 and twice that at 100.
 //!
 //! `urgency` is 1/2, 1 or 2 for a low, normal or high priority, so that
--- a/crates/routing/src/recent_choices.rs
+++ b/crates/routing/src/recent_choices.rs
@@ -32,7 +32,8 @@
         RecentChoices { slots: std::array::from_fn(|_| slot()) }
     }
 
-    /// Servers that were chosen at a boundary, or at one with the same slot.
+    /// Servers that were chosen at a boundary, or at a boundary with the same
+    /// slot.
     pub(crate) fn recent(
         &self,
         boundary: usize,
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,11 +1,11 @@
 //! A budget of retries that keeps a failure from multiplying the load.
 //!
 //! The budget is a token bucket that requests fill and retries empty: each
-//! request adds `percent` hundredths of a retry, each retry takes a whole one.
-//! The bucket starts with [`INITIAL_RETRIES`], so that an entry with little
-//! traffic can retry the few requests lost with a backend server. It holds at
-//! most [`MAX_RETRIES`], so that a quiet hour does not pay for a retry storm.
-//! Over any run from the start, retries are at most
+//! request adds `percent` hundredths of a retry, each retry takes 100
+//! hundredths. The bucket starts with [`INITIAL_RETRIES`], so that an entry
+//! with little traffic can retry the few requests lost with a backend server.
+//! It holds at most [`MAX_RETRIES`], so that a quiet hour does not pay for a
+//! retry storm. Over any run from the start, retries are at most
 //! `INITIAL_RETRIES + requests * percent / 100`.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
--- a/crates/routing/src/search.rs
+++ b/crates/routing/src/search.rs
@@ -4,8 +4,8 @@
 //! keeps the cheapest partial chains that reach it: at most one per data
 //! centre of the last stage, which alone determines the next link, and at most
 //! [`BEAM_WIDTH`] in total. More expensive partial chains are dropped, but
-//! each boundary that can be reached keeps one, so the search finds a chain
-//! through the candidates whenever one exists.
+//! each boundary that can be reached keeps a partial chain, so the search finds
+//! a chain through the candidates whenever a chain exists.
 
 use crate::{
     candidate::{Candidate, ExclusionReason},
@@ -164,7 +164,7 @@
     }
 
     /// The cheapest complete chain. A chain that meets the deadline is
-    /// preferred to one that does not.
+    /// preferred to a chain that does not.
     fn best(&self, ctx: &CostContext<'_>, entry: u32) -> Option<FoundChain> {
         let deadline_ms = ctx.shape.deadline_ms as f64;
         let rank =
--- a/crates/routing/src/slot_queue.rs
+++ b/crates/routing/src/slot_queue.rs
@@ -4,9 +4,9 @@
 //! and the learned speed. A request is refused at once when it cannot finish
 //! within its deadline. The estimate covers the queued work of its own account
 //! (a flood of another account does not count against it) and all stages of
-//! its chain, at the speed of a server as full as this one. A queued request
-//! leaves the queue when it could no longer finish within its deadline, so
-//! that no slot is spent on a late response.
+//! its chain, at the speed of a server as full as this server. A queued
+//! request leaves the queue when it could no longer finish within its
+//! deadline, so that no slot is spent on a late response.
 //!
 //! A request waits at the first stage of its chain, and for a limited time at
 //! a later stage ([`SlotQueue::request_later_stage`]). While it waits it holds
@@ -173,7 +173,7 @@
     }
 
     /// Takes a slot for a later stage. Without a free slot, returns the time
-    /// after which one is expected.
+    /// after which a slot is expected.
     pub fn try_acquire(
         &mut self,
         cost_tokens: u64,
--- a/crates/routing/tests/chain.rs
+++ b/crates/routing/tests/chain.rs
@@ -173,7 +173,7 @@
     deadline_ms: u64::MAX,
     expected: |r| *r == NoChainReason::NoCandidate { first_layer: 0 },
 })]
-#[case::upper_server_leaving(NoChainCase {
+#[case::upper_server_draining(NoChainCase {
     presence: [Presence::Serving, Presence::Leaving],
     avoid: &[],
     deadline_ms: u64::MAX,
--- a/crates/side/src/ended.rs
+++ b/crates/side/src/ended.rs
@@ -58,8 +58,8 @@
     /// Drops outputs whose retention time has passed.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         // The retention time differs between requests, so an output may be
-        // kept too long behind one with a longer time. The limit in bytes
-        // holds regardless.
+        // kept too long behind an output with a longer time. The limit in
+        // bytes holds regardless.
         while let Some((until_ms, _)) = self.order.front() {
             if *until_ms > now_ms {
                 return;
--- a/crates/side/src/frames.rs
+++ b/crates/side/src/frames.rs
@@ -58,8 +58,8 @@
 
     fn link_opened(&self, link: &Link) {
         match link.peer().role() {
-            // The status contains the number of entries, so all entries get a
-            // new one.
+            // The status contains the number of entries, so all entries get
+            // the new status.
             Role::Entry => self.send_status(),
             _ => drop(link.send(self.status())),
         }
--- a/crates/side/src/run/mod.rs
+++ b/crates/side/src/run/mod.rs
@@ -153,7 +153,7 @@
     }
 
     /// Fills in the output and the end of the request as far as known.
-    fn fill_query_answer(
+    fn fill_query_response(
         &self,
         run: &Run,
         m: &wire::Query,
--- a/crates/side/src/run/query.rs
+++ b/crates/side/src/run/query.rs
@@ -46,7 +46,7 @@
         let mut known = self.query_tables(id, m, now_ms);
         if let Some(run) = ended {
             let state = run.lock();
-            state.fill_query_answer(&run, m, &mut answer);
+            state.fill_query_response(&run, m, &mut answer);
             if state.phase == Phase::Finished {
                 known = run_once::RunState::Finished;
             }
@@ -98,7 +98,7 @@
     match state.phase {
         Phase::Finished => {
             answer.state = wire::RunState::Finished.into();
-            state.fill_query_answer(run, m, &mut answer);
+            state.fill_query_response(run, m, &mut answer);
         }
         Phase::Stopped => {
             let is_failed = state.failure.is_some();
@@ -108,7 +108,7 @@
                 wire::RunState::Refused
             };
             answer.state = known.into();
-            state.fill_query_answer(run, m, &mut answer);
+            state.fill_query_response(run, m, &mut answer);
         }
         Phase::Queued | Phase::Reserving | Phase::Running => {
             answer.is_attached =
--- a/crates/state/src/lease/gate.rs
+++ b/crates/state/src/lease/gate.rs
@@ -1,8 +1,8 @@
 //! Checks fencing numbers on behalf of an engine that does not check them.
 //!
-//! Before the next order is forwarded, the previous one must have a response,
-//! or its connection to the engine must be closed: the engine does not keep
-//! orders in sequence.
+//! Before the next order is forwarded, the previous order must have a
+//! response, or its connection to the engine must be closed: the engine does
+//! not keep orders in sequence.
 
 use super::FencingNumber;
 
